--- /dev/null
+++ b/tests/golden/messages.rs
@@ -0,0 +1,398 @@
+//! Messages of users, workers, the cloud, the state service, operators, configuration, graphs, and between controllers.
+
+use olivelatch::ids::{Attempt, JobId, LeaseId, Revision, Session, Token};
+use olivelatch::protocol::cloud::CloudRequest;
+use olivelatch::protocol::config::read_config;
+use olivelatch::protocol::graphs::read_graph;
+use olivelatch::protocol::mesh::{self, MeshMessage, Question};
+use olivelatch::protocol::operators::{JobState, read_operator};
+use olivelatch::protocol::state::{Change, Guard, StateRequest};
+use olivelatch::protocol::users::{JobSpec, JobStatus, Shape, Urgency, read_submission, status_answer};
+use olivelatch::protocol::workers::{Order, elsewhere, orders_answer, orders_call, read_report};
+use olivelatch::protocol::{Answer, Outcome};
+use serde_json::{Value, json};
+
+use crate::{golden, wire};
+
+/// A submission with every field.
+pub fn submission() -> Value {
+    json!({"uid": "job-000412", "jobclass": "ingest", "owner": "grid", "shape": "array", "urgency": "high",
+        "pieces": 12, "vcpus": 0.5, "accelerators": 1.0, "memory_gb": 1.25, "bundle": "readings:7", "size_gb": 2.5,
+        "boxkinds": ["small", "large"], "hall": "north-a", "together": true, "scatter": false, "loaners": true,
+        "guess_s": 30.0, "snapshot_s": 5.0, "flush_s": 1.5, "due_s": 600.0})
+}
+
+fn with(mut value: Value, name: &str, other: Value) -> Value {
+    value[name] = other;
+    value
+}
+
+fn without(mut value: Value, names: &[&str]) -> Value {
+    for name in names {
+        value.as_object_mut().expect("an object").remove(*name);
+    }
+    value
+}
+
+#[test]
+fn users() {
+    let mut golden = golden("users");
+    golden.round_trip::<JobSpec>("job", submission());
+    golden.round_trip::<Vec<Shape>>("shapes", json!(["array", "gang", "daemon"]));
+    golden.round_trip::<Vec<Urgency>>("urgencies", json!(["critical", "high", "normal", "low"]));
+    let bodies = [
+        ("whole", submission()),
+        ("short", without(submission(), &["boxkinds", "hall", "due_s"])),
+        ("more than known", with(submission(), "later", json!(1))),
+        ("no pieces", with(submission(), "pieces", json!(0))),
+        ("no owner", without(submission(), &["owner"])),
+        ("another shape", with(submission(), "shape", json!("heap"))),
+        ("too much", with(submission(), "vcpus", json!(1e12))),
+        ("no name", without(submission(), &["uid"])),
+        ("a list", json!([])),
+    ];
+    for (name, body) in bodies {
+        golden.case(
+            &format!("submission: {name}"),
+            wire::submission(read_submission(body.to_string().as_bytes())),
+        );
+    }
+    golden.case("submission: no JSON", wire::submission(read_submission(b"{")));
+    let states = [
+        ("pending", JobStatus::Pending),
+        ("running", JobStatus::Running),
+        ("done", JobStatus::Done),
+        ("withdrawn", JobStatus::Withdrawn),
+    ];
+    for (word, state) in states {
+        golden.case(word, wire::answer(&status_answer(200, JobId(412), state, None)));
+        golden.case(
+            &format!("{word}, counted"),
+            wire::answer(&status_answer(201, JobId(1_234_567), state, Some((3, 4)))),
+        );
+    }
+    golden.case("refused", wire::answer(&Answer::error(404, "no such job")));
+    golden.case("later", wire::answer(&Answer::later("no leader", 2)));
+    golden.check();
+}
+
+fn report() -> Value {
+    let piece = |task: u32, status: &str| json!({"piece": format!("job-000412/{task}"), "try": 70 + task, "status": status});
+    let ended = |task: u32, cause: &str| with(piece(task, "ended"), "cause", json!(cause));
+    json!({"box": "m-17", "endpoint": "10.0.0.7:700", "boxkind": "small", "hall": "north-a", "loaners": true,
+        "shift": 4, "tick": 99, "baton": 31, "warning_s": 12.5, "pieces": [
+            piece(0, "fetching"), piece(1, "gathering"), piece(2, "running"), piece(3, "flushing"),
+            with(with(ended(4, "done"), "made", json!(60)), "gave", json!(7)),
+            with(ended(5, "halted"), "kept", json!(true)), with(ended(6, "halted"), "kept", json!(false)),
+            ended(7, "halted"), ended(8, "peers"), ended(9, "incomplete"), ended(10, "error"), ended(11, "full"),
+            ended(12, "busy"), ended(13, "unknown"), ended(14, "something new"), piece(15, "ended")]})
+}
+
+#[test]
+fn workers() {
+    let mut golden = golden("workers");
+    let short = without(report(), &["endpoint", "baton", "warning_s", "pieces"]);
+    let strange = with(report(), "pieces", json!([{"piece": "job-000412/0", "try": 1, "status": "asleep"}]));
+    for (name, body) in [("whole", report()), ("short", short), ("a state that is not known", strange)] {
+        let read = read_report(body.to_string().as_bytes());
+        golden.case(&format!("report: {name}"), read.as_ref().map_or(Value::Null, wire::report));
+    }
+    let (task, attempt) = (wire::task("job-000412/3"), Attempt(77));
+    let orders = [
+        Order::Run { task, attempt },
+        Order::Halt { task, attempt, grace_ms: 1_500 },
+        Order::Halt { task, attempt, grace_ms: 0 },
+        Order::Reap { task, attempt },
+    ];
+    golden.case("orders", wire::answer(&orders_answer(Token(31), &orders)));
+    golden.case("no orders", wire::answer(&orders_answer(Token(31), &[])));
+    golden.case("orders, called", wire::call(&orders_call(Token(31), Session(4), &orders)));
+    golden.case("elsewhere", wire::answer(&elsewhere(Some("n2"))));
+    golden.case("elsewhere, not known where", wire::answer(&elsewhere(None)));
+    golden.check();
+}
+
+fn ok(body: Value) -> Outcome {
+    response(200, &body.to_string())
+}
+
+fn response(status: u16, body: &str) -> Outcome {
+    Outcome::Response { status, body: body.as_bytes().to_vec() }
+}
+
+/// What may come of any call.
+fn troubles() -> Vec<(&'static str, Outcome)> {
+    vec![
+        ("not sent", Outcome::NotSent),
+        ("no response", Outcome::Unknown),
+        ("too long", Outcome::TooLong),
+        ("malformed", response(200, "{")),
+        ("400", response(400, "{}")),
+        ("no such lease", response(400, r#"{"error":"no such lease"}"#)),
+        ("404", response(404, "{}")),
+        ("409", response(409, r#"{"failed":["olivelatch/leader"],"ledger_rev":9}"#)),
+        ("409, malformed", response(409, "")),
+        ("410", response(410, "{}")),
+        ("429", response(429, "{}")),
+        ("503", response(503, "{}")),
+        ("no capacity", response(503, r#"{"error":"no capacity"}"#)),
+    ]
+}
+
+fn cloud_requests() -> Vec<(&'static str, CloudRequest, Value)> {
+    let rent = |spot, count| CloudRequest::Rent {
+        booking: "b-7".into(),
+        kind: "small".into(),
+        zone: "north-a".into(),
+        spot,
+        count,
+    };
+    let kind = json!({"name": "small", "vcpus": 4.0, "accelerators": 1.0, "memory_gb": 16.0, "local_gb": 50.0,
+        "pull_gb_per_s": 0.25, "price": 1.5, "low_price": 0.5, "ready_s": 20.0, "halls": ["north-a"]});
+    let short = json!({"name": "plain", "vcpus": 4.0, "memory_gb": 16.0});
+    let listed = |uid: &str, status: &str| {
+        json!({"uid": uid, "endpoint": "10.0.0.7:700", "boxkind": "small", "hall": "north-a", "loaners": false,
+            "status": status, "held_s": 1.25})
+    };
+    let boxes = json!([
+        listed("m-1", "booting"),
+        listed("m-2", "running"),
+        listed("m-3", "failed"),
+        listed("m-4", "something new"),
+        without(listed("m-5", "booting"), &["endpoint", "held_s"])
+    ]);
+    let release = CloudRequest::Release { machines: vec!["m-1".into(), "m-2".into()] };
+    vec![
+        ("catalog", CloudRequest::Catalog, json!({"boxkinds": [kind, short]})),
+        ("rent", rent(true, 3), json!({"boxes": ["m-1", "m-2"]})),
+        ("rent many", rent(false, 1_000), json!({"boxes": []})),
+        ("release", release, json!({})),
+        ("list", CloudRequest::List { after: None }, json!({"boxes": boxes, "has_next": true})),
+        ("list on", CloudRequest::List { after: Some("m-2".into()) }, json!({"boxes": []})),
+    ]
+}
+
+#[test]
+fn cloud() {
+    let mut golden = golden("cloud");
+    for (name, request, reply) in cloud_requests() {
+        golden.case(name, wire::call(&request.to_call()));
+        golden.case(&format!("{name}: reply"), wire::cloud(&request.read_reply(&ok(reply))));
+        for (trouble, outcome) in troubles() {
+            golden.case(&format!("{name}: {trouble}"), wire::cloud(&request.read_reply(&outcome)));
+        }
+    }
+    golden.check();
+}
+
+/// A value whose spacing must survive.
+const SPACED: &str = r#"{"node": "n0",  "lease":7}"#;
+
+fn transaction() -> StateRequest {
+    let guard = |key: &str, stamp| Guard { key: key.into(), stamp: Revision(stamp) };
+    let put = |key: &str, lease| Change::Put { key: key.into(), value: SPACED.into(), lease };
+    StateRequest::Txn {
+        guards: vec![guard("olivelatch/leader", 0), guard("olivelatch/graphs", 12)],
+        changes: vec![
+            put("olivelatch/leader", Some(LeaseId(7))),
+            put("olivelatch/kind/small", None),
+            Change::Delete { key: "olivelatch/log/n0-1".into() },
+        ],
+    }
+}
+
+/// Requests and the bodies of their replies, as text: values are kept as they are written.
+fn state_requests() -> Vec<(&'static str, StateRequest, String)> {
+    let prefix = || String::from("olivelatch/");
+    let page = format!(
+        r#"{{"pairs":[{{"key":"olivelatch/leader","value":{SPACED},"stamp":8}}],"has_next":true,"ledger_rev":9}}"#
+    );
+    let changes = format!(
+        r#"{{"ledger_rev":9,"events":[{{"write":"olivelatch/leader","value":{SPACED},"stamp":8}},{{"drop":"olivelatch/log/n0-1","stamp":9}}]}}"#
+    );
+    let after = Some("olivelatch/job/job-000412".into());
+    vec![
+        ("page", StateRequest::Page { prefix: prefix(), after: None, limit: 500 }, page),
+        (
+            "page on",
+            StateRequest::Page { prefix: prefix(), after, limit: 2 },
+            r#"{"pairs":[],"ledger_rev":9}"#.into(),
+        ),
+        ("watch", StateRequest::Changes { prefix: prefix(), after: Revision(7) }, changes),
+        ("transaction", transaction(), r#"{"ledger_rev":10}"#.into()),
+        (
+            "transaction of nothing",
+            StateRequest::Txn { guards: Vec::new(), changes: Vec::new() },
+            r#"{"ledger_rev":10}"#.into(),
+        ),
+        ("grant", StateRequest::Grant { life_ms: 4_000 }, r#"{"permit":7}"#.into()),
+        ("renew", StateRequest::Renew { lease: LeaseId(7) }, "{}".into()),
+        ("revoke", StateRequest::Revoke { lease: LeaseId(7) }, "{}".into()),
+    ]
+}
+
+#[test]
+fn state() {
+    let mut golden = golden("state");
+    for (name, request, reply) in state_requests() {
+        golden.case(name, wire::call(&request.to_call()));
+        golden.case(&format!("{name}: reply"), wire::state(&request.read_reply(&response(200, &reply))));
+        for (trouble, outcome) in troubles() {
+            golden.case(&format!("{name}: {trouble}"), wire::state(&request.read_reply(&outcome)));
+        }
+    }
+    golden.check();
+}
+
+#[test]
+fn operators() {
+    let mut golden = golden("operators");
+    let asked = [
+        "status",
+        "jobs",
+        "jobs?after=job-000412&limit=7&team=grid&class=ingest&state=live",
+        "jobs?state=ended",
+        "jobs?state=pending",
+        "jobs?state=running",
+        "jobs?state=done",
+        "jobs?state=withdrawn",
+        "jobs?state=lost",
+        "jobs?limit=501",
+        "jobs?after=412",
+        "jobs?colour=red",
+        "jobs?limit",
+        "jobs/job-000412",
+        "jobs/job-000412?after=7&limit=3",
+        "jobs/job-000412?task=7",
+        "jobs/412",
+        "jobs/job-000412/explain",
+        "jobs/job-000412/explain?task=3",
+        "jobs/job-000412/explain?task=x",
+        "jobs/job-000412/events",
+        "other",
+    ];
+    for path in asked {
+        let (bare, query) = path.split_once('?').unwrap_or((path, ""));
+        golden.case(path, wire::read(read_operator(bare, query), wire::operator));
+    }
+    crate::views::operators(&mut golden);
+    golden.check();
+}
+
+#[test]
+fn config() {
+    let mut golden = golden("config");
+    let change = json!({"value": {"limit_cpus": 4.0, "guaranteed_cpus": null}, "expected": 7, "by": "ada",
+        "why": "a quiet week", "change": "c-1"});
+    let asked = [
+        ("GET", "config", json!({})),
+        ("PUT", "config", json!({})),
+        ("GET", "config/team/grid", json!({})),
+        ("GET", "config/team/grid?version=12", json!({})),
+        ("GET", "config/team/grid?version=x", json!({})),
+        ("GET", "config/team/grid?since=1", json!({})),
+        ("PUT", "config/team/grid", change.clone()),
+        ("PUT", "config/team/whole", without(change.clone(), &["expected", "why"])),
+        ("PUT", "config/team/nobody", with(change.clone(), "by", json!(""))),
+        ("PUT", "config/team/unknown", with(change, "later", json!(1))),
+        ("DELETE", "config/team/grid", json!({})),
+        ("GET", "config/pool/billing", json!({})),
+        ("GET", "config/team/", json!({})),
+        ("GET", "other", json!({})),
+    ];
+    for (method, path, body) in asked {
+        let (bare, query) = path.split_once('?').unwrap_or((path, ""));
+        let read = read_config(method, bare, query, body.to_string().as_bytes());
+        golden.case(&format!("{method} {path}"), wire::read(read, wire::config));
+    }
+    crate::views::config(&mut golden);
+    golden.check();
+}
+
+#[test]
+fn graphs() {
+    let mut golden = golden("graphs");
+    let header = json!({"graph": "nightly", "parts": 2, "nodes": 3, "most_runs": 4});
+    let asked = [
+        ("GET", "graphs", json!({})),
+        ("GET", "graphs?graph=nightly&after=nightly-1&limit=5", json!({})),
+        ("GET", "graphs?state=live", json!({})),
+        ("GET", "graphs/nightly-1", json!({})),
+        ("GET", "graphs/nightly-1?after=9&limit=5", json!({})),
+        ("GET", "graphs/nightly-1?after=x", json!({})),
+        ("GET", "graphs/ni ghtly", json!({})),
+        ("POST", "graphs/nightly-1/parts", json!({"first": 1, "parts": [crate::views::part(), {}]})),
+        ("POST", "graphs/nightly-2/parts", json!({"first": 1, "parts": [{"later": 1}]})),
+        ("POST", "graphs/nightly-1", header.clone()),
+        ("POST", "graphs/nightly-2", without(header.clone(), &["most_runs"])),
+        ("POST", "graphs/nightly-3", with(header, "nodes", json!(0))),
+        ("POST", "graphs/nightly-1/cancel", json!({})),
+        ("POST", "graphs/nightly-1/redo", json!({"from": 2, "parts": 1})),
+        ("PUT", "graphs/nightly-1", json!({})),
+        ("GET", "graphs/nightly-1/other", json!({})),
+    ];
+    for (method, path, body) in asked {
+        let (bare, query) = path.split_once('?').unwrap_or((path, ""));
+        let read = read_graph(method, bare, query, body.to_string().as_bytes());
+        golden.case(&format!("{method} {path}"), wire::read(read, wire::graph));
+    }
+    crate::views::graphs(&mut golden);
+    golden.check();
+}
+
+fn mesh_messages() -> Vec<(&'static str, MeshMessage)> {
+    let ask = |ask, question| MeshMessage::Ask { ask, question };
+    let told =
+        |retry_after_s| MeshMessage::Told { ask: 7, status: 503, retry_after_s, body: b"{\"a\":1}".to_vec() };
+    let beat = |state_ok| MeshMessage::Beat { state_ok, misdirected: 3, misdirected_elsewhere: 4 };
+    vec![
+        ("hello", MeshMessage::Hello { node: "n0".into() }),
+        ("hello, long", MeshMessage::Hello { node: "a-node-of-a-long-name".into() }),
+        ("notify", MeshMessage::Notify { revision: 0x0102_0304_0506 }),
+        ("beat", beat(true)),
+        ("beat, blind", beat(false)),
+        ("yield", MeshMessage::Yield),
+        ("inspect", ask(1, Question::Inspect { job: 412, after: None, limit: 100 })),
+        ("inspect on", ask(2, Question::Inspect { job: 412, after: Some(9), limit: 100 })),
+        ("explain", ask(3, Question::Explain { job: 412, task: None })),
+        ("explain a task", ask(4, Question::Explain { job: 412, task: Some(3) })),
+        ("events", ask(5, Question::Events { job: 412 })),
+        ("told", told(None)),
+        ("told, later", told(Some(2))),
+        ("read", MeshMessage::Read { revision: 77 }),
+    ]
+}
+
+/// A job's states as clients read them, beside what users are told.
+#[test]
+fn states_have_one_word_each() {
+    for state in [JobState::Pending, JobState::Running, JobState::Done, JobState::Withdrawn] {
+        assert_eq!(json!(state), json!(state.word()));
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let pairs = hex.as_bytes().chunks(2);
+    let pair = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("text"), 16).expect("hex");
+    pairs.map(pair).collect()
+}
+
+/// Frames between controllers of different versions: as bytes.
+#[test]
+fn mesh() {
+    let mut golden = golden("mesh");
+    let kept = golden.kept();
+    for (name, message) in mesh_messages() {
+        let frame =
+            kept.as_ref().map_or(mesh::encode(&message), |kept| bytes(kept[name].as_str().expect(name)));
+        let read = mesh::decode(&frame[4..]);
+        assert!(read.as_ref() == Some(&message), "{name}");
+        assert_eq!(hex(&mesh::encode(&read.expect("a message"))), hex(&frame), "{name}");
+        golden.case(name, hex(&mesh::encode(&message)));
+    }
+    golden.check();
+}
