--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -54,7 +54,10 @@
     }
 
     fn play(&self) -> Result<u64, String> {
-        let mut world = World::new();
+        self.play_in(World::new())
+    }
+
+    fn play_in(&self, mut world: World) -> Result<u64, String> {
         for line in self.lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
             world.command(&words).map_err(|problem| format!("{line}: {problem}"))?;
@@ -412,7 +415,7 @@
     let mut longest = 0;
     let mut failed = Vec::new();
     for (name, plan) in plans {
-        match plan.play() {
+        match plan.play_in(World::traced(&name)) {
             Ok(stay) => longest = longest.max(stay),
             Err(problem) => {
                 let (plan, problem) = shrunk(plan, problem);
@@ -426,17 +429,17 @@
 
 #[test]
 fn the_rules_hold_when_controllers_are_back_at_once() {
-    hold(seeds().map(|seed| (format!("seed {seed}"), flashes(seed))));
+    hold(seeds().map(|seed| (format!("flashes, seed {seed}"), flashes(seed))));
 }
 
 #[test]
 fn the_rules_hold_when_troubles_meet() {
-    hold(seeds().map(|seed| (format!("seed {seed}"), meetings(seed))));
+    hold(seeds().map(|seed| (format!("meetings, seed {seed}"), meetings(seed))));
 }
 
 #[test]
 fn nothing_starts_above_a_limit_in_force_when_troubles_meet() {
-    hold(seeds().map(|seed| (format!("seed {seed}"), limits(seed))));
+    hold(seeds().map(|seed| (format!("limits, seed {seed}"), limits(seed))));
 }
 
 /// Each site and gap, and random ones beyond these.
@@ -450,7 +453,7 @@
                 Some(gap) => *gap,
                 None => rng.random_range(80..15_000),
             };
-            (format!("seed {seed}, site {site}, gap {gap} ms"), blind(site, gap, &mut rng))
+            (format!("blind, seed {seed}, site {site}, gap {gap} ms"), blind(site, gap, &mut rng))
         }));
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -10,7 +10,7 @@
 /// Plays one file; the error names the line.
 fn play(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-    let mut world = World::new();
+    let mut world = World::traced(&name(path));
     let mut lines = 0;
     for (at, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -13,6 +13,7 @@
 mod looks;
 mod rules;
 mod stream;
+mod trace;
 mod troubles;
 mod verbs;
 mod waiting;
@@ -40,6 +41,7 @@
 use olivelatch_worker::{Description, Descriptions, Effect, GangTimes, Work, Worker, coordinate};
 use serde_json::{Value, json};
 use stream::Stream;
+use trace::Trace;
 use troubles::{Pace, Troubles};
 use waiting::Waiting;
 
@@ -120,6 +122,7 @@
     last_start: BTreeMap<String, u64>,
     /// Final states when an operator's question went out: an answer must not be older.
     known_then: BTreeMap<(usize, u64), BTreeMap<String, String>>,
+    trace: Trace,
 }
 
 /// How long controllers took over their events, all together and at most over one.
@@ -242,9 +245,15 @@
             started: BTreeMap::new(),
             last_start: BTreeMap::new(),
             known_then: BTreeMap::new(),
+            trace: Trace::default(),
         }
     }
 
+    /// A world whose messages are written to a file of this name, if the environment names a folder for them.
+    pub fn traced(name: &str) -> World {
+        World { trace: Trace::to(name), ..World::new() }
+    }
+
     fn boot(&mut self, at: usize) {
         let mut config = self.config.clone();
         config["node"] = json!(self.nodes[at].name);
@@ -287,11 +296,14 @@
 
     fn tell_now(&mut self, at: usize, input: Input) {
         let clock = self.clock(at);
-        let Some(node) = self.nodes[at].node.as_mut() else { return };
+        let Slot { node: Some(node), name, .. } = &mut self.nodes[at] else { return };
+        let name = name.clone();
+        self.trace.event(self.now, &name, &input);
         let (began, kind) = (Instant::now(), input.kind());
         let outputs = node.handle(clock, input);
         self.spent.add(began.elapsed(), kind);
         for output in outputs {
+            self.trace.action(self.now, &name, &output);
             self.carry_out(at, output);
         }
     }
