--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -12,6 +12,8 @@
 mod load;
 mod looks;
 mod rules;
+
+mod stored;
 mod stream;
 mod trace;
 mod troubles;
