--- /dev/null
+++ b/crates/store/tests/golden.rs
@@ -0,0 +1,52 @@
+//! What the state service answers, as the golden file has it.
+
+#[path = "../../../tests/golden/support.rs"]
+mod support;
+
+use olivelatch_store::Engine;
+use serde_json::{Value, json};
+use support::Golden;
+
+/// Requests in their order: each sees what those before it did.
+fn requests() -> Vec<(&'static str, &'static str, Value)> {
+    let write =
+        |key: &str, permit: Value| json!({"write": key, "value": {"a": [1, 2.5, "b"]}, "permit": permit});
+    let lease = json!({"guards": [{"key": "p/leader", "stamp": 0}], "then": [write("p/leader", json!(1))]});
+    let both = json!({"guards": [], "then": [write("p/a", Value::Null), {"drop": "p/none"}, {"write": "p/b", "value": 7}]});
+    vec![
+        ("POST", "/grants", json!({"life_ms": 4000})),
+        ("POST", "/grants", json!({"life_ms": 1})),
+        ("POST", "/txn", lease.clone()),
+        ("POST", "/txn", lease),
+        ("POST", "/txn", both),
+        ("POST", "/txn", json!({"guards": [], "then": [write("p/c", json!(9))]})),
+        ("POST", "/txn", json!({"guards": [], "then": []})),
+        ("POST", "/txn", json!([])),
+        ("GET", "/kv?starts=p/&page=2", Value::Null),
+        ("GET", "/kv?starts=p/&after=p/b&page=2", Value::Null),
+        ("GET", "/kv?page=0", Value::Null),
+        ("GET", "/kv/p/leader", Value::Null),
+        ("GET", "/kv/p/none", Value::Null),
+        ("GET", "/changes?starts=p/&after=0&block_ms=0", Value::Null),
+        ("GET", "/changes?starts=p/&after=1&block_ms=0", Value::Null),
+        ("GET", "/changes?after=x", Value::Null),
+        ("POST", "/grants/1/renew", json!({})),
+        ("POST", "/grants/8/renew", json!({})),
+        ("DELETE", "/grants/1", Value::Null),
+        ("DELETE", "/grants/1", Value::Null),
+        ("GET", "/changes?starts=p/&after=2&block_ms=0", Value::Null),
+        ("GET", "/other", Value::Null),
+    ]
+}
+
+#[test]
+fn replies() {
+    let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "replies");
+    let mut engine = Engine::restored(&[], 1_000);
+    for (at, (method, path, body)) in requests().into_iter().enumerate() {
+        let (status, reply) = engine.call(method, path, body.to_string().as_bytes(), 1_000);
+        golden
+            .case(&format!("{at:02} {method} {path}"), json!({"status": status, "body": reply.to_string()}));
+    }
+    golden.check();
+}
--- /dev/null
+++ b/crates/worker/tests/golden.rs
@@ -0,0 +1,113 @@
+//! What a worker reports, and what it makes of orders, as the golden file has it.
+
+#[path = "../../../tests/golden/support.rs"]
+mod support;
+
+use std::collections::BTreeMap;
+
+use olivelatch_worker::{Description, Descriptions, Machine, Phase, TaskAttempt, Work, Worker};
+use serde_json::json;
+use support::Golden;
+
+fn machine() -> Machine {
+    Machine {
+        name: "m-17".into(),
+        endpoint: "10.0.0.7:700".into(),
+        kind: "small".into(),
+        zone: "north-a".into(),
+        spot: true,
+        cpus: 4.0,
+        gpus: 0.0,
+        memory_gb: 16.0,
+        fetch_gb_per_s: 1.0,
+    }
+}
+
+fn description() -> Description {
+    Description {
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        image: "readings:7".into(),
+        size_gb: 1.0,
+        gang: false,
+        tasks: 9,
+        checkpoint: true,
+        save_ms: 500,
+        work: Work::Takes { run_ms: 3_000, fails: false, gives: Some(7) },
+        inputs: BTreeMap::new(),
+        map: None,
+    }
+}
+
+fn phases() -> Vec<Phase> {
+    let ended = |cause, kept| Phase::Ended { cause, kept };
+    vec![
+        Phase::Fetching { until: 9_000 },
+        Phase::Gathering { since: 9_000 },
+        Phase::Running { until: Some(9_000) },
+        Phase::Running { until: None },
+        Phase::Complete,
+        Phase::Saving { until: None },
+        Phase::Stopping { cause: "halted" },
+        ended("done", false),
+        ended("halted", true),
+        ended("halted", false),
+        ended("peers", false),
+        ended("incomplete", false),
+        ended("error", false),
+        ended("full", false),
+        ended("busy", false),
+    ]
+}
+
+#[test]
+fn reports() {
+    let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "reports");
+    let mut worker = Worker::new(machine(), 1_000);
+    golden.case("nothing", worker.report(1_000).to_string());
+    for (at, phase) in phases().into_iter().enumerate() {
+        let task = format!("job-000412/{at}");
+        worker.attempts = vec![TaskAttempt { task, attempt: 70 + at as u64, phase, on: true }];
+        golden.case(&format!("phase {at:02}"), worker.report(1_000).to_string());
+    }
+    worker.notice_until = Some(13_500);
+    golden.case("notice", worker.report(1_000).to_string());
+    golden.check();
+}
+
+/// Orders of a controller, one after another, with a second or more between them.
+#[test]
+fn orders() {
+    let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "orders");
+    let jobs: Descriptions = [("job-000412".to_string(), description())].into_iter().collect();
+    let mut worker = Worker::new(machine(), 1_000);
+    let order = |verb: &str, task: u32| json!({"verb": verb, "piece": format!("job-000412/{task}"), "try": 70 + task});
+    let session = worker.session;
+    let bodies = [
+        ("run", json!({"baton": 31, "shift": session, "orders": [order("run", 0), order("run", 1)]})),
+        (
+            "run more than fits",
+            json!({"baton": 31, "shift": session,
+            "orders": [order("run", 2), order("run", 3), order("run", 4)]}),
+        ),
+        (
+            "halt",
+            json!({"baton": 31, "shift": session, "orders": [{"verb": "halt", "piece": "job-000412/1",
+            "try": 71, "wind_down_s": 1.5}]}),
+        ),
+        ("reap", json!({"baton": 32, "shift": session, "orders": [order("reap", 4)]})),
+        ("an earlier leader", json!({"baton": 31, "shift": session, "orders": []})),
+        ("another session", json!({"baton": 32, "shift": session + 1, "orders": []})),
+        ("malformed", json!({"orders": []})),
+        ("done", json!({"baton": 32, "shift": session, "orders": []})),
+    ];
+    for (at, (name, body)) in bodies.into_iter().enumerate() {
+        let now = 2_000 + 1_000 * at as u64;
+        worker.answered = now;
+        worker.step(now, 60_000, &jobs);
+        let (status, reply) = worker.direct(body.to_string().as_bytes(), now, &jobs);
+        golden.case(&format!("{at} {name}"), json!({"status": status, "body": reply.to_string()}));
+    }
+    golden.check();
+}
