--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -12,19 +12,19 @@
 pub struct Headroom {
     window_ms: u64,
     /// The part of all that idle-time work always gets, 0 to 1.
-    floor: f64,
+    minimum_share: f64,
     /// When so much was asked for; nothing later was more.
     peaks: VecDeque<(u64, u64)>,
     allowed: u64,
 }
 
 impl Headroom {
-    pub fn new(window_ms: u64, floor: f64) -> Headroom {
-        Headroom { window_ms, floor, peaks: VecDeque::new(), allowed: u64::MAX }
+    pub fn new(window_ms: u64, minimum_share: f64) -> Headroom {
+        Headroom { window_ms, minimum_share, peaks: VecDeque::new(), allowed: u64::MAX }
     }
 
     /// At `now` (milliseconds of the caller's clock) work with aims asks for `demand` of `capacity`.
-    pub fn see(&mut self, now: u64, demand: u64, capacity: u64) {
+    pub fn record_demand(&mut self, now: u64, demand: u64, capacity: u64) {
         while self.peaks.back().is_some_and(|(_, lower)| *lower <= demand) {
             self.peaks.pop_back();
         }
@@ -32,16 +32,16 @@
         while self.peaks.front().is_some_and(|(at, _)| now.saturating_sub(*at) > self.window_ms) {
             self.peaks.pop_front();
         }
-        let floor = (capacity as f64 * self.floor) as u64;
-        self.allowed = capacity.saturating_sub(self.left_free(now)).max(floor);
+        let minimum = (capacity as f64 * self.minimum_share) as u64;
+        self.allowed = capacity.saturating_sub(self.reserved(now)).max(minimum);
     }
 
     /// A demand counts in full for half of the window and then less and less, until nothing at its end.
-    fn left_free(&self, now: u64) -> u64 {
+    fn reserved(&self, now: u64) -> u64 {
         let age = |at: u64| now.saturating_sub(at).min(self.window_ms) as f64 / self.window_ms as f64;
-        let part = |at: u64| (2.0 * (1.0 - age(at))).min(1.0);
-        let counts = self.peaks.iter().map(|(at, demand)| (*demand as f64 * part(*at)) as u64);
-        counts.max().unwrap_or(0)
+        let weight = |at: u64| (2.0 * (1.0 - age(at))).min(1.0);
+        let weighted = self.peaks.iter().map(|(at, demand)| (*demand as f64 * weight(*at)) as u64);
+        weighted.max().unwrap_or(0)
     }
 
     /// What idle-time work may use altogether; no bound before anything was seen.
--- a/crates/admission/src/pressure.rs
+++ b/crates/admission/src/pressure.rs
@@ -5,7 +5,7 @@
 
 /// How much is left undone; each level includes those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub enum Level {
+pub enum PressureLevel {
     #[default]
     Calm,
     /// Planning is done less often, and commands that can wait go with the answers to reports.
@@ -15,58 +15,59 @@
 }
 
 /// Longest waits, in milliseconds, that are no reason for a level.
-const BUSY_MS: u64 = 100;
-const OVERLOADED_MS: u64 = 1_000;
+const BUSY_ABOVE_MS: u64 = 100;
+const OVERLOADED_ABOVE_MS: u64 = 1_000;
 /// The least wait is taken over this.
 const INTERVAL_MS: u64 = 1_000;
 /// A level is left after so many intervals in a row that would not have led to it.
-const CALM_INTERVALS: u32 = 3;
+const LOWER_INTERVALS_TO_DROP: u32 = 3;
 
 /// The level of one controller. Feed it every wait, and now and then a wait of nothing while nothing waits.
 #[derive(Debug, Default)]
 pub struct Pressure {
-    level: Level,
-    began: u64,
-    least: Option<u64>,
-    calm: u32,
+    level: PressureLevel,
+    interval_started_ms: u64,
+    min_wait_ms: Option<u64>,
+    lower_intervals: u32,
     /// Times that it rose, for operators.
-    pub rises: u64,
+    pub level_increases: u64,
 }
 
 impl Pressure {
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> PressureLevel {
         self.level
     }
 
     /// An event is looked at that waited so long, both in milliseconds. True if the level changed.
-    pub fn waited(&mut self, now: u64, wait_ms: u64) -> bool {
-        self.least = Some(self.least.map_or(wait_ms, |least| least.min(wait_ms)));
-        if now.saturating_sub(self.began) < INTERVAL_MS {
+    pub fn record_wait(&mut self, now: u64, wait_ms: u64) -> bool {
+        self.min_wait_ms = Some(self.min_wait_ms.map_or(wait_ms, |least| least.min(wait_ms)));
+        if now.saturating_sub(self.interval_started_ms) < INTERVAL_MS {
             return false;
         }
-        let least = self.least.take().unwrap_or(0);
-        self.began = now;
-        self.judge(least)
+        let least = self.min_wait_ms.take().unwrap_or(0);
+        self.interval_started_ms = now;
+        self.update_level(least)
     }
 
-    fn judge(&mut self, least: u64) -> bool {
-        let shown = match least {
-            least if least > OVERLOADED_MS => Level::Overloaded,
-            least if least > BUSY_MS => Level::Busy,
-            _ => Level::Calm,
+    fn update_level(&mut self, least: u64) -> bool {
+        let observed = match least {
+            least if least > OVERLOADED_ABOVE_MS => PressureLevel::Overloaded,
+            least if least > BUSY_ABOVE_MS => PressureLevel::Busy,
+            _ => PressureLevel::Calm,
         };
-        if shown > self.level {
-            self.level = shown;
-            self.calm = 0;
-            self.rises += 1;
+        if observed > self.level {
+            self.level = observed;
+            self.lower_intervals = 0;
+            self.level_increases += 1;
             return true;
         }
-        self.calm = if shown < self.level { self.calm + 1 } else { 0 };
-        if self.calm < CALM_INTERVALS {
+        self.lower_intervals = if observed < self.level { self.lower_intervals + 1 } else { 0 };
+        if self.lower_intervals < LOWER_INTERVALS_TO_DROP {
             return false;
         }
-        self.calm = 0;
-        self.level = if self.level == Level::Overloaded { Level::Busy } else { Level::Calm };
+        self.lower_intervals = 0;
+        self.level =
+            if self.level == PressureLevel::Overloaded { PressureLevel::Busy } else { PressureLevel::Calm };
         true
     }
 }
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -7,7 +7,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 
-const AFTER: &str = "\
+const AFTER_HELP: &str = "\
 Examples:
   latch demo                                 a region, a mixed batch, a controller killed in the middle
   latch up                                   a region on this machine, until Ctrl-C
@@ -26,7 +26,7 @@
   3  no controller answered in time";
 
 #[derive(Debug, Parser)]
-#[command(name = "latch", version, about = "Submit, inspect and explain jobs; run a region on one machine", after_help = AFTER)]
+#[command(name = "latch", version, about = "Submit, inspect and explain jobs; run a region on one machine", after_help = AFTER_HELP)]
 pub struct Cli {
     #[command(flatten)]
     pub common: Common,
@@ -265,14 +265,14 @@
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
-pub enum ShapeWord {
+pub enum ShapeArgument {
     Array,
     Gang,
     Service,
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
-pub enum UrgencyWord {
+pub enum UrgencyArgument {
     Critical,
     High,
     Normal,
@@ -294,9 +294,9 @@
     #[arg(long, default_value = "work")]
     pub class: String,
     #[arg(long, value_enum, default_value = "array")]
-    pub shape: ShapeWord,
+    pub shape: ShapeArgument,
     #[arg(long, value_enum, default_value = "normal")]
-    pub urgency: UrgencyWord,
+    pub urgency: UrgencyArgument,
     #[arg(long, default_value_t = 1)]
     pub tasks: u32,
     /// CPUs of one task
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -8,37 +8,37 @@
 
 use anstream::println;
 use indicatif::{ProgressBar, ProgressStyle};
-use olivelatch::protocol::operators::NodeStatus;
-use olivelatch_client::{Client, ClientError, Contexts, JobEntry, JobFile, Prepared};
+use olivelatch::protocol::operators::ControllerStatus;
+use olivelatch_client::{Client, ClientError, Contexts, JobEntry, JobFile, PreparedJob};
 use serde::Serialize;
 use serde_json::json;
 
-use crate::args::{Command, Common, List, ShapeWord, Submit, UrgencyWord};
-use crate::exit::{Failure, NOT_YET, WITHDRAWN};
+use crate::args::{Command, Common, List, ShapeArgument, Submit, UrgencyArgument};
+use crate::exit::{CommandError, NOT_SUCCESSFUL, WAIT_TIMEOUT};
 use crate::render;
 
-const POLL: Duration = Duration::from_millis(250);
-const TOP_EVERY: Duration = Duration::from_secs(2);
-const PAGE: usize = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const TOP_INTERVAL: Duration = Duration::from_secs(2);
+const PAGE_SIZE: usize = 200;
 
-pub fn run(common: &Common, command: Command) -> Result<ExitCode, Failure> {
+pub fn run(common: &Common, command: Command) -> Result<ExitCode, CommandError> {
     let mut client = connect(common)?;
     let client = &mut client;
     match command {
         Command::Submit(args) => return submit(common, client, &args),
         Command::List(args) => list(common, client, &args)?,
         Command::Show { id, tasks } => {
-            let detail = client.inspect(&id, None, tasks.clamp(1, 500))?;
-            show(common, &detail, || render::detail(&detail))?;
+            let detail = client.job_detail(&id, None, tasks.clamp(1, 500))?;
+            print_value(common, &detail, || render::job_detail(&detail))?;
         }
         Command::Explain { id, task } => {
             let explanation = client.explain(&id, task)?;
-            show(common, &explanation, || render::explanation(&explanation))?;
+            print_value(common, &explanation, || render::explanation(&explanation))?;
         }
         Command::Cancel { ids } => {
             for id in &ids {
                 let answer = client.cancel(id)?;
-                show(common, &json!({"id": answer.uid, "state": answer.status}), || {
+                print_value(common, &json!({"id": answer.uid, "state": answer.status}), || {
                     format!("{}  {}", answer.uid, answer.status)
                 })?;
             }
@@ -46,18 +46,18 @@
         Command::Wait { ids, timeout } => return wait(common, client, &ids, timeout),
         Command::Events { id } => {
             let events = client.events(&id)?;
-            show(common, &events, || render::events(&events))?;
+            print_value(common, &events, || render::events_table(&events))?;
         }
         Command::Logs { id, task } => {
             let logs = client.logs(&id, task)?;
             for attempt in &logs.attempts {
-                let cut = if attempt.cut { " (its end)" } else { "" };
+                let cut = if attempt.truncated { " (its end)" } else { "" };
                 println!("--- {} attempt {}{cut}\n{}", logs.task, attempt.attempt, attempt.text.trim_end());
             }
         }
         Command::Graph(graph) => return crate::graphs::run(common, client, &graph),
         Command::Top { once } => top(common, client, once)?,
-        Command::Check { files } => check(common, client, &files)?,
+        Command::Check { files } => check_files(common, client, &files)?,
         Command::Completions { .. }
         | Command::Up(_)
         | Command::Demo(_)
@@ -76,26 +76,30 @@
     named.or_else(here).or_else(|| own().filter(|path| path.exists()))
 }
 
-fn connect(common: &Common) -> Result<Client, Failure> {
+fn connect(common: &Common) -> Result<Client, CommandError> {
     connect_to(common, None)
 }
 
 /// The controllers of a context: the named one, else the one that the flags choose.
-pub fn connect_to(common: &Common, context: Option<&str>) -> Result<Client, Failure> {
+pub fn connect_to(common: &Common, context: Option<&str>) -> Result<Client, CommandError> {
     if !(0.1..=3600.0).contains(&common.deadline) {
-        return Err(Failure::Usage(format!(
+        return Err(CommandError::Usage(format!(
             "--deadline: expected 0.1 to 3600 seconds, not {}",
             common.deadline
         )));
     }
     let none = "no contexts file: start a region with `latch up`, or name one with --contexts";
-    let path = contexts_path(common).ok_or_else(|| Failure::Usage(none.into()))?;
+    let path = contexts_path(common).ok_or_else(|| CommandError::Usage(none.into()))?;
     let contexts = Contexts::load(&path)?;
-    let context = contexts.pick(&path.display().to_string(), context.or(common.context.as_deref()))?;
+    let context = contexts.select(&path.display().to_string(), context.or(common.context.as_deref()))?;
     Ok(Client::new(context, Duration::from_secs_f64(common.deadline)))
 }
 
-pub fn show(common: &Common, value: &impl Serialize, text: impl FnOnce() -> String) -> Result<(), Failure> {
+pub fn print_value(
+    common: &Common,
+    value: &impl Serialize,
+    text: impl FnOnce() -> String,
+) -> Result<(), CommandError> {
     if common.json {
         println!("{}", serde_json::to_string(value)?);
     } else {
@@ -104,23 +108,23 @@
     Ok(())
 }
 
-fn entry(args: &Submit) -> Result<JobEntry, Failure> {
+fn job_entry(args: &Submit) -> Result<JobEntry, CommandError> {
     let mut env = BTreeMap::new();
     for pair in &args.env {
-        let wrong = || Failure::Usage(format!("--env: expected NAME=VALUE, not {pair:?}"));
+        let wrong = || CommandError::Usage(format!("--env: expected NAME=VALUE, not {pair:?}"));
         let (name, value) = pair.split_once('=').ok_or_else(wrong)?;
         env.insert(name.to_string(), value.to_string());
     }
     let shape = match args.shape {
-        ShapeWord::Array => "array",
-        ShapeWord::Gang => "gang",
-        ShapeWord::Service => "service",
+        ShapeArgument::Array => "array",
+        ShapeArgument::Gang => "gang",
+        ShapeArgument::Service => "service",
     };
     let urgency = match args.urgency {
-        UrgencyWord::Critical => "critical",
-        UrgencyWord::High => "high",
-        UrgencyWord::Normal => "normal",
-        UrgencyWord::Low => "low",
+        UrgencyArgument::Critical => "critical",
+        UrgencyArgument::High => "high",
+        UrgencyArgument::Normal => "normal",
+        UrgencyArgument::Low => "low",
     };
     Ok(JobEntry {
         id: args.id.clone(),
@@ -131,7 +135,7 @@
         tasks: args.tasks,
         cpus: args.cpus,
         memory_gb: args.memory_gb,
-        guess_s: args.guess_s,
+        estimated_run_s: args.guess_s,
         due_s: args.due_s,
         command: args.command.clone(),
         env,
@@ -140,12 +144,12 @@
     })
 }
 
-fn prepare(args: &Submit) -> Result<Vec<Prepared>, Failure> {
+fn prepare_jobs(args: &Submit) -> Result<Vec<PreparedJob>, CommandError> {
     if args.files.is_empty() {
         if args.command.is_empty() {
-            return Err(Failure::Usage("expected a job file, or a command after --".into()));
+            return Err(CommandError::Usage("expected a job file, or a command after --".into()));
         }
-        let job = entry(args)?.prepare("job", 0).map_err(Failure::Usage)?;
+        let job = job_entry(args)?.prepare("job", 0).map_err(CommandError::Usage)?;
         return Ok(vec![job]);
     }
     let mut jobs = Vec::new();
@@ -156,14 +160,14 @@
 }
 
 /// Uploads the description, then submits. Both may be repeated.
-pub fn send(client: &mut Client, job: &Prepared) -> Result<String, ClientError> {
+pub fn submit_job(client: &mut Client, job: &PreparedJob) -> Result<String, ClientError> {
     if let Some(description) = &job.description {
-        client.describe(&job.id, description)?;
+        client.upload_description(&job.id, description)?;
     }
     Ok(client.submit(&job.spec)?.status)
 }
 
-pub fn bar(common: &Common, length: usize, what: &str) -> ProgressBar {
+pub fn progress_bar(common: &Common, length: usize, what: &str) -> ProgressBar {
     if common.json || length < 2 || !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
@@ -174,18 +178,18 @@
     bar.with_prefix(what.to_string())
 }
 
-fn submit(common: &Common, client: &mut Client, args: &Submit) -> Result<ExitCode, Failure> {
-    let jobs = prepare(args)?;
-    let progress = bar(common, jobs.len(), "submitting");
+fn submit(common: &Common, client: &mut Client, args: &Submit) -> Result<ExitCode, CommandError> {
+    let jobs = prepare_jobs(args)?;
+    let progress = progress_bar(common, jobs.len(), "submitting");
     let mut ids = Vec::new();
     for job in &jobs {
-        let status = send(client, job).inspect_err(|error| {
+        let status = submit_job(client, job).inspect_err(|error| {
             // What came before it stands; the user must know which.
             eprintln!("latch: {} ({}) was not accepted: {error}", job.name, job.id);
         })?;
         progress.inc(1);
         progress.suspend(|| {
-            show(common, &json!({"name": job.name, "id": job.id, "state": status}), || {
+            print_value(common, &json!({"name": job.name, "id": job.id, "state": status}), || {
                 format!("{}  {}  {status}", job.id, job.name)
             })
         })?;
@@ -196,8 +200,8 @@
 }
 
 /// Rows page by page; a list that stops in between is said to be partial.
-fn list(common: &Common, client: &mut Client, args: &List) -> Result<(), Failure> {
-    let mut query = format!("limit={}", PAGE.min(args.most.max(1)));
+fn list(common: &Common, client: &mut Client, args: &List) -> Result<(), CommandError> {
+    let mut query = format!("limit={}", PAGE_SIZE.min(args.most.max(1)));
     for (name, value) in [("state", &args.state), ("team", &args.team), ("class", &args.class)] {
         if let Some(value) = value {
             query.push_str(&format!("&{name}={value}"));
@@ -205,7 +209,7 @@
     }
     let (mut rows, mut after) = (Vec::new(), args.after.clone());
     let partial = loop {
-        match client.page(&query, after.as_deref()) {
+        match client.list_jobs_page(&query, after.as_deref()) {
             Ok(page) => {
                 rows.extend(page.jobs);
                 after = page.next;
@@ -221,9 +225,11 @@
     rows.truncate(args.most);
     let after = rows.last().filter(|_| cut).map(|row| row.id.clone());
     let complete = after.is_none() && partial.is_none();
-    show(common, &json!({"jobs": rows, "complete": complete, "after": after}), || render::jobs(&rows))?;
+    print_value(common, &json!({"jobs": rows, "complete": complete, "after": after}), || {
+        render::jobs_table(&rows)
+    })?;
     match (partial, after) {
-        (Some(error), _) => Err(Failure::Other(format!("the list is partial: {error}"))),
+        (Some(error), _) => Err(CommandError::Other(format!("the list is partial: {error}"))),
         (None, Some(after)) if !common.json => {
             eprintln!("latch: more jobs follow: --after {after}");
             Ok(())
@@ -237,26 +243,26 @@
     client: &mut Client,
     ids: &[String],
     timeout: Option<f64>,
-) -> Result<ExitCode, Failure> {
+) -> Result<ExitCode, CommandError> {
     let end = timeout.map(|seconds| Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, 1e9)));
-    let progress = bar(common, ids.len(), "waiting");
+    let progress = progress_bar(common, ids.len(), "waiting");
     let mut open: Vec<&String> = ids.iter().collect();
     let mut withdrawn = false;
     while !open.is_empty() {
         let mut still = Vec::new();
         for id in open {
-            match client.poll(id) {
+            match client.job_status(id) {
                 Ok(answer) if matches!(answer.status.as_str(), "done" | "withdrawn") => {
                     withdrawn |= answer.status == "withdrawn";
                     progress.inc(1);
                     progress.suspend(|| {
-                        show(common, &json!({"id": id, "state": answer.status}), || {
+                        print_value(common, &json!({"id": id, "state": answer.status}), || {
                             format!("{id}  {}", answer.status)
                         })
                     })?;
                 }
                 // Nobody can tell now; whoever waits wants to know later.
-                Ok(_) | Err(ClientError::NoAnswer { .. }) => still.push(id),
+                Ok(_) | Err(ClientError::NoResponse { .. }) => still.push(id),
                 Err(error) if error.status() == Some(503) => still.push(id),
                 Err(error) => return Err(error.into()),
             }
@@ -268,53 +274,55 @@
                 "latch: not over in time: {}",
                 open.iter().map(|id| id.as_str()).collect::<Vec<_>>().join(", ")
             );
-            return Ok(ExitCode::from(NOT_YET));
+            return Ok(ExitCode::from(WAIT_TIMEOUT));
         }
         if !open.is_empty() {
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
     progress.finish_and_clear();
-    Ok(if withdrawn { ExitCode::from(WITHDRAWN) } else { ExitCode::SUCCESS })
+    Ok(if withdrawn { ExitCode::from(NOT_SUCCESSFUL) } else { ExitCode::SUCCESS })
 }
 
-pub fn statuses(client: &Client) -> Vec<(String, Option<NodeStatus>)> {
-    client.statuses().into_iter().map(|(addr, status)| (addr.to_string(), status)).collect()
+pub fn statuses(client: &Client) -> Vec<(String, Option<ControllerStatus>)> {
+    client.controller_statuses().into_iter().map(|(addr, status)| (addr.to_string(), status)).collect()
 }
 
-fn top(common: &Common, client: &Client, once: bool) -> Result<(), Failure> {
+fn top(common: &Common, client: &Client, once: bool) -> Result<(), CommandError> {
     loop {
         let statuses = statuses(client);
         let value: BTreeMap<_, _> = statuses.iter().map(|(addr, status)| (addr, status)).collect();
         if !once && std::io::stdout().is_terminal() {
             print!("\x1b[2J\x1b[H");
         }
-        show(common, &value, || render::nodes(&statuses))?;
+        print_value(common, &value, || render::controllers_table(&statuses))?;
         if once {
             return Ok(());
         }
-        std::thread::sleep(TOP_EVERY);
+        std::thread::sleep(TOP_INTERVAL);
     }
 }
 
-fn check_file(file: &Path) -> Result<String, Failure> {
+fn check_file(file: &Path) -> Result<String, CommandError> {
     let jobs = JobFile::load(file)?.prepare()?;
     let tasks: u64 = jobs.iter().filter_map(|job| job.spec["pieces"].as_u64()).sum();
     Ok(format!("{}: fine, {} jobs with {tasks} tasks", file.display(), jobs.len()))
 }
 
-fn check(common: &Common, client: &Client, files: &[PathBuf]) -> Result<(), Failure> {
+fn check_files(common: &Common, client: &Client, files: &[PathBuf]) -> Result<(), CommandError> {
     for file in files {
         println!("{}", check_file(file)?);
     }
     let statuses = statuses(client);
     let silent = statuses.iter().filter(|(_, status)| status.is_none()).count();
     let leads =
-        statuses.iter().filter(|(_, status)| status.as_ref().is_some_and(|status| status.leads)).count();
+        statuses.iter().filter(|(_, status)| status.as_ref().is_some_and(|status| status.is_leader)).count();
     let value = json!({"controllers": statuses.len(), "silent": silent, "leaders": leads});
-    show(common, &value, || format!("{} controllers, {silent} silent, {leads} leading", statuses.len()))?;
+    print_value(common, &value, || {
+        format!("{} controllers, {silent} silent, {leads} leading", statuses.len())
+    })?;
     if silent == statuses.len() {
-        return Err(Failure::Client(ClientError::NoAnswer {
+        return Err(CommandError::Client(ClientError::NoResponse {
             seconds: common.deadline,
             tried: statuses.into_iter().map(|(addr, _)| addr).collect::<Vec<_>>().join(", "),
         }));
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -4,121 +4,121 @@
 use std::time::{Duration, Instant};
 
 use anstream::println;
-use olivelatch::protocol::config::{EntryView, TeamValue};
-use olivelatch_client::{Author, Client, ClientError, ConfigFile, Difference};
+use olivelatch::protocol::config::{ConfigEntryView, TeamQuota};
+use olivelatch_client::{ChangeAuthor, Client, ClientError, ConfigDifference, ConfigFile};
 use serde_json::json;
 
 use crate::args::{Change, Common, Config};
-use crate::commands::{connect_to, show};
+use crate::commands::{connect_to, print_value};
 use crate::config_tables as render;
-use crate::exit::{Failure, NOT_YET};
+use crate::exit::{CommandError, WAIT_TIMEOUT};
 
-pub fn run(common: &Common, command: &Config) -> Result<ExitCode, Failure> {
+pub fn run(common: &Common, command: &Config) -> Result<ExitCode, CommandError> {
     match command {
         Config::List => {
             let list = connect_to(common, None)?.config_list()?;
-            show(common, &list, || render::config_table(&list.entries))?;
+            print_value(common, &list, || render::config_table(&list.entries))?;
             Ok(ExitCode::SUCCESS)
         }
         Config::Get { entry } => {
             let view = connect_to(common, None)?.config_get(entry)?;
-            show(common, &view, || render::config_entry(&view))?;
+            print_value(common, &view, || render::config_entry(&view))?;
             Ok(ExitCode::SUCCESS)
         }
         Config::Set { entry, limit_cpus, guaranteed_cpus, expected, change } => {
             if limit_cpus.is_none() && guaranteed_cpus.is_none() {
-                return Err(Failure::Usage("expected --limit-cpus, --guaranteed-cpus or both".into()));
+                return Err(CommandError::Usage("expected --limit-cpus, --guaranteed-cpus or both".into()));
             }
             let mut client = connect_to(common, None)?;
             let now = client.config_get(entry)?;
-            let value = TeamValue {
-                limit_cpus: limit_cpus.or(now.value.limit_cpus),
-                guaranteed_cpus: guaranteed_cpus.or(now.value.guaranteed_cpus),
+            let value = TeamQuota {
+                limit_cpus: limit_cpus.or(now.configured.limit_cpus),
+                guaranteed_cpus: guaranteed_cpus.or(now.configured.guaranteed_cpus),
             };
-            change_one(common, &mut client, entry, value, expected.unwrap_or(now.version), change)
+            change_entry(common, &mut client, entry, value, expected.unwrap_or(now.version), change)
         }
         Config::Unset { entry, change } => {
             let mut client = connect_to(common, None)?;
             let now = client.config_get(entry)?;
-            change_one(common, &mut client, entry, TeamValue::default(), now.version, change)
+            change_entry(common, &mut client, entry, TeamQuota::default(), now.version, change)
         }
-        Config::Diff { file, to } => apply(common, file, to, Mode::Show, &Change::default()),
+        Config::Diff { file, to } => apply(common, file, to, ApplyMode::DryRun, &Change::default()),
         Config::Apply { file, to, dry_run, change } => {
-            apply(common, file, to, if *dry_run { Mode::Show } else { Mode::Write }, change)
+            apply(common, file, to, if *dry_run { ApplyMode::DryRun } else { ApplyMode::Write }, change)
         }
     }
 }
 
-fn author(change: &Change) -> Author {
+fn change_author(change: &Change) -> ChangeAuthor {
     let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
-    Author {
-        by: change.by.clone().or_else(user).unwrap_or_else(|| "operator".into()),
-        why: change.why.clone().unwrap_or_default(),
+    ChangeAuthor {
+        name: change.by.clone().or_else(user).unwrap_or_else(|| "operator".into()),
+        reason: change.why.clone().unwrap_or_default(),
     }
 }
 
-fn change_one(
+fn change_entry(
     common: &Common,
     client: &mut Client,
     entry: &str,
-    value: TeamValue,
+    value: TeamQuota,
     expected: u64,
     change: &Change,
-) -> Result<ExitCode, Failure> {
+) -> Result<ExitCode, CommandError> {
     let start = Instant::now();
-    let stored = match client.config_set(entry, value, Some(expected), &author(change)) {
-        Err(ClientError::Refused { status: 409, body, .. }) => return Err(conflict(entry, &body)),
+    let stored = match client.config_set(entry, value, Some(expected), &change_author(change)) {
+        Err(ClientError::Refused { status: 409, body, .. }) => return Err(conflict_error(entry, &body)),
         stored => stored?,
     };
     if !change.wait {
-        show(common, &stored, || {
+        print_value(common, &stored, || {
             format!("{}\n{}", render::config_entry(&stored), "stored; --wait shows when it is in force")
         })?;
         return Ok(ExitCode::SUCCESS);
     }
-    let view = client.config_wait(entry, stored.version, within(change)?)?;
+    let view = client.config_wait(entry, stored.version, wait_timeout(change)?)?;
     let seconds = start.elapsed().as_secs_f64();
-    show(common, &json!({"entry": view, "seconds": seconds}), || {
-        format!("{}\n{}", render::config_entry(&view), render::in_force(&view, seconds))
+    print_value(common, &json!({"entry": view, "seconds": seconds}), || {
+        format!("{}\n{}", render::config_entry(&view), render::in_force_text(&view, seconds))
     })?;
-    Ok(if view.in_force { ExitCode::SUCCESS } else { ExitCode::from(NOT_YET) })
+    Ok(if view.is_effective { ExitCode::SUCCESS } else { ExitCode::from(WAIT_TIMEOUT) })
 }
 
-fn within(change: &Change) -> Result<Duration, Failure> {
+fn wait_timeout(change: &Change) -> Result<Duration, CommandError> {
     Duration::try_from_secs_f64(change.within)
-        .map_err(|_| Failure::Usage(format!("--within: expected seconds, not {}", change.within)))
+        .map_err(|_| CommandError::Usage(format!("--within: expected seconds, not {}", change.within)))
 }
 
 /// Somebody else has changed the entry since it was looked at.
-fn conflict(entry: &str, body: &[u8]) -> Failure {
-    match serde_json::from_slice::<EntryView>(body) {
-        Ok(now) => Failure::Refused(format!(
+fn conflict_error(entry: &str, body: &[u8]) -> CommandError {
+    match serde_json::from_slice::<ConfigEntryView>(body) {
+        Ok(now) => CommandError::Refused(format!(
             "{entry} was changed meanwhile, by {}: it is at version {} with {}; look again and repeat the change",
-            now.by.as_deref().unwrap_or("nobody known"),
+            now.changed_by.as_deref().unwrap_or("nobody known"),
             now.version,
-            render::team_value(now.value)
+            render::team_value_text(now.configured)
         )),
-        Err(_) => Failure::Refused(String::from_utf8_lossy(body).into_owned()),
+        Err(_) => CommandError::Refused(String::from_utf8_lossy(body).into_owned()),
     }
 }
 
 /// Whether a file is laid down or only compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mode {
-    Show,
+enum ApplyMode {
+    DryRun,
     Write,
 }
 
 /// What became of a file in one region.
-struct Outcome {
+struct ContextOutcome {
     context: String,
-    result: Result<Region, Failure>,
+    result: Result<RegionChanges, CommandError>,
 }
 
 /// What a file does in a region that answers.
-struct Region {
+struct RegionChanges {
     lines: Vec<String>,
-    open: usize,
+    pending: usize,
 }
 
 /// Lays a file down in each context, or only shows what would change. Each region's outcome is its own.
@@ -126,9 +126,9 @@
     common: &Common,
     path: &std::path::Path,
     to: &[String],
-    mode: Mode,
+    mode: ApplyMode,
     change: &Change,
-) -> Result<ExitCode, Failure> {
+) -> Result<ExitCode, CommandError> {
     let file = ConfigFile::load(path)?;
     let contexts: Vec<Option<&str>> =
         if to.is_empty() { vec![None] } else { to.iter().map(|name| Some(name.as_str())).collect() };
@@ -136,7 +136,7 @@
     for context in contexts {
         let result =
             connect_to(common, context).and_then(|mut client| apply_in(&mut client, &file, mode, change));
-        outcomes.push(Outcome { context: context.unwrap_or("current").into(), result });
+        outcomes.push(ContextOutcome { context: context.unwrap_or("current").into(), result });
     }
     let mut code = ExitCode::SUCCESS;
     for outcome in outcomes {
@@ -148,38 +148,43 @@
                     region.lines.join("\n")
                 };
                 println!("{}:\n{what}", outcome.context);
-                if region.open > 0 {
-                    code = ExitCode::from(NOT_YET);
+                if region.pending > 0 {
+                    code = ExitCode::from(WAIT_TIMEOUT);
                 }
             }
             Err(failure) => {
                 println!("{}: NOT CHANGED, what held there still holds: {failure}", outcome.context);
-                code = failure.code();
+                code = failure.exit_code();
             }
         }
     }
     Ok(code)
 }
 
-fn apply_in(client: &mut Client, file: &ConfigFile, mode: Mode, change: &Change) -> Result<Region, Failure> {
+fn apply_in(
+    client: &mut Client,
+    file: &ConfigFile,
+    mode: ApplyMode,
+    change: &Change,
+) -> Result<RegionChanges, CommandError> {
     let list = client.config_list()?;
     let differences = file.differences(&list);
-    if let Some(unknown) = differences.iter().find(|difference| difference.now.is_none()) {
-        return Err(Failure::Refused(format!("{}: the region has no such team", unknown.entry)));
+    if let Some(unknown) = differences.iter().find(|difference| difference.current.is_none()) {
+        return Err(CommandError::Refused(format!("{}: the region has no such team", unknown.entry)));
     }
-    let mut region = Region { lines: Vec::new(), open: 0 };
+    let mut region = RegionChanges { lines: Vec::new(), pending: 0 };
     let mut stored = Vec::new();
     let start = Instant::now();
     for difference in &differences {
         region.lines.push(difference_line(difference));
-        if mode == Mode::Show {
+        if mode == ApplyMode::DryRun {
             continue;
         }
-        let expected = difference.now.map(|now| now.version);
-        match client.config_set(&difference.entry, difference.wanted, expected, &author(change)) {
+        let expected = difference.current.map(|now| now.version);
+        match client.config_set(&difference.entry, difference.wanted, expected, &change_author(change)) {
             Ok(view) => stored.push(view),
             Err(ClientError::Refused { status: 409, body, .. }) => {
-                return Err(conflict(&difference.entry, &body));
+                return Err(conflict_error(&difference.entry, &body));
             }
             Err(error) => return Err(error.into()),
         }
@@ -187,21 +192,21 @@
     if !change.wait {
         return Ok(region);
     }
-    let within = within(change)?;
+    let within = wait_timeout(change)?;
     for one in stored {
-        let view = client.config_wait(&one.entry, one.version, within.saturating_sub(start.elapsed()))?;
-        region.lines.push(render::in_force(&view, start.elapsed().as_secs_f64()));
-        region.open += usize::from(!view.in_force);
+        let view = client.config_wait(&one.key, one.version, within.saturating_sub(start.elapsed()))?;
+        region.lines.push(render::in_force_text(&view, start.elapsed().as_secs_f64()));
+        region.pending += usize::from(!view.is_effective);
     }
     Ok(region)
 }
 
-fn difference_line(difference: &Difference<'_>) -> String {
-    let now = difference.now.map(|now| now.value).unwrap_or_default();
+fn difference_line(difference: &ConfigDifference<'_>) -> String {
+    let now = difference.current.map(|now| now.configured).unwrap_or_default();
     format!(
         "  {}: {} -> {}",
         difference.entry,
-        render::team_value(now),
-        render::team_value(difference.wanted)
+        render::team_value_text(now),
+        render::team_value_text(difference.wanted)
     )
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -3,101 +3,103 @@
 use std::process::ExitCode;
 
 use olivelatch_client::{ClientError, ConfigFileError, ContextsError, JobFileError};
-use olivelatch_flow::FlowFileError;
-use olivelatch_region::RegionError;
+use olivelatch_flow::DagFileError;
+use olivelatch_region::LocalClusterError;
 use olivelatch_scale::ScaleError;
 
 /// Something was not found, or the region could not go on.
-const OTHER: u8 = 1;
+const OTHER_FAILURE: u8 = 1;
 /// Wrong arguments or files, as clap has it.
 const USAGE: u8 = 2;
-const NO_ANSWER: u8 = 3;
+const NO_RESPONSE: u8 = 3;
 const REFUSED: u8 = 4;
 /// `wait`: a job was withdrawn, or a run did not go well.
-pub const WITHDRAWN: u8 = 5;
+pub const NOT_SUCCESSFUL: u8 = 5;
 /// `wait`: the time was over.
-pub const NOT_YET: u8 = 6;
+pub const WAIT_TIMEOUT: u8 = 6;
 
 #[derive(Debug)]
-pub enum Failure {
+pub enum CommandError {
     Usage(String),
     Client(ClientError),
-    Region(RegionError),
+    LocalCluster(LocalClusterError),
     /// The request is wrong, or meets a conflict.
     Refused(String),
     Other(String),
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for CommandError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failure::Usage(text) | Failure::Refused(text) | Failure::Other(text) => f.write_str(text),
-            Failure::Client(error) => error.fmt(f),
-            Failure::Region(error) => error.fmt(f),
+            CommandError::Usage(text) | CommandError::Refused(text) | CommandError::Other(text) => {
+                f.write_str(text)
+            }
+            CommandError::Client(error) => error.fmt(f),
+            CommandError::LocalCluster(error) => error.fmt(f),
         }
     }
 }
 
-impl Failure {
-    pub fn code(&self) -> ExitCode {
+impl CommandError {
+    pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Failure::Usage(_) => USAGE,
-            Failure::Client(ClientError::NoAnswer { .. }) => NO_ANSWER,
-            Failure::Client(ClientError::Refused { status: 404, .. }) => OTHER,
-            Failure::Client(ClientError::Refused { status: 503, .. }) => NO_ANSWER,
-            Failure::Client(ClientError::Refused { .. }) | Failure::Refused(_) => REFUSED,
-            Failure::Client(_) | Failure::Region(_) | Failure::Other(_) => OTHER,
+            CommandError::Usage(_) => USAGE,
+            CommandError::Client(ClientError::NoResponse { .. }) => NO_RESPONSE,
+            CommandError::Client(ClientError::Refused { status: 404, .. }) => OTHER_FAILURE,
+            CommandError::Client(ClientError::Refused { status: 503, .. }) => NO_RESPONSE,
+            CommandError::Client(ClientError::Refused { .. }) | CommandError::Refused(_) => REFUSED,
+            CommandError::Client(_) | CommandError::LocalCluster(_) | CommandError::Other(_) => OTHER_FAILURE,
         })
     }
 }
 
-impl From<ClientError> for Failure {
-    fn from(error: ClientError) -> Failure {
-        Failure::Client(error)
+impl From<ClientError> for CommandError {
+    fn from(error: ClientError) -> CommandError {
+        CommandError::Client(error)
     }
 }
 
-impl From<RegionError> for Failure {
-    fn from(error: RegionError) -> Failure {
-        Failure::Region(error)
+impl From<LocalClusterError> for CommandError {
+    fn from(error: LocalClusterError) -> CommandError {
+        CommandError::LocalCluster(error)
     }
 }
 
-impl From<ContextsError> for Failure {
-    fn from(error: ContextsError) -> Failure {
-        Failure::Usage(error.to_string())
+impl From<ContextsError> for CommandError {
+    fn from(error: ContextsError) -> CommandError {
+        CommandError::Usage(error.to_string())
     }
 }
 
-impl From<JobFileError> for Failure {
-    fn from(error: JobFileError) -> Failure {
-        Failure::Usage(error.to_string())
+impl From<JobFileError> for CommandError {
+    fn from(error: JobFileError) -> CommandError {
+        CommandError::Usage(error.to_string())
     }
 }
 
-impl From<ConfigFileError> for Failure {
-    fn from(error: ConfigFileError) -> Failure {
-        Failure::Usage(error.to_string())
+impl From<ConfigFileError> for CommandError {
+    fn from(error: ConfigFileError) -> CommandError {
+        CommandError::Usage(error.to_string())
     }
 }
 
-impl From<FlowFileError> for Failure {
-    fn from(error: FlowFileError) -> Failure {
-        Failure::Usage(error.to_string())
+impl From<DagFileError> for CommandError {
+    fn from(error: DagFileError) -> CommandError {
+        CommandError::Usage(error.to_string())
     }
 }
 
-impl From<ScaleError> for Failure {
-    fn from(error: ScaleError) -> Failure {
+impl From<ScaleError> for CommandError {
+    fn from(error: ScaleError) -> CommandError {
         match error {
-            ScaleError::Plan(_) | ScaleError::Refused(_) => Failure::Usage(error.to_string()),
-            _ => Failure::Other(error.to_string()),
+            ScaleError::Plan(_) | ScaleError::Refused(_) => CommandError::Usage(error.to_string()),
+            _ => CommandError::Other(error.to_string()),
         }
     }
 }
 
-impl From<serde_json::Error> for Failure {
-    fn from(error: serde_json::Error) -> Failure {
-        Failure::Other(error.to_string())
+impl From<serde_json::Error> for CommandError {
+    fn from(error: serde_json::Error) -> CommandError {
+        CommandError::Other(error.to_string())
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,7 +19,7 @@
 use clap::Parser;
 
 use args::{Cli, Command};
-use exit::Failure;
+use exit::CommandError;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -27,7 +27,7 @@
         Command::Controller(args) => {
             return olivelatch::cli::run(std::iter::once("olivelatch".into()).chain(args.rest));
         }
-        Command::Up(args) => up::up(&args).map(|()| ExitCode::SUCCESS),
+        Command::Up(args) => up::run_up(&args).map(|()| ExitCode::SUCCESS),
         Command::Scale(args) => scale::run(args),
         Command::Config(command) => config::run(&cli.common, &command),
         Command::Demo(args) => demo::demo(&args).map(|()| ExitCode::SUCCESS),
@@ -37,8 +37,8 @@
         }
         command => commands::run(&cli.common, command),
     };
-    result.unwrap_or_else(|failure: Failure| {
+    result.unwrap_or_else(|failure: CommandError| {
         eprintln!("latch: {failure}");
-        failure.code()
+        failure.exit_code()
     })
 }
--- a/crates/cli/src/tests/up.rs
+++ b/crates/cli/src/tests/up.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn teams_are_read_or_named() {
-    assert_eq!(read_team("office=2:4.5").expect("a team"), ("office".into(), 2.0, 4.5));
+    assert_eq!(parse_team("office=2:4.5").expect("a team"), ("office".into(), 2.0, 4.5));
     for wrong in ["office", "=1:2", "office=1", "office=a:2", "office=-1:2"] {
-        assert!(read_team(wrong).expect_err("wrong").to_string().contains(wrong), "{wrong}");
+        assert!(parse_team(wrong).expect_err("wrong").to_string().contains(wrong), "{wrong}");
     }
 }
 
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -10,31 +10,31 @@
 
 use serde_json::Value;
 
-const LATCH: &str = env!("CARGO_BIN_EXE_latch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_latch");
 
-pub struct Region {
+pub struct TestCluster {
     pub folder: PathBuf,
     teams: Vec<String>,
     child: Option<Child>,
 }
 
-impl Region {
-    pub fn start(folder: &Path, teams: &[&str]) -> Region {
+impl TestCluster {
+    pub fn start(folder: &Path, teams: &[&str]) -> TestCluster {
         let teams = teams.iter().map(|team| (*team).to_string()).collect();
-        let mut region = Region { folder: folder.into(), teams, child: None };
+        let mut region = TestCluster { folder: folder.into(), teams, child: None };
         region.up();
         region
     }
 
     pub fn up(&mut self) {
-        let mut command = Command::new(LATCH);
+        let mut command = Command::new(PROGRAM);
         command.arg("up").arg("--state").arg(&self.folder).args(["--machines", "3", "--cpus", "4"]);
         for team in &self.teams {
             command.args(["--team", team]);
         }
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).spawn().expect("the program starts");
         self.child = Some(child);
-        self.until("a leader", |region| !region.leaders().is_empty());
+        self.wait_until("a leader", |region| !region.leaders().is_empty());
     }
 
     /// The region's own process.
@@ -50,8 +50,8 @@
         }
     }
 
-    pub fn latch(&self, arguments: &[&str]) -> Output {
-        Command::new(LATCH)
+    pub fn run_program(&self, arguments: &[&str]) -> Output {
+        Command::new(PROGRAM)
             .arg("--contexts")
             .arg(self.folder.join("contexts.hcl"))
             .args(arguments)
@@ -62,7 +62,7 @@
 
     /// Lines of JSON that a command printed.
     pub fn json(&self, arguments: &[&str]) -> Vec<Value> {
-        let output = self.latch(&[&["--json"], arguments].concat());
+        let output = self.run_program(&[&["--json"], arguments].concat());
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect()
     }
@@ -74,7 +74,7 @@
         leads.filter_map(|node| node["node"].as_str().map(String::from)).collect()
     }
 
-    pub fn until(&self, what: &str, holds: impl Fn(&Region) -> bool) {
+    pub fn wait_until(&self, what: &str, holds: impl Fn(&TestCluster) -> bool) {
         let end = Instant::now() + Duration::from_secs(90);
         while !holds(self) {
             assert!(Instant::now() < end, "{what}: not in time");
@@ -113,7 +113,7 @@
     }
 
     /// Tasks that were done, by the workers' own record; and that none was started again after it.
-    pub fn done_by_record(&self) -> BTreeMap<String, BTreeSet<String>> {
+    pub fn done_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
         let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the record");
         let mut done: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for line in text.lines() {
@@ -130,9 +130,9 @@
     }
 }
 
-impl Region {
+impl TestCluster {
     /// Politely, so that it ends what it has started.
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = Command::new("kill").arg("-TERM").arg(child.id().to_string()).status();
             let end = Instant::now() + Duration::from_secs(10);
@@ -145,8 +145,8 @@
     }
 }
 
-impl Drop for Region {
+impl Drop for TestCluster {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
--- a/crates/cli/tests/config.rs
+++ b/crates/cli/tests/config.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::Region;
+use common::TestCluster;
 use serde_json::Value;
 
 const DONE: Option<i32> = Some(0);
 const REFUSED: Option<i32> = Some(4);
 
-fn words(output: &std::process::Output) -> String {
+fn output_words(output: &std::process::Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
@@ -16,10 +16,10 @@
 #[test]
 fn limits_change_while_the_region_runs() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut region = Region::start(folder.path(), &["office=2:8", "lab=1:4"]);
+    let mut region = TestCluster::start(folder.path(), &["office=2:8", "lab=1:4"]);
     let run = |arguments: &[&str]| {
-        let output = region.latch(&[&["config"], arguments].concat());
-        (output.status.code(), words(&output))
+        let output = region.run_program(&[&["config"], arguments].concat());
+        (output.status.code(), output_words(&output))
     };
     let (code, text) = run(&["set", "team/office", "--limit-cpus", "3", "--why", "quarter end", "--wait"]);
     assert_eq!(code, DONE, "{text}");
@@ -51,5 +51,5 @@
     let (code, text) = run(&["unset", "team/office", "--wait"]);
     assert_eq!(code, DONE, "{text}");
     assert_eq!(region.json(&["config", "get", "team/office"])[0]["holds"]["limit_cpus"], 8.0);
-    region.end();
+    region.stop();
 }
--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-use common::Region;
+use common::TestCluster;
 use serde_json::Value;
 
 /// Three stages with a fan-out over a list and a fan-in; a bill is written in two halves with a pause between. While
@@ -90,17 +90,17 @@
     Ok(looks)
 }
 
-fn detail(region: &Region, run: &str) -> Value {
+fn run_detail(region: &TestCluster, run: &str) -> Value {
     region.json(&["graph", "show", run]).into_iter().next().unwrap_or(Value::Null)
 }
 
-fn node<'a>(detail: &'a Value, name: &str) -> &'a Value {
+fn node_view<'a>(detail: &'a Value, name: &str) -> &'a Value {
     let nodes = detail["nodes"].as_array().map_or(&[][..], Vec::as_slice);
     nodes.iter().find(|node| node["name"] == name).unwrap_or(&Value::Null)
 }
 
 /// Places in the record of the first start and the last good end of each job.
-fn spans(region: &Region) -> BTreeMap<String, (usize, usize)> {
+fn job_spans(region: &TestCluster) -> BTreeMap<String, (usize, usize)> {
     let text = fs::read_to_string(region.folder.join("runs.jsonl")).expect("the record");
     let mut spans: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     for (at, line) in text.lines().enumerate() {
@@ -115,9 +115,9 @@
 }
 
 /// Every node of a run started after all that it comes after was done, by the workers' record.
-fn check_order(region: &Region, run: &Value) {
-    let spans = spans(region);
-    let span = |name: &str| spans.get(node(run, name)["job"].as_str().unwrap_or("")).copied();
+fn check_order(region: &TestCluster, run: &Value) {
+    let spans = job_spans(region);
+    let span = |name: &str| spans.get(node_view(run, name)["job"].as_str().unwrap_or("")).copied();
     for (before, after) in EDGES {
         if let (Some(before_span), Some(after_span)) = (span(before), span(after)) {
             assert!(before_span.1 < after_span.0, "{after} started before {before} was done: {run}");
@@ -128,7 +128,7 @@
 #[test]
 fn both_kinds_at_once_end_once_each_and_files_appear_whole() {
     let folder = tempfile::tempdir().expect("a folder");
-    let region = Arc::new(Region::start(&folder.path().join("r"), &["default=0:0"]));
+    let region = Arc::new(TestCluster::start(&folder.path().join("r"), &["default=0:0"]));
     let file = folder.path().join("chain.hcl");
     fs::write(&file, CHAIN).expect("a file");
     let file = file.display().to_string();
@@ -148,7 +148,7 @@
             );
             thread::spawn(move || {
                 let run = format!("run-{client}");
-                let sent = region.latch(&["graph", "submit", &file, "--run", &run, "--var", &var]);
+                let sent = region.run_program(&["graph", "submit", &file, "--run", &run, "--var", &var]);
                 assert!(sent.status.success(), "{}", String::from_utf8_lossy(&sent.stderr));
                 let tasks = ["--tasks", "12", "--cpus", "0.5", "--guess-s", "0.2", "--", "sleep", "0.2"];
                 (run, region.submit(&tasks))
@@ -157,59 +157,63 @@
         .collect();
     let submitted: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("a client")).collect();
-    region.until("something is done", |region| spans(region).values().any(|(_, end)| *end > 0));
+    region.wait_until("something is done", |region| job_spans(region).values().any(|(_, end)| *end > 0));
     region.kill_controllers();
     for (run, job) in &submitted {
-        let waited = region.latch(&["graph", "wait", run, "--timeout", "90"]);
+        let waited = region.run_program(&["graph", "wait", run, "--timeout", "90"]);
         let expected = if run == "run-0" { Some(5) } else { Some(0) };
         assert_eq!(waited.status.code(), expected, "{run}: {}", String::from_utf8_lossy(&waited.stderr));
-        assert!(region.latch(&["wait", job, "--timeout", "90"]).status.success(), "{job}");
+        assert!(region.run_program(&["wait", job, "--timeout", "90"]).status.success(), "{job}");
     }
-    let failed = detail(&region, "run-0");
+    let failed = run_detail(&region, "run-0");
     assert_eq!(
-        [&node(&failed, "balance")["state"], &node(&failed, "bill")["state"]],
+        [&node_view(&failed, "balance")["state"], &node_view(&failed, "bill")["state"]],
         ["failed", "upstream_failed"]
     );
-    let evidence = node(&failed, "balance")["evidence"].as_array().cloned().unwrap_or_default();
+    let evidence = node_view(&failed, "balance")["evidence"].as_array().cloned().unwrap_or_default();
     assert_eq!(evidence.len(), 2, "{evidence:?}");
     assert!(evidence.iter().all(|one| one["t"] == 2 && one["c"] == "error"), "{evidence:?}");
     assert!(!region.folder.join("published/run-0/bill").exists(), "nothing of it is shown");
 
     fs::remove_file(&trouble).expect("our own file");
-    let retried = region.latch(&["graph", "retry", "run-0", "--wait"]);
+    let retried = region.run_program(&["graph", "retry", "run-0", "--wait"]);
     assert!(retried.status.success(), "{}", String::from_utf8_lossy(&retried.stderr));
-    let after = detail(&region, "run-0");
+    let after = run_detail(&region, "run-0");
     let states: BTreeSet<&str> =
         after["nodes"].as_array().expect("nodes").iter().filter_map(|node| node["state"].as_str()).collect();
     assert_eq!(states, BTreeSet::from(["success"]));
-    assert_eq!(node(&failed, "raw")["job"], node(&after, "raw")["job"], "what went well is not done over");
+    assert_eq!(
+        node_view(&failed, "raw")["job"],
+        node_view(&after, "raw")["job"],
+        "what went well is not done over"
+    );
 
     stop.store(true, Ordering::Relaxed);
     let looks = watcher.join().expect("the watcher").expect("whole files");
     assert!(looks > 20, "it looked {looks} times");
     for (run, _) in &submitted {
-        check_order(&region, &detail(&region, run));
+        check_order(&region, &run_detail(&region, run));
         let office = fs::read_to_string(region.folder.join("published").join(run).join("office/bill"));
         assert_eq!(office.expect("the office's file").lines().count(), 15);
     }
     // Reads the whole record: no task was started again after it was done, on either kind.
-    let done = region.done_by_record();
+    let done = region.done_by_run_log();
     for (run, job) in &submitted {
         assert_eq!(done.get(job).map_or(0, BTreeSet::len), 12, "{job}");
-        let bill = detail(&region, run);
-        let bill = node(&bill, "bill")["job"].as_str().expect("a job").to_string();
+        let bill = run_detail(&region, run);
+        let bill = node_view(&bill, "bill")["job"].as_str().expect("a job").to_string();
         assert_eq!(done.get(&bill).map_or(0, BTreeSet::len), 5, "{run}");
     }
     // The old names stay what they were called.
-    let old = node(&failed, "balance")["job"].as_str().expect("a job").to_string();
-    assert_eq!(region.latch(&["wait", &old]).status.code(), Some(5), "withdrawn for good");
+    let old = node_view(&failed, "balance")["job"].as_str().expect("a job").to_string();
+    assert_eq!(region.run_program(&["wait", &old]).status.code(), Some(5), "withdrawn for good");
 }
 
 /// Urgency decides for both kinds: an urgent node passes waiting plain tasks, an urgent plain job waiting nodes.
 #[test]
 fn one_order_for_both_kinds() {
     let folder = tempfile::tempdir().expect("a folder");
-    let region = Region::start(&folder.path().join("r"), &["default=0:0"]);
+    let region = TestCluster::start(&folder.path().join("r"), &["default=0:0"]);
     let graph = |urgency: &str| {
         format!(
             "graph = \"g\"\nnode \"n\" {{\n  urgency = \"{urgency}\"\n  tasks = 24\n  guess_s = 0.2\n  command = [\"sleep\", \"0.2\"]\n}}\n"
@@ -234,16 +238,17 @@
                 let file = folder.path().join(format!("{urgency}.hcl"));
                 fs::write(&file, graph(urgency)).expect("a file");
                 let run = format!("{urgency}-{urgent}");
-                let sent = region.latch(&["graph", "submit", &file.display().to_string(), "--run", &run]);
+                let sent =
+                    region.run_program(&["graph", "submit", &file.display().to_string(), "--run", &run]);
                 assert!(sent.status.success(), "{}", String::from_utf8_lossy(&sent.stderr));
-                node(&detail(&region, &run), "n")["job"].as_str().expect("a job").to_string()
+                node_view(&run_detail(&region, &run), "n")["job"].as_str().expect("a job").to_string()
             };
             jobs.insert(urgency, job);
         }
         for job in jobs.values() {
-            assert!(region.latch(&["wait", job, "--timeout", "90"]).status.success());
+            assert!(region.run_program(&["wait", job, "--timeout", "90"]).status.success());
         }
-        let spans = spans(&region);
+        let spans = job_spans(&region);
         assert!(spans[&jobs["critical"]].1 < spans[&jobs["low"]].1, "{urgent}: the urgent one is done first");
     }
 }
@@ -252,11 +257,11 @@
 #[test]
 fn wrong_graphs_are_refused() {
     let folder = tempfile::tempdir().expect("a folder");
-    let region = Region::start(&folder.path().join("r"), &["default=0:2"]);
+    let region = TestCluster::start(&folder.path().join("r"), &["default=0:2"]);
     let submit = |text: &str| {
         let file = folder.path().join("g.hcl");
         fs::write(&file, text).expect("a file");
-        let output = region.latch(&["graph", "submit", &file.display().to_string(), "--run", "r"]);
+        let output = region.run_program(&["graph", "submit", &file.display().to_string(), "--run", "r"]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     let circle = "graph = \"g\"\nnode \"a\" {\n  after = [\"b\"]\n  command = [\"true\"]\n}\nnode \"b\" {\n  after = [\"a\"]\n  command = [\"true\"]\n}\n";
@@ -269,10 +274,10 @@
     assert!(code == Some(4) && text.contains("422"), "{text}");
     let (code, text) = submit("graph = \"g\"\nnode \"a\" {\n  pool = \"none\"\n  command = [\"true\"]\n}\n");
     assert!(code == Some(4) && text.contains("unknown pool"), "{text}");
-    assert_eq!(region.latch(&["graph", "show", "r"]).status.code(), Some(1));
+    assert_eq!(region.run_program(&["graph", "show", "r"]).status.code(), Some(1));
     assert_eq!(region.json(&["graph", "list"])[0]["runs"].as_array().map(Vec::len), Some(0));
     // Mended, it goes through under the same name: what was refused is in nobody's way.
     let (code, text) = submit("graph = \"g\"\nnode \"a\" {\n  command = [\"true\"]\n}\n");
     assert_eq!(code, Some(0), "{text}");
-    assert!(region.latch(&["graph", "wait", "r", "--timeout", "60"]).status.success());
+    assert!(region.run_program(&["graph", "wait", "r", "--timeout", "60"]).status.success());
 }
--- a/crates/cli/tests/measure.rs
+++ b/crates/cli/tests/measure.rs
@@ -9,9 +9,9 @@
 
 use serde_json::{Value, json};
 
-const LATCH: &str = env!("CARGO_BIN_EXE_latch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_latch");
 
-struct Region {
+struct MeasuredCluster {
     folder: tempfile::TempDir,
     child: Child,
     controllers: Vec<SocketAddr>,
@@ -31,10 +31,10 @@
     Some((status, text.split_once("\r\n\r\n")?.1.to_string()))
 }
 
-impl Region {
-    fn start(machines: &str) -> Region {
+impl MeasuredCluster {
+    fn start(machines: &str) -> MeasuredCluster {
         let folder = tempfile::tempdir().expect("a folder");
-        let child = Command::new(LATCH)
+        let child = Command::new(PROGRAM)
             .args(["up", "--machines", machines, "--state"])
             .arg(folder.path())
             .args(["--log-level", "error"])
@@ -61,26 +61,26 @@
             }
         }
         assert!(!controllers.is_empty(), "no leader");
-        Region { folder, child, controllers }
+        MeasuredCluster { folder, child, controllers }
     }
 
-    fn latch(&self, arguments: &[&str]) -> String {
+    fn run_program(&self, arguments: &[&str]) -> String {
         let contexts = self.folder.path().join("contexts.hcl");
         let output =
-            Command::new(LATCH).arg("--contexts").arg(contexts).args(arguments).output().expect("it runs");
+            Command::new(PROGRAM).arg("--contexts").arg(contexts).args(arguments).output().expect("it runs");
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 }
 
-impl Drop for Region {
+impl Drop for MeasuredCluster {
     fn drop(&mut self) {
         let _ = Command::new("kill").arg("-TERM").arg(self.child.id().to_string()).status();
         let _ = self.child.wait();
     }
 }
 
-fn quantiles(mut all: Vec<f64>) -> String {
+fn quantiles_text(mut all: Vec<f64>) -> String {
     all.sort_by(f64::total_cmp);
     let at = |share: f64| all[((all.len() - 1) as f64 * share) as usize];
     let mean = all.iter().sum::<f64>() / all.len() as f64;
@@ -101,7 +101,7 @@
 }
 
 /// Submissions (which are refused with 422 only after the read that a poll needs) and polls, one after the other.
-fn latencies(region: &Region, first: u64) -> (Vec<f64>, Vec<f64>) {
+fn latencies(region: &MeasuredCluster, first: u64) -> (Vec<f64>, Vec<f64>) {
     let (mut submits, mut reports) = (Vec::new(), Vec::new());
     for at in 0..300 {
         let addr = region.controllers[at as usize % region.controllers.len()];
@@ -118,25 +118,29 @@
     (submits, reports)
 }
 
-fn show_latencies(region: &Region, what: &str, first: u64) {
+fn print_latencies(region: &MeasuredCluster, what: &str, first: u64) {
     let (submits, reports) = latencies(region, first);
-    println!("{what}: submissions {}\n       reports     {}", quantiles(submits), quantiles(reports));
+    println!(
+        "{what}: submissions {}\n       reports     {}",
+        quantiles_text(submits),
+        quantiles_text(reports)
+    );
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn slow_killed_and_greedy_clients() {
-    let region = Region::start("4");
+    let region = MeasuredCluster::start("4");
     latencies(&region, 1_000_000);
-    show_latencies(&region, "alone", 2_000_000);
-    show_latencies(&region, "alone, again", 3_000_000);
+    print_latencies(&region, "alone", 2_000_000);
+    print_latencies(&region, "alone, again", 3_000_000);
     let idle: Vec<TcpStream> = (0..2_000)
         .filter_map(|at| TcpStream::connect(region.controllers[at % region.controllers.len()]).ok())
         .collect();
-    show_latencies(&region, "beside 2,000 that say nothing", 4_000_000);
+    print_latencies(&region, "beside 2,000 that say nothing", 4_000_000);
     drop(idle);
     std::thread::sleep(Duration::from_secs(1));
-    show_latencies(&region, "after they have gone", 5_000_000);
+    print_latencies(&region, "after they have gone", 5_000_000);
     let mut open = Vec::new();
     for at in 0..2_000 {
         let addr = region.controllers[at % region.controllers.len()];
@@ -150,37 +154,37 @@
         }
         open.push(stream);
     }
-    show_latencies(
+    print_latencies(
         &region,
         "beside 2,000, 200 of them readers that do not read, 200 with half a request",
         6_000_000,
     );
     drop(open);
     std::thread::sleep(Duration::from_secs(1));
-    show_latencies(&region, "after all were killed", 7_000_000);
+    print_latencies(&region, "after all were killed", 7_000_000);
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn submit_to_start() {
-    let region = Region::start("2");
-    region.latch(&["submit", "--wait", "--", "true"]);
+    let region = MeasuredCluster::start("2");
+    region.run_program(&["submit", "--wait", "--", "true"]);
     let mut waits = Vec::new();
     for _ in 0..40 {
         let before =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time").as_millis();
-        let text = region.latch(&["--json", "submit", "--", "date", "+%s%3N"]);
+        let text = region.run_program(&["--json", "submit", "--", "date", "+%s%3N"]);
         let submitted: Value = serde_json::from_str(&text).expect("JSON");
         let id = submitted["id"].as_str().expect("an id").to_string();
-        region.latch(&["wait", &id]);
-        let log = region.latch(&["logs", &id]);
+        region.run_program(&["wait", &id]);
+        let log = region.run_program(&["logs", &id]);
         let started: u128 = log.lines().last().expect("a line").trim().parse().expect("a time");
         waits.push(started.saturating_sub(before) as f64);
     }
-    println!("from the start of `latch submit` to the command's own clock: {}", quantiles(waits));
+    println!("from the start of `latch submit` to the command's own clock: {}", quantiles_text(waits));
 }
 
-fn runs(folder: &Path) -> (usize, f64) {
+fn read_run_log(folder: &Path) -> (usize, f64) {
     let text = std::fs::read_to_string(folder.join("runs.jsonl")).expect("the record");
     let values: Vec<Value> = text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
     let at = |value: &Value| value["at_ms"].as_u64().unwrap_or(0);
@@ -194,9 +198,9 @@
 #[ignore = "a measurement"]
 fn tasks_a_second() {
     const TASKS: usize = 4_000;
-    let region = Region::start("4");
+    let region = MeasuredCluster::start("4");
     let count = TASKS.to_string();
-    region.latch(&[
+    region.run_program(&[
         "submit",
         "--wait",
         "--tasks",
@@ -210,7 +214,7 @@
         "--",
         "true",
     ]);
-    let (starts, seconds) = runs(region.folder.path());
+    let (starts, seconds) = read_run_log(region.folder.path());
     println!(
         "latch up, 4 machines of 4 CPUs, tasks of 0.1 CPU: {starts} starts in {seconds:.2} s, {:.0} a second",
         starts as f64 / seconds
--- a/crates/cli/tests/scale_run.rs
+++ b/crates/cli/tests/scale_run.rs
@@ -5,14 +5,14 @@
 
 use serde_json::Value;
 
-const LATCH: &str = env!("CARGO_BIN_EXE_latch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_latch");
 
-fn small() -> PathBuf {
+fn small_plan() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale/small.hcl")
 }
 
 fn run(plan: &Path, out: &Path) -> (Output, Value) {
-    let output = Command::new(LATCH)
+    let output = Command::new(PROGRAM)
         .args(["scale", "run"])
         .arg(plan)
         .arg("--out")
@@ -31,7 +31,7 @@
 #[test]
 fn the_small_plan_holds() {
     let out = tempfile::tempdir().expect("a folder");
-    let (output, report) = run(&small(), out.path());
+    let (output, report) = run(&small_plan(), out.path());
     assert!(output.status.success(), "{}", text(&output));
     assert_eq!(report["ended"], "played whole");
     assert_eq!(report["violations"], Value::Array(Vec::new()));
@@ -50,7 +50,7 @@
 fn broken_workers_are_seen() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("broken.hcl");
-    let whole = std::fs::read_to_string(small()).expect("the small plan");
+    let whole = std::fs::read_to_string(small_plan()).expect("the small plan");
     let fault = whole.find("fault \"").expect("its fault");
     let change = whole.find("change \"").expect("its changes");
     assert!(fault < change, "the changes come last");
@@ -68,11 +68,11 @@
 fn too_large_a_plan_is_refused() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("large.hcl");
-    let whole = std::fs::read_to_string(small()).expect("the small plan");
+    let whole = std::fs::read_to_string(small_plan()).expect("the small plan");
     std::fs::write(&plan, whole.replacen("per_zone       = 40", "per_zone       = 100000000", 1))
         .expect("a plan");
     let out = folder.path().join("out");
-    let output = Command::new(LATCH).args(["scale", "run"]).arg(&plan).arg("--out").arg(&out).output();
+    let output = Command::new(PROGRAM).args(["scale", "run"]).arg(&plan).arg("--out").arg(&out).output();
     let output = output.expect("the program runs");
     assert_eq!(output.status.code(), Some(2), "{}", text(&output));
     assert!(text(&output).contains("refused: "), "{}", text(&output));
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/terminal_records.rs
@@ -5,14 +5,14 @@
 
 use std::time::Instant;
 
-use common::Region;
-use olivelatch::bookkeeping::jobs::End;
-use olivelatch::bookkeeping::records::{EndDetail, EndRecord, Key};
+use common::TestCluster;
+use olivelatch::bookkeeping::jobs::TerminalState;
+use olivelatch::bookkeeping::records::{RecordKey, TerminalDetail, TerminalRecord};
 use olivelatch::ids::JobId;
-use olivelatch_store::{Delta, File};
+use olivelatch_store::{Delta, StoreFile};
 use serde_json::Value;
 
-const COUNTS: [u64; 4] = [0, 50_000, 200_000, 400_000];
+const RECORD_COUNTS: [u64; 4] = [0, 50_000, 200_000, 400_000];
 /// Ends of one commit of the state file.
 const BATCH: u64 = 10_000;
 
@@ -24,7 +24,7 @@
 }
 
 /// Processor time of a process in hundredths of a second.
-fn ticks(pid: u64) -> u64 {
+fn cpu_ticks(pid: u64) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let rest = text.rsplit(')').next().expect("fields");
     let fields: Vec<&str> = rest.split_whitespace().collect();
@@ -32,20 +32,21 @@
 }
 
 /// A state file with so many ends of jobs, as controllers with the operators' interface write them.
-fn fill(path: &std::path::Path, count: u64) {
-    let (file, _, _) = File::open(path).expect("a state file");
-    let detail = EndDetail {
+fn write_records(path: &std::path::Path, count: u64) {
+    let (file, _, _) = StoreFile::open(path).expect("a state file");
+    let detail = TerminalDetail {
         team: "team-017".into(),
         class: "reading-ingest".into(),
         tasks: 250,
-        accepted: 1_790_000_000_000,
-        first: Some(1_790_000_010_000),
+        accepted_wall_ms: 1_790_000_000_000,
+        first_start_wall_ms: Some(1_790_000_010_000),
     };
     for batch in 0..count.div_ceil(BATCH) {
         let put = |at: u64| {
-            let record = EndRecord::new(End::Done, 1_790_000_060_000 + at, Some(detail.clone()));
+            let record =
+                TerminalRecord::new(TerminalState::Done, 1_790_000_060_000 + at, Some(detail.clone()));
             let value: Value = serde_json::to_value(&record).expect("JSON");
-            Delta::Put { key: Key::End(JobId(at)).text(), value, stamp: at + 1, lease: None }
+            Delta::Put { key: RecordKey::Terminal(JobId(at)).encode(), value, stamp: at + 1, lease: None }
         };
         let mut deltas: Vec<Delta> = (batch * BATCH..((batch + 1) * BATCH).min(count)).map(put).collect();
         deltas.push(Delta::Revision(count));
@@ -55,30 +56,30 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn ends_kept_for_ever() {
-    for count in COUNTS {
+fn terminal_records_kept_for_ever() {
+    for count in RECORD_COUNTS {
         let folder = tempfile::tempdir().expect("a folder");
-        fill(&folder.path().join("state.redb"), count);
+        write_records(&folder.path().join("state.redb"), count);
         let size = std::fs::metadata(folder.path().join("state.redb")).expect("a file").len();
         let start = Instant::now();
-        let mut region = Region::start(folder.path(), &["team-017=0:0"]);
-        let loaded = |region: &Region| {
+        let mut region = TestCluster::start(folder.path(), &["team-017=0:0"]);
+        let loaded = |region: &TestCluster| {
             let top = region.json(&["top", "--once"]);
             let nodes = top.first().and_then(Value::as_object).cloned().unwrap_or_default();
             nodes.len() == 3 && nodes.values().all(|node| node["jobs_ended"] == count)
         };
-        region.until("all read the ends", loaded);
+        region.wait_until("all read the ends", loaded);
         let seconds = start.elapsed().as_secs_f64();
         let pids = region.controller_pids();
         let pids = pids.iter().filter_map(|pid| pid.parse::<u64>().ok());
         let controllers: Vec<(f64, f64)> =
-            pids.map(|pid| (resident_kb(pid) as f64 / 1e3, ticks(pid) as f64 / 100.0)).collect();
+            pids.map(|pid| (resident_kb(pid) as f64 / 1e3, cpu_ticks(pid) as f64 / 100.0)).collect();
         println!(
             "{count} ends: file {:.1} MB, all controllers serve after {seconds:.1} s, region {:.1} MB, controllers (MB, processor s): {:?}",
             size as f64 / 1e6,
             region.pid().map_or(0.0, |pid| resident_kb(u64::from(pid)) as f64 / 1e3),
             controllers
         );
-        region.end();
+        region.stop();
     }
 }
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use olivelatch::places::locate;
-use olivelatch::protocol::config::{ChangeRequest, EntryList, EntryView, TeamValue};
+use olivelatch::protocol::config::{ConfigChangeRequest, ConfigEntryList, ConfigEntryView, TeamQuota};
+use olivelatch::source_location::with_line_number;
 use rand::RngExt;
 use serde::Deserialize;
 use thiserror::Error;
@@ -13,7 +13,7 @@
 use crate::client::{Client, ClientError};
 
 /// Between two questions whether a change is in force.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
@@ -30,7 +30,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ConfigFile {
     #[serde(default)]
-    pub team: BTreeMap<String, TeamValue>,
+    pub team: BTreeMap<String, TeamQuota>,
 }
 
 impl ConfigFile {
@@ -44,48 +44,50 @@
     pub fn parse(file: &str, text: &str) -> Result<ConfigFile, ConfigFileError> {
         let entries: ConfigFile = hcl::from_str(text).map_err(|error| ConfigFileError::Hcl {
             file: file.into(),
-            problem: locate(text, &error.to_string()),
+            problem: with_line_number(text, &error.to_string()),
         })?;
-        if let Some((team, _)) = entries.team.iter().find(|(_, value)| **value == TeamValue::default()) {
+        if let Some((team, _)) = entries.team.iter().find(|(_, value)| **value == TeamQuota::default()) {
             return Err(ConfigFileError::Empty { file: file.into(), team: team.clone() });
         }
         Ok(entries)
     }
 
     /// What would change: the entry as it is, and the value that the file gives it.
-    pub fn differences<'a>(&self, list: &'a EntryList) -> Vec<Difference<'a>> {
-        let known = |team: &str| list.entries.iter().find(|entry| entry.entry == format!("team/{team}"));
-        let pairs = self.team.iter().map(|(team, value)| Difference {
+    pub fn differences<'a>(&self, list: &'a ConfigEntryList) -> Vec<ConfigDifference<'a>> {
+        let known = |team: &str| list.entries.iter().find(|entry| entry.key == format!("team/{team}"));
+        let pairs = self.team.iter().map(|(team, value)| ConfigDifference {
             entry: format!("team/{team}"),
-            now: known(team),
+            current: known(team),
             wanted: *value,
         });
-        pairs.filter(|difference| difference.now.is_none_or(|now| now.value != difference.wanted)).collect()
+        pairs
+            .filter(|difference| difference.current.is_none_or(|now| now.configured != difference.wanted))
+            .collect()
     }
 }
 
 /// An entry that a file would change.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Difference<'a> {
+pub struct ConfigDifference<'a> {
     pub entry: String,
     /// None: the region has no such team.
-    pub now: Option<&'a EntryView>,
-    pub wanted: TeamValue,
+    pub current: Option<&'a ConfigEntryView>,
+    pub wanted: TeamQuota,
 }
 
 /// Who changes, and why.
 #[derive(Debug, Clone)]
-pub struct Author {
-    pub by: String,
-    pub why: String,
+pub struct ChangeAuthor {
+    pub name: String,
+    pub reason: String,
 }
 
 impl Client {
-    pub fn config_list(&mut self) -> Result<EntryList, ClientError> {
+    pub fn config_list(&mut self) -> Result<ConfigEntryList, ClientError> {
         self.get("/v1/config")
     }
 
-    pub fn config_get(&mut self, entry: &str) -> Result<EntryView, ClientError> {
+    pub fn config_get(&mut self, entry: &str) -> Result<ConfigEntryView, ClientError> {
         self.get(&format!("/v1/config/{entry}"))
     }
 
@@ -94,17 +96,22 @@
     pub fn config_set(
         &mut self,
         entry: &str,
-        value: TeamValue,
+        value: TeamQuota,
         expected: Option<u64>,
-        author: &Author,
-    ) -> Result<EntryView, ClientError> {
+        author: &ChangeAuthor,
+    ) -> Result<ConfigEntryView, ClientError> {
         let change = format!("{:032x}", rand::rng().random::<u128>());
-        let request =
-            ChangeRequest { value, expected, by: author.by.clone(), why: author.why.clone(), change };
+        let request = ConfigChangeRequest {
+            quota: value,
+            expected_version: expected,
+            changed_by: author.name.clone(),
+            reason: author.reason.clone(),
+            change_id: change,
+        };
         let body = serde_json::to_vec(&request)?;
         // Changes are spread over the controllers: each has a part of what the state service takes.
-        self.ask_another_first();
-        Ok(serde_json::from_slice(&self.ask("PUT", &format!("/v1/config/{entry}"), &body)?)?)
+        self.prefer_next_controller();
+        Ok(serde_json::from_slice(&self.request("PUT", &format!("/v1/config/{entry}"), &body)?)?)
     }
 
     /// Waits until a version is in force, for so long at most; the entry as it was last shown.
@@ -113,14 +120,14 @@
         entry: &str,
         version: u64,
         within: Duration,
-    ) -> Result<EntryView, ClientError> {
+    ) -> Result<ConfigEntryView, ClientError> {
         let start = Instant::now();
         loop {
-            let view: EntryView = self.get(&format!("/v1/config/{entry}?version={version}"))?;
-            if view.in_force || start.elapsed() >= within {
+            let view: ConfigEntryView = self.get(&format!("/v1/config/{entry}?version={version}"))?;
+            if view.is_effective || start.elapsed() >= within {
                 return Ok(view);
             }
-            std::thread::sleep(ASK_AGAIN);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/client/src/contexts.rs
+++ b/crates/client/src/contexts.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use olivelatch::places::one_line;
+use olivelatch::source_location::collapse_whitespace;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -27,7 +27,8 @@
     pub controllers: Vec<SocketAddr>,
     /// Where descriptions are uploaded and logs are read.
     #[serde(default)]
-    pub desk: Option<SocketAddr>,
+    #[serde(rename = "desk")]
+    pub job_store: Option<SocketAddr>,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,11 +47,11 @@
         let text = std::fs::read_to_string(path)
             .map_err(|error| ContextsError::Read { file: file.clone(), error })?;
         hcl::from_str(&text)
-            .map_err(|error| ContextsError::Hcl { file, problem: one_line(&error.to_string()) })
+            .map_err(|error| ContextsError::Hcl { file, problem: collapse_whitespace(&error.to_string()) })
     }
 
     /// One context, by name or the current one; the only one needs no name.
-    pub fn pick(&self, file: &str, name: Option<&str>) -> Result<Context, ContextsError> {
+    pub fn select(&self, file: &str, name: Option<&str>) -> Result<Context, ContextsError> {
         let only = if self.context.len() == 1 { self.context.keys().next().cloned() } else { None };
         let name = name.map(String::from).or(self.current.clone()).or(only).unwrap_or_default();
         let known = self.context.keys().cloned().collect::<Vec<_>>().join(", ");
@@ -63,9 +64,9 @@
     }
 
     /// The text of a file with one context.
-    pub fn text(name: &str, context: &Context) -> String {
+    pub fn to_hcl(name: &str, context: &Context) -> String {
         let controllers: Vec<String> = context.controllers.iter().map(|addr| format!("\"{addr}\"")).collect();
-        let desk = context.desk.map_or(String::new(), |desk| format!("  desk        = \"{desk}\"\n"));
+        let desk = context.job_store.map_or(String::new(), |desk| format!("  desk        = \"{desk}\"\n"));
         format!(
             "current = \"{name}\"\n\ncontext \"{name}\" {{\n  controllers = [{}]\n{desk}}}\n",
             controllers.join(", ")
--- a/crates/client/src/jobs.rs
+++ b/crates/client/src/jobs.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use olivelatch::places::locate;
-use olivelatch::protocol::users::{JobSpec, Shape, Urgency, read_submission};
+use olivelatch::protocol::users::{JobKind, JobManifest, PriorityClass, parse_submission};
+use olivelatch::source_location::with_line_number;
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -39,14 +39,20 @@
     pub memory_gb: f64,
     pub image: String,
     pub image_gb: f64,
-    pub kinds: Option<Vec<String>>,
+    #[serde(rename = "kinds")]
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
-    pub together: bool,
-    pub scatter: bool,
+    #[serde(rename = "together")]
+    pub one_zone: bool,
+    #[serde(rename = "scatter")]
+    pub spread_zones: bool,
     pub spot: bool,
-    pub guess_s: f64,
-    pub checkpoint_s: f64,
-    pub save_s: f64,
+    #[serde(rename = "guess_s")]
+    pub estimated_run_s: f64,
+    #[serde(rename = "checkpoint_s")]
+    pub checkpoint_interval_s: f64,
+    #[serde(rename = "save_s")]
+    pub checkpoint_write_s: f64,
     pub due_s: Option<f64>,
     /// Program and arguments; no shell.
     pub command: Vec<String>,
@@ -68,14 +74,14 @@
             memory_gb: 0.1,
             image: "none".into(),
             image_gb: 0.0,
-            kinds: None,
+            machine_types: None,
             zone: None,
-            together: false,
-            scatter: false,
+            one_zone: false,
+            spread_zones: false,
             spot: false,
-            guess_s: 10.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            estimated_run_s: 10.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_write_s: 0.0,
             due_s: None,
             command: Vec::new(),
             env: BTreeMap::new(),
@@ -86,7 +92,7 @@
 
 /// A job ready to be sent: what the controllers get, and what the workers do.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Prepared {
+pub struct PreparedJob {
     pub name: String,
     pub id: String,
     pub spec: Value,
@@ -96,7 +102,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Form {
+struct JobFileBody {
     #[serde(default)]
     job: BTreeMap<String, JobEntry>,
 }
@@ -107,21 +113,21 @@
     jobs: BTreeMap<String, JobEntry>,
 }
 
-fn shape_of(word: &str) -> Result<Shape, String> {
+fn parse_shape(word: &str) -> Result<JobKind, String> {
     match word {
-        "array" => Ok(Shape::Array),
-        "gang" => Ok(Shape::Gang),
-        "service" => Ok(Shape::Service),
+        "array" => Ok(JobKind::Array),
+        "gang" => Ok(JobKind::Gang),
+        "service" => Ok(JobKind::Service),
         _ => Err(format!("shape: expected array, gang or service, not {word:?}")),
     }
 }
 
-fn urgency_of(word: &str) -> Result<Urgency, String> {
+fn parse_urgency(word: &str) -> Result<PriorityClass, String> {
     match word {
-        "critical" => Ok(Urgency::Critical),
-        "high" => Ok(Urgency::High),
-        "normal" => Ok(Urgency::Normal),
-        "low" => Ok(Urgency::Low),
+        "critical" => Ok(PriorityClass::Critical),
+        "high" => Ok(PriorityClass::High),
+        "normal" => Ok(PriorityClass::Normal),
+        "low" => Ok(PriorityClass::Low),
         _ => Err(format!("urgency: expected critical, high, normal or low, not {word:?}")),
     }
 }
@@ -136,35 +142,35 @@
 
 impl JobEntry {
     /// The submission and the description, or what is wrong.
-    pub fn prepare(&self, name: &str, n: u64) -> Result<Prepared, String> {
+    pub fn prepare(&self, name: &str, n: u64) -> Result<PreparedJob, String> {
         let id = self.id.clone().unwrap_or_else(|| new_id(n));
-        let spec = JobSpec {
-            uid: id.clone(),
-            jobclass: self.class.clone(),
-            owner: self.team.clone(),
-            shape: shape_of(&self.shape)?,
-            urgency: urgency_of(&self.urgency)?,
-            pieces: self.tasks,
-            vcpus: self.cpus,
-            accelerators: self.gpus,
+        let spec = JobManifest {
+            id: id.clone(),
+            job_class: self.class.clone(),
+            team: self.team.clone(),
+            kind: parse_shape(&self.shape)?,
+            priority_class: parse_urgency(&self.urgency)?,
+            tasks: self.tasks,
+            cpus: self.cpus,
+            gpus: self.gpus,
             memory_gb: self.memory_gb,
-            bundle: self.image.clone(),
-            size_gb: self.image_gb,
-            boxkinds: self.kinds.clone(),
-            hall: self.zone.clone(),
-            together: self.together,
-            scatter: self.scatter,
-            loaners: self.spot,
-            guess_s: if self.shape == "service" { 0.0 } else { self.guess_s },
-            snapshot_s: self.checkpoint_s,
-            flush_s: self.save_s,
-            due_s: self.due_s,
+            image: self.image.clone(),
+            image_gb: self.image_gb,
+            machine_types: self.machine_types.clone(),
+            zone: self.zone.clone(),
+            same_zone: self.one_zone,
+            spread: self.spread_zones,
+            spot_allowed: self.spot,
+            estimated_run_s: if self.shape == "service" { 0.0 } else { self.estimated_run_s },
+            checkpoint_interval_s: self.checkpoint_interval_s,
+            checkpoint_save_s: self.checkpoint_write_s,
+            deadline_s: self.due_s,
         };
         let spec = serde_json::to_value(&spec).map_err(|error| error.to_string())?;
         // What the controllers would say is said before anything is sent.
-        let read = read_submission(spec.to_string().as_bytes());
+        let read = parse_submission(spec.to_string().as_bytes());
         match read {
-            Ok(olivelatch::protocol::users::UserRequest::Submit { spec: Err(problem), .. }) => {
+            Ok(olivelatch::protocol::users::UserRequest::Submit { manifest: Err(problem), .. }) => {
                 return Err(problem);
             }
             Err(_) => return Err(format!("id: expected one like job-000412, not {id:?}")),
@@ -175,7 +181,7 @@
             description["run"] = json!({"command": self.command, "env": self.env, "dir": self.dir});
             description
         });
-        Ok(Prepared { name: name.into(), id, spec, description })
+        Ok(PreparedJob { name: name.into(), id, spec, description })
     }
 }
 
@@ -189,10 +195,10 @@
     }
 
     pub fn parse(file: &str, text: &str, json: bool) -> Result<JobFile, JobFileError> {
-        let read: Result<Form, String> = if json {
+        let read: Result<JobFileBody, String> = if json {
             serde_json::from_str(text).map_err(|error| error.to_string())
         } else {
-            hcl::from_str(text).map_err(|error| locate(text, &error.to_string()))
+            hcl::from_str(text).map_err(|error| with_line_number(text, &error.to_string()))
         };
         let form = read.map_err(|problem| JobFileError::Form { file: file.into(), problem })?;
         if form.job.is_empty() {
@@ -202,7 +208,7 @@
     }
 
     /// All jobs ready to be sent, or the first that cannot be.
-    pub fn prepare(&self) -> Result<Vec<Prepared>, JobFileError> {
+    pub fn prepare(&self) -> Result<Vec<PreparedJob>, JobFileError> {
         let one = |(n, (name, entry)): (usize, (&String, &JobEntry))| {
             let wrong = |problem| JobFileError::Job { file: self.file.clone(), job: name.clone(), problem };
             entry.prepare(name, n as u64).map_err(wrong)
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -9,10 +9,10 @@
 mod contexts;
 mod graphs;
 mod jobs;
-mod tries;
+mod retry;
 
-pub use client::{Client, ClientError, Described, Submitted};
-pub use config::{Author, ConfigFile, ConfigFileError, Difference};
+pub use client::{Client, ClientError, SubmissionStatus, TaskLogs};
+pub use config::{ChangeAuthor, ConfigDifference, ConfigFile, ConfigFileError};
 pub use contexts::{Context, Contexts, ContextsError};
-pub use jobs::{JobEntry, JobFile, JobFileError, Prepared, new_id};
-pub use tries::{Next, Outcome, Tries};
+pub use jobs::{JobEntry, JobFile, JobFileError, PreparedJob, new_id};
+pub use retry::{AttemptOutcome, RetryDecision, RetryState};
--- a/crates/client/src/tries.rs
+++ b/crates/client/src/retry.rs
@@ -5,14 +5,14 @@
 
 /// After a cut, the same controller is left alone so long, doubled by each further one, up to the second.
 const FIRST_PAUSE_MS: u64 = 100;
-const LONGEST_PAUSE_MS: u64 = 2_000;
+const MAX_PAUSE_MS: u64 = 2_000;
 /// A refusal that does not say when to come back.
 const REFUSED_PAUSE_MS: u64 = 1_000;
 
 /// What became of one try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
-    Answer {
+pub enum AttemptOutcome {
+    Response {
         status: u16,
         retry_after_s: Option<u32>,
     },
@@ -21,11 +21,11 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// The answer is final.
-    Done,
+    Final,
     /// Ask this controller, after so many milliseconds.
-    Ask {
+    Send {
         controller: usize,
         wait_ms: u64,
     },
@@ -33,16 +33,16 @@
 }
 
 #[derive(Debug)]
-struct Controller {
+struct ControllerBackoff {
     not_before: u64,
     pause_ms: u64,
 }
 
 /// One request on its way. Times are milliseconds since it began.
 #[derive(Debug)]
-pub struct Tries {
-    controllers: Vec<Controller>,
-    at: usize,
+pub struct RetryState {
+    controllers: Vec<ControllerBackoff>,
+    current: usize,
     deadline_ms: u64,
 }
 
@@ -51,45 +51,54 @@
     !matches!(status, 429 | 500..)
 }
 
-impl Tries {
+impl RetryState {
     /// Begins with controller `first`; asks none after the deadline.
-    pub fn new(controllers: usize, first: usize, deadline_ms: u64) -> Tries {
-        let all = (0..controllers).map(|_| Controller { not_before: 0, pause_ms: FIRST_PAUSE_MS });
-        Tries { controllers: all.collect(), at: first % controllers.max(1), deadline_ms }
+    pub fn new(controllers: usize, first: usize, deadline_ms: u64) -> RetryState {
+        let all = (0..controllers).map(|_| ControllerBackoff { not_before: 0, pause_ms: FIRST_PAUSE_MS });
+        RetryState { controllers: all.collect(), current: first % controllers.max(1), deadline_ms }
     }
 
-    pub fn first(&self) -> Next {
-        if self.controllers.is_empty() { Next::GiveUp } else { Next::Ask { controller: self.at, wait_ms: 0 } }
+    pub fn first_controller(&self) -> RetryDecision {
+        if self.controllers.is_empty() {
+            RetryDecision::GiveUp
+        } else {
+            RetryDecision::Send { controller: self.current, wait_ms: 0 }
+        }
     }
 
     /// What follows from the outcome of the last try, now.
-    pub fn next(&mut self, now_ms: u64, outcome: Outcome, rng: &mut SmallRng) -> Next {
-        let Some(last) = self.controllers.get_mut(self.at) else { return Next::GiveUp };
+    pub fn after_attempt(
+        &mut self,
+        now_ms: u64,
+        outcome: AttemptOutcome,
+        rng: &mut SmallRng,
+    ) -> RetryDecision {
+        let Some(last) = self.controllers.get_mut(self.current) else { return RetryDecision::GiveUp };
         last.not_before = now_ms
             + match outcome {
-                Outcome::Answer { status, .. } if is_final(status) => return Next::Done,
-                Outcome::Answer { retry_after_s: Some(seconds), .. } => u64::from(seconds) * 1000,
-                Outcome::Answer { .. } => REFUSED_PAUSE_MS,
-                Outcome::Lost => {
+                AttemptOutcome::Response { status, .. } if is_final(status) => return RetryDecision::Final,
+                AttemptOutcome::Response { retry_after_s: Some(seconds), .. } => u64::from(seconds) * 1000,
+                AttemptOutcome::Response { .. } => REFUSED_PAUSE_MS,
+                AttemptOutcome::Lost => {
                     let pause = last.pause_ms;
-                    last.pause_ms = (pause * 2).min(LONGEST_PAUSE_MS);
+                    last.pause_ms = (pause * 2).min(MAX_PAUSE_MS);
                     // Clients that were cut off together do not come back together.
                     pause / 2 + rng.random_range(0..=pause / 2)
                 }
             };
         let count = self.controllers.len();
-        let after = |at: &usize| (*at + count - self.at - 1) % count;
+        let after = |at: &usize| (*at + count - self.current - 1) % count;
         let soonest = (0..count).min_by_key(|at| (self.controllers[*at].not_before.max(now_ms), after(at)));
-        let Some(controller) = soonest else { return Next::GiveUp };
+        let Some(controller) = soonest else { return RetryDecision::GiveUp };
         let wait_ms = self.controllers[controller].not_before.saturating_sub(now_ms);
         if now_ms + wait_ms >= self.deadline_ms {
-            return Next::GiveUp;
+            return RetryDecision::GiveUp;
         }
-        self.at = controller;
-        Next::Ask { controller, wait_ms }
+        self.current = controller;
+        RetryDecision::Send { controller, wait_ms }
     }
 }
 
 #[cfg(test)]
-#[path = "tests/tries.rs"]
+#[path = "tests/retry.rs"]
 mod tests;
--- a/crates/client/tests/config_files.rs
+++ b/crates/client/tests/config_files.rs
@@ -1,22 +1,22 @@
 //! Files of configuration: what is wrong is named with its place, what would change is found.
 
-use olivelatch::protocol::config::{EntryList, EntryView, TeamValue};
+use olivelatch::protocol::config::{ConfigEntryList, ConfigEntryView, TeamQuota};
 use olivelatch_client::ConfigFile;
 
-fn entry(name: &str, limit_cpus: Option<f64>) -> EntryView {
-    EntryView {
-        entry: name.into(),
+fn entry(name: &str, limit_cpus: Option<f64>) -> ConfigEntryView {
+    ConfigEntryView {
+        key: name.into(),
         version: 3,
-        value: TeamValue { limit_cpus, guaranteed_cpus: None },
-        platform: TeamValue::default(),
-        holds: TeamValue::default(),
-        by: None,
-        why: None,
-        at_ms: None,
-        in_force: true,
-        waits_for: None,
+        configured: TeamQuota { limit_cpus, guaranteed_cpus: None },
+        ceiling: TeamQuota::default(),
+        effective: TeamQuota::default(),
+        changed_by: None,
+        reason: None,
+        changed_at_ms: None,
+        is_effective: true,
+        pending_on: None,
         used_cpus: 0.0,
-        above_cpus: 0.0,
+        cpus_over_limit: 0.0,
     }
 }
 
@@ -26,9 +26,9 @@
     let text = [team("a", 4), team("b", 5), team("c", 6)].concat();
     let file = ConfigFile::parse("f.hcl", &text).expect("a file");
     let entries = vec![entry("team/a", Some(4.0)), entry("team/b", None), entry("team/d", Some(1.0))];
-    let list = EntryList { node: "n".into(), revision: 9, entries };
+    let list = ConfigEntryList { controller: "n".into(), revision: 9, entries };
     let names: Vec<(String, bool)> =
-        file.differences(&list).into_iter().map(|one| (one.entry, one.now.is_some())).collect();
+        file.differences(&list).into_iter().map(|one| (one.entry, one.current.is_some())).collect();
     assert_eq!(names, [("team/b".to_string(), true), ("team/c".to_string(), false)]);
 }
 
--- a/crates/client/tests/golden.rs
+++ b/crates/client/tests/golden.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use olivelatch_client::{Client, ClientError, ConfigFile, Context, JobFile, Prepared};
+use olivelatch_client::{Client, ClientError, ConfigFile, Context, JobFile, PreparedJob};
 use serde_json::{Value, json};
 use support::Golden;
 
@@ -54,7 +54,7 @@
 }
 
 /// Without the id that the client has chosen.
-fn prepared(job: &Prepared, chosen: bool) -> Value {
+fn prepared(job: &PreparedJob, chosen: bool) -> Value {
     let unnamed = |value: &Value| {
         let mut value = value.clone();
         if chosen {
@@ -141,13 +141,13 @@
 /// Requests of a client, and answers with which it is content.
 const REQUESTS: [(&str, Act, &str); 11] = [
     ("submit", |client| client.submit(&json!({"uid": "job-000412"})).map(drop), STATUS),
-    ("poll", |client| client.poll("job-000412").map(drop), STATUS),
+    ("poll", |client| client.job_status("job-000412").map(drop), STATUS),
     ("cancel", |client| client.cancel("job-000412").map(drop), STATUS),
-    ("list", |client| client.page("limit=7&state=live", Some("job-000412")).map(drop), LIST),
-    ("inspect", |client| client.inspect("job-000412", Some(3), 7).map(drop), "{}"),
+    ("list", |client| client.list_jobs_page("limit=7&state=live", Some("job-000412")).map(drop), LIST),
+    ("inspect", |client| client.job_detail("job-000412", Some(3), 7).map(drop), "{}"),
     ("explain", |client| client.explain("job-000412", Some(3)).map(drop), "{}"),
     ("events", |client| client.events("job-000412").map(drop), "{}"),
-    ("describe", |client| client.describe("job-000412", &json!({"a": 1})), "{}"),
+    ("describe", |client| client.upload_description("job-000412", &json!({"a": 1})), "{}"),
     ("description", |client| client.description("job-000412").map(drop), "{}"),
     ("logs", |client| client.logs("job-000412", 3).map(drop), "{}"),
     ("cancel a run", |client| client.cancel_run("nightly-1").map(drop), "{}"),
@@ -161,7 +161,7 @@
     let mut golden = golden("requests");
     for (name, act, answer) in REQUESTS {
         let (addr, taken) = listen(answer);
-        let context = Context { controllers: vec![addr], desk: Some(addr) };
+        let context = Context { controllers: vec![addr], job_store: Some(addr) };
         let outcome = act(&mut Client::new(context, Duration::from_secs(10)));
         let request = taken.join().expect("a request").replace(&addr.to_string(), "ADDRESS");
         if answer != "{}" {
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -2,9 +2,9 @@
 //! file and line before anything is sent, and pictures of runs as text, DOT and SVG. docs/flows.md has the format.
 
 mod file;
-mod picture;
 mod prepare;
+mod render;
 
-pub use file::{FlowFile, FlowFileError};
-pub use picture::{Picture, critical_path};
-pub use prepare::{PreparedRun, Redo};
+pub use file::{DagFile, DagFileError};
+pub use prepare::{PreparedRun, Rerun};
+pub use render::{RunView, critical_path};
--- a/crates/flow/src/prepare.rs
+++ b/crates/flow/src/prepare.rs
@@ -3,39 +3,41 @@
 use std::collections::BTreeMap;
 
 use olivelatch::ids::JobId;
-use olivelatch::protocol::graphs::{GraphHeader, GraphPart, NodeRow, NodeView, RunName, Template, pack};
-use olivelatch::protocol::users::JobSpec;
-use olivelatch_graph::{NodeIx, Shape};
+use olivelatch::protocol::graphs::{
+    DagNodeRecord, DagNodeView, DagRunHeader, DagRunName, GraphPart, NodeTemplate, split_into_parts,
+};
+use olivelatch::protocol::users::JobManifest;
+use olivelatch_graph::{DagTopology, NodeIx};
 use rand::RngExt;
 use serde_json::{Value, json};
 
-use crate::file::{FlowFile, FlowFileError, FlowNode};
+use crate::file::{DagFile, DagFileError, DagFileNode};
 
 /// A part fits the smallest value that the state service's protocol speaks of, with room to spare.
-const LARGEST_PART: usize = 3_800;
+const MAX_PART_BYTES: usize = 3_800;
 /// Inputs that a task is told by name.
-const MOST_INPUTS: usize = 100;
+const MAX_INPUTS: usize = 100;
 /// Numbers of nodes' jobs: 18 digits, apart from those of jobs that are submitted alone.
-const FIRST_JOB: u64 = 900_000_000_000_000_000;
+const FIRST_JOB_ID: u64 = 900_000_000_000_000_000;
 
 /// A run ready to be sent.
 #[derive(Debug, Clone)]
 pub struct PreparedRun {
     pub run: String,
-    pub header: GraphHeader,
+    pub header: DagRunHeader,
     pub parts: Vec<GraphPart>,
     /// What workers are told, by job.
     pub descriptions: Vec<(String, Value)>,
 }
 
 /// New jobs in a row that nobody else has.
-fn new_jobs(count: usize) -> u64 {
+fn new_job_ids(count: usize) -> u64 {
     let room = 99_999_999_999_999_999 - count as u64;
-    FIRST_JOB + rand::rng().random_range(0..room)
+    FIRST_JOB_ID + rand::rng().random_range(0..room)
 }
 
 /// Positions in order as rows: the first, and how many.
-fn rows(positions: &[u32]) -> Vec<(u32, u32)> {
+fn position_ranges(positions: &[u32]) -> Vec<(u32, u32)> {
     let mut rows: Vec<(u32, u32)> = Vec::new();
     for at in positions {
         match rows.last_mut() {
@@ -50,50 +52,62 @@
     JobId(job).to_string()
 }
 
-impl FlowFile {
+impl DagFile {
     /// `run`: the run's name if the file's is not to count.
-    pub fn prepare(&self, file: &str, run: Option<&str>) -> Result<PreparedRun, FlowFileError> {
-        let form = |problem: String| FlowFileError::Form { file: file.into(), problem };
+    pub fn prepare(&self, file: &str, run: Option<&str>) -> Result<PreparedRun, DagFileError> {
+        let form = |problem: String| DagFileError::Form { file: file.into(), problem };
         let fresh = || format!("{}-{:08x}", self.graph, rand::rng().random::<u32>());
         let run = run.map(String::from).or_else(|| self.run.clone()).unwrap_or_else(fresh);
-        if RunName::parse(&run).is_none() {
+        if DagRunName::parse(&run).is_none() {
             return Err(form(format!(
                 "run: expected letters, digits, dots, dashes and underscores, not {run:?}"
             )));
         }
-        let first = new_jobs(self.nodes.len());
-        let mut templates: Vec<Template> = Vec::new();
+        let first = new_job_ids(self.nodes.len());
+        let mut templates: Vec<NodeTemplate> = Vec::new();
         let (mut nodes, mut edges, mut descriptions) = (Vec::new(), Vec::new(), Vec::new());
         for (at, node) in self.nodes.iter().enumerate() {
-            let wrong = |problem: String| FlowFileError::Node {
+            let wrong = |problem: String| DagFileError::Node {
                 file: file.into(),
                 line: node.line,
                 node: node.name.clone(),
                 problem,
             };
             let job = first + at as u64;
-            let (template, description) = self.node(node, job, first).map_err(wrong)?;
-            template.check().map_err(wrong)?;
+            let (template, description) = self.node_template(node, job, first).map_err(wrong)?;
+            template.validate().map_err(wrong)?;
             let known = templates.iter().rposition(|other| *other == template);
             let template = known.unwrap_or_else(|| {
                 templates.push(template);
                 templates.len() - 1
             });
-            nodes.push(NodeRow { name: node.name.clone(), job, template: template as u32, map: node.map });
-            edges.extend(rows(&node.after).into_iter().map(|(first, count)| (at as u32, first, count)));
+            nodes.push(DagNodeRecord {
+                name: node.name.clone(),
+                job,
+                template: template as u32,
+                mapped_from: node.map,
+            });
+            edges.extend(
+                position_ranges(&node.after).into_iter().map(|(first, count)| (at as u32, first, count)),
+            );
             descriptions.push((job_name(job), description));
         }
-        let parts = pack(templates, nodes, edges, Vec::new(), LARGEST_PART);
-        let header = GraphHeader {
+        let parts = split_into_parts(templates, nodes, edges, Vec::new(), MAX_PART_BYTES);
+        let header = DagRunHeader {
             graph: self.graph.clone(),
             parts: parts.len() as u32,
             nodes: self.nodes.len() as u32,
-            most_runs: self.most_runs,
+            max_active_runs: self.max_concurrent_runs,
         };
         Ok(PreparedRun { run, header, parts, descriptions })
     }
 
-    fn node(&self, node: &FlowNode, job: u64, first: u64) -> Result<(Template, Value), String> {
+    fn node_template(
+        &self,
+        node: &DagFileNode,
+        job: u64,
+        first: u64,
+    ) -> Result<(NodeTemplate, Value), String> {
         if node.job.command.is_empty() {
             return Err("it has no command".into());
         }
@@ -103,21 +117,22 @@
         let mut entry = node.job.clone();
         entry.id = Some(job_name(job));
         let prepared = entry.prepare(&node.name, 0)?;
-        let mut spec: JobSpec = serde_json::from_value(prepared.spec).map_err(|error| error.to_string())?;
-        spec.uid = String::new();
-        let words = &node.words;
-        let template = Template {
-            spec,
-            rule: node.rule,
-            tries: words.tries,
-            wait_s: words.wait_s,
-            most_wait_s: words.most_wait_s,
-            limit_s: words.limit_s,
+        let mut spec: JobManifest =
+            serde_json::from_value(prepared.spec).map_err(|error| error.to_string())?;
+        spec.id = String::new();
+        let words = &node.attributes;
+        let template = NodeTemplate {
+            manifest: spec,
+            trigger_rule: node.rule,
+            max_attempts: words.max_attempts,
+            retry_backoff_s: words.retry_delay_s,
+            max_retry_backoff_s: words.max_retry_delay_s,
+            timeout_s: words.timeout_s,
             pool: words.pool.clone(),
             output_gb: words.output_gb,
         };
         let mut description = prepared.description.unwrap_or_default();
-        let inputs = node.after.iter().take(MOST_INPUTS);
+        let inputs = node.after.iter().take(MAX_INPUTS);
         let inputs: BTreeMap<&str, String> = inputs
             .map(|up| (self.nodes[*up as usize].name.as_str(), job_name(first + u64::from(*up))))
             .collect();
@@ -130,30 +145,33 @@
 }
 
 /// The edges of a run as it was shown.
-pub(crate) fn shape_of(nodes: &[NodeView]) -> Result<Shape, String> {
+pub(crate) fn graph_shape(nodes: &[DagNodeView]) -> Result<DagTopology, String> {
     let mut edges = Vec::new();
     for (at, node) in nodes.iter().enumerate() {
-        let before = node.after.iter().flat_map(|(first, count)| *first..first.saturating_add(*count));
+        let before = node.upstream.iter().flat_map(|(first, count)| *first..first.saturating_add(*count));
         edges.extend(before.map(|up| (up, at as u32)));
     }
-    Shape::new(nodes.len() as u32, &edges).map_err(|error| error.to_string())
+    DagTopology::new(nodes.len() as u32, &edges).map_err(|error| error.to_string())
 }
 
 /// Nodes to be done over, with the new names of their jobs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Redo {
+pub struct Rerun {
     pub parts: Vec<GraphPart>,
     /// Old and new jobs.
     pub jobs: BTreeMap<String, String>,
 }
 
-impl Redo {
+impl Rerun {
     /// The nodes at these positions and all behind them, of a run as it was shown.
-    pub fn new(nodes: &[NodeView], from: &[u32]) -> Result<Redo, String> {
-        let shape = shape_of(nodes)?;
-        let all: Vec<u32> =
-            shape.closure(from.iter().map(|at| NodeIx(*at))).into_iter().map(|node| node.0).collect();
-        let first = new_jobs(all.len());
+    pub fn new(nodes: &[DagNodeView], from: &[u32]) -> Result<Rerun, String> {
+        let shape = graph_shape(nodes)?;
+        let all: Vec<u32> = shape
+            .downstream_closure(from.iter().map(|at| NodeIx(*at)))
+            .into_iter()
+            .map(|node| node.0)
+            .collect();
+        let first = new_job_ids(all.len());
         let jobs = all
             .iter()
             .zip(first..)
@@ -165,8 +183,8 @@
             job += u64::from(count);
             row
         };
-        let redo = rows(&all).into_iter().map(row).collect();
-        Ok(Redo { parts: pack(Vec::new(), Vec::new(), Vec::new(), redo, LARGEST_PART), jobs })
+        let redo = position_ranges(&all).into_iter().map(row).collect();
+        Ok(Rerun { parts: split_into_parts(Vec::new(), Vec::new(), Vec::new(), redo, MAX_PART_BYTES), jobs })
     }
 
     /// A description under a new name, with new names for what it reads as far as that is done over too.
--- a/crates/flow/src/picture.rs
+++ b/crates/flow/src/render.rs
@@ -1,15 +1,15 @@
 //! A run as a picture: text for a terminal, DOT for other tools, SVG for a browser. The last two are templates.
 
 use minijinja::{Environment, context};
-use olivelatch::protocol::graphs::{NodeView, NodeWord, RunDetail};
-use olivelatch_graph::{NodeIx, Shape};
+use olivelatch::protocol::graphs::{DagNodeState, DagNodeView, DagRunDetail};
+use olivelatch_graph::{DagTopology, NodeIx};
 use serde::Serialize;
 
-use crate::prepare::shape_of;
+use crate::prepare::graph_shape;
 
 /// Nodes drawn in a picture, and listed as text.
-const MOST_DRAWN: usize = 2_000;
-const MOST_LISTED: usize = 200;
+const MAX_DRAWN_NODES: usize = 2_000;
+const MAX_LISTED_NODES: usize = 200;
 
 const DOT: &str = r##"digraph "{{ run }}" {
   rankdir = LR
@@ -43,16 +43,17 @@
 const GAP_Y: usize = 12;
 
 /// All nodes of a run as they were shown.
-pub struct Picture<'a> {
-    detail: &'a RunDetail,
-    shape: Shape,
+pub struct RunView<'a> {
+    detail: &'a DagRunDetail,
+    shape: DagTopology,
     layers: Vec<u32>,
     critical: Vec<u32>,
 }
 
 #[derive(Serialize)]
-struct Drawn<'a> {
-    at: usize,
+struct DrawnNode<'a> {
+    #[serde(rename = "at")]
+    index: usize,
     name: &'a str,
     short: String,
     state: &'static str,
@@ -63,35 +64,35 @@
     y: usize,
 }
 
-fn colour(state: NodeWord) -> &'static str {
+fn state_colour(state: DagNodeState) -> &'static str {
     match state {
-        NodeWord::Waiting => "#f2f2f2",
-        NodeWord::Ready => "#fff3c4",
-        NodeWord::Running => "#bfe3ff",
-        NodeWord::UpForRetry => "#ffd9a0",
-        NodeWord::Success => "#c8ecc8",
-        NodeWord::Failed => "#f5b5b5",
-        NodeWord::UpstreamFailed => "#f3d0c0",
-        NodeWord::Skipped => "#e3d5ee",
-        NodeWord::Cancelled => "#d0d0d0",
+        DagNodeState::Waiting => "#f2f2f2",
+        DagNodeState::Ready => "#fff3c4",
+        DagNodeState::Running => "#bfe3ff",
+        DagNodeState::UpForRetry => "#ffd9a0",
+        DagNodeState::Success => "#c8ecc8",
+        DagNodeState::Failed => "#f5b5b5",
+        DagNodeState::UpstreamFailed => "#f3d0c0",
+        DagNodeState::Skipped => "#e3d5ee",
+        DagNodeState::Cancelled => "#d0d0d0",
     }
 }
 
-fn mark(state: NodeWord) -> char {
+fn state_symbol(state: DagNodeState) -> char {
     match state {
-        NodeWord::Waiting => '.',
-        NodeWord::Ready => 'o',
-        NodeWord::Running => '>',
-        NodeWord::UpForRetry => '~',
-        NodeWord::Success => '+',
-        NodeWord::Failed => 'x',
-        NodeWord::UpstreamFailed => '!',
-        NodeWord::Skipped => '-',
-        NodeWord::Cancelled => '/',
+        DagNodeState::Waiting => '.',
+        DagNodeState::Ready => 'o',
+        DagNodeState::Running => '>',
+        DagNodeState::UpForRetry => '~',
+        DagNodeState::Success => '+',
+        DagNodeState::Failed => 'x',
+        DagNodeState::UpstreamFailed => '!',
+        DagNodeState::Skipped => '-',
+        DagNodeState::Cancelled => '/',
     }
 }
 
-fn tasks(node: &NodeView) -> String {
+fn tasks(node: &DagNodeView) -> String {
     match node.tasks {
         Some(tasks) => format!("{} of {tasks} done", node.done),
         None => "as many as its list has".into(),
@@ -99,45 +100,45 @@
 }
 
 /// The longest way through the graph by estimated run times: positions, first to last.
-pub fn critical_path(nodes: &[NodeView], shape: &Shape) -> Vec<u32> {
-    let total = |at: usize| nodes[at].guess_s + nodes[at].ahead_s;
+pub fn critical_path(nodes: &[DagNodeView], shape: &DagTopology) -> Vec<u32> {
+    let total = |at: usize| nodes[at].estimated_run_s + nodes[at].downstream_path_s;
     let longest = |of: &mut dyn Iterator<Item = usize>| of.max_by(|a, b| total(*a).total_cmp(&total(*b)));
-    let mut first = (0..nodes.len()).filter(|at| shape.upstream(NodeIx(*at as u32)) == 0);
+    let mut first = (0..nodes.len()).filter(|at| shape.in_degree(NodeIx(*at as u32)) == 0);
     let mut path = Vec::new();
     let mut next = longest(&mut first);
     while let Some(at) = next {
         path.push(at as u32);
-        next = longest(&mut shape.down(NodeIx(at as u32)).map(NodeIx::at));
+        next = longest(&mut shape.downstream(NodeIx(at as u32)).map(NodeIx::index));
     }
     path
 }
 
-impl<'a> Picture<'a> {
+impl<'a> RunView<'a> {
     /// `detail` holds every node of the run.
-    pub fn new(detail: &'a RunDetail) -> Result<Picture<'a>, String> {
-        let shape = shape_of(&detail.nodes)?;
+    pub fn new(detail: &'a DagRunDetail) -> Result<RunView<'a>, String> {
+        let shape = graph_shape(&detail.nodes)?;
         let layers = shape.layers();
         let critical = critical_path(&detail.nodes, &shape);
-        Ok(Picture { detail, shape, layers, critical })
+        Ok(RunView { detail, shape, layers, critical })
     }
 
     /// Layer by layer, what did not go well first where there are many.
-    pub fn text(&self) -> String {
-        let row = &self.detail.row;
+    pub fn render_text(&self) -> String {
+        let row = &self.detail.summary;
         let counts: Vec<String> =
-            row.states.iter().map(|(state, count)| format!("{count} {state}")).collect();
+            row.node_states.iter().map(|(state, count)| format!("{count} {state}")).collect();
         let mut text = format!(
             "{}  of graph {}: {}  ({} nodes: {})\n",
             row.run,
             row.graph,
-            row.state.word(),
+            row.state.as_str(),
             row.nodes,
             counts.join(", ")
         );
         let mut order: Vec<usize> = (0..self.detail.nodes.len()).collect();
-        if order.len() > MOST_LISTED {
-            order.sort_by_key(|at| (self.plain(*at), *at));
-            order.truncate(MOST_LISTED);
+        if order.len() > MAX_LISTED_NODES {
+            order.sort_by_key(|at| (self.is_unremarkable(*at), *at));
+            order.truncate(MAX_LISTED_NODES);
         }
         order.sort_by_key(|at| (self.layers[*at], *at));
         let widest = order.iter().map(|at| self.detail.nodes[*at].name.len()).max().unwrap_or(0);
@@ -147,35 +148,42 @@
                 layer = Some(self.layers[at]);
                 text.push_str(&format!("layer {}\n", self.layers[at]));
             }
-            self.line(&mut text, at, widest);
+            self.write_node_line(&mut text, at, widest);
         }
-        let left = self.detail.nodes.len().saturating_sub(MOST_LISTED);
+        let left = self.detail.nodes.len().saturating_sub(MAX_LISTED_NODES);
         if left > 0 {
             text.push_str(&format!("and {left} more, all alike: --json lists them\n"));
         }
-        text.push_str(&self.path());
+        text.push_str(&self.critical_path_text());
         text
     }
 
     /// Nodes that are listed last when there are too many.
-    fn plain(&self, at: usize) -> bool {
-        matches!(self.detail.nodes[at].state, NodeWord::Success | NodeWord::Waiting | NodeWord::Ready)
-            && !self.critical.contains(&(at as u32))
+    fn is_unremarkable(&self, at: usize) -> bool {
+        matches!(
+            self.detail.nodes[at].state,
+            DagNodeState::Success | DagNodeState::Waiting | DagNodeState::Ready
+        ) && !self.critical.contains(&(at as u32))
     }
 
-    fn line(&self, text: &mut String, at: usize, widest: usize) {
+    fn write_node_line(&self, text: &mut String, at: usize, widest: usize) {
         let node = &self.detail.nodes[at];
-        let rule = if node.after.is_empty() { String::new() } else { format!("  {}", node.rule.word()) };
-        let attempt = node.attempt.map_or(String::new(), |attempt| format!("  output of attempt {attempt}"));
+        let rule = if node.upstream.is_empty() {
+            String::new()
+        } else {
+            format!("  {}", node.trigger_rule.as_str())
+        };
+        let attempt =
+            node.published_attempt.map_or(String::new(), |attempt| format!("  output of attempt {attempt}"));
         text.push_str(&format!(
             "  {} {:widest$}  {:15}  {}  {}{rule}{attempt}\n",
-            mark(node.state),
+            state_symbol(node.state),
             node.name,
-            node.state.word(),
+            node.state.as_str(),
             node.job,
             tasks(node),
         ));
-        for one in &node.evidence {
+        for one in &node.failed_attempts {
             let failure = &one.failure;
             text.push_str(&format!(
                 "      task {} attempt {} on {}: {}\n",
@@ -184,14 +192,14 @@
         }
     }
 
-    fn path(&self) -> String {
+    fn critical_path_text(&self) -> String {
         let names: Vec<String> = self
             .critical
             .iter()
             .map(|at| &self.detail.nodes[*at as usize])
-            .map(|node| format!("{} {} s", node.name, node.guess_s))
+            .map(|node| format!("{} {} s", node.name, node.estimated_run_s))
             .collect();
-        let all: f64 = self.critical.iter().map(|at| self.detail.nodes[*at as usize].guess_s).sum();
+        let all: f64 = self.critical.iter().map(|at| self.detail.nodes[*at as usize].estimated_run_s).sum();
         if names.is_empty() {
             String::new()
         } else {
@@ -199,56 +207,56 @@
         }
     }
 
-    fn drawn(&self) -> Vec<Drawn<'a>> {
+    fn layout_nodes(&self) -> Vec<DrawnNode<'a>> {
         let mut rows = vec![0; self.layers.iter().max().map_or(0, |most| *most as usize + 1)];
-        let one = |(at, node): (usize, &'a NodeView)| {
+        let one = |(at, node): (usize, &'a DagNodeView)| {
             let layer = self.layers[at] as usize;
             let row: &mut usize = &mut rows[layer];
             *row += 1;
-            Drawn {
-                at,
+            DrawnNode {
+                index: at,
                 name: &node.name,
                 short: if node.name.chars().count() > 20 {
                     node.name.chars().take(19).chain(['…']).collect()
                 } else {
                     node.name.clone()
                 },
-                state: node.state.word(),
+                state: node.state.as_str(),
                 tasks: tasks(node),
-                colour: colour(node.state),
+                colour: state_colour(node.state),
                 critical: self.critical.contains(&(at as u32)),
                 x: 10 + layer * (BOX_WIDTH + GAP_X),
                 y: 10 + (*row - 1) * (BOX_HEIGHT + GAP_Y),
             }
         };
-        self.detail.nodes.iter().take(MOST_DRAWN).enumerate().map(one).collect()
+        self.detail.nodes.iter().take(MAX_DRAWN_NODES).enumerate().map(one).collect()
     }
 
-    fn edges(&self, drawn: usize) -> Vec<(usize, usize)> {
-        let all =
-            (0..drawn).flat_map(|at| self.shape.down(NodeIx(at as u32)).map(move |next| (at, next.at())));
+    fn visible_edges(&self, drawn: usize) -> Vec<(usize, usize)> {
+        let all = (0..drawn)
+            .flat_map(|at| self.shape.downstream(NodeIx(at as u32)).map(move |next| (at, next.index())));
         all.filter(|(_, next)| *next < drawn).collect()
     }
 
-    pub fn dot(&self) -> Result<String, String> {
-        let nodes = self.drawn();
-        let edges = self.edges(nodes.len());
-        let run = &self.detail.row.run;
+    pub fn render_dot(&self) -> Result<String, String> {
+        let nodes = self.layout_nodes();
+        let edges = self.visible_edges(nodes.len());
+        let run = &self.detail.summary.run;
         let environment = Environment::new();
         environment.render_str(DOT, context! { run, nodes, edges }).map_err(|error| error.to_string())
     }
 
-    pub fn svg(&self) -> Result<String, String> {
-        let nodes = self.drawn();
+    pub fn render_svg(&self) -> Result<String, String> {
+        let nodes = self.layout_nodes();
         let line = |(from, to): (usize, usize)| {
             let (from, to) = (&nodes[from], &nodes[to]);
             let half = BOX_HEIGHT / 2;
             [from.x + BOX_WIDTH, from.y + half, to.x, to.y + half]
         };
-        let lines: Vec<[usize; 4]> = self.edges(nodes.len()).into_iter().map(line).collect();
+        let lines: Vec<[usize; 4]> = self.visible_edges(nodes.len()).into_iter().map(line).collect();
         let width = nodes.iter().map(|node| node.x).max().unwrap_or(0) + BOX_WIDTH + 10;
         let height = nodes.iter().map(|node| node.y).max().unwrap_or(0) + BOX_HEIGHT + 10;
-        let (run, state) = (&self.detail.row.run, self.detail.row.state.word());
+        let (run, state) = (&self.detail.summary.run, self.detail.summary.state.as_str());
         let environment = Environment::new();
         let (box_width, box_height) = (BOX_WIDTH, BOX_HEIGHT);
         let all = context! { run, state, nodes, lines, width, height, box_width, box_height };
@@ -257,5 +265,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/picture.rs"]
+#[path = "tests/render.rs"]
 mod tests;
--- a/crates/flow/src/tests/file.rs
+++ b/crates/flow/src/tests/file.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn parse(text: &str) -> Result<FlowFile, FlowFileError> {
-    FlowFile::parse("f.hcl", text, &BTreeMap::new())
+fn parse(text: &str) -> Result<DagFile, DagFileError> {
+    DagFile::parse("f.hcl", text, &BTreeMap::new())
 }
 
 const CHAIN: &str = "graph = \"nightly\"\nrun = \"nightly-{{ day }}\"\nvars {\n  day = \"2026-12-01\"\n  towns = [\"north\", \"south\"]\n}\n\
@@ -22,11 +22,11 @@
     let after: Vec<&[u32]> = flow.nodes.iter().map(|node| node.after.as_slice()).collect();
     assert_eq!(after, [&[][..], &[0], &[0], &[1], &[2], &[0, 1, 2]]);
     assert_eq!(flow.nodes[2].job.command[2], "echo south 1 ${HOME}");
-    let tries: Vec<u32> = flow.nodes.iter().map(|node| node.words.tries).collect();
+    let tries: Vec<u32> = flow.nodes.iter().map(|node| node.attributes.max_attempts).collect();
     assert_eq!(tries, [2, 2, 2, 5, 5, 2]);
     assert_eq!(flow.nodes[5].map, Some(0));
     let given = BTreeMap::from([("day".to_string(), "x".to_string()), ("towns".into(), "[\"east\"]".into())]);
-    let flow = FlowFile::parse("f", CHAIN, &given).expect("a graph");
+    let flow = DagFile::parse("f", CHAIN, &given).expect("a graph");
     assert_eq!((flow.run.as_deref(), flow.nodes.len()), (Some("nightly-x"), 4));
 }
 
--- a/crates/flow/src/tests/prepare.rs
+++ b/crates/flow/src/tests/prepare.rs
@@ -8,13 +8,13 @@
     let mut text = String::from("graph = \"g\"\nnode \"a\" {\n  command = [\"true\"]\n}\n");
     text += "node \"b\" {\n  each = [1, 2, 3]\n  after = [\"a\"]\n  command = [\"true\"]\n}\n";
     text += "node \"c\" {\n  map = \"a\"\n  after = [\"b\"]\n  command = [\"true\"]\n}\n";
-    let flow = FlowFile::parse("f", &text, &BTreeMap::new()).expect("a graph");
+    let flow = DagFile::parse("f", &text, &BTreeMap::new()).expect("a graph");
     let run = flow.prepare("f", Some("r-1")).expect("a run");
     assert_eq!((run.header.nodes, run.header.parts, run.parts.len()), (5, 1, 1));
     let part = &run.parts[0];
     assert_eq!(part.templates.len(), 1, "what is alike is told once");
     assert_eq!(part.edges, [(1, 0, 1), (2, 0, 1), (3, 0, 1), (4, 0, 4)]);
-    assert_eq!(part.nodes[4].map, Some(0));
+    assert_eq!(part.nodes[4].mapped_from, Some(0));
     let last = &run.descriptions[4].1;
     assert_eq!(last["map"], json!(run.descriptions[0].0));
     assert_eq!(last["inputs"]["b-2"], json!(run.descriptions[2].0));
@@ -24,7 +24,7 @@
 #[test]
 fn the_example_is_good() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/billing.hcl");
-    let flow = FlowFile::load(&path, &BTreeMap::new()).expect("a good file");
+    let flow = DagFile::load(&path, &BTreeMap::new()).expect("a good file");
     let run = flow.prepare("billing.hcl", None).expect("a run");
     assert_eq!((run.run.as_str(), run.header.nodes), ("billing-2026-12-01", 5));
     let raw = run.descriptions[0].1.to_string();
@@ -39,9 +39,9 @@
         serde_json::from_value(value).expect("a node")
     };
     let nodes = [view("a", 1, &[]), view("b", 2, &[(0, 1)]), view("c", 3, &[]), view("d", 4, &[(1, 2)])];
-    let redo = Redo::new(&nodes, &[1]).expect("b and d");
+    let redo = Rerun::new(&nodes, &[1]).expect("b and d");
     assert_eq!(redo.jobs.keys().collect::<Vec<_>>(), [&job_name(2), &job_name(4)]);
-    let rows = &redo.parts[0].redo;
+    let rows = &redo.parts[0].reruns;
     assert_eq!(rows.iter().map(|(at, count, _)| (*at, *count)).collect::<Vec<_>>(), [(1, 1), (3, 1)]);
     let old = json!({"uid": job_name(4), "inputs": {"b": job_name(2), "c": job_name(3)}, "map": job_name(2)});
     let new = redo.description(&old, &redo.jobs[&job_name(4)]);
--- a/crates/flow/src/tests/picture.rs
+++ b/crates/flow/src/tests/render.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-fn detail() -> RunDetail {
+fn detail() -> DagRunDetail {
     let node = |name: &str, state: &str, after: &[(u32, u32)], guess: f64, ahead: f64| {
         json!({"name": name, "job": format!("job-{name}"), "state": state, "rule": "all_success", "after": after,
                 "tasks": 3, "done": 1, "running": 0, "guess_s": guess, "ahead_s": ahead, "evidence": if state == "failed" {
@@ -24,7 +24,7 @@
 #[test]
 fn the_text_tells_layers_states_evidence_and_the_longest_way() {
     let detail = detail();
-    let text = Picture::new(&detail).expect("a picture").text();
+    let text = RunView::new(&detail).expect("a picture").render_text();
     for expected in [
         "r-1  of graph nightly: failed",
         "layer 0\n  + a",
@@ -40,13 +40,13 @@
 #[test]
 fn pictures_name_every_node_and_edge() {
     let detail = detail();
-    let picture = Picture::new(&detail).expect("a picture");
-    let dot = picture.dot().expect("DOT");
+    let picture = RunView::new(&detail).expect("a picture");
+    let dot = picture.render_dot().expect("DOT");
     assert!(
         dot.contains("n0 -> n1") && dot.contains("n2 -> n3") && dot.matches(" -> ").count() == 4,
         "{dot}"
     );
-    let svg = picture.svg().expect("SVG");
+    let svg = picture.render_svg().expect("SVG");
     assert!(svg.contains("b&lt;c") && !svg.contains("b<c"), "{svg}");
     assert_eq!((svg.matches("<rect").count(), svg.matches("<path").count()), (4, 4));
     assert!(svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"));
--- a/crates/flow/tests/golden.rs
+++ b/crates/flow/tests/golden.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use olivelatch_flow::{FlowFile, PreparedRun};
+use olivelatch_flow::{DagFile, PreparedRun};
 use serde_json::{Value, json};
 use support::{Golden, encode};
 
@@ -70,7 +70,7 @@
         ("everything", EVERYTHING, BTreeMap::new()),
     ];
     for (name, text, vars) in files {
-        let file = FlowFile::parse("graph.hcl", text, &vars).expect("a graph");
+        let file = DagFile::parse("graph.hcl", text, &vars).expect("a graph");
         let run = file.prepare("graph.hcl", None).expect("a run");
         golden.case(name, numbered(&run));
         // The order of fields is part of what is stored.
@@ -85,7 +85,7 @@
         ("a circle", EVERYTHING.replacen("after       = [\"raw\"]", "after = [\"alarm\"]", 1)),
     ];
     for (name, text) in mistakes {
-        let wrong = FlowFile::parse("graph.hcl", &text, &BTreeMap::new()).err();
+        let wrong = DagFile::parse("graph.hcl", &text, &BTreeMap::new()).err();
         golden.case(&format!("wrong: {name}"), wrong.expect(name).to_string());
     }
     golden.check();
--- a/crates/graph/src/lib.rs
+++ b/crates/graph/src/lib.rs
@@ -2,11 +2,11 @@
 //! Pure: events in, changes out, nothing that reads a clock. docs/graphs.md has the design.
 
 pub mod progress;
-pub mod rule;
-pub mod shape;
-pub mod tries;
+pub mod retry;
+pub mod topology;
+pub mod trigger_rule;
 
-pub use progress::{Changes, Progress};
-pub use rule::{Counts, Outcome, Rule, Verdict};
-pub use shape::{NodeIx, Shape, ShapeError};
-pub use tries::{After, Failure, Retry, Tries};
+pub use progress::{DagProgress, ProgressChanges};
+pub use retry::{Failure, FailureEffect, RetryPolicy, RetryState};
+pub use topology::{DagTopology, NodeIx, TopologyError};
+pub use trigger_rule::{NodeOutcome, RuleDecision, TriggerRule, UpstreamCounts};
--- /dev/null
+++ b/crates/graph/src/tests/topology.rs
@@ -0,0 +1,31 @@
+//! Tests of `shape`.
+
+use super::*;
+
+#[test]
+fn cycles_are_named_and_other_mistakes_too() {
+    let cycle = DagTopology::new(5, &[(0, 1), (1, 2), (2, 3), (3, 1), (3, 4)]);
+    let Err(TopologyError::Cycle(nodes)) = cycle else { panic!("{cycle:?}") };
+    let mut sorted = nodes.clone();
+    sorted.sort_unstable();
+    assert_eq!(sorted, [1, 2, 3]);
+    for pair in 0..3 {
+        let edge = (nodes[pair], nodes[(pair + 1) % 3]);
+        assert!([(1, 2), (2, 3), (3, 1)].contains(&edge), "{nodes:?} in the direction of the edges");
+    }
+    assert_eq!(DagTopology::new(1, &[(0, 0)]), Err(TopologyError::Cycle(vec![0])));
+    assert_eq!(DagTopology::new(2, &[(0, 2)]), Err(TopologyError::NoSuchNode { from: 0, to: 2, last: 1 }));
+    assert_eq!(DagTopology::new(2, &[(0, 1), (0, 1)]), Err(TopologyError::DuplicateEdge { from: 0, to: 1 }));
+}
+
+#[test]
+fn paths_layers_and_closures() {
+    // 0 -> 1 -> 3, 0 -> 2 -> 3, 4 alone.
+    let shape = DagTopology::new(5, &[(0, 1), (0, 2), (1, 3), (2, 3)]).expect("no cycle");
+    let weights = [1, 10, 20, 5, 7];
+    assert_eq!(shape.downstream_path_weights(|node| weights[node.index()]), [25, 5, 5, 0, 0]);
+    assert_eq!(shape.layers(), [0, 1, 1, 2, 0]);
+    let closure: Vec<u32> = shape.downstream_closure([NodeIx(2)]).into_iter().map(|node| node.0).collect();
+    assert_eq!(closure, [2, 3]);
+    assert!(shape.is_leaf(NodeIx(3)) && shape.is_leaf(NodeIx(4)) && !shape.is_leaf(NodeIx(0)));
+}
--- a/crates/graph/src/tests/rule.rs
+++ b/crates/graph/src/tests/trigger_rule.rs
@@ -5,8 +5,8 @@
 /// The whole table for two upstream nodes: successes, failures, skips so far, and what each rule says.
 #[test]
 fn the_table_of_rules() {
-    use Outcome::{Skipped, UpstreamFailed};
-    use Verdict::{End, Run, Wait};
+    use NodeOutcome::{Skipped, UpstreamFailed};
+    use RuleDecision::{End, Run, Wait};
     let (up, skip) = (End(UpstreamFailed), End(Skipped));
     // In the order of `Rule::ALL`.
     let table = [
@@ -22,12 +22,12 @@
         ((0, 0, 2), [skip, skip, Run, skip, skip, Run, skip]),
     ];
     for ((success, failed, skipped), expected) in table {
-        let counts = Counts { upstream: 2, success, failed, skipped };
-        let found = Rule::ALL.map(|rule| rule.verdict(&counts));
+        let counts = UpstreamCounts { upstream: 2, success, failed, skipped };
+        let found = TriggerRule::ALL.map(|rule| rule.decide(&counts));
         assert_eq!(found, expected, "{counts:?}");
     }
-    for rule in Rule::ALL {
-        assert_eq!(rule.verdict(&Counts::default()), Run, "what waits for nothing runs");
-        assert_eq!(Rule::parse(rule.word()), Some(rule));
+    for rule in TriggerRule::ALL {
+        assert_eq!(rule.decide(&UpstreamCounts::default()), Run, "what waits for nothing runs");
+        assert_eq!(TriggerRule::parse(rule.as_str()), Some(rule));
     }
 }
--- a/crates/graph/src/shape.rs
+++ b/crates/graph/src/topology.rs
@@ -7,17 +7,17 @@
 pub struct NodeIx(pub u32);
 
 impl NodeIx {
-    pub fn at(self) -> usize {
+    pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum ShapeError {
+pub enum TopologyError {
     #[error("edge {from} -> {to}: the graph has nodes 0 to {last}")]
     NoSuchNode { from: u32, to: u32, last: u32 },
     #[error("edge {from} -> {to} is there twice")]
-    Twice { from: u32, to: u32 },
+    DuplicateEdge { from: u32, to: u32 },
     /// Each comes after the one before it, and the first after the last.
     #[error("nodes wait for one another in a circle: {0:?}")]
     Cycle(Vec<u32>),
@@ -25,70 +25,70 @@
 
 /// Edges by dense index: downstream nodes in one row behind another, in-degrees beside them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Shape {
+pub struct DagTopology {
     /// Where the downstream nodes of each node begin; one more at the end.
-    starts: Vec<u32>,
-    down: Vec<u32>,
-    upstream: Vec<u32>,
+    downstream_offsets: Vec<u32>,
+    downstream: Vec<u32>,
+    in_degrees: Vec<u32>,
     /// Every node behind all that it waits for.
-    order: Vec<u32>,
+    topological_order: Vec<u32>,
 }
 
-impl Shape {
+impl DagTopology {
     /// `edges`: from, to.
-    pub fn new(nodes: u32, edges: &[(u32, u32)]) -> Result<Shape, ShapeError> {
+    pub fn new(nodes: u32, edges: &[(u32, u32)]) -> Result<DagTopology, TopologyError> {
         let mut sorted = edges.to_vec();
         sorted.sort_unstable();
         if let Some(twice) = sorted.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(ShapeError::Twice { from: twice[0].0, to: twice[0].1 });
+            return Err(TopologyError::DuplicateEdge { from: twice[0].0, to: twice[0].1 });
         }
-        let mut shape = Shape {
-            starts: vec![0; nodes as usize + 1],
-            down: Vec::with_capacity(sorted.len()),
-            upstream: vec![0; nodes as usize],
-            order: Vec::with_capacity(nodes as usize),
+        let mut shape = DagTopology {
+            downstream_offsets: vec![0; nodes as usize + 1],
+            downstream: Vec::with_capacity(sorted.len()),
+            in_degrees: vec![0; nodes as usize],
+            topological_order: Vec::with_capacity(nodes as usize),
         };
         for (from, to) in sorted {
             if from >= nodes || to >= nodes {
-                return Err(ShapeError::NoSuchNode { from, to, last: nodes.saturating_sub(1) });
+                return Err(TopologyError::NoSuchNode { from, to, last: nodes.saturating_sub(1) });
             }
-            shape.starts[from as usize + 1] += 1;
-            shape.upstream[to as usize] += 1;
-            shape.down.push(to);
+            shape.downstream_offsets[from as usize + 1] += 1;
+            shape.in_degrees[to as usize] += 1;
+            shape.downstream.push(to);
         }
-        for at in 1..shape.starts.len() {
-            shape.starts[at] += shape.starts[at - 1];
+        for at in 1..shape.downstream_offsets.len() {
+            shape.downstream_offsets[at] += shape.downstream_offsets[at - 1];
         }
-        shape.sort()?;
+        shape.sort_topologically()?;
         Ok(shape)
     }
 
-    fn sort(&mut self) -> Result<(), ShapeError> {
-        let mut open = self.upstream.clone();
+    fn sort_topologically(&mut self) -> Result<(), TopologyError> {
+        let mut open = self.in_degrees.clone();
         let mut order: Vec<u32> = (0..self.len()).filter(|node| open[*node as usize] == 0).collect();
         let mut at = 0;
         while let Some(node) = order.get(at).copied() {
             at += 1;
-            for next in self.down(NodeIx(node)) {
-                open[next.at()] -= 1;
-                if open[next.at()] == 0 {
+            for next in self.downstream(NodeIx(node)) {
+                open[next.index()] -= 1;
+                if open[next.index()] == 0 {
                     order.push(next.0);
                 }
             }
         }
         if order.len() < self.len() as usize {
-            return Err(ShapeError::Cycle(self.cycle(&open)));
+            return Err(TopologyError::Cycle(self.find_cycle(&open)));
         }
-        self.order = order;
+        self.topological_order = order;
         Ok(())
     }
 
     /// Nodes with open in-degrees wait for a cycle or are on one: going upstream among them ends on one.
-    fn cycle(&self, open: &[u32]) -> Vec<u32> {
+    fn find_cycle(&self, open: &[u32]) -> Vec<u32> {
         let mut before = vec![None; open.len()];
         for from in (0..self.len()).filter(|node| open[*node as usize] > 0) {
-            for to in self.down(NodeIx(from)) {
-                before[to.at()] = Some(from);
+            for to in self.downstream(NodeIx(from)) {
+                before[to.index()] = Some(from);
             }
         }
         let Some(mut node) = (0..self.len()).find(|node| open[*node as usize] > 0) else { return Vec::new() };
@@ -108,64 +108,67 @@
     }
 
     pub fn len(&self) -> u32 {
-        self.upstream.len() as u32
+        self.in_degrees.len() as u32
     }
 
     pub fn is_empty(&self) -> bool {
-        self.upstream.is_empty()
+        self.in_degrees.is_empty()
     }
 
-    pub fn edges(&self) -> usize {
-        self.down.len()
+    pub fn edge_count(&self) -> usize {
+        self.downstream.len()
     }
 
-    pub fn down(&self, node: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
-        let (from, to) = (self.starts[node.at()] as usize, self.starts[node.at() + 1] as usize);
-        self.down[from..to].iter().map(|next| NodeIx(*next))
+    pub fn downstream(&self, node: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
+        let (from, to) = (
+            self.downstream_offsets[node.index()] as usize,
+            self.downstream_offsets[node.index() + 1] as usize,
+        );
+        self.downstream[from..to].iter().map(|next| NodeIx(*next))
     }
 
-    pub fn leaf(&self, node: NodeIx) -> bool {
-        self.starts[node.at()] == self.starts[node.at() + 1]
+    pub fn is_leaf(&self, node: NodeIx) -> bool {
+        self.downstream_offsets[node.index()] == self.downstream_offsets[node.index() + 1]
     }
 
     /// How many nodes it waits for.
-    pub fn upstream(&self, node: NodeIx) -> u32 {
-        self.upstream[node.at()]
+    pub fn in_degree(&self, node: NodeIx) -> u32 {
+        self.in_degrees[node.index()]
     }
 
     /// Every node behind all that it waits for.
-    pub fn order(&self) -> impl DoubleEndedIterator<Item = NodeIx> + '_ {
-        self.order.iter().map(|node| NodeIx(*node))
+    pub fn topological_order(&self) -> impl DoubleEndedIterator<Item = NodeIx> + '_ {
+        self.topological_order.iter().map(|node| NodeIx(*node))
     }
 
     /// Work on the longest path behind each node, itself left out; `weight` as long as a node runs.
-    pub fn ahead(&self, weight: impl Fn(NodeIx) -> u64) -> Vec<u64> {
-        let mut ahead = vec![0; self.upstream.len()];
-        for node in self.order().rev() {
-            let longest = self.down(node).map(|next| ahead[next.at()] + weight(next)).max();
-            ahead[node.at()] = longest.unwrap_or(0);
+    pub fn downstream_path_weights(&self, weight: impl Fn(NodeIx) -> u64) -> Vec<u64> {
+        let mut ahead = vec![0; self.in_degrees.len()];
+        for node in self.topological_order().rev() {
+            let longest = self.downstream(node).map(|next| ahead[next.index()] + weight(next)).max();
+            ahead[node.index()] = longest.unwrap_or(0);
         }
         ahead
     }
 
     /// The layer of each node: the most edges on a way to it.
     pub fn layers(&self) -> Vec<u32> {
-        let mut layers = vec![0; self.upstream.len()];
-        for node in self.order() {
-            for next in self.down(node) {
-                layers[next.at()] = layers[next.at()].max(layers[node.at()] + 1);
+        let mut layers = vec![0; self.in_degrees.len()];
+        for node in self.topological_order() {
+            for next in self.downstream(node) {
+                layers[next.index()] = layers[next.index()].max(layers[node.index()] + 1);
             }
         }
         layers
     }
 
     /// The nodes themselves and all behind them, in order of their positions.
-    pub fn closure(&self, from: impl IntoIterator<Item = NodeIx>) -> Vec<NodeIx> {
+    pub fn downstream_closure(&self, from: impl IntoIterator<Item = NodeIx>) -> Vec<NodeIx> {
         let mut seen = roaring::RoaringBitmap::new();
         let mut open: Vec<NodeIx> = from.into_iter().filter(|node| node.0 < self.len()).collect();
         while let Some(node) = open.pop() {
             if seen.insert(node.0) {
-                open.extend(self.down(node));
+                open.extend(self.downstream(node));
             }
         }
         seen.into_iter().map(NodeIx).collect()
@@ -173,5 +176,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/shape.rs"]
+#[path = "tests/topology.rs"]
 mod tests;
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 as the interfaces use it: no pipelining, bodies of known length or chunked.
 
 /// Longest request or status line with its headers.
-const LONGEST_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Largest body a request may have.
-pub const LARGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, PartialEq)]
 pub struct Request {
@@ -26,68 +26,68 @@
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
     Partial,
-    Bad,
+    Malformed,
     /// More than may be held.
     TooLong,
-    Whole(T, usize),
+    Complete(T, usize),
 }
 
 /// Why a body cannot be taken.
-enum Wrong {
-    Bad,
+enum BodyError {
+    Malformed,
     TooLong,
 }
 
-struct Head<'a> {
-    first: &'a str,
-    length: Option<usize>,
+struct MessageHead<'a> {
+    start_line: &'a str,
+    content_length: Option<usize>,
     chunked: bool,
-    close: bool,
-    keep: bool,
+    connection_close: bool,
+    connection_keep_alive: bool,
     retry_after_s: Option<u32>,
-    end: usize,
+    head_bytes: usize,
 }
 
-enum HeadParsed<'a> {
+enum ParsedHead<'a> {
     Partial,
-    Bad,
-    Whole(Head<'a>),
+    Malformed,
+    Complete(MessageHead<'a>),
 }
 
-fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
+fn find_bytes(haystack: &[u8], needle: &[u8]) -> Option<usize> {
     haystack.windows(needle.len()).position(|window| window == needle)
 }
 
-fn head(buffer: &[u8]) -> HeadParsed<'_> {
-    let limit = buffer.len().min(LONGEST_HEAD);
-    let Some(end) = find(&buffer[..limit], b"\r\n\r\n") else {
-        return if buffer.len() >= LONGEST_HEAD { HeadParsed::Bad } else { HeadParsed::Partial };
+fn parse_head(buffer: &[u8]) -> ParsedHead<'_> {
+    let limit = buffer.len().min(MAX_HEAD_BYTES);
+    let Some(end) = find_bytes(&buffer[..limit], b"\r\n\r\n") else {
+        return if buffer.len() >= MAX_HEAD_BYTES { ParsedHead::Malformed } else { ParsedHead::Partial };
     };
     let Ok(text) = std::str::from_utf8(&buffer[..end]) else {
-        return HeadParsed::Bad;
+        return ParsedHead::Malformed;
     };
     let mut lines = text.split("\r\n");
-    let mut head = Head {
-        first: lines.next().unwrap_or(""),
-        length: None,
+    let mut head = MessageHead {
+        start_line: lines.next().unwrap_or(""),
+        content_length: None,
         chunked: false,
-        close: false,
-        keep: false,
+        connection_close: false,
+        connection_keep_alive: false,
         retry_after_s: None,
-        end: end + 4,
+        head_bytes: end + 4,
     };
     for line in lines {
         let Some((name, value)) = line.split_once(':') else {
-            return HeadParsed::Bad;
+            return ParsedHead::Malformed;
         };
-        if !header(&mut head, name, value.trim()) {
-            return HeadParsed::Bad;
+        if !apply_header(&mut head, name, value.trim()) {
+            return ParsedHead::Malformed;
         }
     }
-    HeadParsed::Whole(head)
+    ParsedHead::Complete(head)
 }
 
-fn header(head: &mut Head<'_>, name: &str, value: &str) -> bool {
+fn apply_header(head: &mut MessageHead<'_>, name: &str, value: &str) -> bool {
     if name.is_empty() || name.ends_with([' ', '\t']) {
         return false;
     }
@@ -97,10 +97,10 @@
             return false;
         };
         // Two different lengths would let one message hide in another.
-        if head.length.is_some_and(|known| known != length) {
+        if head.content_length.is_some_and(|known| known != length) {
             return false;
         }
-        head.length = Some(length);
+        head.content_length = Some(length);
     } else if name.eq_ignore_ascii_case("transfer-encoding") {
         head.chunked = value.eq_ignore_ascii_case("chunked");
         return head.chunked;
@@ -109,44 +109,52 @@
         head.retry_after_s = value.parse().ok();
     } else if name.eq_ignore_ascii_case("connection") {
         for part in value.split(',') {
-            head.close |= part.trim().eq_ignore_ascii_case("close");
-            head.keep |= part.trim().eq_ignore_ascii_case("keep-alive");
+            head.connection_close |= part.trim().eq_ignore_ascii_case("close");
+            head.connection_keep_alive |= part.trim().eq_ignore_ascii_case("keep-alive");
         }
     }
     true
 }
 
 /// Body and bytes taken, None while incomplete, Err if it can't be right.
-fn body(rest: &[u8], head: &Head<'_>, most: usize) -> Result<Option<(Vec<u8>, usize)>, Wrong> {
+fn read_body(
+    rest: &[u8],
+    head: &MessageHead<'_>,
+    most: usize,
+) -> Result<Option<(Vec<u8>, usize)>, BodyError> {
     if head.chunked {
-        return if head.length.is_some() { Err(Wrong::Bad) } else { chunks(rest, most) };
+        return if head.content_length.is_some() {
+            Err(BodyError::Malformed)
+        } else {
+            read_chunks(rest, most)
+        };
     }
-    let length = head.length.unwrap_or(0);
+    let length = head.content_length.unwrap_or(0);
     if length > most {
-        return Err(Wrong::TooLong);
+        return Err(BodyError::TooLong);
     }
     Ok(rest.get(..length).map(|body| (body.to_vec(), length)))
 }
 
-fn chunks(rest: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, Wrong> {
+fn read_chunks(rest: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, BodyError> {
     let mut body = Vec::new();
     let mut at = 0;
     loop {
-        let Some(line) = find(&rest[at..], b"\r\n") else {
-            return if rest.len() - at > 64 { Err(Wrong::Bad) } else { Ok(None) };
+        let Some(line) = find_bytes(&rest[at..], b"\r\n") else {
+            return if rest.len() - at > 64 { Err(BodyError::Malformed) } else { Ok(None) };
         };
-        let text = std::str::from_utf8(&rest[at..at + line]).map_err(|_| Wrong::Bad)?;
+        let text = std::str::from_utf8(&rest[at..at + line]).map_err(|_| BodyError::Malformed)?;
         let size = text.split(';').next().unwrap_or("").trim();
-        let size = usize::from_str_radix(size, 16).map_err(|_| Wrong::Bad)?;
+        let size = usize::from_str_radix(size, 16).map_err(|_| BodyError::Malformed)?;
         if size > most || body.len() + size > most {
-            return Err(Wrong::TooLong);
+            return Err(BodyError::TooLong);
         }
         let start = at + line + 2;
         let Some(chunk) = rest.get(start..start + size + 2) else {
             return Ok(None);
         };
         if !chunk.ends_with(b"\r\n") {
-            return Err(Wrong::Bad);
+            return Err(BodyError::Malformed);
         }
         at = start + size + 2;
         if size == 0 {
@@ -157,58 +165,58 @@
 }
 
 pub fn parse_request(buffer: &[u8]) -> Parsed<Request> {
-    let head = match head(buffer) {
-        HeadParsed::Partial => return Parsed::Partial,
-        HeadParsed::Bad => return Parsed::Bad,
-        HeadParsed::Whole(head) => head,
+    let head = match parse_head(buffer) {
+        ParsedHead::Partial => return Parsed::Partial,
+        ParsedHead::Malformed => return Parsed::Malformed,
+        ParsedHead::Complete(head) => head,
     };
-    let mut words = head.first.split(' ');
+    let mut words = head.start_line.split(' ');
     let (Some(method), Some(path), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Parsed::Bad;
+        return Parsed::Malformed;
     };
     let token = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
     if !token || !path.starts_with('/') || !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
-        return Parsed::Bad;
+        return Parsed::Malformed;
     }
-    match body(&buffer[head.end..], &head, LARGEST_BODY) {
-        Err(_) => Parsed::Bad,
+    match read_body(&buffer[head.head_bytes..], &head, MAX_BODY_BYTES) {
+        Err(_) => Parsed::Malformed,
         Ok(None) => Parsed::Partial,
         Ok(Some((body, taken))) => {
-            let keep_alive = !head.close && (version == "HTTP/1.1" || head.keep);
+            let keep_alive = !head.connection_close && (version == "HTTP/1.1" || head.connection_keep_alive);
             let request = Request { method: method.into(), path: path.into(), body, keep_alive };
-            Parsed::Whole(request, head.end + taken)
+            Parsed::Complete(request, head.head_bytes + taken)
         }
     }
 }
 
 /// A response whose body may have so many bytes.
-pub fn parse_response(buffer: &[u8], most: usize) -> Parsed<Response> {
-    let head = match head(buffer) {
-        HeadParsed::Partial => return Parsed::Partial,
-        HeadParsed::Bad => return Parsed::Bad,
-        HeadParsed::Whole(head) => head,
+pub fn parse_response(buffer: &[u8], max_body: usize) -> Parsed<Response> {
+    let head = match parse_head(buffer) {
+        ParsedHead::Partial => return Parsed::Partial,
+        ParsedHead::Malformed => return Parsed::Malformed,
+        ParsedHead::Complete(head) => head,
     };
-    let mut words = head.first.splitn(3, ' ');
+    let mut words = head.start_line.splitn(3, ' ');
     let version = words.next().unwrap_or("");
     let status = words.next().and_then(|status| status.parse::<u16>().ok());
     let Some(status) = status.filter(|_| version.starts_with("HTTP/1.")) else {
-        return Parsed::Bad;
+        return Parsed::Malformed;
     };
-    match body(&buffer[head.end..], &head, most) {
-        Err(Wrong::Bad) => Parsed::Bad,
-        Err(Wrong::TooLong) => Parsed::TooLong,
+    match read_body(&buffer[head.head_bytes..], &head, max_body) {
+        Err(BodyError::Malformed) => Parsed::Malformed,
+        Err(BodyError::TooLong) => Parsed::TooLong,
         Ok(None) => Parsed::Partial,
         Ok(Some((body, taken))) => {
             let retry_after_s = head.retry_after_s;
-            let response = Response { status, body, keep_alive: !head.close, retry_after_s };
-            Parsed::Whole(response, head.end + taken)
+            let response = Response { status, body, keep_alive: !head.connection_close, retry_after_s };
+            Parsed::Complete(response, head.head_bytes + taken)
         }
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -225,8 +233,8 @@
     }
 }
 
-pub const JSON: &str = "application/json";
-pub const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+pub const JSON_CONTENT_TYPE: &str = "application/json";
+pub const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 pub fn write_response(
     out: &mut Vec<u8>,
@@ -240,7 +248,7 @@
     let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let head = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n{retry}{close}\r\n",
-        reason(status),
+        reason_phrase(status),
         body.len(),
     );
     out.extend_from_slice(head.as_bytes());
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -3,8 +3,8 @@
 //! Decides nothing. It must never wait except in `Gate::wait`, and never hold more of a connection than its
 //! caller allows. Shared by the controller, the region on one machine and the client; docs/client.md says why.
 
-pub mod caller;
+pub mod client;
 pub mod http;
-pub mod poll;
+pub mod poller;
 pub mod server;
 pub mod stream;
--- a/crates/net/src/poll.rs
+++ b/crates/net/src/poller.rs
@@ -14,7 +14,7 @@
 
 /// System calls since they were last shown, by kind, and the bytes that streams moved.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct SyscallCounters {
     pub waits: AtomicU64,
     pub reads: AtomicU64,
     pub writes: AtomicU64,
@@ -24,32 +24,32 @@
 }
 
 /// One more.
-fn count(calls: &AtomicU64) {
+fn increment(calls: &AtomicU64) {
     calls.fetch_add(1, Ordering::Relaxed);
 }
 
 /// The poller, and how often the kernel was asked for something.
-pub struct Gate {
+pub struct EventPoller {
     poller: Poller,
-    pub calls: Calls,
+    pub syscalls: SyscallCounters,
 }
 
-impl Gate {
-    pub fn new() -> io::Result<Gate> {
-        Ok(Gate { poller: Poller::new()?, calls: Calls::default() })
+impl EventPoller {
+    pub fn new() -> io::Result<EventPoller> {
+        Ok(EventPoller { poller: Poller::new()?, syscalls: SyscallCounters::default() })
     }
 
     pub fn wait(&self, events: &mut polling::Events, timeout: std::time::Duration) -> io::Result<usize> {
-        count(&self.calls.waits);
+        increment(&self.syscalls.waits);
         self.poller.wait(events, Some(timeout))
     }
 }
 
 /// Numbers for registered sockets.
 #[derive(Debug, Default)]
-pub struct Keys(usize);
+pub struct KeyAllocator(usize);
 
-impl Keys {
+impl KeyAllocator {
     pub fn next_key(&mut self) -> usize {
         self.0 += 1;
         self.0
@@ -57,25 +57,25 @@
 }
 
 /// A registered socket.
-pub struct Watch<S: AsFd> {
-    gate: Arc<Gate>,
+pub struct Registration<S: AsFd> {
+    poller: Arc<EventPoller>,
     source: S,
     key: usize,
 }
 
-impl<S: AsFd> Watch<S> {
-    pub fn new(gate: &Arc<Gate>, source: S, interest: Event) -> io::Result<Watch<S>> {
+impl<S: AsFd> Registration<S> {
+    pub fn new(gate: &Arc<EventPoller>, source: S, interest: Event) -> io::Result<Registration<S>> {
         // SAFETY: `Watch` owns the source and deletes it from the poller in `drop`,
         // before the source itself is closed.
         unsafe { gate.poller.add(&source.as_fd(), interest)? };
-        count(&gate.calls.registrations);
-        Ok(Watch { gate: gate.clone(), source, key: interest.key })
+        increment(&gate.syscalls.registrations);
+        Ok(Registration { poller: gate.clone(), source, key: interest.key })
     }
 
     /// Registrations are one-shot: every wait needs a new interest.
-    pub fn want(&self, readable: bool, writable: bool) -> io::Result<()> {
-        count(&self.gate.calls.registrations);
-        self.gate.poller.modify(self.source.as_fd(), Event::new(self.key, readable, writable))
+    pub fn set_interest(&self, readable: bool, writable: bool) -> io::Result<()> {
+        increment(&self.poller.syscalls.registrations);
+        self.poller.poller.modify(self.source.as_fd(), Event::new(self.key, readable, writable))
     }
 
     pub fn source(&self) -> &S {
@@ -83,25 +83,25 @@
     }
 }
 
-impl Watch<TcpStream> {
+impl Registration<TcpStream> {
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
-        count(&self.gate.calls.reads);
+        increment(&self.poller.syscalls.reads);
         let read = (&self.source).read(buffer)?;
-        self.gate.calls.bytes_read.fetch_add(read as u64, Ordering::Relaxed);
+        self.poller.syscalls.bytes_read.fetch_add(read as u64, Ordering::Relaxed);
         Ok(read)
     }
 
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize> {
-        count(&self.gate.calls.writes);
+        increment(&self.poller.syscalls.writes);
         let written = (&self.source).write(bytes)?;
-        self.gate.calls.bytes_written.fetch_add(written as u64, Ordering::Relaxed);
+        self.poller.syscalls.bytes_written.fetch_add(written as u64, Ordering::Relaxed);
         Ok(written)
     }
 }
 
-impl<S: AsFd> Drop for Watch<S> {
+impl<S: AsFd> Drop for Registration<S> {
     fn drop(&mut self) {
         // A socket that cannot be removed is closed right after anyway.
-        let _ = self.gate.poller.delete(self.source.as_fd());
+        let _ = self.poller.poller.delete(self.source.as_fd());
     }
 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -7,14 +7,14 @@
 use polling::Event;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::poll::{Gate, Watch};
+use crate::poller::{EventPoller, Registration};
 
 const READ_CHUNK: usize = 16 * 1024;
 /// An idle connection keeps no more than this for each direction.
-const KEPT: usize = 2 * 1024;
+const IDLE_BUFFER_BYTES: usize = 2 * 1024;
 
-pub struct Stream {
-    watch: Watch<TcpStream>,
+pub struct BufferedStream {
+    watch: Registration<TcpStream>,
     pub input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
@@ -23,21 +23,25 @@
 
 /// What a read or write came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Flow {
+pub enum StreamState {
     Open,
     Closed,
 }
 
-impl Stream {
-    pub fn accepted(gate: &Arc<Gate>, socket: TcpStream, key: usize) -> io::Result<Stream> {
+impl BufferedStream {
+    pub fn from_accepted(
+        gate: &Arc<EventPoller>,
+        socket: TcpStream,
+        key: usize,
+    ) -> io::Result<BufferedStream> {
         socket.set_nonblocking(true)?;
         // Small answers must not wait for one another.
         socket.set_nodelay(true)?;
-        let watch = Watch::new(gate, socket, Event::readable(key))?;
-        Ok(Stream::new(watch, false))
+        let watch = Registration::new(gate, socket, Event::readable(key))?;
+        Ok(BufferedStream::new(watch, false))
     }
 
-    pub fn connect(gate: &Arc<Gate>, addr: SocketAddr, key: usize) -> io::Result<Stream> {
+    pub fn connect(gate: &Arc<EventPoller>, addr: SocketAddr, key: usize) -> io::Result<BufferedStream> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -48,12 +52,12 @@
                 return Err(error);
             }
         }
-        let watch = Watch::new(gate, socket.into(), Event::writable(key))?;
-        Ok(Stream::new(watch, true))
+        let watch = Registration::new(gate, socket.into(), Event::writable(key))?;
+        Ok(BufferedStream::new(watch, true))
     }
 
-    fn new(watch: Watch<TcpStream>, connecting: bool) -> Stream {
-        Stream { watch, input: Vec::new(), output: Vec::new(), written: 0, connecting }
+    fn new(watch: Registration<TcpStream>, connecting: bool) -> BufferedStream {
+        BufferedStream { watch, input: Vec::new(), output: Vec::new(), written: 0, connecting }
     }
 
     pub fn queue(&mut self, bytes: &[u8]) {
@@ -61,80 +65,80 @@
     }
 
     /// Nothing more is sent; the peer sees that and closes.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         // A connection that is gone already needs no end.
         let _ = self.watch.source().shutdown(Shutdown::Write);
     }
 
-    pub fn pending(&self) -> usize {
+    pub fn pending_output(&self) -> usize {
         self.output.len() - self.written
     }
 
     /// Bytes that its buffers take.
-    pub fn held(&self) -> usize {
+    pub fn buffer_capacity(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
     /// Reads what there is, until `most` is held.
-    pub fn fill(&mut self, most: usize) -> Flow {
+    pub fn read_available(&mut self, max_input: usize) -> StreamState {
         let mut chunk = [0; READ_CHUNK];
-        while self.input.len() < most {
-            let wanted = READ_CHUNK.min(most - self.input.len());
+        while self.input.len() < max_input {
+            let wanted = READ_CHUNK.min(max_input - self.input.len());
             match self.watch.read(&mut chunk[..wanted]) {
-                Ok(0) => return Flow::Closed,
+                Ok(0) => return StreamState::Closed,
                 Ok(n) => {
                     self.input.extend_from_slice(&chunk[..n]);
                     if n < wanted {
-                        return Flow::Open;
+                        return StreamState::Open;
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Flow::Open,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return StreamState::Open,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Flow::Closed,
+                Err(_) => return StreamState::Closed,
             }
         }
-        Flow::Open
+        StreamState::Open
     }
 
-    pub fn flush(&mut self) -> Flow {
+    pub fn flush(&mut self) -> StreamState {
         if self.connecting {
             match self.watch.source().take_error() {
                 Ok(None) => {}
-                _ => return Flow::Closed,
+                _ => return StreamState::Closed,
             }
             if self.watch.source().peer_addr().is_err() {
-                return Flow::Open;
+                return StreamState::Open;
             }
             self.connecting = false;
         }
-        while self.pending() > 0 {
+        while self.pending_output() > 0 {
             match self.watch.write(&self.output[self.written..]) {
-                Ok(0) => return Flow::Closed,
+                Ok(0) => return StreamState::Closed,
                 Ok(n) => self.written += n,
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Flow::Open,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return StreamState::Open,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Flow::Closed,
+                Err(_) => return StreamState::Closed,
             }
         }
         self.output.clear();
-        self.output.shrink_to(KEPT);
+        self.output.shrink_to(IDLE_BUFFER_BYTES);
         self.written = 0;
-        Flow::Open
+        StreamState::Open
     }
 
     /// Registrations are one-shot; called after each event.
-    pub fn rearm(&self, readable: bool) -> Flow {
-        let writable = self.connecting || self.pending() > 0;
-        match self.watch.want(readable && !self.connecting, writable) {
-            Ok(()) => Flow::Open,
-            Err(_) => Flow::Closed,
+    pub fn rearm(&self, readable: bool) -> StreamState {
+        let writable = self.connecting || self.pending_output() > 0;
+        match self.watch.set_interest(readable && !self.connecting, writable) {
+            Ok(()) => StreamState::Open,
+            Err(_) => StreamState::Closed,
         }
     }
 
-    pub fn take_input(&mut self, taken: usize) {
-        self.input.drain(..taken);
+    pub fn consume_input(&mut self, consumed: usize) {
+        self.input.drain(..consumed);
         if self.input.is_empty() {
-            self.input.shrink_to(KEPT);
+            self.input.shrink_to(IDLE_BUFFER_BYTES);
         }
     }
 }
--- a/crates/net/src/tests/http.rs
+++ b/crates/net/src/tests/http.rs
@@ -8,7 +8,7 @@
     for cut in 0..text.len() - 3 {
         assert_eq!(parse_request(&text[..cut]), Parsed::Partial, "cut at {cut}");
     }
-    let Parsed::Whole(request, taken) = parse_request(text) else {
+    let Parsed::Complete(request, taken) = parse_request(text) else {
         panic!("not parsed");
     };
     assert_eq!(
@@ -21,7 +21,7 @@
 #[test]
 fn chunked_bodies_are_read() {
     let text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
-    let Parsed::Whole(response, taken) = parse_response(text, 100) else {
+    let Parsed::Complete(response, taken) = parse_response(text, 100) else {
         panic!("not parsed");
     };
     assert_eq!((response.status, response.body.as_slice(), taken), (200, &b"abcde"[..], text.len()));
@@ -42,7 +42,7 @@
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         "GET / HTTP/1.1\r\nno colon\r\n\r\n",
     ] {
-        assert_eq!(parse_request(text.as_bytes()), Parsed::Bad, "{text:?}");
+        assert_eq!(parse_request(text.as_bytes()), Parsed::Malformed, "{text:?}");
     }
-    assert_eq!(parse_request(&[b'a'; LONGEST_HEAD]), Parsed::Bad);
+    assert_eq!(parse_request(&[b'a'; MAX_HEAD_BYTES]), Parsed::Malformed);
 }
--- a/crates/region/src/lib.rs
+++ b/crates/region/src/lib.rs
@@ -6,15 +6,15 @@
 //! What was answered is on disk before the answer goes out. docs/region.md argues for it.
 
 mod cloud;
+mod cluster;
 mod controllers;
-mod desk;
+mod job_store;
 mod machines;
-mod outputs;
-mod region;
+mod task_outputs;
 
-pub use cloud::{Cloud, KindSpec, Rented};
+pub use cloud::{Cloud, CloudMachine, MachineTypeSpec};
+pub use cluster::{ClusterConfig, LocalCluster, LocalClusterError};
 pub use controllers::{
-    AimPlan, ControllerPlan, Plan, Platform, QuotaPlan, StatePlan, TeamPlan, WorkerPlan, controller_name,
-    controller_place, controller_settings,
+    ClusterAddresses, ControllerPlan, ControllerQuota, KvLimits, ObjectivePlan, Platform, TeamSettings,
+    WorkerTimings, controller_index, controller_name, controller_settings,
 };
-pub use region::{Region, RegionError, Shape};
--- a/crates/scale/src/arrivals.rs
+++ b/crates/scale/src/arrivals.rs
@@ -1,18 +1,18 @@
 //! Which jobs arrive when: an open loop, so arrivals never wait for answers. Seeded; the same plan gives the same jobs.
 
-use olivelatch::protocol::users::Shape;
+use olivelatch::protocol::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::control::HollowJob;
+use crate::control::SimulatedJob;
 use crate::plan::{JobPlan, Plan, team_name};
 
 /// Least time between the submission of a job and the wish to cancel it, and the length of the spell in which it comes.
 const CANCEL_AFTER_MS: u64 = 2_000;
-const CANCEL_SPELL_MS: u64 = 20_000;
+const CANCEL_WINDOW_MS: u64 = 20_000;
 /// A task saves within this when it is told to.
-const SAVE_MS: u64 = 500;
+const CHECKPOINT_MS: u64 = 500;
 
 /// A job that arrives. Times are milliseconds from the begin of the load.
 #[derive(Debug, Clone, PartialEq)]
@@ -27,27 +27,27 @@
     /// What the user sends to a controller.
     pub submission: Value,
     /// What the workers know of the job.
-    pub description: HollowJob,
+    pub description: SimulatedJob,
     /// When its user calls it off.
     pub cancel_at_ms: Option<u64>,
 }
 
 /// The arrivals of one kind of job.
-struct Stream {
+struct ArrivalStream {
     class: String,
     plan: JobPlan,
     mean_tasks: f64,
-    next_ms: f64,
+    next_arrival_ms: f64,
 }
 
 /// All arrivals of a plan, in the order of their times.
 pub struct Arrivals {
-    random: StdRng,
-    streams: Vec<Stream>,
+    rng: StdRng,
+    streams: Vec<ArrivalStream>,
     /// End and starts a second of each phase.
-    phases: Vec<(f64, f64)>,
+    phase_rates: Vec<(f64, f64)>,
     /// Cumulative weights of the teams.
-    teams: Vec<f64>,
+    cumulative_team_weights: Vec<f64>,
     next_job: u64,
 }
 
@@ -66,16 +66,17 @@
             teams.push(sum);
         }
         let mut arrivals = Arrivals {
-            random: StdRng::seed_from_u64(plan.seed),
+            rng: StdRng::seed_from_u64(plan.seed),
             streams: Vec::new(),
-            phases,
-            teams,
+            phase_rates: phases,
+            cumulative_team_weights: teams,
             next_job: 1,
         };
         for (class, job) in &plan.jobs {
             let mean_tasks =
                 job.tasks.iter().map(|tasks| f64::from(*tasks)).sum::<f64>() / job.tasks.len() as f64;
-            let mut stream = Stream { class: class.clone(), plan: job.clone(), mean_tasks, next_ms: 0.0 };
+            let mut stream =
+                ArrivalStream { class: class.clone(), plan: job.clone(), mean_tasks, next_arrival_ms: 0.0 };
             arrivals.advance(&mut stream);
             arrivals.streams.push(stream);
         }
@@ -83,74 +84,76 @@
     }
 
     /// Jobs a second of a stream at a time, and when that next changes.
-    fn rate(&self, stream: &Stream, at_ms: f64) -> Option<(f64, f64)> {
-        let (end_ms, starts_per_s) = self.phases.iter().find(|(end_ms, _)| at_ms < *end_ms)?;
+    fn arrival_rate(&self, stream: &ArrivalStream, at_ms: f64) -> Option<(f64, f64)> {
+        let (end_ms, starts_per_s) = self.phase_rates.iter().find(|(end_ms, _)| at_ms < *end_ms)?;
         Some((starts_per_s * stream.plan.share / stream.mean_tasks, *end_ms))
     }
 
     /// Draws the stream's next arrival; gaps are exponential within a phase.
-    fn advance(&mut self, stream: &mut Stream) {
+    fn advance(&mut self, stream: &mut ArrivalStream) {
         loop {
-            let Some((per_s, end_ms)) = self.rate(stream, stream.next_ms) else {
-                stream.next_ms = f64::INFINITY;
+            let Some((per_s, end_ms)) = self.arrival_rate(stream, stream.next_arrival_ms) else {
+                stream.next_arrival_ms = f64::INFINITY;
                 return;
             };
-            let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
+            let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
             let gap_ms = if per_s > 0.0 { -uniform.ln() / per_s * 1000.0 } else { f64::INFINITY };
-            if stream.next_ms + gap_ms < end_ms {
-                stream.next_ms += gap_ms;
+            if stream.next_arrival_ms + gap_ms < end_ms {
+                stream.next_arrival_ms += gap_ms;
                 return;
             }
             // The gap has no memory: it is drawn anew from where the rate changes.
-            stream.next_ms = end_ms;
+            stream.next_arrival_ms = end_ms;
         }
     }
 
     /// The next job that arrives up to this time.
-    pub fn next_until(&mut self, now_ms: u64) -> Option<Arrival> {
+    pub fn pop_due(&mut self, now_ms: u64) -> Option<Arrival> {
         let at = (0..self.streams.len())
-            .min_by(|a, b| self.streams[*a].next_ms.total_cmp(&self.streams[*b].next_ms))?;
-        if self.streams[at].next_ms > now_ms as f64 {
+            .min_by(|a, b| self.streams[*a].next_arrival_ms.total_cmp(&self.streams[*b].next_arrival_ms))?;
+        if self.streams[at].next_arrival_ms > now_ms as f64 {
             return None;
         }
         let mut stream = self.streams.swap_remove(at);
-        let arrival = self.arrival(&stream);
+        let arrival = self.create_arrival(&stream);
         self.advance(&mut stream);
         self.streams.push(stream);
         Some(arrival)
     }
 
-    fn team(&mut self) -> usize {
-        let whole = self.teams.last().copied().unwrap_or(1.0);
-        let drawn = self.random.random_range(0.0..whole);
-        self.teams.partition_point(|sum| *sum <= drawn).min(self.teams.len() - 1)
+    fn pick_team(&mut self) -> usize {
+        let whole = self.cumulative_team_weights.last().copied().unwrap_or(1.0);
+        let drawn = self.rng.random_range(0.0..whole);
+        self.cumulative_team_weights
+            .partition_point(|sum| *sum <= drawn)
+            .min(self.cumulative_team_weights.len() - 1)
     }
 
-    fn arrival(&mut self, stream: &Stream) -> Arrival {
+    fn create_arrival(&mut self, stream: &ArrivalStream) -> Arrival {
         let plan = &stream.plan;
-        let at_ms = stream.next_ms as u64;
+        let at_ms = stream.next_arrival_ms as u64;
         let job = format!("job-{:06}", self.next_job);
         self.next_job += 1;
-        let team = self.team();
-        let tasks = plan.tasks[self.random.random_range(0..plan.tasks.len())];
-        let run_s = self.random.random_range(plan.run_s[0]..=plan.run_s[1]);
-        let image = format!("{}-{}", stream.class, self.random.random_range(0..plan.images));
-        let cancelled = self.random.random_bool(plan.cancelled);
-        let wish_ms = at_ms + CANCEL_AFTER_MS + self.random.random_range(0..CANCEL_SPELL_MS);
+        let team = self.pick_team();
+        let tasks = plan.tasks[self.rng.random_range(0..plan.tasks.len())];
+        let run_s = self.rng.random_range(plan.run_s[0]..=plan.run_s[1]);
+        let image = format!("{}-{}", stream.class, self.rng.random_range(0..plan.images));
+        let cancelled = self.rng.random_bool(plan.cancelled_share);
+        let wish_ms = at_ms + CANCEL_AFTER_MS + self.rng.random_range(0..CANCEL_WINDOW_MS);
         let submission = json!({"uid": job, "jobclass": stream.class, "owner": team_name(team), "shape": plan.shape,
             "urgency": plan.urgency, "pieces": tasks, "vcpus": plan.cpus, "accelerators": 0.0,
             "memory_gb": plan.memory_gb, "bundle": image, "size_gb": plan.image_gb, "boxkinds": null, "hall": null,
             "together": plan.one_zone, "scatter": false, "loaners": true, "guess_s": run_s, "snapshot_s": 0.0,
-            "flush_s": SAVE_MS as f64 / 1000.0, "due_s": null});
-        let description = HollowJob {
+            "flush_s": CHECKPOINT_MS as f64 / 1000.0, "due_s": null});
+        let description = SimulatedJob {
             job: job.clone(),
             cpus: plan.cpus,
             memory_gb: plan.memory_gb,
             image,
             size_gb: plan.image_gb,
-            gang: plan.shape == Shape::Gang,
+            gang: plan.shape == JobKind::Gang,
             tasks,
-            save_ms: SAVE_MS,
+            checkpoint_ms: CHECKPOINT_MS,
             run_ms: (run_s * 1000.0) as u64,
         };
         Arrival {
--- a/crates/scale/src/control.rs
+++ b/crates/scale/src/control.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_worker::{Description, Machine, Work};
+use olivelatch_worker::{JobDescription, Machine, TaskWork};
 use serde::{Deserialize, Serialize};
 
 /// What workers know of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HollowJob {
+pub struct SimulatedJob {
     pub job: String,
     pub cpus: f64,
     pub memory_gb: f64,
@@ -15,35 +15,37 @@
     pub size_gb: f64,
     pub gang: bool,
     pub tasks: u32,
-    pub save_ms: u64,
+    #[serde(rename = "save_ms")]
+    pub checkpoint_ms: u64,
     pub run_ms: u64,
 }
 
-impl From<HollowJob> for Description {
-    fn from(job: HollowJob) -> Description {
-        Description {
+impl From<SimulatedJob> for JobDescription {
+    fn from(job: SimulatedJob) -> JobDescription {
+        JobDescription {
             cpus: job.cpus,
             gpus: 0.0,
             memory_gb: job.memory_gb,
             image: job.image,
-            size_gb: job.size_gb,
+            image_gb: job.size_gb,
             gang: job.gang,
             tasks: job.tasks,
-            checkpoint: false,
-            save_ms: job.save_ms,
-            work: Work::Takes { run_ms: job.run_ms, fails: false, gives: None },
+            can_checkpoint: false,
+            checkpoint_save_ms: job.checkpoint_ms,
+            work: TaskWork::Simulated { run_ms: job.run_ms, fails: false, list_len: None },
             inputs: BTreeMap::new(),
-            map: None,
+            map_source: None,
         }
     }
 }
 
 /// A machine that comes up.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HollowMachine {
+pub struct SimulatedMachine {
     pub name: String,
     pub endpoint: String,
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub cpus: f64,
@@ -51,18 +53,18 @@
     pub fetch_gb_per_s: f64,
 }
 
-impl From<HollowMachine> for Machine {
-    fn from(machine: HollowMachine) -> Machine {
+impl From<SimulatedMachine> for Machine {
+    fn from(machine: SimulatedMachine) -> Machine {
         Machine {
             name: machine.name,
             endpoint: machine.endpoint,
-            kind: machine.kind,
+            machine_type: machine.machine_type,
             zone: machine.zone,
             spot: machine.spot,
             cpus: machine.cpus,
             gpus: 0.0,
             memory_gb: machine.memory_gb,
-            fetch_gb_per_s: machine.fetch_gb_per_s,
+            image_fetch_gb_per_s: machine.fetch_gb_per_s,
         }
     }
 }
@@ -72,13 +74,15 @@
 #[serde(rename_all = "snake_case")]
 pub enum ZoneCommand {
     /// A machine comes up.
-    Boot(HollowMachine),
+    Boot(SimulatedMachine),
     /// A machine is gone, with all that is on it.
-    Drop(String),
+    #[serde(rename = "drop")]
+    Remove(String),
     /// A job that may be started from now on.
-    Describe(HollowJob),
+    Describe(SimulatedJob),
     /// The zone is cut off from every controller, or reachable again.
-    Cut(bool),
+    #[serde(rename = "cut")]
+    SetPartitioned(bool),
 }
 
 /// What became of a task on a worker.
@@ -86,13 +90,17 @@
 #[serde(rename_all = "snake_case")]
 pub enum TaskEventKind {
     /// It has its image: from now on it is on the machine.
-    On,
+    #[serde(rename = "on")]
+    Placed,
     /// It runs.
-    Runs,
+    #[serde(rename = "runs")]
+    Started,
     /// It is not on the machine any more.
-    Off,
+    #[serde(rename = "off")]
+    Removed,
     /// It is not on the machine any more and has completed.
-    Done,
+    #[serde(rename = "done")]
+    Completed,
 }
 
 /// Seen by a hollow worker. Times are milliseconds from the begin of the run.
@@ -108,28 +116,33 @@
 
 /// What a process of hollow workers has seen and used.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct ZoneNews {
+pub struct ZoneStatus {
     /// All events before this time are told.
     pub until_ms: u64,
     pub events: Vec<TaskEvent>,
     pub workers: usize,
     /// Tasks that are on a machine.
-    pub on: usize,
+    #[serde(rename = "on")]
+    pub tasks_on_machines: usize,
     /// Since the begin: reports sent, reports answered with 200, commands received, bytes of control traffic.
-    pub reports: u64,
-    pub answered: u64,
-    pub commands: u64,
+    #[serde(rename = "reports")]
+    pub heartbeats_sent: u64,
+    #[serde(rename = "answered")]
+    pub heartbeats_acknowledged: u64,
+    #[serde(rename = "commands")]
+    pub commands_received: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
 }
 
 /// What the state service has served.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct StateFigures {
+pub struct KvMeasurements {
     pub requests: u64,
     pub refused: u64,
     pub revision: u64,
-    pub changes: u64,
+    #[serde(rename = "changes")]
+    pub mutations: u64,
     pub keys: usize,
     /// The controller that leads by the record.
     pub leader: Option<String>,
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/html_report.rs
@@ -4,7 +4,7 @@
 
 use plotters::prelude::*;
 
-use crate::figures::{Report, Second};
+use crate::measurements::{RunReport, SecondSample};
 
 const SIZE: (u32, u32) = (900, 260);
 const MARGIN: u32 = 10;
@@ -13,36 +13,36 @@
 const FONT: (&str, u32) = ("sans-serif", 16);
 
 /// A line of a plot.
-struct Line {
+struct PlotLine {
     name: &'static str,
     color: RGBColor,
-    value: fn(&Second) -> f64,
+    value: fn(&SecondSample) -> f64,
 }
 
-fn line(name: &'static str, color: RGBColor, value: fn(&Second) -> f64) -> Line {
-    Line { name, color, value }
+fn plot_line(name: &'static str, color: RGBColor, value: fn(&SecondSample) -> f64) -> PlotLine {
+    PlotLine { name, color, value }
 }
 
 /// The page: the table, and a plot of each kind of figure.
-pub fn page(report: &Report) -> String {
+pub fn render_page(report: &RunReport) -> String {
     let plots = [
-        ("Task starts a second", vec![line("starts", BLUE, |second| second.starts as f64)]),
+        ("Task starts a second", vec![plot_line("starts", BLUE, |second| second.starts as f64)]),
         (
             "Tasks",
             vec![
-                line("on workers", BLUE, |second| second.running as f64),
-                line("waiting", RED, |second| second.waiting.max(0) as f64),
+                plot_line("on workers", BLUE, |second| second.running as f64),
+                plot_line("waiting", RED, |second| second.waiting.max(0) as f64),
             ],
         ),
-        ("Workers", vec![line("workers", BLUE, |second| second.workers as f64)]),
+        ("Workers", vec![plot_line("workers", BLUE, |second| second.workers as f64)]),
         (
             "Processor time, shares of a core",
             vec![
-                line("leader", RED, |second| second.leader_cpu),
-                line("all controllers", BLUE, |second| second.controllers_cpu),
-                line("state service", GREEN, |second| second.state_cpu),
-                line("hollow workers", BLACK, |second| second.workers_cpu),
-                line("load", MAGENTA, |second| second.load_cpu),
+                plot_line("leader", RED, |second| second.leader_cpu),
+                plot_line("all controllers", BLUE, |second| second.controllers_cpu),
+                plot_line("state service", GREEN, |second| second.state_cpu),
+                plot_line("hollow workers", BLACK, |second| second.workers_cpu),
+                plot_line("load", MAGENTA, |second| second.load_cpu),
             ],
         ),
     ];
@@ -51,29 +51,33 @@
          <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{overflow-x:auto}</style>\n",
     );
     // Writing to a string cannot fail.
-    let _ = writeln!(html, "<h1>Scale run</h1>\n<pre>{}</pre>", escaped(&report.table()));
+    let _ = writeln!(html, "<h1>Scale run</h1>\n<pre>{}</pre>", escape_html(&report.table()));
     for (title, lines) in plots {
-        let _ = writeln!(html, "<h2>{title}</h2>\n{}", plot(&report.seconds, &lines));
+        let _ = writeln!(html, "<h2>{title}</h2>\n{}", render_plot(&report.samples, &lines));
     }
     html.push_str("</html>\n");
     html
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
 /// The plot as SVG; an empty one where nothing was measured.
-fn plot(seconds: &[Second], lines: &[Line]) -> String {
+fn render_plot(seconds: &[SecondSample], lines: &[PlotLine]) -> String {
     let mut svg = String::new();
-    let drawn = draw(&mut svg, seconds, lines);
+    let drawn = draw_plot(&mut svg, seconds, lines);
     match drawn {
         Ok(()) => svg,
-        Err(error) => format!("<p>no plot: {}</p>", escaped(&error.to_string())),
+        Err(error) => format!("<p>no plot: {}</p>", escape_html(&error.to_string())),
     }
 }
 
-fn draw(svg: &mut String, seconds: &[Second], lines: &[Line]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw_plot(
+    svg: &mut String,
+    seconds: &[SecondSample],
+    lines: &[PlotLine],
+) -> Result<(), Box<dyn std::error::Error>> {
     let last = seconds.last().map_or(1, |second| second.at_s).max(1);
     let highest = seconds.iter().flat_map(|second| lines.iter().map(|line| (line.value)(second)));
     let highest = highest.fold(0.0, f64::max).max(1e-3) * 1.05;
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -8,25 +8,25 @@
 
 mod arrivals;
 mod changes;
-mod check;
 mod cloud;
 mod control;
 mod error;
-mod figures;
-mod hollow;
-mod page;
+mod html_report;
+mod invariants;
+mod kv_store;
+mod measurements;
 mod plan;
 mod processes;
 mod run;
-mod state;
+mod simulated_workers;
 mod users;
 
 pub use arrivals::{Arrival, Arrivals};
-pub use check::{Cancelled, Check, JobFacts, Violation};
 pub use control::{TaskEvent, TaskEventKind};
 pub use error::ScaleError;
-pub use figures::{Report, Wait};
-pub use hollow::{ZoneArguments, serve_zone};
+pub use invariants::{CancelTimes, InvariantChecker, JobFacts, Violation};
+pub use kv_store::{KvStoreArguments, serve_kv_store};
+pub use measurements::{LatencySummary, RunReport};
 pub use plan::{Defect, FaultKind, Plan, PlanError};
 pub use run::{RunArguments, run};
-pub use state::{StateArguments, serve_state};
+pub use simulated_workers::{ZoneProcessArguments, serve_zone};
