--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/measurements.rs
@@ -6,21 +6,21 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::check::Violation;
-use crate::processes::{Role, Sample};
+use crate::invariants::Violation;
+use crate::processes::{ResourceSample, Role};
 
 /// Significant digits of histograms, and the longest time they tell, in milliseconds.
 const DIGITS: u8 = 3;
-const LONGEST_MS: u64 = 24 * 3_600_000;
+const MAX_RECORDED_MS: u64 = 24 * 3_600_000;
 /// The rate at the peak is the best mean over so many seconds.
 const PEAK_SECONDS: usize = 10;
 
 /// Urgent work starts within this, by the operators' word.
-pub const URGENT_AIM_MS: u64 = 8_900;
+pub const URGENT_OBJECTIVE_MS: u64 = 8_900;
 
 /// A distribution of times, in seconds.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Wait {
+pub struct LatencySummary {
     pub count: u64,
     pub p50_s: f64,
     pub p99_s: f64,
@@ -28,22 +28,24 @@
 }
 
 /// Times in milliseconds as they come in.
-pub struct Times(Histogram<u64>);
+pub struct LatencyHistogram(Histogram<u64>);
 
-impl Default for Times {
-    fn default() -> Times {
-        Times(Histogram::new_with_max(LONGEST_MS, DIGITS).expect("bounds that histograms allow"))
+impl Default for LatencyHistogram {
+    fn default() -> LatencyHistogram {
+        LatencyHistogram(
+            Histogram::new_with_max(MAX_RECORDED_MS, DIGITS).expect("bounds that histograms allow"),
+        )
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     pub fn record(&mut self, ms: u64) {
         self.0.saturating_record(ms);
     }
 
-    pub fn wait(&self) -> Wait {
+    pub fn summary(&self) -> LatencySummary {
         let quantile = |part: f64| self.0.value_at_quantile(part) as f64 / 1000.0;
-        Wait {
+        LatencySummary {
             count: self.0.len(),
             p50_s: quantile(0.5),
             p99_s: quantile(0.99),
@@ -54,14 +56,15 @@
 
 /// One second of the run.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Second {
+pub struct SecondSample {
     pub at_s: u64,
     pub starts: u64,
     pub running: usize,
     pub workers: usize,
     /// Tasks of accepted jobs that have not run yet.
     pub waiting: i64,
-    pub reports: u64,
+    #[serde(rename = "reports")]
+    pub heartbeats: u64,
     pub state_requests: u64,
     pub state_changes: u64,
     /// Processor time as a share of one core: the leader, all controllers, the state service, all hollow workers, the load.
@@ -74,7 +77,7 @@
 
 /// A process over the whole run.
 #[derive(Debug, Clone, Serialize)]
-pub struct ProcessFigures {
+pub struct ProcessUsage {
     pub name: String,
     pub role: Role,
     /// Shares of one core.
@@ -83,42 +86,42 @@
     pub memory_peak_mb: f64,
     pub files_peak: usize,
     #[serde(skip)]
-    used_s: f64,
+    cpu_time_s: f64,
     #[serde(skip)]
-    seconds: f64,
+    sampled_s: f64,
     #[serde(skip)]
-    last: Option<(u64, Sample)>,
+    last_sample: Option<(u64, ResourceSample)>,
 }
 
-impl ProcessFigures {
-    pub fn new(name: &str, role: Role) -> ProcessFigures {
-        ProcessFigures {
+impl ProcessUsage {
+    pub fn new(name: &str, role: Role) -> ProcessUsage {
+        ProcessUsage {
             name: name.into(),
             role,
             cpu_mean: 0.0,
             cpu_peak: 0.0,
             memory_peak_mb: 0.0,
             files_peak: 0,
-            used_s: 0.0,
-            seconds: 0.0,
-            last: None,
+            cpu_time_s: 0.0,
+            sampled_s: 0.0,
+            last_sample: None,
         }
     }
 
     /// Takes a sample in; the share of a core since the one before, 0 after a restart.
-    pub fn take(&mut self, now: u64, sample: Option<Sample>) -> f64 {
-        let before = std::mem::replace(&mut self.last, sample.map(|sample| (now, sample)));
+    pub fn add_sample(&mut self, now: u64, sample: Option<ResourceSample>) -> f64 {
+        let before = std::mem::replace(&mut self.last_sample, sample.map(|sample| (now, sample)));
         let (Some(sample), Some((then, before))) = (sample, before) else { return 0.0 };
         self.memory_peak_mb = self.memory_peak_mb.max(sample.memory_bytes as f64 / 1e6);
-        self.files_peak = self.files_peak.max(sample.files);
+        self.files_peak = self.files_peak.max(sample.open_files);
         let (used_s, seconds) =
-            (sample.processor_s - before.processor_s, now.saturating_sub(then) as f64 / 1000.0);
+            (sample.cpu_time_s - before.cpu_time_s, now.saturating_sub(then) as f64 / 1000.0);
         if used_s < 0.0 || seconds <= 0.0 {
             return 0.0;
         }
-        self.used_s += used_s;
-        self.seconds += seconds;
-        self.cpu_mean = self.used_s / self.seconds;
+        self.cpu_time_s += used_s;
+        self.sampled_s += seconds;
+        self.cpu_mean = self.cpu_time_s / self.sampled_s;
         let share = used_s / seconds;
         self.cpu_peak = self.cpu_peak.max(share);
         share
@@ -127,10 +130,11 @@
 
 /// A change of leader.
 #[derive(Debug, Clone, Serialize)]
-pub struct Lead {
+pub struct LeaderChange {
     /// When its record was seen.
     pub at_s: f64,
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     /// From the end of the one before, if it was killed in this run.
     pub after_kill_s: Option<f64>,
     /// From the kill, or else the record, to the first task that the new leader started.
@@ -139,7 +143,7 @@
 
 /// One phase of the load.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct PhaseFigures {
+pub struct PhaseThroughput {
     pub name: String,
     pub planned_starts_per_s: f64,
     pub starts_per_s: f64,
@@ -147,9 +151,10 @@
 
 /// A worker's control traffic and processor time, from its process over the workers in it.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct WorkerFigures {
+pub struct WorkerUsage {
     pub workers_peak: usize,
-    pub reports_per_s: f64,
+    #[serde(rename = "reports_per_s")]
+    pub heartbeats_per_s: f64,
     pub commands_per_s: f64,
     /// Bytes a second of one worker.
     pub bytes_in_per_s: f64,
@@ -161,9 +166,10 @@
 
 /// What the state service served over the load.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct StateSummary {
+pub struct KvUsage {
     pub requests_per_s: f64,
-    pub changes_per_s: f64,
+    #[serde(rename = "changes_per_s")]
+    pub mutations_per_s: f64,
     pub refused: u64,
     pub keys: usize,
     pub bytes_in_per_s: f64,
@@ -172,104 +178,118 @@
 
 /// The report of a run.
 #[derive(Debug, Default, Serialize)]
-pub struct Report {
+pub struct RunReport {
     pub plan: String,
     pub seed: u64,
     /// Whole, or why it ended early.
-    pub ended: String,
+    #[serde(rename = "ended")]
+    pub end_reason: String,
     pub controllers: usize,
     pub teams: usize,
     pub load_s: f64,
-    pub phases: Vec<PhaseFigures>,
+    pub phases: Vec<PhaseThroughput>,
     /// Best mean over ten seconds.
     pub starts_per_s_peak: f64,
     pub running_peak: usize,
     /// Waits from submission to the first start of each task, by class and phase of arrival; `all` is the whole load.
-    pub waits: BTreeMap<String, BTreeMap<String, Wait>>,
+    #[serde(rename = "waits")]
+    pub start_latencies: BTreeMap<String, BTreeMap<String, LatencySummary>>,
     pub submitted: u64,
     pub accepted: u64,
-    pub given_up: u64,
+    #[serde(rename = "given_up")]
+    pub abandoned: u64,
     pub user_retries: u64,
-    pub acceptance: Wait,
+    #[serde(rename = "acceptance")]
+    pub acceptance_latency: LatencySummary,
     pub done: u64,
     pub cancelled: u64,
     /// Accepted jobs that were not over when the run ended.
-    pub open_at_end: usize,
+    #[serde(rename = "open_at_end")]
+    pub unfinished_at_end: usize,
     /// Of those asked about at the end, how many nobody answered for.
     pub unanswered_at_end: usize,
     /// Jobs that were submitted late because the load side was behind, and the longest delay.
-    pub load_late: u64,
+    #[serde(rename = "load_late")]
+    pub late_submissions: u64,
     pub load_late_max_s: f64,
-    pub workers: WorkerFigures,
-    pub state: StateSummary,
-    pub leads: Vec<Lead>,
+    pub workers: WorkerUsage,
+    pub state: KvUsage,
+    #[serde(rename = "leads")]
+    pub leader_changes: Vec<LeaderChange>,
     /// By series of the plan.
-    pub changes: BTreeMap<String, ChangeFigures>,
+    pub changes: BTreeMap<String, ConfigChangeLatency>,
     /// Tasks of urgent classes that waited longer than `URGENT_AIM_MS`, and how many of them belong to
     /// jobs for which their team had no room under its limit when they were accepted.
-    pub urgent_late: u64,
+    #[serde(rename = "urgent_late")]
+    pub urgent_past_objective: u64,
     pub urgent_late_at_limit: u64,
-    pub processes: Vec<ProcessFigures>,
-    pub events_judged: u64,
+    pub processes: Vec<ProcessUsage>,
+    #[serde(rename = "events_judged")]
+    pub events_checked: u64,
     pub violations: Vec<Violation>,
-    pub seconds: Vec<Second>,
+    #[serde(rename = "seconds")]
+    pub samples: Vec<SecondSample>,
 }
 
 /// Changes of configuration: from the request to the answer that it is in force.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct ChangeFigures {
-    pub asked: u64,
+pub struct ConfigChangeLatency {
+    #[serde(rename = "asked")]
+    pub requested: u64,
     pub failed: u64,
     /// What the first refusal said.
     pub first_failure: Option<String>,
-    pub set: Wait,
-    pub in_force: Wait,
+    #[serde(rename = "set")]
+    pub acceptance_latency: LatencySummary,
+    #[serde(rename = "in_force")]
+    pub in_force_latency: LatencySummary,
     /// Longer than three seconds.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub past_objective: u64,
 }
 
 /// Waits by class and phase.
 #[derive(Default)]
-pub struct Waits {
-    times: BTreeMap<(String, String), Times>,
-    seen: HashSet<String>,
+pub struct StartLatencies {
+    histograms: BTreeMap<(String, String), LatencyHistogram>,
+    started_tasks: HashSet<String>,
 }
 
 /// The name under which a class's waits of the whole load stand.
-const ALL: &str = "all";
+const WHOLE_LOAD: &str = "all";
 
-impl Waits {
+impl StartLatencies {
     /// A task runs for the first time; false if it has run before.
-    pub fn first_start(&mut self, task: &str, class: &str, phase: &str, ms: u64) -> bool {
-        if !self.seen.insert(task.into()) {
+    pub fn record_first_start(&mut self, task: &str, class: &str, phase: &str, ms: u64) -> bool {
+        if !self.started_tasks.insert(task.into()) {
             return false;
         }
-        for phase in [phase, ALL] {
-            self.times.entry((class.into(), phase.into())).or_default().record(ms);
+        for phase in [phase, WHOLE_LOAD] {
+            self.histograms.entry((class.into(), phase.into())).or_default().record(ms);
         }
         true
     }
 
-    pub fn table(&self) -> BTreeMap<String, BTreeMap<String, Wait>> {
-        let mut table: BTreeMap<String, BTreeMap<String, Wait>> = BTreeMap::new();
-        for ((class, phase), times) in &self.times {
-            table.entry(class.clone()).or_default().insert(phase.clone(), times.wait());
+    pub fn table(&self) -> BTreeMap<String, BTreeMap<String, LatencySummary>> {
+        let mut table: BTreeMap<String, BTreeMap<String, LatencySummary>> = BTreeMap::new();
+        for ((class, phase), times) in &self.histograms {
+            table.entry(class.clone()).or_default().insert(phase.clone(), times.summary());
         }
         table
     }
 }
 
-impl Report {
+impl RunReport {
     /// The best mean of starts over some seconds.
-    pub fn find_peak(&mut self) {
+    pub fn compute_peak(&mut self) {
         let best = self
-            .seconds
+            .samples
             .windows(PEAK_SECONDS)
             .map(|window| window.iter().map(|second| second.starts).sum::<u64>())
             .max()
             .unwrap_or(0);
         self.starts_per_s_peak = best as f64 / PEAK_SECONDS as f64;
-        self.running_peak = self.seconds.iter().map(|second| second.running).max().unwrap_or(0);
+        self.running_peak = self.samples.iter().map(|second| second.running).max().unwrap_or(0);
     }
 
     /// The table for people.
@@ -281,7 +301,7 @@
     }
 
     fn write_table(&self, text: &mut String) -> std::fmt::Result {
-        writeln!(text, "{}: {}, seed {}", self.plan, self.ended, self.seed)?;
+        writeln!(text, "{}: {}, seed {}", self.plan, self.end_reason, self.seed)?;
         writeln!(
             text,
             "starts a second: {:.0} at the peak (10 s); running at most {}",
@@ -299,17 +319,17 @@
             "jobs: {} submitted, {} accepted (p50 {:.3} p99 {:.3} max {:.2} s), {} given up, {} done, {} cancelled, {} open at the end, {} not answered for",
             self.submitted,
             self.accepted,
-            self.acceptance.p50_s,
-            self.acceptance.p99_s,
-            self.acceptance.max_s,
-            self.given_up,
+            self.acceptance_latency.p50_s,
+            self.acceptance_latency.p99_s,
+            self.acceptance_latency.max_s,
+            self.abandoned,
             self.done,
             self.cancelled,
-            self.open_at_end,
+            self.unfinished_at_end,
             self.unanswered_at_end
         )?;
         writeln!(text, "waits from submission to start, s:")?;
-        for (class, phases) in &self.waits {
+        for (class, phases) in &self.start_latencies {
             for (phase, wait) in phases {
                 writeln!(
                     text,
@@ -327,21 +347,21 @@
             workers.memory_mb,
             workers.bytes_in_per_s,
             workers.bytes_out_per_s,
-            workers.reports_per_s,
+            workers.heartbeats_per_s,
             workers.commands_per_s
         )?;
         let state = &self.state;
         writeln!(
             text,
             "state service: {:.0} requests, {:.0} changes a second, {} refused, {} keys",
-            state.requests_per_s, state.changes_per_s, state.refused, state.keys
+            state.requests_per_s, state.mutations_per_s, state.refused, state.keys
         )?;
-        for lead in &self.leads {
+        for lead in &self.leader_changes {
             let seconds = |value: Option<f64>| value.map_or("-".into(), |value| format!("{value:.1} s"));
             writeln!(
                 text,
                 "lead: {} at {:.1} s, after the kill {}, to its first start {}",
-                lead.node,
+                lead.controller,
                 lead.at_s,
                 seconds(lead.after_kill_s),
                 seconds(lead.first_start_s)
@@ -350,23 +370,23 @@
         writeln!(
             text,
             "urgent tasks later than {:.1} s: {}, of these {} of jobs that their team's limit had no room for",
-            URGENT_AIM_MS as f64 / 1000.0,
-            self.urgent_late,
+            URGENT_OBJECTIVE_MS as f64 / 1000.0,
+            self.urgent_past_objective,
             self.urgent_late_at_limit
         )?;
         for (name, changes) in &self.changes {
             writeln!(
                 text,
                 "configuration, {name}: {} changes, {} failed; set p50 {:.3} p99 {:.3} max {:.2} s; in force p50 {:.3} p99 {:.3} max {:.2} s, {} later than 3 s",
-                changes.asked,
+                changes.requested,
                 changes.failed,
-                changes.set.p50_s,
-                changes.set.p99_s,
-                changes.set.max_s,
-                changes.in_force.p50_s,
-                changes.in_force.p99_s,
-                changes.in_force.max_s,
-                changes.late
+                changes.acceptance_latency.p50_s,
+                changes.acceptance_latency.p99_s,
+                changes.acceptance_latency.max_s,
+                changes.in_force_latency.p50_s,
+                changes.in_force_latency.p99_s,
+                changes.in_force_latency.max_s,
+                changes.past_objective
             )?;
         }
         writeln!(
@@ -381,7 +401,11 @@
                 process.name, process.cpu_mean, process.cpu_peak, process.memory_peak_mb, process.files_peak
             )?;
         }
-        writeln!(text, "load side late with {} jobs, at most {:.1} s", self.load_late, self.load_late_max_s)?;
-        writeln!(text, "check: {} events judged, {} violations", self.events_judged, self.violations.len())
+        writeln!(
+            text,
+            "load side late with {} jobs, at most {:.1} s",
+            self.late_submissions, self.load_late_max_s
+        )?;
+        writeln!(text, "check: {} events judged, {} violations", self.events_checked, self.violations.len())
     }
 }
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -3,9 +3,11 @@
 use std::path::Path;
 
 use indexmap::IndexMap;
-use olivelatch::places::locate;
-use olivelatch::protocol::users::{Shape, Urgency};
-use olivelatch_region::{AimPlan, KindSpec, Platform, QuotaPlan, StatePlan, TeamPlan, WorkerPlan};
+use olivelatch::protocol::users::{JobKind, PriorityClass};
+use olivelatch::source_location::with_line_number;
+use olivelatch_region::{
+    ControllerQuota, KvLimits, MachineTypeSpec, ObjectivePlan, Platform, TeamSettings, WorkerTimings,
+};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -16,13 +18,13 @@
     #[error("{file}: {problem}")]
     Hcl { file: String, problem: String },
     #[error("{file}: {field}: expected {expected}, not {found}")]
-    Value { file: String, field: String, expected: String, found: String },
+    InvalidValue { file: String, field: String, expected: String, found: String },
 }
 
 /// A machine type of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MachinePlan {
+pub struct MachineTypePlan {
     pub cpus: f64,
     pub memory_gb: f64,
     pub fetch_gb_per_s: f64,
@@ -42,7 +44,8 @@
     pub guaranteed_cpus: f64,
     /// A team's limit: so many times its guarantee, and at least `least_limit_cpus`.
     pub limit_factor: f64,
-    pub least_limit_cpus: f64,
+    #[serde(rename = "least_limit_cpus")]
+    pub min_limit_cpus: f64,
 }
 
 /// A spell of the load.
@@ -58,8 +61,8 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobPlan {
-    pub shape: Shape,
-    pub urgency: Urgency,
+    pub shape: JobKind,
+    pub urgency: PriorityClass,
     /// Part of all task starts that this kind asks for.
     pub share: f64,
     /// Numbers of tasks, one drawn for each job.
@@ -75,10 +78,12 @@
     pub images: u32,
     /// Within what time most jobs of the kind should be done: the controllers plan the fleet by it.
     #[serde(default)]
-    pub done_within_s: Option<f64>,
+    #[serde(rename = "done_within_s")]
+    pub objective_s: Option<f64>,
     /// Part of the jobs that their users cancel.
     #[serde(default)]
-    pub cancelled: f64,
+    #[serde(rename = "cancelled")]
+    pub cancelled_share: f64,
 }
 
 /// What strikes, and for how long.
@@ -90,9 +95,11 @@
     /// A share of the workers is lost with all their tasks; the cloud has no room for others until `back_s` later.
     KillWorkers { at_s: f64, share: f64, back_s: f64 },
     /// A controller's process stands still: the leader, or else a follower.
-    Freeze { at_s: f64, leader: bool, for_s: f64 },
+    #[serde(rename = "freeze")]
+    PauseController { at_s: f64, leader: bool, for_s: f64 },
     /// The workers of these zones neither reach a controller nor are reached.
-    CutZones { at_s: f64, zones: Vec<String>, for_s: f64 },
+    #[serde(rename = "cut_zones")]
+    PartitionZones { at_s: f64, zones: Vec<String>, for_s: f64 },
 }
 
 impl FaultKind {
@@ -101,8 +108,8 @@
         match self {
             FaultKind::KillLeader { at_s, .. }
             | FaultKind::KillWorkers { at_s, .. }
-            | FaultKind::Freeze { at_s, .. }
-            | FaultKind::CutZones { at_s, .. } => *at_s,
+            | FaultKind::PauseController { at_s, .. }
+            | FaultKind::PartitionZones { at_s, .. } => *at_s,
         }
     }
 }
@@ -114,7 +121,8 @@
     /// Reports leave out the tasks that are there.
     HideTasks,
     /// Commands to stop a task are not carried out.
-    IgnoreHalts,
+    #[serde(rename = "ignore_halts")]
+    IgnoreStops,
 }
 
 /// Changes of team limits while the load runs.
@@ -138,12 +146,12 @@
     pub controllers: usize,
     pub zones: Vec<String>,
     #[serde(rename = "machine")]
-    pub machines: IndexMap<String, MachinePlan>,
+    pub machines: IndexMap<String, MachineTypePlan>,
     pub teams: TeamsPlan,
-    pub workers: WorkerPlan,
-    pub state: StatePlan,
+    pub workers: WorkerTimings,
+    pub state: KvLimits,
     pub cloud_requests_per_s: f64,
-    pub quota: QuotaPlan,
+    pub quota: ControllerQuota,
     /// The controllers' tunables (HCL).
     pub tunables: String,
     /// Seconds that the controllers get to find the machines before the load begins.
@@ -163,7 +171,7 @@
 }
 
 /// Processes that a run may start.
-pub const MOST_PROCESSES: usize = 200;
+pub const MAX_PROCESSES: usize = 200;
 /// A cloud's list is late by this in a run.
 const LIST_LAG_S: f64 = 0.5;
 
@@ -178,9 +186,9 @@
     pub fn parse(file: &str, text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = hcl::from_str(text).map_err(|error| PlanError::Hcl {
             file: file.into(),
-            problem: locate(text, &error.to_string()),
+            problem: with_line_number(text, &error.to_string()),
         })?;
-        plan.check().map_err(|wrong| PlanError::Value {
+        plan.validate().map_err(|wrong| PlanError::InvalidValue {
             file: file.into(),
             field: wrong.field,
             expected: wrong.expected,
@@ -189,47 +197,47 @@
         Ok(plan)
     }
 
-    fn check(&self) -> Result<(), Wrong> {
-        within("controllers", self.controllers as f64, 1.0, 100.0)?;
-        within("zones", self.zones.len() as f64, 1.0, 100.0)?;
-        within("machine", self.machines.len() as f64, 1.0, 20.0)?;
-        within("phase", self.phases.len() as f64, 1.0, 100.0)?;
-        within("job", self.jobs.len() as f64, 1.0, 100.0)?;
-        within("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
-        within("processes", self.processes() as f64, 1.0, MOST_PROCESSES as f64)?;
+    fn validate(&self) -> Result<(), InvalidValue> {
+        check_range("controllers", self.controllers as f64, 1.0, 100.0)?;
+        check_range("zones", self.zones.len() as f64, 1.0, 100.0)?;
+        check_range("machine", self.machines.len() as f64, 1.0, 20.0)?;
+        check_range("phase", self.phases.len() as f64, 1.0, 100.0)?;
+        check_range("job", self.jobs.len() as f64, 1.0, 100.0)?;
+        check_range("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
+        check_range("processes", self.processes() as f64, 1.0, MAX_PROCESSES as f64)?;
         for (name, machine) in &self.machines {
-            within(
+            check_range(
                 &format!("machine {name}: up_at_start"),
                 machine.up_at_start as f64,
                 0.0,
                 machine.per_zone as f64,
             )?;
-            within(&format!("machine {name}: cpus"), machine.cpus, 0.001, 1e6)?;
-            within(&format!("machine {name}: fetch_gb_per_s"), machine.fetch_gb_per_s, 1e-6, 1e6)?;
+            check_range(&format!("machine {name}: cpus"), machine.cpus, 0.001, 1e6)?;
+            check_range(&format!("machine {name}: fetch_gb_per_s"), machine.fetch_gb_per_s, 1e-6, 1e6)?;
         }
         for (name, phase) in &self.phases {
-            within(&format!("phase {name}: seconds"), phase.seconds, 1.0, 86_400.0)?;
-            within(&format!("phase {name}: starts_per_s"), phase.starts_per_s, 0.0, 1e5)?;
+            check_range(&format!("phase {name}: seconds"), phase.seconds, 1.0, 86_400.0)?;
+            check_range(&format!("phase {name}: starts_per_s"), phase.starts_per_s, 0.0, 1e5)?;
         }
         for (name, job) in &self.jobs {
-            within(&format!("job {name}: share"), job.share, 0.0, 1.0)?;
-            within(&format!("job {name}: cancelled"), job.cancelled, 0.0, 1.0)?;
-            within(
+            check_range(&format!("job {name}: share"), job.share, 0.0, 1.0)?;
+            check_range(&format!("job {name}: cancelled"), job.cancelled_share, 0.0, 1.0)?;
+            check_range(
                 &format!("job {name}: tasks"),
                 job.tasks.iter().min().copied().unwrap_or(0).into(),
                 1.0,
                 100_000.0,
             )?;
-            within(&format!("job {name}: images"), job.images.into(), 1.0, 1e6)?;
-            within(&format!("job {name}: run_s"), job.run_s[1] - job.run_s[0], 0.0, 1e6)?;
+            check_range(&format!("job {name}: images"), job.images.into(), 1.0, 1e6)?;
+            check_range(&format!("job {name}: run_s"), job.run_s[1] - job.run_s[0], 0.0, 1e6)?;
         }
         for (name, fault) in &self.faults {
-            within(&format!("fault {name}: at_s"), fault.at_s(), 0.0, self.load_s())?;
-            if let FaultKind::CutZones { zones, .. } = fault
+            check_range(&format!("fault {name}: at_s"), fault.at_s(), 0.0, self.load_s())?;
+            if let FaultKind::PartitionZones { zones, .. } = fault
                 && let Some(unknown) = zones.iter().find(|zone| !self.zones.contains(zone))
             {
                 let expected = format!("one of {}", self.zones.join(", "));
-                return Err(Wrong {
+                return Err(InvalidValue {
                     field: format!("fault {name}: zones"),
                     expected,
                     found: unknown.clone(),
@@ -237,9 +245,9 @@
             }
         }
         for (name, changes) in &self.changes {
-            within(&format!("change {name}: every_s"), changes.every_s, 0.1, 86_400.0)?;
-            within(&format!("change {name}: burst"), changes.burst as f64, 1.0, 1000.0)?;
-            within(&format!("change {name}: to_s"), changes.to_s, changes.from_s, self.load_s())?;
+            check_range(&format!("change {name}: every_s"), changes.every_s, 0.1, 86_400.0)?;
+            check_range(&format!("change {name}: burst"), changes.burst as f64, 1.0, 1000.0)?;
+            check_range(&format!("change {name}: to_s"), changes.to_s, changes.from_s, self.load_s())?;
         }
         Ok(())
     }
@@ -255,18 +263,18 @@
     }
 
     /// Workers that the zones have room for.
-    pub fn most_workers(&self) -> usize {
+    pub fn max_workers(&self) -> usize {
         self.machines.values().map(|machine| machine.per_zone * self.zones.len()).sum()
     }
 
     /// Name, guarantee and limit of each team, the largest first.
-    pub fn team_plans(&self) -> Vec<TeamPlan> {
+    pub fn team_plans(&self) -> Vec<TeamSettings> {
         let weight = |rank: usize| 1.0 / (rank + 1) as f64;
         let whole: f64 = (0..self.teams.count).map(weight).sum();
         let team = |rank: usize| {
             let guaranteed = (self.teams.guaranteed_cpus * weight(rank) / whole * 10.0).floor() / 10.0;
-            let limit = (guaranteed * self.teams.limit_factor).max(self.teams.least_limit_cpus);
-            TeamPlan { name: team_name(rank), guaranteed, limit }
+            let limit = (guaranteed * self.teams.limit_factor).max(self.teams.min_limit_cpus);
+            TeamSettings { name: team_name(rank), guaranteed, limit }
         };
         (0..self.teams.count).map(team).collect()
     }
@@ -276,34 +284,34 @@
         Platform {
             zones: self.zones.clone(),
             teams: self.team_plans(),
-            aims: self.aims(),
+            objectives: self.objectives(),
             workers: self.workers,
-            state: self.state,
+            kv_limits: self.state,
             cloud_requests_per_s: self.cloud_requests_per_s,
             list_lag_s: LIST_LAG_S,
             quota: self.quota,
         }
     }
 
-    fn aims(&self) -> Vec<AimPlan> {
+    fn objectives(&self) -> Vec<ObjectivePlan> {
         let aim = |(class, job): (&String, &JobPlan)| {
-            Some(AimPlan { class: class.clone(), within_s: job.done_within_s? })
+            Some(ObjectivePlan { class: class.clone(), within_s: job.objective_s? })
         };
         self.jobs.iter().filter_map(aim).collect()
     }
 
     /// The machine types as the cloud's stand-in has them.
-    pub fn kinds(&self) -> Vec<KindSpec> {
-        let kind = |(name, machine): (&String, &MachinePlan)| KindSpec {
+    pub fn machine_types(&self) -> Vec<MachineTypeSpec> {
+        let kind = |(name, machine): (&String, &MachineTypePlan)| MachineTypeSpec {
             name: name.clone(),
             cpus: machine.cpus,
-            memory: machine.memory_gb,
+            memory_gb: machine.memory_gb,
             gpus: 0.0,
-            fetch: machine.fetch_gb_per_s,
+            fetch_gb_per_s: machine.fetch_gb_per_s,
             boot_s: machine.boot_s,
             zones: self.zones.clone(),
-            count: machine.per_zone,
-            spot: 0,
+            on_demand_per_zone: machine.per_zone,
+            spot_per_zone: 0,
         };
         self.machines.iter().map(kind).collect()
     }
@@ -315,15 +323,15 @@
 }
 
 /// A value that can't be used.
-struct Wrong {
+struct InvalidValue {
     field: String,
     expected: String,
     found: String,
 }
 
-fn within(field: &str, value: f64, low: f64, high: f64) -> Result<(), Wrong> {
+fn check_range(field: &str, value: f64, low: f64, high: f64) -> Result<(), InvalidValue> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
-    Err(Wrong { field: field.into(), expected: format!("{low} to {high}"), found: value.to_string() })
+    Err(InvalidValue { field: field.into(), expected: format!("{low} to {high}"), found: value.to_string() })
 }
--- a/crates/scale/src/processes.rs
+++ b/crates/scale/src/processes.rs
@@ -17,40 +17,43 @@
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     Controller,
-    StateService,
-    HollowWorkers,
+    #[serde(rename = "state_service")]
+    KvStore,
+    #[serde(rename = "hollow_workers")]
+    SimulatedWorkers,
     /// The run itself: users, cloud, check.
-    Load,
+    #[serde(rename = "load")]
+    LoadGenerator,
 }
 
 /// What the kernel says of a process.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Sample {
+pub struct ResourceSample {
     /// Seconds of processor time, user and system, since its start.
-    pub processor_s: f64,
+    pub cpu_time_s: f64,
     pub memory_bytes: u64,
     /// Open files, sockets above all.
-    pub files: usize,
+    pub open_files: usize,
 }
 
 /// One process of the run.
-pub struct Managed {
+pub struct ManagedProcess {
     pub name: String,
     pub role: Role,
-    command: Launch,
+    command: ProcessCommand,
     child: Option<Child>,
 }
 
 /// How a process is started, and started again.
 #[derive(Clone)]
-pub struct Launch {
+pub struct ProcessCommand {
     pub program: PathBuf,
     pub arguments: Vec<String>,
     pub log: PathBuf,
     pub log_level: String,
 }
 
-impl Launch {
+impl ProcessCommand {
     fn start(&self) -> io::Result<Child> {
         let log: File = OpenOptions::new().create(true).append(true).open(&self.log)?;
         Command::new(&self.program)
@@ -63,10 +66,10 @@
     }
 }
 
-impl Managed {
-    pub fn start(name: String, role: Role, command: Launch) -> Result<Managed, ScaleError> {
+impl ManagedProcess {
+    pub fn start(name: String, role: Role, command: ProcessCommand) -> Result<ManagedProcess, ScaleError> {
         let child = command.start().map_err(io_error(format!("starting {name}")))?;
-        Ok(Managed { name, role, command, child: Some(child) })
+        Ok(ManagedProcess { name, role, command, child: Some(child) })
     }
 
     fn pid(&self) -> Option<Pid> {
@@ -74,13 +77,13 @@
     }
 
     /// None: it does not run.
-    pub fn sample(&self) -> Option<Sample> {
+    pub fn sample(&self) -> Option<ResourceSample> {
         let child = self.child.as_ref()?;
         sample(Process::new(child.id() as i32).ok()?)
     }
 
     /// Has it ended by itself?
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(Some(_))),
             None => false,
@@ -103,7 +106,7 @@
     }
 
     /// It stands still, or goes on.
-    pub fn freeze(&self, frozen: bool) {
+    pub fn set_paused(&self, frozen: bool) {
         let signal = if frozen { Signal::STOP } else { Signal::CONT };
         if let Some(pid) = self.pid() {
             // One that has ended can neither stand still nor go on.
@@ -112,35 +115,35 @@
     }
 }
 
-impl Drop for Managed {
+impl Drop for ManagedProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-fn sample(process: Process) -> Option<Sample> {
+fn sample(process: Process) -> Option<ResourceSample> {
     let stat = process.stat().ok()?;
-    Some(Sample {
-        processor_s: (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64,
+    Some(ResourceSample {
+        cpu_time_s: (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64,
         memory_bytes: stat.rss * procfs::page_size(),
-        files: process.fd_count().unwrap_or(0),
+        open_files: process.fd_count().unwrap_or(0),
     })
 }
 
 /// The run's own process.
-pub fn sample_self() -> Sample {
+pub fn sample_self() -> ResourceSample {
     Process::myself().ok().and_then(sample).unwrap_or_default()
 }
 
 /// All of the machine's memory and what of it is free, in bytes.
-pub fn memory() -> Result<(u64, u64), ScaleError> {
+pub fn memory_totals() -> Result<(u64, u64), ScaleError> {
     let info = procfs::Meminfo::current()
         .map_err(|error| ScaleError::Process(format!("the machine's memory is not known: {error}")))?;
     Ok((info.mem_total, info.mem_available.unwrap_or(info.mem_free)))
 }
 
 /// Sees to it that this process and those it starts may open so many files.
-pub fn allow_files(wanted: u64) -> Result<(), ScaleError> {
+pub fn raise_open_file_limit(wanted: u64) -> Result<(), ScaleError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     if current.is_none_or(|current| current >= wanted) {
         return Ok(());
@@ -156,6 +159,6 @@
 }
 
 /// A folder for what the run leaves: logs, settings, the state file.
-pub fn make_folder(path: &Path) -> Result<(), ScaleError> {
+pub fn create_folder(path: &Path) -> Result<(), ScaleError> {
     std::fs::create_dir_all(path).map_err(io_error(path.display().to_string()))
 }
--- a/crates/scale/tests/golden.rs
+++ b/crates/scale/tests/golden.rs
@@ -22,10 +22,10 @@
         FaultKind::KillWorkers { at_s, share, back_s } => {
             json!({"kind": "kill_workers", "at_s": at_s, "share": share, "back_s": back_s})
         }
-        FaultKind::Freeze { at_s, leader, for_s } => {
+        FaultKind::PauseController { at_s, leader, for_s } => {
             json!({"kind": "freeze", "at_s": at_s, "leader": leader, "for_s": for_s})
         }
-        FaultKind::CutZones { at_s, zones, for_s } => {
+        FaultKind::PartitionZones { at_s, zones, for_s } => {
             json!({"kind": "cut_zones", "at_s": at_s, "zones": zones, "for_s": for_s})
         }
     }
@@ -40,8 +40,8 @@
     blocks(plan.jobs.iter(), |job| {
         json!({"shape": job.shape, "urgency": job.urgency, "share": job.share, "tasks": job.tasks,
             "cpus": job.cpus, "memory_gb": job.memory_gb, "run_s": job.run_s, "one_zone": job.one_zone,
-            "image_gb": job.image_gb, "images": job.images, "done_within_s": job.done_within_s,
-            "cancelled": job.cancelled})
+            "image_gb": job.image_gb, "images": job.images, "done_within_s": job.objective_s,
+            "cancelled": job.cancelled_share})
     })
 }
 
@@ -63,17 +63,17 @@
     add(
         "teams",
         json!({"count": teams.count, "guaranteed_cpus": teams.guaranteed_cpus,
-            "limit_factor": teams.limit_factor, "least_limit_cpus": teams.least_limit_cpus}),
+            "limit_factor": teams.limit_factor, "least_limit_cpus": teams.min_limit_cpus}),
     );
     add(
         "workers",
-        json!({"report_s": workers.report_s, "lease_s": workers.lease_s, "gang_wait_s": workers.gang_wait_s,
+        json!({"report_s": workers.heartbeat_s, "lease_s": workers.lease_s, "gang_wait_s": workers.gang_wait_s,
             "gang_peer_s": workers.gang_peer_s, "cancel_s": workers.cancel_s}),
     );
     add(
         "state",
-        json!({"requests_per_s": state.requests_per_s, "changes_per_s": state.changes_per_s,
-            "value_kb": state.value_kb, "txn_changes": state.txn_changes}),
+        json!({"requests_per_s": state.requests_per_s, "changes_per_s": state.mutations_per_s,
+            "value_kb": state.value_kb, "txn_changes": state.txn_mutations}),
     );
     add("cloud_requests_per_s", json!(plan.cloud_requests_per_s));
     add(
@@ -117,7 +117,7 @@
         golden.case(name, read(&plan));
         let mut arrivals = Arrivals::new(&plan);
         let first: Vec<Value> =
-            std::iter::from_fn(|| arrivals.next_until(u64::MAX)).take(8).map(|one| arrival(&one)).collect();
+            std::iter::from_fn(|| arrivals.pop_due(u64::MAX)).take(8).map(|one| arrival(&one)).collect();
         golden.case(&format!("{name}: first jobs"), first);
     }
     for defect in ["hide_tasks", "ignore_halts"] {
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale/tests/plans.rs
@@ -17,7 +17,7 @@
 fn arrivals(text: &str) -> Vec<Arrival> {
     let plan = Plan::parse("small", text).expect("a plan");
     let mut arrivals = Arrivals::new(&plan);
-    std::iter::from_fn(|| arrivals.next_until(u64::MAX)).collect()
+    std::iter::from_fn(|| arrivals.pop_due(u64::MAX)).collect()
 }
 
 #[test]
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -5,9 +5,9 @@
 //! Neither holds more than the keys and the last 10,000 changes. docs/store.md has the format and argues for it.
 
 mod engine;
-mod file;
 mod limits;
+mod store_file;
 
-pub use engine::{Delta, Engine, Reply, query};
-pub use file::{File, Saved, StoreError};
+pub use engine::{Delta, JsonResponse, KvEngine, query_parameter};
 pub use limits::Limits;
+pub use store_file::{AuxiliaryRecord, StoreError, StoreFile};
--- a/crates/store/src/tests/engine.rs
+++ b/crates/store/src/tests/engine.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-fn txn(engine: &mut Engine, body: Value) -> Reply {
-    engine.call("POST", "/txn", body.to_string().as_bytes(), 0)
+fn txn(engine: &mut KvEngine, body: Value) -> JsonResponse {
+    engine.handle_request("POST", "/txn", body.to_string().as_bytes(), 0)
 }
 
-fn put(engine: &mut Engine, key: &str, stamp: u64, value: u64) -> Reply {
+fn put(engine: &mut KvEngine, key: &str, stamp: u64, value: u64) -> JsonResponse {
     txn(engine, json!({"guards": [{"key": key, "stamp": stamp}], "then": [{"write": key, "value": value}]}))
 }
 
 /// A condition that does not hold changes nothing; every change of one transaction has one revision.
 #[test]
 fn transactions_are_whole() {
-    let mut engine = Engine::default();
+    let mut engine = KvEngine::default();
     assert_eq!(put(&mut engine, "a", 0, 1).1["ledger_rev"], 1);
     assert_eq!(put(&mut engine, "a", 0, 2), (409, json!({"failed": ["a"], "ledger_rev": 1})));
     let both =
         json!({"guards": [{"key": "a", "stamp": 1}], "then": [{"write": "b", "value": 1}, {"drop": "a"}]});
     assert_eq!(txn(&mut engine, both).1["ledger_rev"], 2);
-    let (_, changes) = engine.call("GET", "/changes?after=1", b"", 0);
+    let (_, changes) = engine.handle_request("GET", "/changes?after=1", b"", 0);
     let stamps: Vec<_> = changes["events"].as_array().expect("events").iter().map(|e| &e["stamp"]).collect();
     assert_eq!(stamps, [&json!(2), &json!(2)]);
     assert_eq!(txn(&mut engine, json!({"guards": []})).1["ledger_rev"], 2, "it only compares");
@@ -36,49 +36,49 @@
 /// A lease takes its keys with it, never early; a write with an ended one is refused whatever the conditions.
 #[test]
 fn leases_end_in_time_and_take_their_keys() {
-    let mut engine = Engine::default();
-    let grant = |engine: &mut Engine, now| {
-        engine.call("POST", "/grants", b"{\"life_ms\":1000}", now).1["permit"].clone()
+    let mut engine = KvEngine::default();
+    let grant = |engine: &mut KvEngine, now| {
+        engine.handle_request("POST", "/grants", b"{\"life_ms\":1000}", now).1["permit"].clone()
     };
     let lease = grant(&mut engine, 0);
     let body = json!({"then": [{"write": "k", "value": 1, "permit": lease}]}).to_string();
-    assert_eq!(engine.call("POST", "/txn", body.as_bytes(), 10).0, 200);
-    assert_eq!(engine.call("POST", "/grants/1/renew", b"{}", 999).0, 200);
-    assert_eq!(engine.call("GET", "/kv/k", b"", 1998).0, 200);
-    assert_eq!(engine.call("GET", "/kv/k", b"", 1999).0, 404);
-    assert_eq!(engine.call("POST", "/grants/1/renew", b"{}", 2000).0, 404);
-    let late = engine.call("POST", "/txn", body.as_bytes(), 2000);
+    assert_eq!(engine.handle_request("POST", "/txn", body.as_bytes(), 10).0, 200);
+    assert_eq!(engine.handle_request("POST", "/grants/1/renew", b"{}", 999).0, 200);
+    assert_eq!(engine.handle_request("GET", "/kv/k", b"", 1998).0, 200);
+    assert_eq!(engine.handle_request("GET", "/kv/k", b"", 1999).0, 404);
+    assert_eq!(engine.handle_request("POST", "/grants/1/renew", b"{}", 2000).0, 404);
+    let late = engine.handle_request("POST", "/txn", body.as_bytes(), 2000);
     assert_eq!(late, (400, json!({"error": "no such lease"})));
-    assert_eq!(engine.call("POST", "/grants", b"{\"life_ms\":1}", 0).0, 400);
+    assert_eq!(engine.handle_request("POST", "/grants", b"{\"life_ms\":1}", 0).0, 400);
 }
 
 /// Who asks for changes that are not kept any more is told so, and never gets a part of a revision.
 #[test]
 fn old_changes_are_gone_whole() {
-    let mut engine = Engine::default();
-    for at in 0..KEPT_CHANGES as u64 {
+    let mut engine = KvEngine::default();
+    for at in 0..MAX_KEPT_CHANGES as u64 {
         let pair = json!({"then": [{"write": "a", "value": at}, {"write": "b", "value": at}]});
         assert_eq!(txn(&mut engine, pair).0, 200);
     }
-    let half = KEPT_CHANGES as u64 / 2;
-    assert_eq!(engine.call("GET", &format!("/changes?after={}", half - 1), b"", 0).0, 410);
-    let (status, body) = engine.call("GET", &format!("/changes?after={half}"), b"", 0);
-    assert_eq!((status, body["events"].as_array().map(Vec::len)), (200, Some(KEPT_CHANGES)));
+    let half = MAX_KEPT_CHANGES as u64 / 2;
+    assert_eq!(engine.handle_request("GET", &format!("/changes?after={}", half - 1), b"", 0).0, 410);
+    let (status, body) = engine.handle_request("GET", &format!("/changes?after={half}"), b"", 0);
+    assert_eq!((status, body["events"].as_array().map(Vec::len)), (200, Some(MAX_KEPT_CHANGES)));
     assert!(!engine.has_changed("a", engine.revision()) && engine.has_changed("b", engine.revision() - 1));
 }
 
 #[test]
 fn pages_go_on_behind_their_last_key_and_limits_refuse() {
-    let mut engine = Engine::default();
+    let mut engine = KvEngine::default();
     for key in ["a/1", "a/2", "a/3", "b/1"] {
         put(&mut engine, key, 0, 1);
     }
-    let (_, first) = engine.call("GET", "/kv?starts=a/&page=2", b"", 0);
+    let (_, first) = engine.handle_request("GET", "/kv?starts=a/&page=2", b"", 0);
     assert_eq!((first["pairs"].as_array().map(Vec::len), &first["has_next"]), (Some(2), &json!(true)));
-    let (_, rest) = engine.call("GET", "/kv?starts=a/&after=a/2&page=2", b"", 0);
+    let (_, rest) = engine.handle_request("GET", "/kv?starts=a/&after=a/2&page=2", b"", 0);
     assert_eq!((rest["pairs"][0]["key"].as_str(), &rest["has_next"]), (Some("a/3"), &json!(false)));
     engine.set_limits(Limits { requests_per_s: 2.0, ..Limits::default() });
-    let served = (0..5).filter(|_| engine.call("GET", "/kv/a/1", b"", 1000).0 == 200).count();
+    let served = (0..5).filter(|_| engine.handle_request("GET", "/kv/a/1", b"", 1000).0 == 200).count();
     assert_eq!(served, 2);
-    assert_eq!(engine.call("GET", "/kv/a/1", b"", 2000).0, 200);
+    assert_eq!(engine.handle_request("GET", "/kv/a/1", b"", 2000).0, 200);
 }
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -3,7 +3,7 @@
 #[path = "../../../tests/golden/support.rs"]
 mod support;
 
-use olivelatch_store::Engine;
+use olivelatch_store::KvEngine;
 use serde_json::{Value, json};
 use support::Golden;
 
@@ -42,9 +42,9 @@
 #[test]
 fn replies() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "replies");
-    let mut engine = Engine::restored(&[], 1_000);
+    let mut engine = KvEngine::restore(&[], 1_000);
     for (at, (method, path, body)) in requests().into_iter().enumerate() {
-        let (status, reply) = engine.call(method, path, body.to_string().as_bytes(), 1_000);
+        let (status, reply) = engine.handle_request(method, path, body.to_string().as_bytes(), 1_000);
         golden
             .case(&format!("{at:02} {method} {path}"), json!({"status": status, "body": reply.to_string()}));
     }
--- a/crates/store/tests/torn.rs
+++ b/crates/store/tests/torn.rs
@@ -2,23 +2,23 @@
 
 use std::path::Path;
 
-use olivelatch_store::{Delta, Engine, File, Saved};
+use olivelatch_store::{AuxiliaryRecord, Delta, KvEngine, StoreFile};
 use proptest::prelude::*;
 use serde_json::json;
 
 /// The part of the file that says which of two states counts.
 const HEADER_BYTES: usize = 320;
 
-fn commit(file: &File, engine: &mut Engine, key: &str, value: u64) {
+fn commit(file: &StoreFile, engine: &mut KvEngine, key: &str, value: u64) {
     let body = json!({"then": [{"write": key, "value": value}, {"write": "last", "value": key}]});
-    assert_eq!(engine.call("POST", "/txn", body.to_string().as_bytes(), 0).0, 200);
-    let beside = Saved { name: format!("result/{key}"), bytes: Some(vec![1, 2, 3]) };
+    assert_eq!(engine.handle_request("POST", "/txn", body.to_string().as_bytes(), 0).0, 200);
+    let beside = AuxiliaryRecord { name: format!("result/{key}"), bytes: Some(vec![1, 2, 3]) };
     file.commit(&engine.take_deltas(), &[beside]).expect("a commit");
 }
 
-fn open(path: &Path) -> (File, Engine, usize) {
-    let (file, deltas, beside) = File::open(path).expect("a state file");
-    (file, Engine::restored(&deltas, 0), beside.len())
+fn open(path: &Path) -> (StoreFile, KvEngine, usize) {
+    let (file, deltas, beside) = StoreFile::open(path).expect("a state file");
+    (file, KvEngine::restore(&deltas, 0), beside.len())
 }
 
 /// The last write cut at every byte that it changed: the file opens to the state before it or after it, never between.
@@ -68,20 +68,20 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("state");
     let (file, mut engine, _) = open(&path);
-    let lease = engine.call("POST", "/grants", b"{\"life_ms\":4000}", 0).1["permit"].clone();
+    let lease = engine.handle_request("POST", "/grants", b"{\"life_ms\":4000}", 0).1["permit"].clone();
     let body = json!({"then": [{"write": "leader", "value": 1, "permit": lease}]}).to_string();
-    engine.call("POST", "/txn", body.as_bytes(), 3000);
+    engine.handle_request("POST", "/txn", body.as_bytes(), 3000);
     file.commit(&engine.take_deltas(), &[]).expect("a commit");
     drop(file);
-    let (file, deltas, _) = File::open(&path).expect("a state file");
-    let mut engine = Engine::restored(&deltas, 100_000);
-    assert_eq!(engine.call("GET", "/kv/leader", b"", 103_999).0, 200);
-    assert_eq!(engine.call("GET", "/kv/leader", b"", 104_000).0, 404);
+    let (file, deltas, _) = StoreFile::open(&path).expect("a state file");
+    let mut engine = KvEngine::restore(&deltas, 100_000);
+    assert_eq!(engine.handle_request("GET", "/kv/leader", b"", 103_999).0, 200);
+    assert_eq!(engine.handle_request("GET", "/kv/leader", b"", 104_000).0, 404);
     file.commit(&engine.take_deltas(), &[]).expect("a commit");
     drop(file);
     let (_, mut engine, _) = open(&path);
-    assert_eq!(engine.call("GET", "/kv/leader", b"", 0).0, 404, "the end of the lease was kept");
-    assert_eq!(engine.call("POST", "/grants", b"{\"life_ms\":4000}", 0).1["permit"], 2);
+    assert_eq!(engine.handle_request("GET", "/kv/leader", b"", 0).0, 404, "the end of the lease was kept");
+    assert_eq!(engine.handle_request("POST", "/grants", b"{\"life_ms\":4000}", 0).1["permit"], 2);
 }
 
 proptest! {
@@ -93,7 +93,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("state");
         std::fs::write(&path, &bytes).expect("a file");
-        if let Ok((_, deltas, _)) = File::open(&path) {
+        if let Ok((_, deltas, _)) = StoreFile::open(&path) {
             prop_assert!(bytes.is_empty() && deltas.is_empty());
         }
     }
@@ -101,10 +101,10 @@
     /// Whatever a request holds, the engine answers it and stays as it was unless it said 200.
     #[test]
     fn any_request_is_answered(path in "/(kv|txn|changes|grants)[/?a-z0-9=&-]{0,20}", body in ".{0,200}") {
-        let mut engine = Engine::default();
+        let mut engine = KvEngine::default();
         for method in ["GET", "POST", "DELETE", "PUT"] {
             let before = engine.revision();
-            let (status, _) = engine.call(method, &path, body.as_bytes(), 0);
+            let (status, _) = engine.handle_request(method, &path, body.as_bytes(), 0);
             prop_assert!([200, 400, 404, 409, 410, 429].contains(&status));
             prop_assert!(status == 200 || engine.revision() == before);
         }
@@ -124,7 +124,7 @@
             0 => json!({"then": [{"drop": key}]}),
             _ => json!({"then": [{"write": key, "value": {"at": at}}]}),
         };
-        engine.call("POST", "/txn", body.to_string().as_bytes(), at);
+        engine.handle_request("POST", "/txn", body.to_string().as_bytes(), at);
         let deltas = engine.take_deltas();
         file.commit(&deltas, &[]).expect("a commit");
         all.extend(deltas);
@@ -133,5 +133,5 @@
     let (_, back, _) = open(&path);
     assert_eq!(back.revision(), engine.revision());
     assert!(engine.keys().eq(back.keys()) && engine.keys().all(|key| engine.get(key) == back.get(key)));
-    assert_eq!(Engine::restored(&all, 0).len(), back.len());
+    assert_eq!(KvEngine::restore(&all, 0).len(), back.len());
 }
--- a/crates/worker/src/describe.rs
+++ b/crates/worker/src/description.rs
@@ -18,7 +18,7 @@
 /// A program with its arguments; no shell.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Command {
+pub struct ProcessCommand {
     pub command: Vec<String>,
     #[serde(default)]
     pub env: BTreeMap<String, String>,
@@ -29,36 +29,36 @@
 
 /// What a task does.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Work {
+pub enum TaskWork {
     /// In virtual time: it takes so long, or fails as soon as it has its image.
-    Takes {
+    Simulated {
         run_ms: u64,
         fails: bool,
         /// The length of the list it gives.
-        gives: Option<u32>,
+        list_len: Option<u32>,
     },
-    Runs(Command),
+    Process(ProcessCommand),
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Description {
+pub struct JobDescription {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
     pub image: String,
-    pub size_gb: f64,
+    pub image_gb: f64,
     pub gang: bool,
     pub tasks: u32,
-    pub checkpoint: bool,
-    pub save_ms: u64,
-    pub work: Work,
+    pub can_checkpoint: bool,
+    pub checkpoint_save_ms: u64,
+    pub work: TaskWork,
     /// Jobs whose output it reads, by the names it knows them by.
     pub inputs: BTreeMap<String, String>,
     /// The job over whose list it runs: a task for each element.
-    pub map: Option<String>,
+    pub map_source: Option<String>,
 }
 
-pub type Descriptions = BTreeMap<String, Description>;
+pub type JobDescriptions = BTreeMap<String, JobDescription>;
 
 /// What users upload: the submission itself, and the command beside it.
 #[derive(Deserialize)]
@@ -77,38 +77,38 @@
     snapshot_s: f64,
     #[serde(default)]
     flush_s: f64,
-    run: Option<Command>,
+    run: Option<ProcessCommand>,
     #[serde(default)]
     inputs: BTreeMap<String, String>,
     #[serde(default)]
     map: Option<String>,
 }
 
-fn amount(field: &'static str, value: f64) -> Result<f64, DescriptionError> {
+fn checked_amount(field: &'static str, value: f64) -> Result<f64, DescriptionError> {
     if (0.0..=1e9).contains(&value) {
         return Ok(value);
     }
     Err(DescriptionError::Value { field, expected: "0 to 1e9", found: value.to_string() })
 }
 
-impl Description {
+impl JobDescription {
     /// Reads an uploaded description of a job that runs commands.
-    pub fn read(bytes: &[u8]) -> Result<Description, DescriptionError> {
+    pub fn parse(bytes: &[u8]) -> Result<JobDescription, DescriptionError> {
         let upload: Upload = serde_json::from_slice(bytes)?;
         let run = upload.run.filter(|run| run.command.first().is_some_and(|program| !program.is_empty()));
-        Ok(Description {
-            cpus: amount("vcpus", upload.vcpus)?,
-            gpus: amount("accelerators", upload.accelerators)?,
-            memory_gb: amount("memory_gb", upload.memory_gb)?,
+        Ok(JobDescription {
+            cpus: checked_amount("vcpus", upload.vcpus)?,
+            gpus: checked_amount("accelerators", upload.accelerators)?,
+            memory_gb: checked_amount("memory_gb", upload.memory_gb)?,
             image: upload.bundle,
-            size_gb: amount("size_gb", upload.size_gb)?,
+            image_gb: checked_amount("size_gb", upload.size_gb)?,
             gang: upload.shape == "gang",
             tasks: upload.tasks,
-            checkpoint: amount("snapshot_s", upload.snapshot_s)? > 0.0,
-            save_ms: (amount("flush_s", upload.flush_s)? * 1000.0) as u64,
-            work: Work::Runs(run.ok_or(DescriptionError::NoCommand)?),
+            can_checkpoint: checked_amount("snapshot_s", upload.snapshot_s)? > 0.0,
+            checkpoint_save_ms: (checked_amount("flush_s", upload.flush_s)? * 1000.0) as u64,
+            work: TaskWork::Process(run.ok_or(DescriptionError::NoCommand)?),
             inputs: upload.inputs,
-            map: upload.map,
+            map_source: upload.map,
         })
     }
 }
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -5,12 +5,12 @@
 //! the commands that a `Worker` asks for. CPU and memory are accounted, not enforced. docs/region.md argues for both.
 
 mod core;
-mod describe;
+mod description;
 mod gangs;
+mod heartbeat;
 pub mod processes;
-mod reporting;
 
-pub use core::{Effect, Machine, Made, Phase, TaskAttempt, Worker};
-pub use describe::{Command, Description, DescriptionError, Descriptions, Work};
-pub use gangs::{GangTimes, coordinate};
-pub use reporting::{ReportAnswer, ReportTimes, Reporter};
+pub use core::{AttemptPhase, Machine, ProcessAction, TaskAttempt, TaskResult, Worker};
+pub use description::{DescriptionError, JobDescription, JobDescriptions, ProcessCommand, TaskWork};
+pub use gangs::{GangTimes, coordinate_gangs};
+pub use heartbeat::{HeartbeatResponse, HeartbeatSender, HeartbeatTimes};
--- a/crates/worker/src/processes.rs
+++ b/crates/worker/src/processes.rs
@@ -10,11 +10,11 @@
 
 use rustix::process::{Pid, Signal, kill_process_group};
 
-use crate::describe::Command;
+use crate::description::ProcessCommand;
 
 /// A task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Key {
+pub struct AttemptKey {
     pub machine: String,
     pub task: String,
     pub attempt: u64,
@@ -23,28 +23,28 @@
 struct Process {
     child: Child,
     /// When the hard signal follows the polite one.
-    hard_at: Option<u64>,
+    kill_at: Option<u64>,
 }
 
 /// What became of a process.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Exit {
-    pub key: Key,
+pub struct ProcessExit {
+    pub key: AttemptKey,
     /// None: ended by a signal.
     pub code: Option<i32>,
 }
 
 /// The processes of a region, and the file that names them for whoever starts it next.
 pub struct Processes {
-    running: HashMap<Key, Process>,
+    running: HashMap<AttemptKey, Process>,
     folder: PathBuf,
-    pids: File,
+    pid_file: File,
 }
 
-const PIDS: &str = "pids";
+const PID_FILE_NAME: &str = "pids";
 
 /// Clock ticks since the machine started at which a process did: with its id, that names it for good.
-fn started(pid: u32) -> Option<u64> {
+fn process_start_ticks(pid: u32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The name in parentheses may hold anything; the fields after it are plain.
     let (_, rest) = stat.rsplit_once(')')?;
@@ -63,15 +63,16 @@
     /// and only if the process is the one that was started then.
     pub fn open(folder: &Path) -> io::Result<Processes> {
         std::fs::create_dir_all(folder)?;
-        end_leftovers(&folder.join(PIDS));
-        let pids = OpenOptions::new().create(true).write(true).truncate(true).open(folder.join(PIDS))?;
-        Ok(Processes { running: HashMap::new(), folder: folder.into(), pids })
+        kill_leftovers(&folder.join(PID_FILE_NAME));
+        let pids =
+            OpenOptions::new().create(true).write(true).truncate(true).open(folder.join(PID_FILE_NAME))?;
+        Ok(Processes { running: HashMap::new(), folder: folder.into(), pid_file: pids })
     }
 
     /// Also for processes that others started, such as controllers.
-    pub fn remember(&mut self, pid: u32) -> io::Result<()> {
-        let line = format!("{pid} {}\n", started(pid).unwrap_or(0));
-        self.pids.write_all(line.as_bytes())
+    pub fn record_pid(&mut self, pid: u32) -> io::Result<()> {
+        let line = format!("{pid} {}\n", process_start_ticks(pid).unwrap_or(0));
+        self.pid_file.write_all(line.as_bytes())
     }
 
     /// Where the output of an attempt goes.
@@ -82,8 +83,8 @@
     /// Starts a command with the variables that tell it which task it is. Returns the process id.
     pub fn start(
         &mut self,
-        key: Key,
-        command: &Command,
+        key: AttemptKey,
+        command: &ProcessCommand,
         tasks: u32,
         variables: &[(String, String)],
     ) -> io::Result<u32> {
@@ -114,13 +115,13 @@
         }
         let child = program.spawn()?;
         let pid = child.id();
-        self.running.insert(key, Process { child, hard_at: None });
-        self.remember(pid)?;
+        self.running.insert(key, Process { child, kill_at: None });
+        self.record_pid(pid)?;
         Ok(pid)
     }
 
     /// Says in a task's log why it never started.
-    pub fn note_failure(&self, key: &Key, text: &str) {
+    pub fn log_start_failure(&self, key: &AttemptKey, text: &str) {
         let log = Processes::log_path(&self.folder, &key.task, key.attempt);
         // Nobody misses the line more than the task.
         let _ = OpenOptions::new()
@@ -131,38 +132,38 @@
     }
 
     /// Asks politely; the hard signal follows after the grace.
-    pub fn stop(&mut self, key: &Key, grace_ms: u64, now: u64) {
+    pub fn stop(&mut self, key: &AttemptKey, grace_ms: u64, now: u64) {
         if let Some(process) = self.running.get_mut(key) {
             signal_group(process.child.id(), Signal::TERM);
             let hard_at = now + grace_ms;
-            process.hard_at = Some(process.hard_at.map_or(hard_at, |at| at.min(hard_at)));
+            process.kill_at = Some(process.kill_at.map_or(hard_at, |at| at.min(hard_at)));
         }
     }
 
-    pub fn kill(&mut self, key: &Key) {
+    pub fn kill(&mut self, key: &AttemptKey) {
         if let Some(process) = self.running.get(key) {
             signal_group(process.child.id(), Signal::KILL);
         }
     }
 
     /// Processes that have exited; those that took no notice of a polite stop get the hard one.
-    pub fn reap(&mut self, now: u64) -> Vec<Exit> {
+    pub fn collect_exits(&mut self, now: u64) -> Vec<ProcessExit> {
         let mut exits = Vec::new();
         self.running.retain(|key, process| {
-            if process.hard_at.is_some_and(|at| at <= now) {
+            if process.kill_at.is_some_and(|at| at <= now) {
                 signal_group(process.child.id(), Signal::KILL);
-                process.hard_at = None;
+                process.kill_at = None;
             }
             match process.child.try_wait() {
                 Ok(None) => true,
                 Ok(Some(status)) => {
                     // What it started and left behind goes with it.
                     signal_group(process.child.id(), Signal::KILL);
-                    exits.push(Exit { key: key.clone(), code: status.code() });
+                    exits.push(ProcessExit { key: key.clone(), code: status.code() });
                     false
                 }
                 Err(_) => {
-                    exits.push(Exit { key: key.clone(), code: None });
+                    exits.push(ProcessExit { key: key.clone(), code: None });
                     false
                 }
             }
@@ -170,12 +171,12 @@
         exits
     }
 
-    pub fn count(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Ends all, hard, and waits for them.
-    pub fn end_all(&mut self) {
+    pub fn kill_all(&mut self) {
         for (_, mut process) in self.running.drain() {
             signal_group(process.child.id(), Signal::KILL);
             let _ = process.child.wait();
@@ -185,29 +186,29 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        self.end_all();
+        self.kill_all();
     }
 }
 
 /// Until leftovers are gone, with the ports they listen on.
-const GONE_MS: u64 = 2_000;
+const LEFTOVER_WAIT_MS: u64 = 2_000;
 
 /// Ends what the file names, if it is still the same process, and waits until it is gone.
-fn end_leftovers(pids: &Path) {
+fn kill_leftovers(pids: &Path) {
     let Ok(text) = std::fs::read_to_string(pids) else { return };
     let mut ended = Vec::new();
     for line in text.lines() {
         let Some((pid, at)) = line.split_once(' ') else { continue };
         if let (Ok(pid), Ok(at)) = (pid.parse::<u32>(), at.parse::<u64>())
             && at > 0
-            && started(pid) == Some(at)
+            && process_start_ticks(pid) == Some(at)
         {
             signal_group(pid, Signal::KILL);
             ended.push((pid, at));
         }
     }
-    let end = Instant::now() + Duration::from_millis(GONE_MS);
-    while ended.iter().any(|(pid, at)| started(*pid) == Some(*at)) && Instant::now() < end {
+    let end = Instant::now() + Duration::from_millis(LEFTOVER_WAIT_MS);
+    while ended.iter().any(|(pid, at)| process_start_ticks(*pid) == Some(*at)) && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/worker/src/tests/processes.rs
+++ b/crates/worker/src/tests/processes.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-fn key(task: &str) -> Key {
-    Key { machine: "m".into(), task: task.into(), attempt: 1 }
+fn key(task: &str) -> AttemptKey {
+    AttemptKey { machine: "m".into(), task: task.into(), attempt: 1 }
 }
 
-fn shell(text: &str) -> Command {
-    Command { command: vec!["sh".into(), "-c".into(), text.into()], ..Command::default() }
+fn shell(text: &str) -> ProcessCommand {
+    ProcessCommand { command: vec!["sh".into(), "-c".into(), text.into()], ..ProcessCommand::default() }
 }
 
-fn wait(processes: &mut Processes, from: Instant) -> Vec<Exit> {
+fn wait(processes: &mut Processes, from: Instant) -> Vec<ProcessExit> {
     loop {
-        let exits = processes.reap(from.elapsed().as_millis() as u64);
+        let exits = processes.collect_exits(from.elapsed().as_millis() as u64);
         if !exits.is_empty() || from.elapsed() > Duration::from_secs(20) {
             return exits;
         }
@@ -28,10 +28,10 @@
     processes
         .start(key("job-000001/3"), &shell("echo $OLIVELATCH_JOB $OLIVELATCH_TASK; exit 7"), 4, &[])
         .expect("a start");
-    assert_eq!(wait(&mut processes, from), [Exit { key: key("job-000001/3"), code: Some(7) }]);
+    assert_eq!(wait(&mut processes, from), [ProcessExit { key: key("job-000001/3"), code: Some(7) }]);
     let log = Processes::log_path(folder.path(), "job-000001/3", 1);
     assert_eq!(std::fs::read_to_string(log).expect("a log"), "job-000001 3\n");
-    let missing = Command { command: vec!["/no/such/program".into()], ..Command::default() };
+    let missing = ProcessCommand { command: vec!["/no/such/program".into()], ..ProcessCommand::default() };
     assert!(processes.start(key("job-000001/4"), &missing, 4, &[]).is_err());
 }
 
@@ -61,7 +61,10 @@
         exits.extend(wait(&mut processes, from));
     }
     exits.sort_by(|a, b| a.key.cmp(&b.key));
-    assert_eq!(exits, [Exit { key: key("a/0"), code: Some(0) }, Exit { key: key("b/0"), code: None }]);
+    assert_eq!(
+        exits,
+        [ProcessExit { key: key("a/0"), code: Some(0) }, ProcessExit { key: key("b/0"), code: None }]
+    );
 }
 
 /// A region that was killed leaves processes behind: the next one ends exactly those, and no other with such an id.
@@ -70,9 +73,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut left = Program::new("sleep").arg("60").process_group(0).spawn().expect("a process");
     let mut other = Program::new("sleep").arg("60").process_group(0).spawn().expect("a process");
-    let at = |pid| started(pid).expect("it runs");
+    let at = |pid| process_start_ticks(pid).expect("it runs");
     let text = format!("{} {}\n{} {}\nnonsense\n", left.id(), at(left.id()), other.id(), at(other.id()) + 1);
-    std::fs::write(folder.path().join(PIDS), text).expect("a file");
+    std::fs::write(folder.path().join(PID_FILE_NAME), text).expect("a file");
     let _processes = Processes::open(folder.path()).expect("processes");
     assert_eq!(left.wait().expect("its end").code(), None);
     assert!(other.try_wait().expect("a look").is_none(), "another process with the id is none of ours");
--- a/crates/worker/tests/golden.rs
+++ b/crates/worker/tests/golden.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_worker::{Description, Descriptions, Machine, Phase, TaskAttempt, Work, Worker};
+use olivelatch_worker::{
+    AttemptPhase, JobDescription, JobDescriptions, Machine, TaskAttempt, TaskWork, Worker,
+};
 use serde_json::json;
 use support::Golden;
 
@@ -13,43 +15,43 @@
     Machine {
         name: "m-17".into(),
         endpoint: "10.0.0.7:700".into(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "north-a".into(),
         spot: true,
         cpus: 4.0,
         gpus: 0.0,
         memory_gb: 16.0,
-        fetch_gb_per_s: 1.0,
+        image_fetch_gb_per_s: 1.0,
     }
 }
 
-fn description() -> Description {
-    Description {
+fn description() -> JobDescription {
+    JobDescription {
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.0,
         image: "readings:7".into(),
-        size_gb: 1.0,
+        image_gb: 1.0,
         gang: false,
         tasks: 9,
-        checkpoint: true,
-        save_ms: 500,
-        work: Work::Takes { run_ms: 3_000, fails: false, gives: Some(7) },
+        can_checkpoint: true,
+        checkpoint_save_ms: 500,
+        work: TaskWork::Simulated { run_ms: 3_000, fails: false, list_len: Some(7) },
         inputs: BTreeMap::new(),
-        map: None,
+        map_source: None,
     }
 }
 
-fn phases() -> Vec<Phase> {
-    let ended = |cause, kept| Phase::Ended { cause, kept };
+fn phases() -> Vec<AttemptPhase> {
+    let ended = |cause, kept| AttemptPhase::Ended { cause, checkpoint_kept: kept };
     vec![
-        Phase::Fetching { until: 9_000 },
-        Phase::Gathering { since: 9_000 },
-        Phase::Running { until: Some(9_000) },
-        Phase::Running { until: None },
-        Phase::Complete,
-        Phase::Saving { until: None },
-        Phase::Stopping { cause: "halted" },
+        AttemptPhase::FetchingImage { until: 9_000 },
+        AttemptPhase::WaitingForGang { since: 9_000 },
+        AttemptPhase::Running { until: Some(9_000) },
+        AttemptPhase::Running { until: None },
+        AttemptPhase::WaitingForGangExit,
+        AttemptPhase::Checkpointing { until: None },
+        AttemptPhase::Stopping { cause: "halted" },
         ended("done", false),
         ended("halted", true),
         ended("halted", false),
@@ -65,14 +67,14 @@
 fn reports() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "reports");
     let mut worker = Worker::new(machine(), 1_000);
-    golden.case("nothing", worker.report(1_000).to_string());
+    golden.case("nothing", worker.heartbeat(1_000).to_string());
     for (at, phase) in phases().into_iter().enumerate() {
         let task = format!("job-000412/{at}");
-        worker.attempts = vec![TaskAttempt { task, attempt: 70 + at as u64, phase, on: true }];
-        golden.case(&format!("phase {at:02}"), worker.report(1_000).to_string());
+        worker.attempts = vec![TaskAttempt { task, attempt: 70 + at as u64, phase, has_image: true }];
+        golden.case(&format!("phase {at:02}"), worker.heartbeat(1_000).to_string());
     }
-    worker.notice_until = Some(13_500);
-    golden.case("notice", worker.report(1_000).to_string());
+    worker.termination_at = Some(13_500);
+    golden.case("notice", worker.heartbeat(1_000).to_string());
     golden.check();
 }
 
@@ -80,10 +82,10 @@
 #[test]
 fn orders() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "orders");
-    let jobs: Descriptions = [("job-000412".to_string(), description())].into_iter().collect();
+    let jobs: JobDescriptions = [("job-000412".to_string(), description())].into_iter().collect();
     let mut worker = Worker::new(machine(), 1_000);
     let order = |verb: &str, task: u32| json!({"verb": verb, "piece": format!("job-000412/{task}"), "try": 70 + task});
-    let session = worker.session;
+    let session = worker.epoch;
     let bodies = [
         ("run", json!({"baton": 31, "shift": session, "orders": [order("run", 0), order("run", 1)]})),
         (
@@ -104,9 +106,9 @@
     ];
     for (at, (name, body)) in bodies.into_iter().enumerate() {
         let now = 2_000 + 1_000 * at as u64;
-        worker.answered = now;
-        worker.step(now, 60_000, &jobs);
-        let (status, reply) = worker.direct(body.to_string().as_bytes(), now, &jobs);
+        worker.last_answered_heartbeat_sent_at = now;
+        worker.advance(now, 60_000, &jobs);
+        let (status, reply) = worker.handle_direct_command(body.to_string().as_bytes(), now, &jobs);
         golden.case(&format!("{at} {name}"), json!({"status": status, "body": reply.to_string()}));
     }
     golden.check();
--- a/src/bookkeeping/config.rs
+++ b/src/bookkeeping/config.rs
@@ -2,33 +2,35 @@
 
 use std::collections::BTreeMap;
 
-use crate::ids::{Revision, milli_down};
-use crate::protocol::config::{EntryName, EntryRecord, FORMAT, TeamValue};
-use crate::settings::Team;
+use crate::ids::{Revision, to_milli_floor};
+use crate::protocol::config::{ConfigKey, ConfigRecord, ENTRY_FORMAT_VERSION, TeamQuota};
+use crate::settings::TeamSettings;
 
 /// An entry that is understood.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
-    pub record: EntryRecord,
+pub struct ConfigEntry {
+    pub record: ConfigRecord,
     pub version: Revision,
 }
 
 /// All entries on record.
 #[derive(Debug, Default)]
 pub struct ConfigEntries {
-    entries: BTreeMap<EntryName, Entry>,
+    entries: BTreeMap<ConfigKey, ConfigEntry>,
     /// Entries of a later format, or of a sort that is not known here: name and version.
-    strange: BTreeMap<String, Revision>,
+    unrecognized: BTreeMap<String, Revision>,
 }
 
 impl ConfigEntries {
     /// Takes an entry in as it was written. Later formats are kept by name only.
     pub fn put(&mut self, name: &str, value: &str, version: Revision) {
-        let record = serde_json::from_str::<EntryRecord>(value).ok().filter(|record| record.format == FORMAT);
-        match (EntryName::parse(name).ok(), record) {
+        let record = serde_json::from_str::<ConfigRecord>(value)
+            .ok()
+            .filter(|record| record.format_version == ENTRY_FORMAT_VERSION);
+        match (ConfigKey::parse(name).ok(), record) {
             (Some(entry), Some(record)) => {
-                self.strange.remove(name);
-                self.entries.insert(entry, Entry { record, version });
+                self.unrecognized.remove(name);
+                self.entries.insert(entry, ConfigEntry { record, version });
             }
             (known, _) => {
                 if let Some(known) = known {
@@ -37,48 +39,48 @@
                 log::error!(
                     "configuration: {name} is of a later version and not understood; it is left as it is"
                 );
-                self.strange.insert(name.into(), version);
+                self.unrecognized.insert(name.into(), version);
             }
         }
     }
 
     pub fn remove(&mut self, name: &str) {
-        self.strange.remove(name);
-        if let Ok(entry) = EntryName::parse(name) {
+        self.unrecognized.remove(name);
+        if let Ok(entry) = ConfigKey::parse(name) {
             self.entries.remove(&entry);
         }
     }
 
-    pub fn get(&self, entry: &EntryName) -> Option<&Entry> {
+    pub fn get(&self, entry: &ConfigKey) -> Option<&ConfigEntry> {
         self.entries.get(entry)
     }
 
     /// The version of an entry that is there and not understood.
-    pub fn strange(&self, name: &str) -> Option<Revision> {
-        self.strange.get(name).copied()
+    pub fn unrecognized_version(&self, name: &str) -> Option<Revision> {
+        self.unrecognized.get(name).copied()
     }
 
     /// Names of entries that are not understood.
-    pub fn strange_names(&self) -> impl Iterator<Item = (&str, Revision)> {
-        self.strange.iter().map(|(name, version)| (name.as_str(), *version))
+    pub fn unrecognized_names(&self) -> impl Iterator<Item = (&str, Revision)> {
+        self.unrecognized.iter().map(|(name, version)| (name.as_str(), *version))
     }
 
     /// A team as it holds: the platform's settings, lowered by what is set. They stay the ceiling.
-    pub fn team(&self, platform: &Team) -> Team {
-        match self.entries.get(&EntryName::Team(platform.name.clone())) {
-            Some(entry) => lowered(platform, entry.record.value.into()),
+    pub fn effective_team(&self, platform: &TeamSettings) -> TeamSettings {
+        match self.entries.get(&ConfigKey::Team(platform.name.clone())) {
+            Some(entry) => apply_team_value(platform, entry.record.quota.into()),
             None => platform.clone(),
         }
     }
 }
 
 /// The platform's settings of a team with a value laid over them; never more than they allow.
-pub fn lowered(platform: &Team, value: TeamValue) -> Team {
-    let limit = value.limit_cpus.map(milli_down).map(|cpu| cpu.min(platform.limit().cpu));
+pub fn apply_team_value(platform: &TeamSettings, value: TeamQuota) -> TeamSettings {
+    let limit = value.limit_cpus.map(to_milli_floor).map(|cpu| cpu.min(platform.effective_limit().cpu));
     let mut guaranteed = platform.guaranteed;
     if let Some(cpus) = value.guaranteed_cpus {
-        guaranteed.cpu = guaranteed.cpu.min(milli_down(cpus));
+        guaranteed.cpu = guaranteed.cpu.min(to_milli_floor(cpus));
     }
     guaranteed.cpu = guaranteed.cpu.min(limit.unwrap_or(u64::MAX));
-    Team { guaranteed, lowered_cpu: limit, ..platform.clone() }
+    TeamSettings { guaranteed, lowered_cpu_limit: limit, ..platform.clone() }
 }
--- a/src/bookkeeping/accounts.rs
+++ b/src/bookkeeping/job_counters.rs
@@ -9,52 +9,52 @@
 use crate::ids::{ClassIx, TeamIx};
 
 /// Parties counted apart; classes are named by users, so that there may be any number.
-const MOST_PARTIES: usize = 256;
+const MAX_TEAM_CLASSES: usize = 256;
 
 /// A class of a team, by its place in the accounts. The last one stands for all beyond the bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PartyIx(u16);
+pub struct TeamClassIx(u16);
 
 /// Jobs of one party.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Account {
+pub struct JobCounters {
     pub accepted: u64,
     /// At least one task was, or may have been, on a machine.
     pub started: u64,
     pub done: u64,
-    pub withdrawn: u64,
+    pub cancelled: u64,
     /// Users that this controller told of the end with `done`, once a job.
-    pub told: u64,
+    pub notified: u64,
 }
 
 #[derive(Debug, Default)]
-pub struct Accounts {
-    places: BTreeMap<(TeamIx, ClassIx), PartyIx>,
-    rows: Vec<(Option<(TeamIx, ClassIx)>, Account)>,
+pub struct JobCounterTable {
+    indices: BTreeMap<(TeamIx, ClassIx), TeamClassIx>,
+    rows: Vec<(Option<(TeamIx, ClassIx)>, JobCounters)>,
 }
 
-impl Accounts {
-    pub fn party(&mut self, team: TeamIx, class: ClassIx) -> PartyIx {
+impl JobCounterTable {
+    pub fn team_class(&mut self, team: TeamIx, class: ClassIx) -> TeamClassIx {
         let next = self.rows.len();
-        *self.places.entry((team, class)).or_insert_with(|| {
-            if next <= MOST_PARTIES {
-                self.rows.push(((next < MOST_PARTIES).then_some((team, class)), Account::default()));
+        *self.indices.entry((team, class)).or_insert_with(|| {
+            if next <= MAX_TEAM_CLASSES {
+                self.rows.push(((next < MAX_TEAM_CLASSES).then_some((team, class)), JobCounters::default()));
             }
-            PartyIx(next.min(MOST_PARTIES) as u16)
+            TeamClassIx(next.min(MAX_TEAM_CLASSES) as u16)
         })
     }
 
     /// The account of a party; None for one of other accounts.
-    pub fn of(&mut self, party: PartyIx) -> Option<&mut Account> {
-        self.rows.get_mut(usize::from(party.0)).map(|(_, account)| account)
+    pub fn counters_mut(&mut self, team_class: TeamClassIx) -> Option<&mut JobCounters> {
+        self.rows.get_mut(usize::from(team_class.0)).map(|(_, account)| account)
     }
 
     /// Team and class with their accounts; neither of all beyond the bound.
-    pub fn rows(&self) -> impl Iterator<Item = (Option<(TeamIx, ClassIx)>, Account)> + '_ {
+    pub fn rows(&self) -> impl Iterator<Item = (Option<(TeamIx, ClassIx)>, JobCounters)> + '_ {
         self.rows.iter().copied()
     }
 }
 
 #[cfg(test)]
-#[path = "tests/accounts.rs"]
+#[path = "tests/job_counters.rs"]
 mod tests;
--- a/src/bookkeeping/tests/flow.rs
+++ b/src/bookkeeping/tests/dag.rs
@@ -7,18 +7,18 @@
             "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b", "size_gb": 0.0,
             "together": false, "scatter": false, "loaners": false, "guess_s": 2.0, "snapshot_s": 0.0, "flush_s": 0.0});
     let template = serde_json::from_value(serde_json::json!({ "spec": spec })).expect("a template");
-    let row = |(name, job, map): &(&str, u64, Option<u32>)| NodeRow {
+    let row = |(name, job, map): &(&str, u64, Option<u32>)| DagNodeRecord {
         name: (*name).into(),
         job: *job,
         template: 0,
-        map: *map,
+        mapped_from: *map,
     };
     let nodes = nodes.iter().map(row).collect();
-    GraphPart { templates: vec![template], nodes, edges: edges.to_vec(), redo: Vec::new() }
+    GraphPart { templates: vec![template], nodes, edges: edges.to_vec(), reruns: Vec::new() }
 }
 
 fn problem(nodes: &[(&str, u64, Option<u32>)], edges: &[(u32, u32, u32)]) -> String {
-    Flow::build([part(nodes, edges)].iter()).map(|_| ()).expect_err("a problem")
+    Dag::from_parts([part(nodes, edges)].iter()).map(|_| ()).expect_err("a problem")
 }
 
 #[test]
@@ -42,15 +42,15 @@
 /// What is done over takes all behind it along: half of a chain anew would mix two versions.
 #[test]
 fn doing_over_takes_all_behind_along() {
-    let flow = Flow::build(
+    let flow = Dag::from_parts(
         [part(&[("a", 1, None), ("b", 2, None), ("c", 3, None)], &[(1, 0, 1), (2, 1, 1)])].iter(),
     );
     let flow = flow.expect("a graph");
-    assert_eq!(flow.ahead_ms, [4000, 2000, 0]);
-    let new = flow.redone(&[(1, 2, 50)]).expect("two nodes");
+    assert_eq!(flow.downstream_path_ms, [4000, 2000, 0]);
+    let new = flow.rerun_jobs(&[(1, 2, 50)]).expect("two nodes");
     assert_eq!(new.values().copied().collect::<Vec<_>>(), [JobId(50), JobId(51)]);
-    assert!(flow.redone(&[(1, 1, 50)]).expect_err("c is missing").contains("c comes after"));
+    assert!(flow.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").contains("c comes after"));
     for wrong in [&[(1, 9, 50)][..], &[], &[(1, 2, 50), (2, 1, 60)], &[(1, 1, 50), (2, 1, 50)]] {
-        assert!(flow.redone(wrong).is_err(), "{wrong:?}");
+        assert!(flow.rerun_jobs(wrong).is_err(), "{wrong:?}");
     }
 }
--- a/src/bookkeeping/tests/graph_records.rs
+++ b/src/bookkeeping/tests/dag_records.rs
@@ -1,21 +1,21 @@
 //! Tests of `graph_records`.
 
 use super::*;
-use olivelatch_graph::{Failure, Retry};
+use olivelatch_graph::{Failure, RetryPolicy};
 
 /// Names of machines are short; with such as long as this one a block still fits the smallest value allowed.
 #[test]
 fn a_block_of_failures_fits_a_value() {
-    let mut record = TriesRecord::default();
-    for task in 0..TRIES_BLOCK {
-        let tries = record.tasks.entry(99_990 + task).or_default();
+    let mut record = RetryStateRecord::default();
+    for task in 0..RETRY_BLOCK_TASKS {
+        let tries = record.by_task.entry(99_990 + task).or_default();
         for attempt in 0..9 {
             let failure = Failure {
                 attempt: u64::MAX - 9 + attempt,
                 machine: "m".repeat(60),
                 cause: "time limit".into(),
             };
-            tries.failed(failure, &Retry { tries: 100, ..Retry::default() });
+            tries.record_failure(failure, &RetryPolicy { max_attempts: 100, ..RetryPolicy::default() });
         }
     }
     let text = serde_json::to_string(&record).expect("JSON");
@@ -24,9 +24,9 @@
 
 #[test]
 fn a_header_and_a_sweep_are_told_apart() {
-    let header = GraphHeader { graph: "nightly".into(), parts: 2, nodes: 9, most_runs: 1 };
-    for record in [GraphRecord::Accepted { at: 5, header }, GraphRecord::Swept { swept: 7 }] {
+    let header = DagRunHeader { graph: "nightly".into(), parts: 2, nodes: 9, max_active_runs: 1 };
+    for record in [DagRunRecord::Accepted { at: 5, header }, DagRunRecord::UploadExpired { swept: 7 }] {
         let text = serde_json::to_string(&record).expect("JSON");
-        assert_eq!(serde_json::from_str::<GraphRecord>(&text).expect("a record"), record, "{text}");
+        assert_eq!(serde_json::from_str::<DagRunRecord>(&text).expect("a record"), record, "{text}");
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -20,13 +20,13 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run a controller until it is killed
-    Serve(Files),
+    Serve(ConfigFiles),
     /// Check the settings and exit
-    Check(Files),
+    Check(ConfigFiles),
 }
 
 #[derive(clap::Args)]
-struct Files {
+struct ConfigFiles {
     /// Tunables (HCL); without it the defaults hold
     #[arg(long, value_name = "FILE")]
     tunables: Option<PathBuf>,
@@ -36,7 +36,7 @@
 }
 
 /// Exit code for settings that can't be used, as for wrong arguments.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 pub fn main() -> ExitCode {
     run(std::env::args_os())
@@ -46,20 +46,20 @@
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = Cli::parse_from(arguments);
     let (Command::Serve(files) | Command::Check(files)) = &cli.command;
-    let (settings, tunables) = match load(files) {
+    let (settings, tunables) = match load_files(files) {
         Ok(loaded) => loaded,
         Err(problem) => {
             eprintln!("olivelatch: {problem}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     match cli.command {
         Command::Check(_) => {
-            println!("settings of {} are fine", settings.node);
+            println!("settings of {} are fine", settings.controller);
             ExitCode::SUCCESS
         }
         Command::Serve(_) => {
-            crate::logging::start(&settings.node, tunables.log.format);
+            crate::logging::init(&settings.controller, tunables.log.format);
             match transport::serve(settings, tunables) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(error) => {
@@ -71,7 +71,7 @@
     }
 }
 
-fn load(files: &Files) -> Result<(Settings, Tunables), String> {
+fn load_files(files: &ConfigFiles) -> Result<(Settings, Tunables), String> {
     let settings = Settings::load(&files.config).map_err(|error| error.to_string())?;
     let tunables = match &files.tunables {
         Some(path) => Tunables::load(path).map_err(|error| error.to_string())?,
--- a/src/coordination/leader/machine.rs
+++ b/src/coordination/leader/machine.rs
@@ -4,28 +4,29 @@
 
 use super::placement::gangs;
 use super::placement::queues::Queue;
-use super::records::history::PartId;
+use super::records::assignment_log::SegmentId;
 use crate::ids::{
-    Amount, Attempt, ImageIx, JobId, JobIx, KindIx, Millis, PoolIx, Session, TaskRef, TeamIx, ZoneIx,
+    AgentEpoch, Attempt, ImageIx, JobId, JobIx, MachineTypeIx, Millis, PoolIx, Resources, TaskId, TeamIx,
+    ZoneIx,
 };
-use crate::protocol::workers::TaskState;
+use crate::protocol::workers::TaskPhase;
 
 /// Once may be a lost packet, or our own standstill.
-const DEAF_RUNS: u32 = 2;
+const RECEIVE_PATH_DOWN_STARTS: u32 = 2;
 
 /// How far the run command of a task has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Run {
+pub enum DispatchState {
     /// Not yet in the machine's record: must not be sent.
     Planned,
     /// In the record, not sent (or certainly not carried out).
     Recorded,
     /// Sent with the response to this report.
-    Answered { tick: u64 },
+    SentInResponse { sequence: u64 },
     /// Sent straight to the worker, outcome open.
-    Direct,
+    SentDirect,
     /// The worker has shown it.
-    Seen,
+    Observed,
     /// From another leader's record: may be there or not.
     Inherited,
 }
@@ -33,39 +34,39 @@
 /// A task that may be on a machine.
 #[derive(Debug, Clone)]
 pub struct Binding {
-    pub task: TaskRef,
+    pub task: TaskId,
     /// None once the job has ended.
     pub job: Option<JobIx>,
     pub attempt: Attempt,
-    pub need: Amount,
+    pub need: Resources,
     pub team: Option<TeamIx>,
     pub pool: Option<PoolIx>,
     /// Nobody waits for it: it may use only so much of the fleet.
-    pub idle_time: bool,
+    pub best_effort: bool,
     /// It had run longer than its node allows when it was told to stop.
-    pub over_limit: bool,
-    pub run: Run,
+    pub timed_out: bool,
+    pub dispatch: DispatchState,
     /// The part of the log that tells of it.
-    pub part: Option<PartId>,
-    pub state: Option<TaskState>,
+    pub log_segment: Option<SegmentId>,
+    pub reported_state: Option<TaskPhase>,
     /// A direct command without an answer may still arrive.
-    pub late: bool,
+    pub late_start_possible: bool,
     pub fetching_since: Option<Millis>,
     pub running_since: Option<Millis>,
     /// Stop it, with this grace.
-    pub halt: Option<u64>,
-    pub halt_sent: Option<Millis>,
+    pub stop_grace_ms: Option<u64>,
+    pub stop_sent_at: Option<Millis>,
     /// For a withdrawn job: when its worker must no longer be kept alive.
-    pub gone_by: Option<Millis>,
+    pub lease_renewal_cutoff: Option<Millis>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum MachineState {
     /// Rented, not yet heard of.
     Booting,
     Up,
     /// Its worker's lease has run out; it may come back with a new session.
-    Silent,
+    Unreachable,
     /// Returned or taken: nothing is on it.
     Gone,
 }
@@ -74,80 +75,80 @@
 pub struct Machine {
     pub name: String,
     pub endpoint: String,
-    pub kind: KindIx,
+    pub machine_type: MachineTypeIx,
     pub zone: ZoneIx,
     pub spot: bool,
-    pub life: Life,
+    pub state: MachineState,
     /// The cloud lists it as running: its worker may only not have found this leader yet.
-    pub running: bool,
+    pub cloud_running: bool,
     /// When it was rented, as far as known.
-    pub since: Millis,
-    pub session: Session,
+    pub created_at: Millis,
+    pub epoch: AgentEpoch,
     /// When its session was first seen: the session's lease began no later.
-    pub session_seen: Option<Millis>,
-    pub tick: u64,
+    pub epoch_first_seen: Option<Millis>,
+    pub sequence: u64,
     /// Session and number of the newest report that came as such.
-    pub reported: (Session, u64),
+    pub last_heartbeat_id: (AgentEpoch, u64),
     /// It has shown our token: no other leader's command can reach it any more.
-    pub confirmed: bool,
+    pub token_acknowledged: bool,
     /// When it first showed our token in an answer to `/orders`, if that came before a report.
-    pub shown: Option<Millis>,
+    pub token_first_acknowledged: Option<Millis>,
     /// When the last report that was answered came in.
-    pub answered: Option<Millis>,
+    pub last_answered_heartbeat_at: Option<Millis>,
     /// Since when it reports without ever having heard an answer of ours, or our token.
-    pub unheard_since: Option<Millis>,
+    pub unacknowledged_since: Option<Millis>,
     /// Answers and commands with starts that it has not heard, one after the other.
-    pub unheard_runs: u32,
-    pub notice_until: Option<Millis>,
+    pub unacknowledged_starts: u32,
+    pub reclaim_notice_until: Option<Millis>,
     pub returning: bool,
     /// The part of the log that tells that it goes back.
-    pub return_part: Option<PartId>,
+    pub return_log_segment: Option<SegmentId>,
     pub bindings: Vec<Binding>,
-    pub used: Amount,
-    pub size: Amount,
-    pub shared: Queue,
-    pub dedicated: Queue,
-    pub steal_wait_ms: f64,
-    pub next_steal: Millis,
-    pub held_for: Option<gangs::Hold>,
+    pub used: Resources,
+    pub capacity: Resources,
+    pub shared_queue: Queue,
+    pub dedicated_queue: Queue,
+    pub steal_backoff_ms: f64,
+    pub steal_not_before: Millis,
+    pub hold: Option<gangs::Hold>,
     /// Images it should have, most recently used last, with their size.
     pub images: Vec<(ImageIx, u64)>,
-    pub direct_open: bool,
-    pub direct_after: Millis,
-    pub late: HashSet<(TaskRef, Attempt)>,
+    pub direct_send_in_flight: bool,
+    pub direct_send_not_before: Millis,
+    pub late_starts: HashSet<(TaskId, Attempt)>,
     pub idle_since: Millis,
-    pub errors: BTreeSet<JobId>,
-    pub sick: bool,
+    pub failed_jobs: BTreeSet<JobId>,
+    pub quarantined: bool,
     /// Runs finished here, and the sum of how much longer than their jobs' mean they took.
-    pub pace: (u32, f64),
+    pub run_time_ratio: (u32, f64),
     pub slow: bool,
     /// Not needed: takes no queued tasks, so that it runs empty.
-    pub parked: bool,
+    pub cordoned: bool,
     /// Gangs wait for machines like it: takes no queued tasks either.
-    pub kept: bool,
+    pub reserved: bool,
     /// Times of the tasks it finished within the last minute.
-    pub finishes: Vec<Millis>,
+    pub recent_finishes: Vec<Millis>,
 }
 
 impl Machine {
-    pub fn free(&self) -> Amount {
-        self.size.less(&self.used)
+    pub fn free(&self) -> Resources {
+        self.capacity.saturating_sub(&self.used)
     }
 
     /// It may get more tasks.
-    pub fn open(&self) -> bool {
-        self.life == Life::Up
-            && self.confirmed
+    pub fn is_schedulable(&self) -> bool {
+        self.state == MachineState::Up
+            && self.token_acknowledged
             && !self.returning
-            && !self.sick
+            && !self.quarantined
             && !self.slow
-            && !self.deaf()
-            && self.notice_until.is_none()
+            && !self.receive_path_down()
+            && self.reclaim_notice_until.is_none()
     }
 
     /// Its reports arrive, but what it is told does not: it gets nothing to start until it has heard something.
-    pub fn deaf(&self) -> bool {
-        self.unheard_runs >= DEAF_RUNS
+    pub fn receive_path_down(&self) -> bool {
+        self.unacknowledged_starts >= RECEIVE_PATH_DOWN_STARTS
     }
 
     pub fn has_image(&self, image: ImageIx) -> bool {
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -8,163 +8,169 @@
 use std::collections::HashSet;
 
 use crate::coordination::Clock;
-use crate::coordination::leader::machines::reports::AFTER_ERROR_MS;
-use crate::coordination::leader::placement::dispatch::Hindrance;
-use crate::coordination::leader::{Binding, Leader, Work};
+use crate::coordination::leader::machines::heartbeats::ERROR_RETRY_DELAY_MS;
+use crate::coordination::leader::placement::dispatch::PlacementBlocker;
+use crate::coordination::leader::{Binding, JobState, Leader};
 use crate::ids::{JobId, JobIx, MachineIx, Millis};
 
 /// Different jobs must have failed on a machine before it is thought to be sick; more of them if none of these has
 /// succeeded anywhere yet, as jobs submitted with a mistake fail on good machines.
-const SICK_JOBS: usize = 2;
-const SICK_UNPROVEN_JOBS: usize = 3;
+const QUARANTINE_FAILED_JOBS: usize = 2;
+const QUARANTINE_UNPROVEN_JOBS: usize = 3;
 /// A job that failed on so many machines is at fault itself.
-const BAD_JOB_MACHINES: usize = 3;
+const JOB_FAULT_MACHINES: usize = 3;
 
 /// A job at fault: what of it may still be tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Trial {
+pub struct Probation {
     /// When the next task is tried.
-    pub next: Millis,
+    pub next_attempt_at: Millis,
     /// It is in a queue.
     pub queued: bool,
 }
 
 /// A job that fails everywhere is tried ever more seldom: so many times the usual wait.
-pub fn patience(work: &Work) -> u64 {
-    1 << work.failures().saturating_sub(BAD_JOB_MACHINES - 1).min(5)
+pub fn backoff_factor(work: &JobState) -> u64 {
+    1 << work.failure_count().saturating_sub(JOB_FAULT_MACHINES - 1).min(5)
 }
 
-impl Work {
+impl JobState {
     /// Machines on which it failed, and failed again when they were given back to it.
-    pub fn failures(&self) -> usize {
-        self.failed_on.len() + self.forgiven
+    pub fn failure_count(&self) -> usize {
+        self.failed_on.len() + self.retried_exclusions
     }
 
     /// A task of it has succeeded: what fails after that is the fault of machines.
-    fn proven(&self) -> bool {
-        self.runs > 0 || !self.done.is_empty()
+    fn has_succeeded(&self) -> bool {
+        self.finished_runs > 0 || !self.finished.is_empty()
     }
 
     /// It is at fault itself, not the machines. A gang succeeds only as a whole, so that it is given more of them.
-    pub fn at_fault(&self) -> bool {
-        let enough = if self.info.together() { 2 * BAD_JOB_MACHINES } else { BAD_JOB_MACHINES };
-        !self.proven() && self.failures() >= enough
+    pub fn is_at_fault(&self) -> bool {
+        let threshold =
+            if self.spec.is_all_or_nothing() { 2 * JOB_FAULT_MACHINES } else { JOB_FAULT_MACHINES };
+        !self.has_succeeded() && self.failure_count() >= threshold
     }
 
     /// A task succeeded: all its machines are good again. True if the job was on trial.
-    pub fn succeeded(&mut self) -> bool {
+    pub fn reset_failures(&mut self) -> bool {
         self.failed_on.clear();
-        self.forgiven = 0;
-        self.trial.take().is_some()
+        self.retried_exclusions = 0;
+        self.probation.take().is_some()
     }
 
     /// Has it failed on more machines than still run its tasks? A few sick ones among many put no job on trial.
-    fn fails_wherever_tried(&self) -> bool {
-        let running: HashSet<MachineIx> = self.out.values().flatten().map(|(ix, _)| *ix).collect();
-        self.failures() >= BAD_JOB_MACHINES.max(running.len())
+    fn failures_outnumber_running_machines(&self) -> bool {
+        let running: HashSet<MachineIx> = self.placements.values().flatten().map(|(ix, _)| *ix).collect();
+        self.failure_count() >= JOB_FAULT_MACHINES.max(running.len())
     }
 }
 
 impl Leader {
     /// A job that failed on every machine it might use now gets them back, ever more seldom: with few machines,
     /// one failure on each would otherwise keep it waiting for good.
-    pub fn forgive(&mut self, clock: Clock) {
-        let due = |work: &Work| !work.failed_on.is_empty() && clock.now >= work.forgive_next;
-        let stuck = self.work.iter().filter(|(_, work)| due(work) && self.failed_everywhere(work));
-        for ix in stuck.map(|(ix, _)| *ix).collect::<Vec<JobIx>>() {
-            let Some(work) = self.work.get_mut(&ix) else { continue };
-            let id = work.info.id;
+    pub fn retry_after_exclusion(&mut self, clock: Clock) {
+        let due =
+            |work: &JobState| !work.failed_on.is_empty() && clock.now >= work.retry_exclusion_not_before;
+        let excluded_everywhere =
+            self.jobs.iter().filter(|(_, work)| due(work) && self.has_failed_everywhere(work));
+        for ix in excluded_everywhere.map(|(ix, _)| *ix).collect::<Vec<JobIx>>() {
+            let Some(work) = self.jobs.get_mut(&ix) else { continue };
+            let id = work.spec.id;
             log::info!(event = "forgiven", job:% = id; "{id} failed on all it may use: tried there again");
-            work.forgiven += work.failed_on.len();
+            work.retried_exclusions += work.failed_on.len();
             work.failed_on.clear();
-            work.forgive_next = clock.now.plus(AFTER_ERROR_MS * patience(work));
+            work.retry_exclusion_not_before =
+                clock.now.saturating_add(ERROR_RETRY_DELAY_MS * backoff_factor(work));
         }
     }
 
     /// Of the machines that could run its tasks, each has failed one. Parked ones take no queued tasks.
-    fn failed_everywhere(&self, work: &Work) -> bool {
+    fn has_failed_everywhere(&self, work: &JobState) -> bool {
         let mut failed = false;
-        for ix in self.roster.open() {
-            let taken = work.info.together() || self.roster.takes(*ix);
-            match self.unfit(*ix, work) {
-                None if taken => return false,
-                Some(Hindrance::FailedHere) => failed = true,
+        for ix in self.placement_index.open() {
+            let usable = work.spec.is_all_or_nothing() || self.placement_index.accepts_queued(*ix);
+            match self.machine_blocker(*ix, work) {
+                None if usable => return false,
+                Some(PlacementBlocker::FailedBefore) => failed = true,
                 _ => {}
             }
         }
         failed
     }
 
-    pub fn failed(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
-        let machine = self.machines[ix.at()].name.as_str();
+    pub fn record_failure(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
+        let machine = self.machines[ix.index()].name.as_str();
         log::info!(event = "failed", task:% = binding.task, machine; "{} failed on {machine}", binding.task);
-        let Some((job, work)) = binding.job.and_then(|job| Some((job, self.work.get_mut(&job)?))) else {
+        let Some((job, work)) = binding.job.and_then(|job| Some((job, self.jobs.get_mut(&job)?))) else {
             return;
         };
         work.failed_on.insert(ix);
-        if work.at_fault() {
+        if work.is_at_fault() {
             // Its own fault: machines that failed nothing else are good again.
-            let id = work.info.id;
+            let id = work.spec.id;
             for at in 0..self.machines.len() {
-                if self.machines[at].errors.remove(&id) {
-                    self.machines[at].sick &= self.looks_sick(MachineIx(at as u32));
+                if self.machines[at].failed_jobs.remove(&id) {
+                    self.machines[at].quarantined &= self.should_quarantine(MachineIx(at as u32));
                 }
             }
-            self.put_on_trial(job, clock);
+            self.start_probation(job, clock);
             return;
         }
-        self.machines[ix.at()].errors.insert(binding.task.job);
-        if self.looks_sick(ix) && !self.machines[ix.at()].sick {
-            let machine = &mut self.machines[ix.at()];
+        self.machines[ix.index()].failed_jobs.insert(binding.task.job);
+        if self.should_quarantine(ix) && !self.machines[ix.index()].quarantined {
+            let machine = &mut self.machines[ix.index()];
             log::info!(event = "sick", machine = machine.name.as_str(); "machine {} taken for sick", machine.name);
-            machine.sick = true;
-            self.spread_queues(ix);
+            machine.quarantined = true;
+            self.requeue_machine_queues(ix);
         }
     }
 
     /// Different jobs failed there, with no success between.
-    fn looks_sick(&self, ix: MachineIx) -> bool {
-        let errors = &self.machines[ix.at()].errors;
+    fn should_quarantine(&self, ix: MachineIx) -> bool {
+        let errors = &self.machines[ix.index()].failed_jobs;
         // A job that is over was done: what a user withdraws is taken off.
-        let unproven = |id: &JobId| self.work.values().any(|work| work.info.id == *id && !work.proven());
-        errors.len() >= if errors.iter().all(unproven) { SICK_UNPROVEN_JOBS } else { SICK_JOBS }
+        let unproven =
+            |id: &JobId| self.jobs.values().any(|work| work.spec.id == *id && !work.has_succeeded());
+        errors.len()
+            >= if errors.iter().all(unproven) { QUARANTINE_UNPROVEN_JOBS } else { QUARANTINE_FAILED_JOBS }
     }
 
     /// The job has failed once more: nothing of it waits in any queue, and the next task is tried after a while.
-    fn put_on_trial(&mut self, ix: JobIx, clock: Clock) {
-        let Some(work) = self.work.get_mut(&ix) else { return };
+    fn start_probation(&mut self, ix: JobIx, clock: Clock) {
+        let Some(work) = self.jobs.get_mut(&ix) else { return };
         // Gangs are tried one attempt at a time anyway, and graphs say themselves how often a node is.
-        if work.info.together() || work.node.is_some() || !self.tunables.overload.trials {
+        if work.spec.is_all_or_nothing() || work.dag_node.is_some() || !self.tunables.overload.probation {
             return;
         }
-        let next = clock.now.plus(AFTER_ERROR_MS * patience(work));
-        if let Some(trial) = &mut work.trial {
-            trial.next = next;
+        let next = clock.now.saturating_add(ERROR_RETRY_DELAY_MS * backoff_factor(work));
+        if let Some(trial) = &mut work.probation {
+            trial.next_attempt_at = next;
             return;
         }
-        if !work.fails_wherever_tried() {
+        if !work.failures_outnumber_running_machines() {
             return;
         }
-        work.trial = Some(Trial { next, queued: false });
-        let id = work.info.id;
+        work.probation = Some(Probation { next_attempt_at: next, queued: false });
+        let id = work.spec.id;
         log::info!(event = "on_trial", job:% = id; "{id} fails wherever it is tried: one task at a time from now on");
-        self.drop_queued(ix);
-        for waiting in self.delayed.values_mut() {
+        self.remove_queued_tasks(ix);
+        for waiting in self.retry_queue.values_mut() {
             waiting.retain(|(job, _)| *job != ix);
         }
     }
 
     /// One task of each job on trial whose wait is over, if none of it is out.
-    pub fn try_again(&mut self, clock: Clock) {
-        let due = |work: &Work| {
-            let due = work.trial.is_some_and(|trial| !trial.queued && trial.next <= clock.now);
-            due && work.out.is_empty() && !work.ending
+    pub fn queue_probation_tasks(&mut self, clock: Clock) {
+        let due = |work: &JobState| {
+            let due = work.probation.is_some_and(|trial| !trial.queued && trial.next_attempt_at <= clock.now);
+            due && work.placements.is_empty() && !work.finishing
         };
-        let due: Vec<JobIx> = self.work.iter().filter(|(_, work)| due(work)).map(|(ix, _)| *ix).collect();
+        let due: Vec<JobIx> = self.jobs.iter().filter(|(_, work)| due(work)).map(|(ix, _)| *ix).collect();
         for ix in due {
-            let Some(work) = self.work.get_mut(&ix) else { continue };
-            let Some(task) = work.done.missing().next() else { continue };
-            if let Some(trial) = &mut work.trial {
+            let Some(work) = self.jobs.get_mut(&ix) else { continue };
+            let Some(task) = work.finished.iter_missing().next() else { continue };
+            if let Some(trial) = &mut work.probation {
                 trial.queued = true;
             }
             self.enqueue(ix, &[task]);
@@ -172,9 +178,9 @@
     }
 
     /// A task of a job on trial has succeeded: the rest of the job is queued like any other.
-    pub fn trial_over(&mut self, ix: JobIx) {
+    pub fn end_probation(&mut self, ix: JobIx) {
         // The next task to be tried may wait in a queue: it must not be queued twice.
-        self.drop_queued(ix);
-        self.queue_all([ix]);
+        self.remove_queued_tasks(ix);
+        self.enqueue_jobs([ix]);
     }
 }
--- a/src/coordination/leader/machines/mod.rs
+++ b/src/coordination/leader/machines/mod.rs
@@ -1,10 +1,10 @@
 //! The machines: what they report and are told, when they count as gone, which are rented.
 
+pub mod capacity_plan;
+pub mod commands;
 pub mod faults;
-pub mod fleet;
-pub mod orders;
-pub mod plan;
-pub mod refusals;
-pub mod reports;
-pub mod roster;
-pub mod silence;
+pub mod heartbeats;
+pub mod liveness;
+pub mod offer_backoff;
+pub mod placement_index;
+pub mod provisioner;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,106 +1,110 @@
 //! What only the leader knows and does: all machine queues, placement, the
 //! fleet, and the records that make it safe.
 
+pub mod cancellation;
+pub mod dag_runs;
+pub mod debug_status;
+pub mod event_log;
 pub mod explain;
-pub mod flows;
-pub mod inspect;
-pub mod journal;
 mod machine;
 pub mod machines;
+pub mod operator_views;
 pub mod placement;
 pub mod records;
-pub mod status;
-pub mod withdraw;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
 use olivelatch_admission::headroom::Headroom;
-use olivelatch_admission::pressure::Level;
-use olivelatch_admission::served::Served;
+use olivelatch_admission::pressure::PressureLevel;
+use olivelatch_admission::service_window::ServiceWindow;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use super::Clock;
-use crate::bookkeeping::bits::Bits;
-use crate::bookkeeping::jobs::JobInfo;
-use crate::bookkeeping::mirror::Mirror;
-use crate::bookkeeping::records::most_tasks;
+use crate::bookkeeping::bit_set::BitSet;
+use crate::bookkeeping::jobs::JobSpec;
+use crate::bookkeeping::records::max_tasks_per_machine;
+use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{
-    Amount, Attempt, ClassIx, ImageIx, JobId, JobIx, KindIx, MachineIx, Millis, Session, TeamIx, Token,
-    ZoneIx, milli_down,
+    AgentEpoch, Attempt, ClassIx, FencingToken, ImageIx, JobId, JobIx, MachineIx, MachineTypeIx, Millis,
+    Resources, TeamIx, ZoneIx, to_milli_floor,
 };
-use crate::settings::{Settings, Team};
+use crate::settings::{Settings, TeamSettings};
 use crate::tunables::Tunables;
-use journal::{FirstRun, Journal};
-pub use machine::{Binding, Life, Machine, Run};
-use machines::faults::Trial;
-use machines::fleet::Fleet;
-use machines::roster::Roster;
-use placement::claims::Claimed;
-use placement::idle_time;
-use placement::overload::{self, Party};
-use placement::policy::{Rank, Standings};
+use event_log::{EventLog, FirstRun};
+pub use machine::{Binding, DispatchState, Machine, MachineState};
+use machines::faults::Probation;
+use machines::placement_index::PlacementIndex;
+use machines::provisioner::Provisioner;
+use placement::best_effort;
+use placement::gang_search::GangSearchCache;
+use placement::overload::{self, TeamClass};
+use placement::policy::{PriorityInputsTable, Rank};
+use placement::preemption::PreemptorPriority;
 use placement::queues::Queue;
-use placement::search::Searched;
-use records::history::History;
-use records::writer::Writer;
+use records::assignment_log::AssignmentLog;
+use records::store_writer::StoreWriter;
 
 /// What is known of a job's tasks beyond the durable records.
 #[derive(Debug)]
-pub struct Work {
-    pub info: Arc<JobInfo>,
-    pub rank: Rank,
+pub struct JobState {
+    pub spec: Arc<JobSpec>,
+    pub queue_order: Rank,
     /// Finished tasks, those included that are not durable yet.
-    pub done: Bits,
+    pub finished: BitSet,
     /// Where each unfinished task may be: after a takeover that can be several places.
-    pub out: HashMap<u32, Vec<(MachineIx, Attempt)>>,
-    pub zones: HashMap<ZoneIx, u32>,
+    pub placements: HashMap<u32, Vec<(MachineIx, Attempt)>>,
+    pub tasks_per_zone: HashMap<ZoneIx, u32>,
     /// Run times of finished tasks.
-    pub runs: u32,
-    pub run_ms: u64,
+    pub finished_runs: u32,
+    pub total_run_ms: u64,
     /// Machines on which its tasks failed, since one last succeeded.
     pub failed_on: HashSet<MachineIx>,
     /// Failures on machines that it was allowed back to, since one last succeeded.
-    pub forgiven: usize,
+    pub retried_exclusions: usize,
     /// Not allowed back before.
-    pub forgive_next: Millis,
+    pub retry_exclusion_not_before: Millis,
     /// It fails wherever it is tried.
-    pub trial: Option<Trial>,
-    pub ending: bool,
+    pub probation: Option<Probation>,
+    pub finishing: bool,
     pub first_run: FirstRun,
     /// Of a graph's node.
-    pub node: Option<Box<flows::NodeWork>>,
+    pub dag_node: Option<Box<dag_runs::DagNodeState>>,
 }
 
-impl Work {
+impl JobState {
     /// Expected run time of a task: the mean of those finished, else the owner's estimate.
-    pub fn length_ms(&self) -> u64 {
-        if self.runs > 0 { self.run_ms / u64::from(self.runs) } else { self.info.guess_ms.max(1000) }
+    pub fn expected_run_ms(&self) -> u64 {
+        if self.finished_runs > 0 {
+            self.total_run_ms / u64::from(self.finished_runs)
+        } else {
+            self.spec.estimated_run_ms.max(1000)
+        }
     }
 
     /// Tasks that are neither done nor out. Of a job on trial only one is waited for.
-    pub fn waiting(&self) -> u64 {
-        let waiting = u64::from(self.left()).saturating_sub(self.out.len() as u64);
-        if self.trial.is_some() { waiting.min(1) } else { waiting }
+    pub fn waiting_tasks(&self) -> u64 {
+        let waiting = u64::from(self.unfinished_tasks()).saturating_sub(self.placements.len() as u64);
+        if self.probation.is_some() { waiting.min(1) } else { waiting }
     }
 
     /// Some of its tasks are neither done nor out, and it is not on trial.
-    pub fn waits(&self) -> bool {
-        self.trial.is_none() && self.waiting() > 0
+    pub fn has_waiting_tasks(&self) -> bool {
+        self.probation.is_none() && self.waiting_tasks() > 0
     }
 
-    pub fn left(&self) -> u32 {
-        self.info.tasks - self.done.count()
+    pub fn unfinished_tasks(&self) -> u32 {
+        self.spec.tasks - self.finished.count()
     }
 }
 
 /// A machine type as used here.
 #[derive(Debug, Clone)]
-pub struct Kind {
+pub struct MachineType {
     pub name: String,
-    pub size: Amount,
-    pub cache_mb: u64,
+    pub capacity: Resources,
+    pub image_cache_mb: u64,
     pub fetch_mb_per_s: f64,
     pub price: f64,
     pub spot_price: Option<f64>,
@@ -110,200 +114,200 @@
 
 #[derive(Debug, Default)]
 pub struct Counters {
-    pub to_shared: u64,
-    pub to_dedicated: u64,
+    pub queued_shared: u64,
+    pub queued_dedicated: u64,
     pub steals: u64,
-    pub stolen: u64,
-    pub spilled: u64,
-    pub preempted: u64,
-    pub lost_machines: u64,
+    pub stolen_tasks: u64,
+    pub spilled_tasks: u64,
+    pub preempted_tasks: u64,
+    pub machines_lost: u64,
     /// Tasks bound to machines, and machines looked at to fill them or to steal from.
-    pub bound: u64,
-    pub looked_at: u64,
+    pub tasks_bound: u64,
+    pub machines_examined: u64,
     /// Searches for a place for a gang, over all machines that fit it.
-    pub searches: u64,
+    pub gang_searches: u64,
     /// Changes asked of the state service.
-    pub changes: u64,
+    pub kv_mutations: u64,
     /// Machines greeted, and most of them by one step.
-    pub greeted: u64,
-    pub greeted_at_once: u64,
+    pub leadership_announcements: u64,
+    pub max_announcements_per_step: u64,
 }
 
 #[derive(Debug)]
 pub struct Leader {
-    pub token: Token,
-    pub acquired: Millis,
+    pub token: FencingToken,
+    pub acquired_at: Millis,
     /// Until then a deposed leader may have kept workers alive.
-    inherited_until: Millis,
-    attempts: u64,
+    recovery_until: Millis,
+    attempt_counter: u64,
     pub machines: Vec<Machine>,
-    pub by_name: HashMap<String, MachineIx>,
-    pub work: BTreeMap<JobIx, Work>,
-    pub usage: HashMap<TeamIx, Amount>,
+    pub machines_by_name: HashMap<String, MachineIx>,
+    pub jobs: BTreeMap<JobIx, JobState>,
+    pub usage: HashMap<TeamIx, Resources>,
     /// What of it has been told to stop, when gangs were last placed.
-    stopping: HashMap<TeamIx, Amount>,
-    teams: HashMap<TeamIx, Team>,
-    standings: Standings,
+    stopping_usage: HashMap<TeamIx, Resources>,
+    team_settings: HashMap<TeamIx, TeamSettings>,
+    priority_inputs: PriorityInputsTable,
     /// CPU milliseconds (in thousandths of CPUs) started for each party lately.
-    served: Served<Party>,
-    pub kinds: BTreeMap<KindIx, Kind>,
+    recently_served: ServiceWindow<TeamClass>,
+    pub machine_types: BTreeMap<MachineTypeIx, MachineType>,
     /// Within what time a class's jobs should be done, by the settings' objectives.
-    pub aims: HashMap<ClassIx, Vec<u64>>,
+    pub completion_slos: HashMap<ClassIx, Vec<u64>>,
     /// Classes whose jobs somebody waits for, by any of the settings' objectives.
-    aimed: BTreeSet<ClassIx>,
+    slo_classes: BTreeSet<ClassIx>,
     /// What idle-time work uses, and may use, in thousandths of CPUs.
-    idle_time_cpu: u64,
+    best_effort_cpu: u64,
     headroom: Headroom,
     /// For whom room was made when that was last looked at.
-    claimed: Option<Claimed>,
+    preemption_state: Option<PreemptorPriority>,
     /// Ready tasks that no present machine may take.
     pub backlog: Queue,
     /// Tasks that wait before they are tried again.
-    delayed: BTreeMap<Millis, Vec<(JobIx, u32)>>,
+    retry_queue: BTreeMap<Millis, Vec<(JobIx, u32)>>,
     /// Machines held for gangs.
-    pub held: BTreeSet<MachineIx>,
+    pub held_machines: BTreeSet<MachineIx>,
     /// Machines kept from queued tasks because gangs wait for their type.
-    kept: BTreeSet<MachineIx>,
+    reserved_machines: BTreeSet<MachineIx>,
     /// Gangs and services with tasks to place.
-    pub gangs: BTreeSet<Rank>,
-    pub writer: Writer,
-    pub history: History,
-    pub fleet: Fleet,
+    pub waiting_gangs: BTreeSet<Rank>,
+    pub writer: StoreWriter,
+    pub assignment_log: AssignmentLog,
+    pub provisioner: Provisioner,
     /// What nodes of graphs need besides.
-    pub flows: flows::Flows,
+    pub dag_runs: dag_runs::DagRuns,
     pub counters: Counters,
     /// What operators may ask about.
-    pub journal: Journal,
+    pub event_log: EventLog,
     pub settings: Arc<Settings>,
     pub tunables: Arc<Tunables>,
-    most_tasks: usize,
+    max_tasks_per_record: usize,
     rng: SmallRng,
     /// Tasks of each job that may be somewhere.
-    pub bound: HashMap<JobId, u32>,
+    pub placed_task_counts: HashMap<JobId, u32>,
     /// Which machines placement has to look at.
-    pub roster: Roster,
+    pub placement_index: PlacementIndex,
     /// Machines that should have an image.
-    holders: HashMap<ImageIx, BTreeSet<MachineIx>>,
-    status_next: Millis,
+    image_holders: HashMap<ImageIx, BTreeSet<MachineIx>>,
+    next_status_at: Millis,
     /// Gangs that need not be searched for again yet.
-    searched: Searched,
+    gang_search_cache: GangSearchCache,
     /// Waiting gangs are not tried before.
-    gangs_next: Millis,
+    gang_search_not_before: Millis,
     /// How far the node is behind its events.
-    pub pressure: Level,
+    pub pressure: PressureLevel,
     /// Machines that should hear from us without waiting for their report.
-    pub to_tell: BTreeSet<MachineIx>,
+    pub pending_announcements: BTreeSet<MachineIx>,
 }
 
 /// A job that nobody waits for comes after those with an aim of a few minutes.
-const NO_AIM_MS: u64 = 600_000;
+const DEFAULT_SLO_MS: u64 = 600_000;
 /// The size of a job puts it behind jobs that came so much later at most.
-const MOST_SIZE_MS: u64 = 120_000;
+const MAX_SIZE_PENALTY_MS: u64 = 120_000;
 /// Room for attempts within one leadership; the token in front keeps them rising over all.
-const ATTEMPTS_BITS: u32 = 24;
+const ATTEMPT_BITS: u32 = 24;
 
 impl Leader {
     /// Rebuilds everything from the records; the mirror holds all of them up to the token.
     pub fn new(
-        token: Token,
-        hold_ms: u64,
+        token: FencingToken,
+        previous_lease_ms: u64,
         seed: u64,
-        mirror: &mut Mirror,
+        cache: &mut StoreCache,
         settings: &Arc<Settings>,
         tunables: &Arc<Tunables>,
         clock: Clock,
     ) -> Leader {
-        let grace = hold_ms + settings.workers.lease_ms;
-        let slack = super::leadership::slack_ms(grace);
+        let grace = previous_lease_ms + settings.worker_timings.lease_duration_ms;
+        let slack = super::leadership::clock_slack_ms(grace);
         let mut leader = Leader {
             token,
-            acquired: clock.now,
-            inherited_until: clock.now.plus(grace + slack),
-            attempts: 0,
+            acquired_at: clock.now,
+            recovery_until: clock.now.saturating_add(grace + slack),
+            attempt_counter: 0,
             machines: Vec::new(),
-            by_name: HashMap::new(),
-            work: BTreeMap::new(),
+            machines_by_name: HashMap::new(),
+            jobs: BTreeMap::new(),
             usage: HashMap::new(),
-            stopping: HashMap::new(),
-            teams: HashMap::new(),
-            standings: Standings::default(),
-            served: Served::new(overload::WINDOW_MS, clock.now.0),
-            kinds: BTreeMap::new(),
-            aims: HashMap::new(),
-            aimed: BTreeSet::new(),
-            idle_time_cpu: 0,
-            headroom: idle_time::headroom(),
-            claimed: None,
+            stopping_usage: HashMap::new(),
+            team_settings: HashMap::new(),
+            priority_inputs: PriorityInputsTable::default(),
+            recently_served: ServiceWindow::new(overload::SERVICE_WINDOW_MS, clock.now.0),
+            machine_types: BTreeMap::new(),
+            completion_slos: HashMap::new(),
+            slo_classes: BTreeSet::new(),
+            best_effort_cpu: 0,
+            headroom: best_effort::new_headroom(),
+            preemption_state: None,
             backlog: Queue::default(),
-            delayed: BTreeMap::new(),
-            held: BTreeSet::new(),
-            kept: BTreeSet::new(),
-            gangs: BTreeSet::new(),
-            writer: Writer::default(),
-            history: History::default(),
-            fleet: Fleet::new(settings.cloud_rps, token, clock.now),
-            flows: flows::Flows::default(),
+            retry_queue: BTreeMap::new(),
+            held_machines: BTreeSet::new(),
+            reserved_machines: BTreeSet::new(),
+            waiting_gangs: BTreeSet::new(),
+            writer: StoreWriter::default(),
+            assignment_log: AssignmentLog::default(),
+            provisioner: Provisioner::new(settings.cloud_rps, token, clock.now),
+            dag_runs: dag_runs::DagRuns::default(),
             counters: Counters::default(),
-            journal: Journal::new(tunables.operators.events(), clock.wall_ms),
+            event_log: EventLog::new(tunables.operators.event_capacity(), clock.wall_ms),
             settings: settings.clone(),
             tunables: tunables.clone(),
-            most_tasks: most_tasks(settings.state_limits.value_kb),
+            max_tasks_per_record: max_tasks_per_machine(settings.kv_limits.max_value_kb),
             rng: SmallRng::seed_from_u64(seed),
-            bound: HashMap::new(),
-            roster: Roster::default(),
-            holders: HashMap::new(),
-            status_next: Millis::default(),
-            searched: Searched::default(),
-            gangs_next: Millis::default(),
-            pressure: Level::Calm,
-            to_tell: BTreeSet::new(),
+            placed_task_counts: HashMap::new(),
+            placement_index: PlacementIndex::default(),
+            image_holders: HashMap::new(),
+            next_status_at: Millis::default(),
+            gang_search_cache: GangSearchCache::default(),
+            gang_search_not_before: Millis::default(),
+            pressure: PressureLevel::Calm,
+            pending_announcements: BTreeSet::new(),
         };
-        leader.learn_config(mirror);
+        leader.apply_config(cache);
         for objective in &settings.objectives {
-            if let Some(class) = &objective.jobclass {
-                leader.aimed.insert(mirror.names.classes.intern(class));
+            if let Some(class) = &objective.job_class {
+                leader.slo_classes.insert(cache.names.classes.intern(class));
             }
             if let ("finished", Some(class), Some(within)) =
-                (objective.kind.as_str(), &objective.jobclass, objective.within_s)
+                (objective.kind.as_str(), &objective.job_class, objective.target_s)
             {
-                let class = mirror.names.classes.intern(class);
-                let aims = leader.aims.entry(class).or_default();
+                let class = cache.names.classes.intern(class);
+                let aims = leader.completion_slos.entry(class).or_default();
                 aims.push((within * 1000.0) as u64);
                 aims.sort_unstable();
             }
         }
-        leader.learn_kinds(mirror);
-        leader.learn_pools(mirror);
-        leader.inherit_machines(mirror, clock);
-        leader.fleet.inherit_bookings(mirror);
-        leader.inherit_jobs(mirror, clock);
-        leader.journal.inherited();
+        leader.load_machine_types(cache);
+        leader.load_pools(cache);
+        leader.recover_machines(cache, clock);
+        leader.provisioner.recover_requests(cache);
+        leader.recover_jobs(cache, clock);
+        leader.event_log.finish_recovery();
         leader
     }
 
     pub fn next_attempt(&mut self) -> Attempt {
-        self.attempts += 1;
-        Attempt((self.token.0 << ATTEMPTS_BITS) + self.attempts)
+        self.attempt_counter += 1;
+        Attempt((self.token.0 << ATTEMPT_BITS) + self.attempt_counter)
     }
 
-    pub fn learn_kinds(&mut self, mirror: &mut Mirror) {
-        for entry in mirror.kinds.values() {
-            let ix = mirror.names.kinds.intern(&entry.name);
-            let zones = entry.zones.iter().map(|zone| mirror.names.zones.intern(zone)).collect();
+    pub fn load_machine_types(&mut self, cache: &mut StoreCache) {
+        for entry in cache.machine_types.values() {
+            let ix = cache.names.machine_types.intern(&entry.name);
+            let zones = entry.zones.iter().map(|zone| cache.names.zones.intern(zone)).collect();
             let published = entry.fetch_gb_per_s * 1000.0;
             let first = if published > 0.0 { published } else { self.tunables.fetch_gb_per_s * 1000.0 };
             // What was observed outlives a new look at the catalog.
-            let rate = self.kinds.get(&ix).map_or(first, |kind| kind.fetch_mb_per_s);
-            self.kinds.insert(
+            let rate = self.machine_types.get(&ix).map_or(first, |kind| kind.fetch_mb_per_s);
+            self.machine_types.insert(
                 ix,
-                Kind {
+                MachineType {
                     name: entry.name.clone(),
-                    size: Amount {
-                        cpu: milli_down(entry.cpus),
-                        gpu: milli_down(entry.gpus),
-                        mem: milli_down(entry.memory_gb),
+                    capacity: Resources {
+                        cpu: to_milli_floor(entry.cpus),
+                        gpu: to_milli_floor(entry.gpus),
+                        mem: to_milli_floor(entry.memory_gb),
                     },
-                    cache_mb: milli_down(entry.cache_gb),
+                    image_cache_mb: to_milli_floor(entry.image_cache_gb),
                     fetch_mb_per_s: rate,
                     price: entry.price,
                     spot_price: entry.spot_price,
@@ -313,183 +317,194 @@
             );
         }
         for machine in &mut self.machines {
-            if let Some(kind) = self.kinds.get(&machine.kind) {
-                machine.size = kind.size;
+            if let Some(kind) = self.machine_types.get(&machine.machine_type) {
+                machine.capacity = kind.capacity;
             }
         }
-        self.roster.backlog_due = true;
+        self.placement_index.recheck_backlog = true;
     }
 
     /// A job that the mirror holds. Its ready tasks are queued by `queue_all`.
-    pub fn add_job(&mut self, ix: JobIx, mirror: &Mirror, _clock: Clock) {
-        let Some(job) = mirror.job(ix) else { return };
-        if job.end.is_some() {
-            self.writer.clean(job.info.id);
+    pub fn track_job(&mut self, ix: JobIx, cache: &StoreCache, _clock: Clock) {
+        let Some(job) = cache.job(ix) else { return };
+        if job.terminal.is_some() {
+            self.writer.queue_cleanup(job.spec.id);
             return;
         }
-        let info = &job.info;
+        let info = &job.spec;
         log::debug!(
             "job {}: {:?} of {} tasks, {} mCPU, {} MB image, {} ms, team {}, class {}",
             info.id,
-            info.shape,
+            info.kind,
             info.tasks,
-            info.need.cpu,
+            info.task_resources.cpu,
             info.image_mb,
-            info.guess_ms,
+            info.estimated_run_ms,
             info.team.0,
             info.class.0
         );
-        let due = job.info.due_wall_ms.map(|due| due.saturating_sub(job.info.accepted_wall_ms));
-        let aim = self.aims.get(&job.info.class).and_then(|aims| aims.first().copied());
-        let aim = due.into_iter().chain(aim).min().unwrap_or(NO_AIM_MS);
-        let size = self.size_ms(&job.info);
-        if !self.work.contains_key(&ix) {
-            self.journal.add(info.id);
+        let due = job.spec.slo_wall_ms.map(|due| due.saturating_sub(job.spec.accepted_wall_ms));
+        let aim = self.completion_slos.get(&job.spec.class).and_then(|aims| aims.first().copied());
+        let aim = due.into_iter().chain(aim).min().unwrap_or(DEFAULT_SLO_MS);
+        let size = self.size_penalty_ms(&job.spec);
+        if !self.jobs.contains_key(&ix) {
+            self.event_log.record_new_job(info.id);
         }
-        self.work.entry(ix).or_insert_with(|| Work {
-            info: job.info.clone(),
-            rank: Rank::new(ix, &job.info, aim, size),
-            done: job.finished.clone(),
-            out: HashMap::new(),
-            zones: HashMap::new(),
-            runs: 0,
-            run_ms: 0,
+        self.jobs.entry(ix).or_insert_with(|| JobState {
+            spec: job.spec.clone(),
+            queue_order: Rank::new(ix, &job.spec, aim, size),
+            finished: job.finished_tasks.clone(),
+            placements: HashMap::new(),
+            tasks_per_zone: HashMap::new(),
+            finished_runs: 0,
+            total_run_ms: 0,
             failed_on: HashSet::new(),
-            forgiven: 0,
-            forgive_next: Millis::default(),
-            trial: None,
-            ending: false,
-            first_run: self.journal.first_run(),
-            node: None,
+            retried_exclusions: 0,
+            retry_exclusion_not_before: Millis::default(),
+            probation: None,
+            finishing: false,
+            first_run: self.event_log.initial_first_run(),
+            dag_node: None,
         });
-        self.node_work(ix, mirror);
+        self.init_node_state(ix, cache);
     }
 
     /// How long a quarter of the machines there would be busy with the whole job.
-    fn size_ms(&self, info: &JobInfo) -> u64 {
-        let open = self.roster.open().iter().map(|ix| self.machines[ix.at()].size.cpu).sum::<u64>();
-        let work = info.need.cpu.saturating_mul(u64::from(info.tasks)).saturating_mul(info.guess_ms);
-        (work / (open / 4).max(1)).min(MOST_SIZE_MS)
+    fn size_penalty_ms(&self, info: &JobSpec) -> u64 {
+        let open =
+            self.placement_index.open().iter().map(|ix| self.machines[ix.index()].capacity.cpu).sum::<u64>();
+        let work = info
+            .task_resources
+            .cpu
+            .saturating_mul(u64::from(info.tasks))
+            .saturating_mul(info.estimated_run_ms);
+        (work / (open / 4).max(1)).min(MAX_SIZE_PENALTY_MS)
     }
 
     /// Queues every task of new jobs that is neither finished nor out.
-    pub fn queue_all(&mut self, jobs: impl IntoIterator<Item = JobIx>) {
-        jobs.into_iter().for_each(|ix| self.queue_tasks(ix));
-        self.mark_guaranteed();
+    pub fn enqueue_jobs(&mut self, jobs: impl IntoIterator<Item = JobIx>) {
+        jobs.into_iter().for_each(|ix| self.enqueue_waiting_tasks(ix));
+        self.update_guaranteed_jobs();
     }
 
     /// A job that has ended and of which nothing is anywhere.
-    pub fn forget_work(&mut self, id: JobId, ix: Option<JobIx>) {
-        if !self.bound.contains_key(&id)
+    pub fn remove_finished_job(&mut self, id: JobId, ix: Option<JobIx>) {
+        if !self.placed_task_counts.contains_key(&id)
             && let Some(ix) = ix
         {
-            self.work.remove(&ix);
+            self.jobs.remove(&ix);
         }
     }
 
-    fn queue_tasks(&mut self, ix: JobIx) {
-        let Some(work) = self.work.get(&ix) else {
+    fn enqueue_waiting_tasks(&mut self, ix: JobIx) {
+        let Some(work) = self.jobs.get(&ix) else {
             return;
         };
-        if work.done.full() {
-            self.end_job(ix);
+        if work.finished.is_full() {
+            self.finish_job(ix);
             return;
         }
-        if work.ending {
+        if work.finishing {
             return;
         }
-        if work.info.together() {
-            self.gangs.insert(work.rank);
-            self.gangs_next = Millis::default();
+        if work.spec.is_all_or_nothing() {
+            self.waiting_gangs.insert(work.queue_order);
+            self.gang_search_not_before = Millis::default();
         } else {
-            let tasks: Vec<u32> = work.done.missing().filter(|task| !work.out.contains_key(task)).collect();
+            let tasks: Vec<u32> =
+                work.finished.iter_missing().filter(|task| !work.placements.contains_key(task)).collect();
             self.enqueue(ix, &tasks);
         }
     }
 
-    pub fn end_job(&mut self, ix: JobIx) {
-        let Some(work) = self.work.get(&ix).filter(|work| !work.ending) else { return };
-        let (id, node) = (work.info.id, self.success_of(work));
+    pub fn finish_job(&mut self, ix: JobIx) {
+        let Some(work) = self.jobs.get(&ix).filter(|work| !work.finishing) else { return };
+        let (id, node) = (work.spec.id, self.success_record(work));
         match node {
-            Some(node) => self.writer.end_node(id, node),
-            None => self.writer.end(id),
+            Some(node) => self.writer.queue_node_terminal(id, node),
+            None => self.writer.queue_job_success(id),
         }
-        if let Some(work) = self.work.get_mut(&ix) {
-            work.ending = true;
+        if let Some(work) = self.jobs.get_mut(&ix) {
+            work.finishing = true;
         }
     }
 
-    pub fn add_machine(
+    pub fn register_machine(
         &mut self,
         name: &str,
         endpoint: &str,
-        kind: KindIx,
+        kind: MachineTypeIx,
         zone: ZoneIx,
         spot: bool,
         clock: Clock,
     ) -> MachineIx {
-        if let Some(ix) = self.by_name.get(name) {
+        if let Some(ix) = self.machines_by_name.get(name) {
             return *ix;
         }
         let ix = MachineIx(self.machines.len() as u32);
-        self.by_name.insert(name.into(), ix);
+        self.machines_by_name.insert(name.into(), ix);
         self.machines.push(Machine {
             name: name.into(),
             endpoint: endpoint.into(),
-            kind,
+            machine_type: kind,
             zone,
             spot,
-            life: Life::Booting,
-            running: false,
-            since: clock.now,
-            session: Session(0),
-            session_seen: None,
-            tick: 0,
-            reported: (Session(0), 0),
-            confirmed: false,
-            shown: None,
-            answered: None,
-            unheard_since: None,
-            unheard_runs: 0,
-            notice_until: None,
+            state: MachineState::Booting,
+            cloud_running: false,
+            created_at: clock.now,
+            epoch: AgentEpoch(0),
+            epoch_first_seen: None,
+            sequence: 0,
+            last_heartbeat_id: (AgentEpoch(0), 0),
+            token_acknowledged: false,
+            token_first_acknowledged: None,
+            last_answered_heartbeat_at: None,
+            unacknowledged_since: None,
+            unacknowledged_starts: 0,
+            reclaim_notice_until: None,
             returning: false,
-            return_part: None,
+            return_log_segment: None,
             bindings: Vec::new(),
-            used: Amount::default(),
-            size: self.kinds.get(&kind).map(|kind| kind.size).unwrap_or_default(),
-            shared: Queue::default(),
-            dedicated: Queue::default(),
-            steal_wait_ms: self.tunables.steal_wait_ms,
-            next_steal: Millis::default(),
-            held_for: None,
+            used: Resources::default(),
+            capacity: self.machine_types.get(&kind).map(|kind| kind.capacity).unwrap_or_default(),
+            shared_queue: Queue::default(),
+            dedicated_queue: Queue::default(),
+            steal_backoff_ms: self.tunables.steal_backoff_ms,
+            steal_not_before: Millis::default(),
+            hold: None,
             images: Vec::new(),
-            direct_open: false,
-            direct_after: Millis::default(),
-            late: HashSet::new(),
+            direct_send_in_flight: false,
+            direct_send_not_before: Millis::default(),
+            late_starts: HashSet::new(),
             idle_since: clock.now,
-            errors: BTreeSet::new(),
-            sick: false,
-            pace: (0, 0.0),
+            failed_jobs: BTreeSet::new(),
+            quarantined: false,
+            run_time_ratio: (0, 0.0),
             slow: false,
-            parked: false,
-            kept: false,
-            finishes: Vec::new(),
+            cordoned: false,
+            reserved: false,
+            recent_finishes: Vec::new(),
         });
         ix
     }
 
     /// Something changed that decides whether the machine takes queued tasks.
-    pub fn refresh(&mut self, ix: MachineIx) {
-        let machine = &self.machines[ix.at()];
-        let queued = !machine.parked && !machine.kept;
-        self.roster.set(ix, (machine.kind, machine.zone), machine.open(), queued);
+    pub fn refresh_placement_index(&mut self, ix: MachineIx) {
+        let machine = &self.machines[ix.index()];
+        let queued = !machine.cordoned && !machine.reserved;
+        self.placement_index.update(
+            ix,
+            (machine.machine_type, machine.zone),
+            machine.is_schedulable(),
+            queued,
+        );
     }
 
     /// It stops working, or never started: it is returned.
-    pub fn send_back(&mut self, ix: MachineIx) {
-        self.machines[ix.at()].returning = true;
-        self.refresh(ix);
-        self.spread_queues(ix);
-        self.history.going_back(ix);
+    pub fn return_machine(&mut self, ix: MachineIx) {
+        self.machines[ix.index()].returning = true;
+        self.refresh_placement_index(ix);
+        self.requeue_machine_queues(ix);
+        self.assignment_log.queue_return(ix);
     }
 }
--- a/src/coordination/leader/placement/gangs.rs
+++ b/src/coordination/leader/placement/gangs.rs
@@ -3,20 +3,20 @@
 use std::collections::{BTreeMap, HashSet};
 
 use crate::coordination::Clock;
+use crate::coordination::leader::placement::gang_search::PreemptionCost;
 use crate::coordination::leader::placement::policy::Rank;
-use crate::coordination::leader::placement::scarce::Waits;
-use crate::coordination::leader::placement::search::Loss;
-use crate::coordination::leader::{Binding, Leader, Run, Work};
-use crate::ids::{Amount, JobIx, MachineIx, Millis};
-use crate::protocol::operators::EventWord;
-use crate::protocol::users::Shape;
+use crate::coordination::leader::placement::reserved_machines::GangDemandByType;
+use crate::coordination::leader::{Binding, DispatchState, JobState, Leader};
+use crate::ids::{JobIx, MachineIx, Millis, Resources};
+use crate::protocol::operators::JobEventKind;
+use crate::protocol::users::JobKind;
 
 /// How a machine gets room for a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Way {
+pub enum PlacementMethod {
     Free,
     /// Less urgent or borrowing tasks are stopped.
-    Halt,
+    Preempt,
     /// Its tasks run to their ends, and no other starts.
     Drain,
 }
@@ -26,81 +26,88 @@
 pub struct Hold {
     pub job: JobIx,
     pub until: Millis,
-    pub way: Way,
+    pub method: PlacementMethod,
 }
 
 /// Added to the grace of a halt, so that a save has time to end.
-const GRACE_MS: u64 = 2000;
+const SAVE_GRACE_MS: u64 = 2000;
 
 impl Leader {
     pub fn place_gangs(&mut self, clock: Clock) {
-        self.count_stopping();
+        self.recount_stopping();
         let ranks = self.gang_order();
-        let holders: HashSet<JobIx> = self.held.iter().filter_map(|ix| self.holder(*ix)).collect();
-        let mut waits = Waits::default();
+        let holders: HashSet<JobIx> =
+            self.held_machines.iter().filter_map(|ix| self.holding_job(*ix)).collect();
+        let mut gang_demand = GangDemandByType::default();
         for rank in ranks {
-            let Some(work) = self.work.get(&rank.job) else {
-                self.gangs.remove(&rank);
+            let Some(work) = self.jobs.get(&rank.job) else {
+                self.waiting_gangs.remove(&rank);
                 continue;
             };
-            let tasks = missing(work);
+            let tasks = unplaced_tasks(work);
             if tasks.is_empty() {
-                self.gangs.remove(&rank);
+                self.waiting_gangs.remove(&rank);
                 continue;
             }
             // A gang's old attempt must be gone before the next is placed.
-            let old = work.info.shape == Shape::Gang && !work.out.is_empty();
-            let all = work.info.need.times(tasks.len() as u64);
-            let pool = self.within_pool(work, tasks.len() as u32);
-            if old || !pool || !self.within_quota(work.info.team, &all) {
+            let has_old_attempt = work.spec.kind == JobKind::Gang && !work.placements.is_empty();
+            let total_need = work.spec.task_resources.saturating_mul(tasks.len() as u64);
+            let pool_allows = self.pool_has_room(work, tasks.len() as u32);
+            if has_old_attempt || !pool_allows || !self.within_quota(work.spec.team, &total_need) {
                 continue;
             }
-            let holds = holders.contains(&rank.job);
-            let vain = !holds && self.searched.in_vain(work, tasks.len(), self.room_grown(work), clock.now);
-            if (vain || !self.place_gang(rank, &tasks, holds, clock))
-                && let Some(work) = self.work.get(&rank.job)
+            let is_holding = holders.contains(&rank.job);
+            let known_failure = !is_holding
+                && self.gang_search_cache.is_known_failure(
+                    work,
+                    tasks.len(),
+                    self.room_generation(work),
+                    clock.now,
+                );
+            if (known_failure || !self.place_gang(rank, &tasks, is_holding, clock))
+                && let Some(work) = self.jobs.get(&rank.job)
             {
-                self.waits_for(work, tasks.len(), &mut waits);
+                self.record_gang_demand(work, tasks.len(), &mut gang_demand);
             }
         }
-        self.keep_scarce(&waits);
+        self.reserve_scarce_machines(&gang_demand);
     }
 
-    fn holder(&self, ix: MachineIx) -> Option<JobIx> {
-        self.machines[ix.at()].held_for.map(|hold| hold.job)
+    fn holding_job(&self, ix: MachineIx) -> Option<JobIx> {
+        self.machines[ix.index()].hold.map(|hold| hold.job)
     }
 
     /// False if it can only wait for others' tasks to end.
-    fn place_gang(&mut self, rank: Rank, tasks: &[u32], holds: bool, clock: Clock) -> bool {
+    fn place_gang(&mut self, rank: Rank, tasks: &[u32], is_holding: bool, clock: Clock) -> bool {
         let count = tasks.len();
         // Room that is free may be dearer than room to be made: an image has to be fetched.
-        self.counters.searches += 2;
-        let free = self.slots(rank.job, count, Way::Free, clock);
-        if free.is_none() && self.work.get(&rank.job).is_some_and(Work::at_fault) {
+        self.counters.gang_searches += 2;
+        let free = self.find_gang_placement(rank.job, count, PlacementMethod::Free, clock);
+        if free.is_none() && self.jobs.get(&rank.job).is_some_and(JobState::is_at_fault) {
             // It has failed wherever it was tried: nobody is stopped and no machine held for it.
             return true;
         }
         // Waiting for others' ends is for those that may stop nobody.
-        let halted = self.slots(rank.job, count, Way::Halt, clock);
-        match (free, halted) {
+        let after_preemption = self.find_gang_placement(rank.job, count, PlacementMethod::Preempt, clock);
+        match (free, after_preemption) {
             (Some((now, machines)), halted) if halted.as_ref().is_none_or(|(later, _)| now <= *later) => {
                 self.start_gang(rank, tasks, &machines);
                 return true;
             }
             (_, Some((_, machines))) => {
-                self.make_room(rank, &machines, Way::Halt, clock);
+                self.make_room(rank, &machines, PlacementMethod::Preempt, clock);
                 return true;
             }
             // Who holds machines already waits for their room, not for still others.
-            (_, None) if holds => {}
+            (_, None) if is_holding => {}
             (_, None) => {
-                self.counters.searches += 1;
-                match self.slots(rank.job, count, Way::Drain, clock) {
-                    Some((_, machines)) => self.make_room(rank, &machines, Way::Drain, clock),
+                self.counters.gang_searches += 1;
+                match self.find_gang_placement(rank.job, count, PlacementMethod::Drain, clock) {
+                    Some((_, machines)) => self.make_room(rank, &machines, PlacementMethod::Drain, clock),
                     None => {
-                        let Some(work) = self.work.get(&rank.job) else { return true };
-                        let grown = self.room_grown(work);
-                        self.searched.found_nothing(work, count, grown, clock.now);
+                        let Some(work) = self.jobs.get(&rank.job) else { return true };
+                        let room_generation = self.room_generation(work);
+                        self.gang_search_cache.record_failure(work, count, room_generation, clock.now);
                     }
                 }
             }
@@ -113,164 +120,170 @@
         for (task, ix) in tasks.iter().zip(machines) {
             self.bind(*ix, rank.job, *task, attempt);
         }
-        self.drop_holds(rank.job);
-        self.gangs.remove(&rank);
+        self.release_holds_of(rank.job);
+        self.waiting_gangs.remove(&rank);
     }
 
     /// Holds machines for a gang, and stops tasks on them if that is the way.
-    fn make_room(&mut self, rank: Rank, machines: &[MachineIx], way: Way, clock: Clock) {
+    fn make_room(&mut self, rank: Rank, machines: &[MachineIx], method: PlacementMethod, clock: Clock) {
         // Held already; but stopping tasks after all is better than waiting for their ends.
-        let ours = |ix: &MachineIx| {
-            self.machines[ix.at()].held_for.is_some_and(|hold| hold.job == rank.job && hold.way <= way)
+        let already_held = |ix: &MachineIx| {
+            self.machines[ix.index()].hold.is_some_and(|hold| hold.job == rank.job && hold.method <= method)
         };
-        if self.held.iter().any(ours) {
+        if self.held_machines.iter().any(already_held) {
             return;
         }
-        let Some(work) = self.work.get(&rank.job) else {
+        let Some(work) = self.jobs.get(&rank.job) else {
             return;
         };
-        let need = work.info.need;
-        let until = clock.now.plus((self.tunables.hold_s * 1000.0) as u64);
-        let mut wanted: BTreeMap<MachineIx, u64> = BTreeMap::new();
+        let need = work.spec.task_resources;
+        let until = clock.now.saturating_add((self.tunables.machine_hold_s * 1000.0) as u64);
+        let mut tasks_per_machine: BTreeMap<MachineIx, u64> = BTreeMap::new();
         for ix in machines.iter().copied() {
-            *wanted.entry(ix).or_default() += 1;
+            *tasks_per_machine.entry(ix).or_default() += 1;
         }
-        for (ix, tasks) in wanted {
+        for (ix, tasks) in tasks_per_machine {
             // Held first, so that what is dropped from it does not queue up there again.
-            let before = self.machines[ix.at()].held_for.replace(Hold { job: rank.job, until, way });
-            if way == Way::Halt && !self.halt_for(ix, &need.times(tasks), rank.job, clock) {
-                self.machines[ix.at()].held_for = before;
+            let previous_hold = self.machines[ix.index()].hold.replace(Hold { job: rank.job, until, method });
+            if method == PlacementMethod::Preempt
+                && !self.preempt_for_gang(ix, &need.saturating_mul(tasks), rank.job, clock)
+            {
+                self.machines[ix.index()].hold = previous_hold;
                 continue;
             }
-            self.held.insert(ix);
+            self.held_machines.insert(ix);
         }
     }
 
     /// Stops tasks until there is so much room. False if it cannot be had: nothing is stopped for less.
-    fn halt_for(&mut self, ix: MachineIx, need: &Amount, job: JobIx, clock: Clock) -> bool {
-        let Some(work) = self.work.get(&job) else { return false };
-        let machine = &self.machines[ix.at()];
+    fn preempt_for_gang(&mut self, ix: MachineIx, need: &Resources, job: JobIx, clock: Clock) -> bool {
+        let Some(work) = self.jobs.get(&job) else { return false };
+        let machine = &self.machines[ix.index()];
         let mut room = machine.free();
-        let mut stops = self.stops(work, clock);
-        let mut victims: Vec<(Loss, usize)> = Vec::new();
+        let mut policy = self.preemption_policy(work, clock);
+        let mut victims: Vec<(PreemptionCost, usize)> = Vec::new();
         for (at, binding) in machine.bindings.iter().enumerate() {
-            if binding.halt.is_some() {
+            if binding.stop_grace_ms.is_some() {
                 room.add(&binding.need);
-            } else if let Some(loss) = self.loss(binding, &stops, clock) {
+            } else if let Some(loss) = self.preemption_cost(binding, &policy, clock) {
                 victims.push((loss, at));
             }
         }
-        victims.sort_by_key(|(loss, at)| (loss.lost, loss.save_ms, *at));
+        victims.sort_by_key(|(loss, at)| (loss.lost_work, loss.save_ms, *at));
         let mut stopped = Vec::new();
         for (loss, at) in victims {
-            if need.fits(&room) {
+            if need.fits_in(&room) {
                 break;
             }
-            if stops.claim(&loss) {
+            if policy.reclaim(&loss) {
                 room.add(&machine.bindings[at].need);
                 stopped.push(at);
             }
         }
-        if !need.fits(&room) {
+        if !need.fits_in(&room) {
             return false;
         }
         for at in stopped {
-            self.halt(ix, at, EventWord::HaltedForUrgent);
-            self.counters.preempted += 1;
+            self.stop_task(ix, at, JobEventKind::StoppedForPreemption);
+            self.counters.preempted_tasks += 1;
         }
-        self.drop_unsent(ix, clock);
+        self.drop_unsent_bindings(ix, clock);
         true
     }
 
     /// Stops one task; one that saves gets the time for it. A gang stops as a whole.
-    pub fn halt(&mut self, ix: MachineIx, at: usize, why: EventWord) {
-        let Some(job) = self.machines[ix.at()].bindings[at].job else {
+    pub fn stop_task(&mut self, ix: MachineIx, at: usize, reason: JobEventKind) {
+        let Some(job) = self.machines[ix.index()].bindings[at].job else {
             return;
         };
-        let Some(work) = self.work.get(&job) else {
+        let Some(work) = self.jobs.get(&job) else {
             return;
         };
-        let grace = if work.info.checkpoint_ms > 0 { work.info.save_ms + GRACE_MS } else { 0 };
-        let task = self.machines[ix.at()].bindings[at].task;
-        self.journal.note(task.job, why, Some(ix), task.task, 1);
-        let (need, team) = (work.info.need, work.info.team);
-        if work.info.shape != Shape::Gang {
-            self.machines[ix.at()].bindings[at].halt.get_or_insert(grace);
-            self.stopping.entry(team).or_default().add(&need);
-            self.to_tell.insert(ix);
-            self.roster.grew(ix);
+        let grace = if work.spec.checkpoint_interval_ms > 0 {
+            work.spec.checkpoint_save_ms + SAVE_GRACE_MS
+        } else {
+            0
+        };
+        let task = self.machines[ix.index()].bindings[at].task;
+        self.event_log.record(task.job, reason, Some(ix), task.task, 1);
+        let (need, team) = (work.spec.task_resources, work.spec.team);
+        if work.spec.kind != JobKind::Gang {
+            self.machines[ix.index()].bindings[at].stop_grace_ms.get_or_insert(grace);
+            self.stopping_usage.entry(team).or_default().add(&need);
+            self.pending_announcements.insert(ix);
+            self.placement_index.record_capacity_growth(ix);
             return;
         }
-        let places: Vec<MachineIx> = work.out.values().flatten().map(|(ix, _)| *ix).collect();
-        for ix in places {
-            for binding in &mut self.machines[ix.at()].bindings {
-                if binding.job == Some(job) && binding.halt.is_none() {
-                    binding.halt = Some(grace);
-                    self.stopping.entry(team).or_default().add(&need);
+        let machines: Vec<MachineIx> = work.placements.values().flatten().map(|(ix, _)| *ix).collect();
+        for ix in machines {
+            for binding in &mut self.machines[ix.index()].bindings {
+                if binding.job == Some(job) && binding.stop_grace_ms.is_none() {
+                    binding.stop_grace_ms = Some(grace);
+                    self.stopping_usage.entry(team).or_default().add(&need);
                 }
             }
-            self.to_tell.insert(ix);
-            self.roster.grew(ix);
+            self.pending_announcements.insert(ix);
+            self.placement_index.record_capacity_growth(ix);
         }
     }
 
     /// A member left a gang that is not done: the others are of no use any more.
-    pub fn gang_member_left(&mut self, gone: &Binding) {
-        let Some(job) = gone.job else { return };
-        let Some(work) = self.work.get(&job) else {
+    pub fn on_gang_member_lost(&mut self, lost: &Binding) {
+        let Some(job) = lost.job else { return };
+        let Some(work) = self.jobs.get(&job) else {
             return;
         };
-        if work.info.shape != Shape::Gang || work.done.full() {
+        if work.spec.kind != JobKind::Gang || work.finished.is_full() {
             return;
         }
-        let places: Vec<MachineIx> = work.out.values().flatten().map(|(ix, _)| *ix).collect();
-        for ix in places {
-            for binding in &mut self.machines[ix.at()].bindings {
-                if binding.job == Some(job) && binding.halt.is_none() {
-                    binding.halt = Some(0);
+        let machines: Vec<MachineIx> = work.placements.values().flatten().map(|(ix, _)| *ix).collect();
+        for ix in machines {
+            for binding in &mut self.machines[ix.index()].bindings {
+                if binding.job == Some(job) && binding.stop_grace_ms.is_none() {
+                    binding.stop_grace_ms = Some(0);
                 }
             }
-            self.to_tell.insert(ix);
+            self.pending_announcements.insert(ix);
         }
     }
 
-    pub fn release_holds(&mut self, clock: Clock) {
-        self.release_where(|hold| hold.until <= clock.now);
+    pub fn release_expired_holds(&mut self, clock: Clock) {
+        self.release_holds_where(|hold| hold.until <= clock.now);
     }
 
-    pub fn drop_holds(&mut self, job: JobIx) {
-        self.release_where(|hold| hold.job == job);
+    pub fn release_holds_of(&mut self, job: JobIx) {
+        self.release_holds_where(|hold| hold.job == job);
     }
 
-    fn release_where(&mut self, over: impl Fn(Hold) -> bool) {
-        let held: Vec<MachineIx> = self.held.iter().copied().collect();
+    fn release_holds_where(&mut self, is_over: impl Fn(Hold) -> bool) {
+        let held: Vec<MachineIx> = self.held_machines.iter().copied().collect();
         for ix in held {
-            let machine = &mut self.machines[ix.at()];
-            if machine.held_for.is_none_or(&over) {
-                machine.held_for = None;
-                self.held.remove(&ix);
-                self.roster.room(ix);
+            let machine = &mut self.machines[ix.index()];
+            if machine.hold.is_none_or(&is_over) {
+                machine.hold = None;
+                self.held_machines.remove(&ix);
+                self.placement_index.mark_to_fill(ix);
             }
         }
     }
 
     /// The machine is taken back soon: what can be saved is saved.
-    pub fn on_notice(&mut self, ix: MachineIx, notice_ms: u64) {
-        for at in 0..self.machines[ix.at()].bindings.len() {
-            let binding = &self.machines[ix.at()].bindings[at];
-            let saves = binding
-                .job
-                .and_then(|job| self.work.get(&job))
-                .is_some_and(|work| work.info.checkpoint_ms > 0 && work.info.save_ms + GRACE_MS <= notice_ms);
-            let unsent = matches!(binding.run, Run::Planned | Run::Recorded);
-            if saves || unsent {
-                self.halt(ix, at, EventWord::HaltedForDrain);
+    pub fn on_interruption_notice(&mut self, ix: MachineIx, notice_ms: u64) {
+        for at in 0..self.machines[ix.index()].bindings.len() {
+            let binding = &self.machines[ix.index()].bindings[at];
+            let can_save = binding.job.and_then(|job| self.jobs.get(&job)).is_some_and(|work| {
+                work.spec.checkpoint_interval_ms > 0
+                    && work.spec.checkpoint_save_ms + SAVE_GRACE_MS <= notice_ms
+            });
+            let unsent = matches!(binding.dispatch, DispatchState::Planned | DispatchState::Recorded);
+            if can_save || unsent {
+                self.stop_task(ix, at, JobEventKind::StoppedForDrain);
             }
         }
-        self.spread_queues(ix);
+        self.requeue_machine_queues(ix);
     }
 }
 
-pub fn missing(work: &Work) -> Vec<u32> {
-    work.done.missing().filter(|task| !work.out.contains_key(task)).collect()
+pub fn unplaced_tasks(work: &JobState) -> Vec<u32> {
+    work.finished.iter_missing().filter(|task| !work.placements.contains_key(task)).collect()
 }
--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -1,12 +1,12 @@
 //! Which task goes where: queues, the ordinary path, gangs, teams.
 
-pub mod claims;
+pub mod best_effort;
 pub mod dispatch;
+pub mod gang_search;
 pub mod gangs;
-pub mod idle_time;
 pub mod overload;
 pub mod policy;
+pub mod preemption;
 pub mod queues;
-pub mod scarce;
-pub mod search;
-pub mod teams;
+pub mod reserved_machines;
+pub mod team_quota;
--- a/src/coordination/leader/placement/policy.rs
+++ b/src/coordination/leader/placement/policy.rs
@@ -19,19 +19,19 @@
 
 use std::cmp::Reverse;
 
-use crate::bookkeeping::jobs::JobInfo;
+use crate::bookkeeping::jobs::JobSpec;
 use crate::ids::{JobIx, Revision};
-use crate::protocol::users::Urgency;
+use crate::protocol::users::PriorityClass;
 
 /// Jobs whose start is due within the same so many milliseconds go by image size.
-const START_GRAIN_MS: u64 = 10_000;
+const START_BUCKET_MS: u64 = 10_000;
 /// What a node holds up puts it before jobs that came so much earlier at most.
-pub const MOST_AHEAD_MS: u64 = 120_000;
+pub const MAX_CRITICAL_PATH_MS: u64 = 120_000;
 
 /// Steps 4 and 5. It never changes, so that a task is found where it was put.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    urgency: Urgency,
+    urgency: PriorityClass,
     start_by: u64,
     image_mb: Reverse<u64>,
     seq: Revision,
@@ -42,91 +42,94 @@
     /// `aim_ms`: within what time of its acceptance the job should be done.
     /// `size_ms`: how long the whole job keeps a good part of the fleet busy; with more
     /// work than machines, many small jobs in time are worth more than one large one.
-    pub fn new(job: JobIx, info: &JobInfo, aim_ms: u64, size_ms: u64) -> Rank {
-        let holds_up = info.node.as_ref().map_or(0, |node| node.ahead_ms).min(MOST_AHEAD_MS);
-        let start_by = (info.accepted_wall_ms + aim_ms + size_ms).saturating_sub(info.guess_ms + holds_up);
+    pub fn new(job: JobIx, info: &JobSpec, objective_ms: u64, size_ms: u64) -> Rank {
+        let critical_path_ms =
+            info.node.as_ref().map_or(0, |node| node.downstream_path_ms).min(MAX_CRITICAL_PATH_MS);
+        let start_by = (info.accepted_wall_ms + objective_ms + size_ms)
+            .saturating_sub(info.estimated_run_ms + critical_path_ms);
         Rank {
             urgency: info.urgency,
-            start_by: start_by / START_GRAIN_MS,
+            start_by: start_by / START_BUCKET_MS,
             image_mb: Reverse(info.image_mb),
-            seq: info.seq,
+            seq: info.accepted_revision,
             job,
         }
     }
 
-    pub fn urgency(&self) -> Urgency {
+    pub fn urgency(&self) -> PriorityClass {
         self.urgency
     }
 }
 
 /// What is known of a job beyond its rank, and changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Standing {
+pub struct PriorityInputs {
     /// It fits into its team's guarantee together with the team's earlier jobs.
     pub guaranteed: bool,
     /// Every aim has passed: the work left in CPU milliseconds (thousandths of CPUs).
-    pub hopeless: Option<u64>,
+    pub past_slo_work: Option<u64>,
     /// Its party is below its floor.
-    pub behind: bool,
+    pub below_minimum_share: bool,
 }
 
 /// Whether there are any such jobs at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Present {
+pub struct PresentInputs {
     pub guaranteed: bool,
-    pub late: bool,
-    pub behind: bool,
+    pub past_slo: bool,
+    pub below_minimum_share: bool,
 }
 
 /// The standing of each job, by its dense index: asked for with every job that a sample of queues shows.
 #[derive(Debug, Default)]
-pub struct Standings {
-    jobs: Vec<Standing>,
-    pub present: Present,
+pub struct PriorityInputsTable {
+    jobs: Vec<PriorityInputs>,
+    pub present: PresentInputs,
 }
 
-impl Standings {
-    pub fn of(&self, job: JobIx) -> Standing {
-        self.jobs.get(job.at()).copied().unwrap_or_default()
+impl PriorityInputsTable {
+    pub fn get(&self, job: JobIx) -> PriorityInputs {
+        self.jobs.get(job.index()).copied().unwrap_or_default()
     }
 
-    pub fn at(&mut self, job: JobIx) -> &mut Standing {
-        if self.jobs.len() <= job.at() {
-            self.jobs.resize(job.at() + 1, Standing::default());
+    pub fn get_mut(&mut self, job: JobIx) -> &mut PriorityInputs {
+        if self.jobs.len() <= job.index() {
+            self.jobs.resize(job.index() + 1, PriorityInputs::default());
         }
-        &mut self.jobs[job.at()]
+        &mut self.jobs[job.index()]
     }
 }
 
 /// All steps: the smaller comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Turn {
-    above_floor: bool,
-    urgency: Urgency,
-    borrows: bool,
-    hopeless: Option<u32>,
+pub struct QueueOrder {
+    has_minimum_share: bool,
+    urgency: PriorityClass,
+    is_borrowing: bool,
+    past_slo_work_log2: Option<u32>,
     pub rank: Rank,
 }
 
-impl Turn {
-    pub fn new(rank: &Rank, standing: Standing) -> Turn {
-        Turn {
-            above_floor: !standing.behind,
+impl QueueOrder {
+    pub fn new(rank: &Rank, inputs: PriorityInputs) -> QueueOrder {
+        QueueOrder {
+            has_minimum_share: !inputs.below_minimum_share,
             urgency: rank.urgency,
-            borrows: !standing.guaranteed,
+            is_borrowing: !inputs.guaranteed,
             // About equal amounts of work go by rank.
-            hopeless: standing.hopeless.map(|left| left.max(1).ilog2()),
+            past_slo_work_log2: inputs.past_slo_work.map(|left| left.max(1).ilog2()),
             rank: *rank,
         }
     }
 
     /// Does it certainly come before this rank and all behind it?
-    pub fn before_all_behind(&self, rank: &Rank, some: Present) -> bool {
-        if self.above_floor && some.behind {
+    pub fn precedes_all_from(&self, rank: &Rank, present: PresentInputs) -> bool {
+        if self.has_minimum_share && present.below_minimum_share {
             return false;
         }
-        let best_of_its_urgency = self.hopeless.is_none() && (!self.borrows || !some.guaranteed);
-        self.urgency < rank.urgency || (best_of_its_urgency && self.rank < *rank)
+        let is_best_of_urgency =
+            self.past_slo_work_log2.is_none() && (!self.is_borrowing || !present.guaranteed);
+        self.urgency < rank.urgency || (is_best_of_urgency && self.rank < *rank)
     }
 }
 
--- a/src/coordination/leader/placement/queues.rs
+++ b/src/coordination/leader/placement/queues.rs
@@ -49,14 +49,14 @@
 
     /// Takes up to `most` tasks from the end, of those jobs that `wanted` allows:
     /// the owner goes on with its first, the taker gets its last.
-    pub fn take_back(&mut self, most: usize, wanted: impl Fn(JobIx) -> bool) -> Vec<(Rank, u32)> {
+    pub fn take_from_back(&mut self, limit: usize, wanted: impl Fn(JobIx) -> bool) -> Vec<(Rank, u32)> {
         let mut taken = Vec::new();
         let ranks: Vec<Rank> = self.ranks().rev().copied().collect();
         for rank in ranks {
             if !wanted(rank.job) {
                 continue;
             }
-            while taken.len() < most {
+            while taken.len() < limit {
                 let Some(task) = self.tasks.get_mut(&rank).and_then(VecDeque::pop_back) else {
                     break;
                 };
@@ -74,19 +74,19 @@
         self.tasks.iter().filter(|(rank, _)| wanted(rank.job)).map(|(_, tasks)| tasks.len()).sum()
     }
 
-    pub fn drop_job(&mut self, job: JobIx) {
+    pub fn remove_job(&mut self, job: JobIx) {
         let len = &mut self.len;
         self.tasks.retain(|rank, tasks| {
-            let gone = rank.job == job;
-            if gone {
+            let is_removed = rank.job == job;
+            if is_removed {
                 *len -= tasks.len();
             }
-            !gone
+            !is_removed
         });
     }
 
     pub fn drain(&mut self) -> Vec<(Rank, u32)> {
-        let most = self.len;
-        self.take_back(most, |_| true)
+        let count = self.len;
+        self.take_from_back(count, |_| true)
     }
 }
--- a/src/coordination/leader/records/bindings.rs
+++ b/src/coordination/leader/records/bindings.rs
@@ -3,40 +3,40 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::Clock;
-use crate::coordination::leader::records::history::Start;
-use crate::coordination::leader::{Binding, Leader, Run};
+use crate::coordination::leader::records::assignment_log::TaskPlacement;
+use crate::coordination::leader::{Binding, DispatchState, Leader};
 use crate::ids::{ImageIx, JobIx, MachineIx};
-use crate::protocol::operators::EventWord;
+use crate::protocol::operators::JobEventKind;
 
 impl Leader {
     /// A task may be on a machine from now on.
-    pub fn attach(&mut self, ix: MachineIx, binding: Binding) {
-        let machine = &mut self.machines[ix.at()];
+    pub fn add_binding(&mut self, ix: MachineIx, binding: Binding) {
+        let machine = &mut self.machines[ix.index()];
         machine.used.add(&binding.need);
-        if binding.idle_time {
-            self.idle_time_cpu += binding.need.cpu;
+        if binding.best_effort {
+            self.best_effort_cpu += binding.need.cpu;
         }
         if let Some(team) = binding.team {
             self.usage.entry(team).or_default().add(&binding.need);
         }
         if let Some(pool) = binding.pool {
-            *self.flows.used.entry(pool).or_default() += 1;
+            *self.dag_runs.pool_used.entry(pool).or_default() += 1;
         }
-        if let Some(work) = binding.job.and_then(|job| self.work.get_mut(&job)) {
-            work.out.entry(binding.task.task).or_default().push((ix, binding.attempt));
-            *work.zones.entry(machine.zone).or_default() += 1;
+        if let Some(work) = binding.job.and_then(|job| self.jobs.get_mut(&job)) {
+            work.placements.entry(binding.task.task).or_default().push((ix, binding.attempt));
+            *work.tasks_per_zone.entry(machine.zone).or_default() += 1;
         }
-        *self.bound.entry(binding.task.job).or_default() += 1;
+        *self.placed_task_counts.entry(binding.task.job).or_default() += 1;
         machine.bindings.push(binding);
     }
 
     /// A task is certainly not on the machine any more.
-    pub fn detach(&mut self, ix: MachineIx, at: usize, clock: Clock) -> Binding {
-        let machine = &mut self.machines[ix.at()];
-        let binding = machine.bindings.swap_remove(at);
-        machine.used = machine.used.less(&binding.need);
-        if binding.idle_time {
-            self.idle_time_cpu = self.idle_time_cpu.saturating_sub(binding.need.cpu);
+    pub fn remove_binding(&mut self, ix: MachineIx, index: usize, clock: Clock) -> Binding {
+        let machine = &mut self.machines[ix.index()];
+        let binding = machine.bindings.swap_remove(index);
+        machine.used = machine.used.saturating_sub(&binding.need);
+        if binding.best_effort {
+            self.best_effort_cpu = self.best_effort_cpu.saturating_sub(binding.need.cpu);
         }
         if machine.bindings.is_empty() {
             machine.idle_since = clock.now;
@@ -44,44 +44,46 @@
         if let Some(team) = binding.team
             && let Some(used) = self.usage.get_mut(&team)
         {
-            *used = used.less(&binding.need);
+            *used = used.saturating_sub(&binding.need);
         }
-        if let Some(used) = binding.pool.and_then(|pool| self.flows.used.get_mut(&pool)) {
+        if let Some(used) = binding.pool.and_then(|pool| self.dag_runs.pool_used.get_mut(&pool)) {
             *used = used.saturating_sub(1);
         }
-        if let Some(work) = binding.job.and_then(|job| self.work.get_mut(&job)) {
-            if let Some(places) = work.out.get_mut(&binding.task.task) {
-                places.retain(|place| *place != (ix, binding.attempt));
-                if places.is_empty() {
-                    work.out.remove(&binding.task.task);
+        if let Some(work) = binding.job.and_then(|job| self.jobs.get_mut(&job)) {
+            if let Some(locations) = work.placements.get_mut(&binding.task.task) {
+                locations.retain(|place| *place != (ix, binding.attempt));
+                if locations.is_empty() {
+                    work.placements.remove(&binding.task.task);
                 }
             }
-            if let Some(count) = work.zones.get_mut(&machine.zone) {
+            if let Some(count) = work.tasks_per_zone.get_mut(&machine.zone) {
                 *count -= 1;
                 if *count == 0 {
-                    work.zones.remove(&machine.zone);
+                    work.tasks_per_zone.remove(&machine.zone);
                 }
             }
         }
-        if let Some(count) = self.bound.get_mut(&binding.task.job) {
+        if let Some(count) = self.placed_task_counts.get_mut(&binding.task.job) {
             *count -= 1;
             if *count == 0 {
-                self.bound.remove(&binding.task.job);
+                self.placed_task_counts.remove(&binding.task.job);
             }
         }
-        let start = Start { machine: ix, task: binding.task, attempt: binding.attempt };
-        self.history.left(binding.part, start);
-        self.roster.room(ix);
+        let start = TaskPlacement { machine: ix, task: binding.task, attempt: binding.attempt };
+        self.assignment_log.remove_start(binding.log_segment, start);
+        self.placement_index.mark_to_fill(ix);
         binding
     }
 
     /// Bindings that are to stop and whose run command never went out are simply dropped.
-    pub fn drop_unsent(&mut self, ix: MachineIx, clock: Clock) {
-        let unsent = |binding: &Binding| {
-            binding.halt.is_some() && !binding.late && matches!(binding.run, Run::Planned | Run::Recorded)
+    pub fn drop_unsent_bindings(&mut self, ix: MachineIx, clock: Clock) {
+        let is_unsent = |binding: &Binding| {
+            binding.stop_grace_ms.is_some()
+                && !binding.late_start_possible
+                && matches!(binding.dispatch, DispatchState::Planned | DispatchState::Recorded)
         };
-        while let Some(at) = self.machines[ix.at()].bindings.iter().position(unsent) {
-            let binding = self.detach(ix, at, clock);
+        while let Some(index) = self.machines[ix.index()].bindings.iter().position(is_unsent) {
+            let binding = self.remove_binding(ix, index, clock);
             self.requeue(&binding, 0, clock);
         }
     }
@@ -89,40 +91,43 @@
     /// Puts a task back in line, unless its job has ended.
     pub fn requeue(&mut self, binding: &Binding, delay_ms: u64, clock: Clock) {
         let Some(ix) = binding.job else { return };
-        let Some(work) = self.work.get(&ix) else {
+        let Some(work) = self.jobs.get(&ix) else {
             return;
         };
         // A record may still list a task that a later one shows elsewhere: gone from
         // one place, it must not start again while it is at the other.
-        if work.ending || work.done.has(binding.task.task) || work.out.contains_key(&binding.task.task) {
+        if work.finishing
+            || work.finished.contains(binding.task.task)
+            || work.placements.contains_key(&binding.task.task)
+        {
             return;
         }
         // It is tried again when its turn comes: `try_again`.
-        if work.trial.is_some() {
+        if work.probation.is_some() {
             return;
         }
-        if work.info.together() || delay_ms > 0 {
-            let at = clock.now.plus(delay_ms);
-            self.delayed.entry(at).or_default().push((ix, binding.task.task));
+        if work.spec.is_all_or_nothing() || delay_ms > 0 {
+            let due_at = clock.now.saturating_add(delay_ms);
+            self.retry_queue.entry(due_at).or_default().push((ix, binding.task.task));
         } else {
             self.enqueue(ix, &[binding.task.task]);
         }
     }
 
     /// Tasks whose wait is over.
-    pub fn wake(&mut self, clock: Clock) {
-        while let Some((at, _)) = self.delayed.first_key_value()
+    pub fn requeue_delayed(&mut self, clock: Clock) {
+        while let Some((at, _)) = self.retry_queue.first_key_value()
             && *at <= clock.now
         {
-            for (ix, task) in self.delayed.pop_first().map(|(_, tasks)| tasks).unwrap_or_default() {
-                let Some(work) = self.work.get(&ix) else {
+            for (ix, task) in self.retry_queue.pop_first().map(|(_, tasks)| tasks).unwrap_or_default() {
+                let Some(work) = self.jobs.get(&ix) else {
                     continue;
                 };
-                if work.ending || work.done.has(task) || work.out.contains_key(&task) {
+                if work.finishing || work.finished.contains(task) || work.placements.contains_key(&task) {
                     continue;
                 }
-                if work.info.together() {
-                    self.gangs.insert(work.rank);
+                if work.spec.is_all_or_nothing() {
+                    self.waiting_gangs.insert(work.queue_order);
                 } else {
                     self.enqueue(ix, &[task]);
                 }
@@ -131,20 +136,26 @@
     }
 
     /// Takes every task off a machine that is certainly gone or empty.
-    pub fn clear_machine(&mut self, ix: MachineIx, clock: Clock) {
-        while !self.machines[ix.at()].bindings.is_empty() {
-            let at = self.machines[ix.at()].bindings.len() - 1;
-            let binding = self.detach(ix, at, clock);
-            self.journal.note(binding.task.job, EventWord::MachineGone, Some(ix), binding.task.task, 1);
+    pub fn remove_all_bindings(&mut self, ix: MachineIx, clock: Clock) {
+        while !self.machines[ix.index()].bindings.is_empty() {
+            let index = self.machines[ix.index()].bindings.len() - 1;
+            let binding = self.remove_binding(ix, index, clock);
+            self.event_log.record(
+                binding.task.job,
+                JobEventKind::MachineLost,
+                Some(ix),
+                binding.task.task,
+                1,
+            );
             self.requeue(&binding, 0, clock);
         }
     }
 
     /// The queues of a machine that takes no more tasks go elsewhere.
-    pub fn spread_queues(&mut self, ix: MachineIx) {
-        let machine = &mut self.machines[ix.at()];
-        let mut tasks = machine.shared.drain();
-        tasks.extend(machine.dedicated.drain());
+    pub fn requeue_machine_queues(&mut self, ix: MachineIx) {
+        let machine = &mut self.machines[ix.index()];
+        let mut tasks = machine.shared_queue.drain();
+        tasks.extend(machine.dedicated_queue.drain());
         let mut by_job: BTreeMap<JobIx, Vec<u32>> = BTreeMap::new();
         for (rank, task) in tasks {
             by_job.entry(rank.job).or_default().push(task);
@@ -154,15 +165,18 @@
         }
     }
 
-    pub fn touch_image(&mut self, ix: MachineIx, image: ImageIx, mb: u64) {
-        let machine = &mut self.machines[ix.at()];
+    pub fn record_image_use(&mut self, ix: MachineIx, image: ImageIx, mb: u64) {
+        let machine = &mut self.machines[ix.index()];
         machine.images.retain(|(held, _)| *held != image);
         machine.images.push((image, mb));
-        self.holders.entry(image).or_default().insert(ix);
-        let cache = self.kinds.get(&machine.kind).map_or(u64::MAX, |kind| kind.cache_mb);
-        while machine.images.len() > 1 && machine.images.iter().map(|(_, mb)| mb).sum::<u64>() > cache {
+        self.image_holders.entry(image).or_default().insert(ix);
+        let cache_limit_mb =
+            self.machine_types.get(&machine.machine_type).map_or(u64::MAX, |kind| kind.image_cache_mb);
+        while machine.images.len() > 1
+            && machine.images.iter().map(|(_, mb)| mb).sum::<u64>() > cache_limit_mb
+        {
             let (dropped, _) = machine.images.remove(0);
-            if let Some(holders) = self.holders.get_mut(&dropped) {
+            if let Some(holders) = self.image_holders.get_mut(&dropped) {
                 holders.remove(&ix);
             }
         }
@@ -170,8 +184,8 @@
 
     /// Nothing is known of its images any more.
     pub fn forget_images(&mut self, ix: MachineIx) {
-        for (image, _) in std::mem::take(&mut self.machines[ix.at()].images) {
-            if let Some(holders) = self.holders.get_mut(&image) {
+        for (image, _) in std::mem::take(&mut self.machines[ix.index()].images) {
+            if let Some(holders) = self.image_holders.get_mut(&image) {
                 holders.remove(&ix);
             }
         }
--- a/src/coordination/leader/records/mod.rs
+++ b/src/coordination/leader/records/mod.rs
@@ -1,7 +1,7 @@
 //! What a leader writes down and what a new one finds: the log, its writer, tasks bound to machines.
 
+pub mod assignment_log;
 pub mod bindings;
-pub mod flows;
-pub mod history;
-pub mod inherit;
-pub mod writer;
+pub mod dag_records;
+pub mod recovery;
+pub mod store_writer;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,28 +1,28 @@
 //! Decisions. Events and the time go in, actions come out: no I/O, no clock,
 //! seeded randomness, so that a run in virtual time repeats exactly.
 
-pub mod budget;
-pub mod config;
-pub mod graphs;
+pub mod config_requests;
+pub mod controller;
+pub mod graph_requests;
+pub mod kv_client;
 pub mod leader;
 pub mod leadership;
-pub mod ledger;
-pub mod node;
-pub mod operators;
+pub mod operator_queries;
 pub mod peers;
-pub mod users;
-pub mod watermarks;
+pub mod read_watermarks;
+pub mod token_bucket;
+pub mod user_requests;
 
 use crate::ids::Millis;
 use crate::protocol::cloud::CloudRequest;
 use crate::protocol::config::ConfigRequest;
-use crate::protocol::graphs::GraphRequest;
-use crate::protocol::mesh::MeshMessage;
+use crate::protocol::graphs::DagRequest;
+use crate::protocol::kv::KvRequest;
 use crate::protocol::operators::OperatorRequest;
-use crate::protocol::state::StateRequest;
+use crate::protocol::peer::PeerMessage;
 use crate::protocol::users::UserRequest;
-use crate::protocol::workers::Report;
-use crate::protocol::{Answer, Call, Outcome};
+use crate::protocol::workers::Heartbeat;
+use crate::protocol::{HttpOutcome, HttpRequest, HttpResponse};
 
 /// The two clocks: one that never jumps, and the time of day.
 #[derive(Debug, Clone, Copy, Default)]
@@ -33,49 +33,49 @@
 
 /// An HTTP request that waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CallId(pub u64);
+pub struct InboundId(pub u64);
 
 /// A request of ours that waits for its outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AskId(pub u64);
+pub struct OutboundId(pub u64);
 
 #[derive(Debug)]
-pub enum Input {
+pub enum Event {
     Tick,
-    User { call: CallId, request: UserRequest },
-    Report { call: CallId, report: Report },
-    State { ask: AskId, outcome: Outcome },
-    Cloud { ask: AskId, outcome: Outcome },
-    Orders { ask: AskId, outcome: Outcome },
-    Mesh { node: String, message: MeshMessage },
-    Operator { call: CallId, request: OperatorRequest },
-    Graph { call: CallId, request: GraphRequest },
-    Config { call: CallId, request: ConfigRequest },
+    User { inbound: InboundId, request: UserRequest },
+    Heartbeat { inbound: InboundId, heartbeat: Heartbeat },
+    Kv { outbound: OutboundId, outcome: HttpOutcome },
+    Cloud { outbound: OutboundId, outcome: HttpOutcome },
+    WorkerCommands { outbound: OutboundId, outcome: HttpOutcome },
+    Peer { controller: String, message: PeerMessage },
+    Operator { inbound: InboundId, request: OperatorRequest },
+    Graph { inbound: InboundId, request: DagRequest },
+    Config { inbound: InboundId, request: ConfigRequest },
 }
 
-impl Input {
+impl Event {
     /// For measurements.
-    pub fn kind(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
-            Input::Tick => "tick",
-            Input::User { .. } => "user",
-            Input::Report { .. } => "report",
-            Input::State { .. } => "state",
-            Input::Cloud { .. } => "cloud",
-            Input::Orders { .. } => "orders",
-            Input::Mesh { .. } => "mesh",
-            Input::Operator { .. } => "operator",
-            Input::Graph { .. } => "graph",
-            Input::Config { .. } => "config",
+            Event::Tick => "tick",
+            Event::User { .. } => "user",
+            Event::Heartbeat { .. } => "report",
+            Event::Kv { .. } => "state",
+            Event::Cloud { .. } => "cloud",
+            Event::WorkerCommands { .. } => "orders",
+            Event::Peer { .. } => "mesh",
+            Event::Operator { .. } => "operator",
+            Event::Graph { .. } => "graph",
+            Event::Config { .. } => "config",
         }
     }
 }
 
 #[derive(Debug)]
-pub enum Output {
-    Answer { call: CallId, answer: Answer },
-    State { ask: AskId, request: StateRequest, timeout_ms: u64 },
-    Cloud { ask: AskId, request: CloudRequest, timeout_ms: u64 },
-    Orders { ask: AskId, endpoint: String, call: Call, timeout_ms: u64 },
-    Mesh { node: String, message: MeshMessage },
+pub enum Action {
+    Respond { inbound: InboundId, response: HttpResponse },
+    CallKv { outbound: OutboundId, request: KvRequest, timeout_ms: u64 },
+    CallCloud { outbound: OutboundId, request: CloudRequest, timeout_ms: u64 },
+    SendWorkerCommands { outbound: OutboundId, endpoint: String, request: HttpRequest, timeout_ms: u64 },
+    SendPeerMessage { controller: String, message: PeerMessage },
 }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -3,29 +3,29 @@
 
 use std::collections::HashMap;
 
-use super::Output;
+use super::Action;
 use crate::ids::Millis;
-use crate::protocol::mesh::MeshMessage;
+use crate::protocol::peer::PeerMessage;
 
-const BEAT_MS: u64 = 1000;
+const BEACON_INTERVAL_MS: u64 = 1000;
 /// A beat older than that says nothing about now.
-const FRESH_MS: u64 = 2_600;
+const PEER_TIMEOUT_MS: u64 = 2_600;
 /// Workers that turned up here within this time count as misdirected.
-const MISDIRECTED_MS: u64 = 7_000;
+const MISDIRECTED_WINDOW_MS: u64 = 7_000;
 /// Workers remembered at most.
-const MOST_MISDIRECTED: usize = 4096;
+const MAX_MISDIRECTED: usize = 4096;
 
 #[derive(Debug)]
 struct Peer {
-    heard: Millis,
-    state_ok: bool,
+    last_beacon_at: Millis,
+    store_reachable: bool,
     misdirected: u32,
     /// Strays of nodes that it hears from: this node may not.
     misdirected_elsewhere: u32,
 }
 
 impl Peer {
-    fn all_misdirected(&self) -> u32 {
+    fn total_misdirected(&self) -> u32 {
         self.misdirected.saturating_add(self.misdirected_elsewhere)
     }
 }
@@ -33,76 +33,90 @@
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: HashMap<String, Peer>,
-    misdirected: HashMap<String, Millis>,
-    next_beat: Millis,
+    misdirected_workers: HashMap<String, Millis>,
+    next_beacon_at: Millis,
     /// The leader asked this node to take over.
-    pub favoured_until: Millis,
+    pub preferred_until: Millis,
 }
 
 impl Peers {
-    pub fn beat(&mut self, now: Millis, names: &[String], state_ok: bool, out: &mut Vec<Output>) {
-        if now < self.next_beat {
+    pub fn send_beacons(
+        &mut self,
+        now: Millis,
+        names: &[String],
+        store_reachable: bool,
+        out: &mut Vec<Action>,
+    ) {
+        if now < self.next_beacon_at {
             return;
         }
-        self.next_beat = now.plus(BEAT_MS);
-        self.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_MS);
-        let misdirected = self.misdirected.len() as u32;
+        self.next_beacon_at = now.saturating_add(BEACON_INTERVAL_MS);
+        self.misdirected_workers.retain(|_, at| now.saturating_since(*at) < MISDIRECTED_WINDOW_MS);
+        let misdirected = self.misdirected_workers.len() as u32;
         for node in names {
-            let others = self.fresh(now).filter(|(name, _)| *name != node);
+            let others = self.live_peers(now).filter(|(name, _)| *name != node);
             let misdirected_elsewhere = others.map(|(_, peer)| peer.misdirected).sum();
-            let message = MeshMessage::Beat { state_ok, misdirected, misdirected_elsewhere };
-            out.push(Output::Mesh { node: node.clone(), message });
+            let message = PeerMessage::HealthStatus {
+                kv_reachable: store_reachable,
+                misrouted_workers: misdirected,
+                misrouted_workers_elsewhere: misdirected_elsewhere,
+            };
+            out.push(Action::SendPeerMessage { controller: node.clone(), message });
         }
     }
 
-    pub fn heard(
+    pub fn receive_beacon(
         &mut self,
         now: Millis,
-        node: &str,
-        state_ok: bool,
+        controller: &str,
+        store_reachable: bool,
         misdirected: u32,
         misdirected_elsewhere: u32,
     ) {
-        self.peers.insert(node.into(), Peer { heard: now, state_ok, misdirected, misdirected_elsewhere });
+        self.peers.insert(
+            controller.into(),
+            Peer { last_beacon_at: now, store_reachable, misdirected, misdirected_elsewhere },
+        );
     }
 
     /// A worker that should report to the leader reported here.
-    pub fn saw_misdirected(&mut self, now: Millis, machine: &str) {
-        if self.misdirected.len() < MOST_MISDIRECTED || self.misdirected.contains_key(machine) {
-            self.misdirected.insert(machine.into(), now);
+    pub fn record_misdirected(&mut self, now: Millis, machine: &str) {
+        if self.misdirected_workers.len() < MAX_MISDIRECTED || self.misdirected_workers.contains_key(machine)
+        {
+            self.misdirected_workers.insert(machine.into(), now);
         }
     }
 
     /// This node leads now: workers that report here are not misdirected.
     pub fn clear_misdirected(&mut self) {
-        self.misdirected.clear();
+        self.misdirected_workers.clear();
     }
 
-    fn fresh(&self, now: Millis) -> impl Iterator<Item = (&String, &Peer)> {
-        self.peers.iter().filter(move |(_, peer)| now.since(peer.heard) < FRESH_MS)
+    fn live_peers(&self, now: Millis) -> impl Iterator<Item = (&String, &Peer)> {
+        self.peers.iter().filter(move |(_, peer)| now.saturating_since(peer.last_beacon_at) < PEER_TIMEOUT_MS)
     }
 
     /// Has this node said something lately?
-    pub fn hears(&self, now: Millis, node: &str) -> bool {
-        self.fresh(now).any(|(name, _)| name == node)
+    pub fn is_peer_live(&self, now: Millis, controller: &str) -> bool {
+        self.live_peers(now).any(|(name, _)| name == controller)
     }
 
     /// Has any node said something lately?
-    pub fn any(&self, now: Millis) -> bool {
-        self.fresh(now).next().is_some()
+    pub fn has_live_peer(&self, now: Millis) -> bool {
+        self.live_peers(now).next().is_some()
     }
 
     /// Does another node reach the state service?
-    pub fn any_state_ok(&self, now: Millis) -> bool {
-        self.fresh(now).any(|(_, peer)| peer.state_ok)
+    pub fn any_peer_reaches_store(&self, now: Millis) -> bool {
+        self.live_peers(now).any(|(_, peer)| peer.store_reachable)
     }
 
     /// The peer that knows of most workers turning up away from the leader, and of how many.
     /// Between two zones cut from each other that is the node that hears both.
-    pub fn best_placed(&self, now: Millis) -> Option<(String, u32)> {
-        let able = self.fresh(now).filter(|(_, peer)| peer.state_ok);
-        let best =
-            able.max_by_key(|(name, peer)| (peer.all_misdirected(), std::cmp::Reverse((*name).clone())));
-        best.map(|(name, peer)| (name.clone(), peer.all_misdirected()))
+    pub fn best_candidate(&self, now: Millis) -> Option<(String, u32)> {
+        let candidates = self.live_peers(now).filter(|(_, peer)| peer.store_reachable);
+        let best = candidates
+            .max_by_key(|(name, peer)| (peer.total_misdirected(), std::cmp::Reverse((*name).clone())));
+        best.map(|(name, peer)| (name.clone(), peer.total_misdirected()))
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -27,19 +27,19 @@
 
 /// One task of a job, as workers name it: `job-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-pub struct TaskRef {
+pub struct TaskId {
     pub job: JobId,
     pub task: u32,
 }
 
-impl TaskRef {
-    pub fn parse(text: &str) -> Option<TaskRef> {
+impl TaskId {
+    pub fn parse(text: &str) -> Option<TaskId> {
         let (job, task) = text.split_once('/')?;
-        Some(TaskRef { job: JobId::parse(job)?, task: task.parse().ok()? })
+        Some(TaskId { job: JobId::parse(job)?, task: task.parse().ok()? })
     }
 }
 
-impl fmt::Display for TaskRef {
+impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.job, self.task)
     }
@@ -52,7 +52,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            pub fn at(self) -> usize {
+            pub fn index(self) -> usize {
                 self.0 as usize
             }
         }
@@ -66,13 +66,13 @@
 }
 
 index!(/// A controller; 0 is this one's position in the sorted list of names.
-    NodeIx);
+    ControllerIx);
 index!(/// A live job in the mirror.
     JobIx);
 index!(/// A machine the leader knows.
     MachineIx);
 index!(/// A machine type.
-    KindIx);
+    MachineTypeIx);
 index!(/// A zone.
     ZoneIx);
 index!(/// A team.
@@ -84,7 +84,7 @@
 index!(/// A pool, whose slots nodes of graphs share.
     PoolIx);
 index!(/// A run of a graph in the mirror.
-    RunIx);
+    DagRunIx);
 
 /// Attempt number of a task; never reused, see `coordination::leadership`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
@@ -92,11 +92,11 @@
 
 /// Who is entitled to command the workers: the revision that created the leader's key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// A worker's session; it rises when the worker's lease ends.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
-pub struct Session(pub u64);
+pub struct AgentEpoch(pub u64);
 
 /// Revision of the state service.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
@@ -111,33 +111,33 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    pub fn plus(self, ms: u64) -> Millis {
+    pub fn saturating_add(self, ms: u64) -> Millis {
         Millis(self.0.saturating_add(ms))
     }
 
-    pub fn minus(self, ms: u64) -> Millis {
+    pub fn saturating_sub(self, ms: u64) -> Millis {
         Millis(self.0.saturating_sub(ms))
     }
 
-    pub fn since(self, earlier: Millis) -> u64 {
+    pub fn saturating_since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
 /// Maps names to dense indices and back.
 #[derive(Debug, Clone)]
-pub struct Names<I> {
+pub struct Interner<I> {
     index: HashMap<Box<str>, I>,
     names: Vec<Box<str>>,
 }
 
-impl<I> Default for Names<I> {
+impl<I> Default for Interner<I> {
     fn default() -> Self {
-        Names { index: HashMap::new(), names: Vec::new() }
+        Interner { index: HashMap::new(), names: Vec::new() }
     }
 }
 
-impl<I: Copy + From<u32>> Names<I> {
+impl<I: Copy + From<u32>> Interner<I> {
     pub fn find(&self, name: &str) -> Option<I> {
         self.index.get(name).copied()
     }
@@ -160,7 +160,7 @@
         self.names.is_empty()
     }
 
-    pub fn name_at(&self, at: usize) -> &str {
+    pub fn name_or_unknown(&self, at: usize) -> &str {
         self.names.get(at).map_or("?", |name| name)
     }
 }
@@ -168,33 +168,33 @@
 /// What a task takes, or a machine has. CPUs and accelerators in thousandths,
 /// memory in MiB-like thousandths of a GB, so that sums are exact.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
-pub struct Amount {
+pub struct Resources {
     pub cpu: u64,
     pub gpu: u64,
     pub mem: u64,
 }
 
-impl Amount {
-    pub fn fits(&self, room: &Amount) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.mem <= room.mem
+impl Resources {
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpu <= available.cpu && self.gpu <= available.gpu && self.mem <= available.mem
     }
 
-    pub fn add(&mut self, other: &Amount) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpu += other.cpu;
         self.gpu += other.gpu;
         self.mem += other.mem;
     }
 
-    pub fn less(&self, other: &Amount) -> Amount {
-        Amount {
+    pub fn saturating_sub(&self, other: &Resources) -> Resources {
+        Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
             gpu: self.gpu.saturating_sub(other.gpu),
             mem: self.mem.saturating_sub(other.mem),
         }
     }
 
-    pub fn times(&self, n: u64) -> Amount {
-        Amount {
+    pub fn saturating_mul(&self, n: u64) -> Resources {
+        Resources {
             cpu: self.cpu.saturating_mul(n),
             gpu: self.gpu.saturating_mul(n),
             mem: self.mem.saturating_mul(n),
@@ -202,26 +202,28 @@
     }
 
     /// How many of `self` fit into `room`.
-    pub fn count_in(&self, room: &Amount) -> u64 {
-        let part = |need: u64, have: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        part(self.cpu, room.cpu).min(part(self.gpu, room.gpu)).min(part(self.mem, room.mem))
+    pub fn max_count_in(&self, available: &Resources) -> u64 {
+        let quotient = |need: u64, have: u64| have.checked_div(need).unwrap_or(u64::MAX);
+        quotient(self.cpu, available.cpu)
+            .min(quotient(self.gpu, available.gpu))
+            .min(quotient(self.mem, available.mem))
     }
 }
 
 /// What a task needs is rounded up, what is there is rounded down.
-pub fn milli_up(value: f64) -> u64 {
+pub fn to_milli_ceil(value: f64) -> u64 {
     (value * 1000.0 - 1e-6).ceil().max(0.0) as u64
 }
 
-pub fn milli_down(value: f64) -> u64 {
+pub fn to_milli_floor(value: f64) -> u64 {
     (value * 1000.0 + 1e-6).floor().max(0.0) as u64
 }
 
 /// Thousandths as people write them: CPUs, GB, seconds.
-pub fn units(milli: u64) -> f64 {
+pub fn from_milli(milli: u64) -> f64 {
     milli as f64 / 1000.0
 }
 
-pub fn seconds(value: f64) -> u64 {
+pub fn seconds_to_ms(value: f64) -> u64 {
     (value * 1000.0).round().max(0.0) as u64
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -10,12 +10,12 @@
 
 use crate::tunables::LogFormat;
 
-struct Stderr {
-    node: String,
+struct StderrLogger {
+    controller: String,
     format: LogFormat,
 }
 
-impl log::Log for Stderr {
+impl log::Log for StderrLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.level() <= log::max_level()
     }
@@ -25,7 +25,7 @@
             return;
         }
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let line = line(self.format, &self.node, wall.as_millis() as u64, record);
+        let line = format_line(self.format, &self.controller, wall.as_millis() as u64, record);
         // One write a line: lines of several processes do not mix. A full pipe is not worth dying for.
         let _ = std::io::stderr().write_all(line.as_bytes());
     }
@@ -34,24 +34,24 @@
 }
 
 /// The pairs of one event, in their order.
-struct Pairs(Vec<(String, String)>);
+struct KeyValues(Vec<(String, String)>);
 
-impl<'kvs> VisitSource<'kvs> for Pairs {
+impl<'kvs> VisitSource<'kvs> for KeyValues {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         self.0.push((key.as_str().into(), value.to_string()));
         Ok(())
     }
 }
 
-fn line(format: LogFormat, node: &str, wall_ms: u64, record: &Record<'_>) -> String {
+fn format_line(format: LogFormat, controller: &str, wall_ms: u64, record: &Record<'_>) -> String {
     if format == LogFormat::Text {
-        return format!("{} {node} {}\n", record.level(), record.args());
+        return format!("{} {controller} {}\n", record.level(), record.args());
     }
     let level = record.level().as_str().to_ascii_lowercase();
-    let mut pairs = Pairs(vec![
+    let mut pairs = KeyValues(vec![
         ("ts_ms".into(), wall_ms.to_string()),
         ("level".into(), level),
-        ("node".into(), node.into()),
+        ("node".into(), controller.into()),
         ("msg".into(), record.args().to_string()),
     ]);
     // Pairs that cannot be read are left out; the message says it all.
@@ -62,11 +62,11 @@
                 pairs.0.into_iter().map(|(key, value)| (key, value.into())).collect();
             format!("{}\n", serde_json::Value::Object(object))
         }
-        LogFormat::Logfmt | LogFormat::Text => logfmt(&pairs.0),
+        LogFormat::Logfmt | LogFormat::Text => format_logfmt(&pairs.0),
     }
 }
 
-fn logfmt(pairs: &[(String, String)]) -> String {
+fn format_logfmt(pairs: &[(String, String)]) -> String {
     let mut line = String::new();
     for (at, (key, value)) in pairs.iter().enumerate() {
         let space = if at == 0 { "" } else { " " };
@@ -80,7 +80,7 @@
     line
 }
 
-pub fn start(node: &str, format: LogFormat) {
+pub fn init(controller: &str, format: LogFormat) {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::Error,
         Ok("warn") => LevelFilter::Warn,
@@ -90,7 +90,7 @@
     };
     log::set_max_level(level);
     // A second start (tests) keeps the first logger.
-    let _ = log::set_boxed_logger(Box::new(Stderr { node: node.into(), format }));
+    let _ = log::set_boxed_logger(Box::new(StderrLogger { controller: controller.into(), format }));
 }
 
 #[cfg(test)]
