--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Call, Outcome};
+use super::{HttpOutcome, HttpRequest};
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     Catalog,
-    Rent { booking: String, kind: String, zone: String, spot: bool, count: u32 },
-    Release { machines: Vec<String> },
-    List { after: Option<String> },
+    ScaleOut { request_id: String, machine_type: String, zone: String, spot: bool, count: u32 },
+    ScaleIn { machines: Vec<String> },
+    ListMachines { after: Option<String> },
 }
 
 /// A machine type as the cloud publishes it; also what is kept durably of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CatalogEntry {
+pub struct MachineTypeRecord {
     pub name: String,
     #[serde(rename = "vcpus")]
     pub cpus: f64,
@@ -22,7 +22,7 @@
     pub gpus: f64,
     pub memory_gb: f64,
     #[serde(default, rename = "local_gb")]
-    pub cache_gb: f64,
+    pub image_cache_gb: f64,
     #[serde(default, rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
     #[serde(default)]
@@ -36,35 +36,35 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListedState {
+pub enum CloudMachineState {
     Booting,
     Running,
     Failed,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct CloudMachine {
     pub name: String,
     pub endpoint: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub state: ListedState,
+    pub state: CloudMachineState,
     pub age_ms: u64,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    Catalog(Vec<CatalogEntry>),
-    Rented(Vec<String>),
+    Catalog(Vec<MachineTypeRecord>),
+    ScaledOut(Vec<String>),
     NoCapacity,
-    Released,
-    List {
-        machines: Vec<Listed>,
-        more: bool,
+    ScaledIn,
+    MachineList {
+        machines: Vec<CloudMachine>,
+        has_more: bool,
     },
     /// Not carried out (429, outage, or malformed).
-    Refused {
+    Rejected {
         status: u16,
     },
     /// It may have been carried out, or may be later.
@@ -73,11 +73,11 @@
 
 #[derive(Deserialize)]
 struct CatalogWire {
-    boxkinds: Vec<CatalogEntry>,
+    boxkinds: Vec<MachineTypeRecord>,
 }
 
 #[derive(Serialize)]
-struct RentWire<'a> {
+struct ScaleOutWire<'a> {
     booking: &'a str,
     boxkind: &'a str,
     hall: &'a str,
@@ -86,12 +86,12 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct BoxesWire {
+struct MachineNamesWire {
     boxes: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct ListedWire {
+struct CloudMachineWire {
     uid: String,
     #[serde(default)]
     endpoint: Option<String>,
@@ -104,85 +104,89 @@
 }
 
 #[derive(Deserialize)]
-struct ListWire {
-    boxes: Vec<ListedWire>,
+struct MachineListWire {
+    boxes: Vec<CloudMachineWire>,
     #[serde(default)]
     has_next: bool,
 }
 
 /// How many machines one page of the list holds, and how many names one release takes.
-const PAGE: u32 = 500;
-pub const RELEASE_MOST: usize = 100;
-pub const RENT_MOST: u32 = 50;
+const LIST_PAGE_SIZE: u32 = 500;
+pub const MAX_SCALE_IN_BATCH: usize = 100;
+pub const MAX_SCALE_OUT_COUNT: u32 = 50;
 
 impl CloudRequest {
-    pub fn to_call(&self) -> Call {
+    pub fn to_http_request(&self) -> HttpRequest {
         match self {
-            CloudRequest::Catalog => Call::get("/catalog".into()),
-            CloudRequest::Rent { booking, kind, zone, spot, count } => Call::post(
-                "/hosts",
-                &RentWire {
-                    booking,
-                    boxkind: kind,
-                    hall: zone,
-                    loaners: *spot,
-                    how_many: (*count).min(RENT_MOST),
-                },
-            ),
-            CloudRequest::Release { machines } => {
-                Call::post("/hosts/release", &BoxesWire { boxes: machines.clone() })
+            CloudRequest::Catalog => HttpRequest::get("/catalog".into()),
+            CloudRequest::ScaleOut { request_id: booking, machine_type: kind, zone, spot, count } => {
+                HttpRequest::post(
+                    "/hosts",
+                    &ScaleOutWire {
+                        booking,
+                        boxkind: kind,
+                        hall: zone,
+                        loaners: *spot,
+                        how_many: (*count).min(MAX_SCALE_OUT_COUNT),
+                    },
+                )
             }
-            CloudRequest::List { after } => {
+            CloudRequest::ScaleIn { machines } => {
+                HttpRequest::post("/hosts/release", &MachineNamesWire { boxes: machines.clone() })
+            }
+            CloudRequest::ListMachines { after } => {
                 let after = after.as_ref().map_or(String::new(), |name| format!("after={name}&"));
-                Call::get(format!("/hosts?{after}page={PAGE}"))
+                HttpRequest::get(format!("/hosts?{after}page={LIST_PAGE_SIZE}"))
             }
         }
     }
 
-    pub fn read_reply(&self, outcome: &Outcome) -> CloudReply {
+    pub fn parse_reply(&self, outcome: &HttpOutcome) -> CloudReply {
         match outcome {
-            Outcome::NotSent => CloudReply::Refused { status: 503 },
-            Outcome::Unknown | Outcome::TooLong => CloudReply::Unknown,
-            Outcome::Response { status: 200, body } => self.read_ok(body).unwrap_or(CloudReply::Unknown),
-            Outcome::Response { status: 503, body }
+            HttpOutcome::NotSent => CloudReply::Rejected { status: 503 },
+            HttpOutcome::Unknown | HttpOutcome::TooLarge => CloudReply::Unknown,
+            HttpOutcome::Response { status: 200, body } => {
+                self.parse_success(body).unwrap_or(CloudReply::Unknown)
+            }
+            HttpOutcome::Response { status: 503, body }
                 if String::from_utf8_lossy(body).contains("no capacity") =>
             {
                 CloudReply::NoCapacity
             }
-            Outcome::Response { status, .. } => CloudReply::Refused { status: *status },
+            HttpOutcome::Response { status, .. } => CloudReply::Rejected { status: *status },
         }
     }
 
-    fn read_ok(&self, body: &[u8]) -> Option<CloudReply> {
+    fn parse_success(&self, body: &[u8]) -> Option<CloudReply> {
         Some(match self {
             CloudRequest::Catalog => {
                 CloudReply::Catalog(serde_json::from_slice::<CatalogWire>(body).ok()?.boxkinds)
             }
-            CloudRequest::Rent { .. } => {
-                CloudReply::Rented(serde_json::from_slice::<BoxesWire>(body).ok()?.boxes)
+            CloudRequest::ScaleOut { .. } => {
+                CloudReply::ScaledOut(serde_json::from_slice::<MachineNamesWire>(body).ok()?.boxes)
             }
-            CloudRequest::Release { .. } => CloudReply::Released,
-            CloudRequest::List { .. } => {
-                let wire: ListWire = serde_json::from_slice(body).ok()?;
-                CloudReply::List {
-                    more: wire.has_next,
-                    machines: wire.boxes.into_iter().map(read_listed).collect(),
+            CloudRequest::ScaleIn { .. } => CloudReply::ScaledIn,
+            CloudRequest::ListMachines { .. } => {
+                let wire: MachineListWire = serde_json::from_slice(body).ok()?;
+                CloudReply::MachineList {
+                    has_more: wire.has_next,
+                    machines: wire.boxes.into_iter().map(parse_machine).collect(),
                 }
             }
         })
     }
 }
 
-fn read_listed(wire: ListedWire) -> Listed {
-    Listed {
+fn parse_machine(wire: CloudMachineWire) -> CloudMachine {
+    CloudMachine {
         state: match wire.status.as_str() {
-            "running" => ListedState::Running,
-            "failed" => ListedState::Failed,
-            _ => ListedState::Booting,
+            "running" => CloudMachineState::Running,
+            "failed" => CloudMachineState::Failed,
+            _ => CloudMachineState::Booting,
         },
         name: wire.uid,
         endpoint: wire.endpoint.unwrap_or_default(),
-        kind: wire.boxkind,
+        machine_type: wire.boxkind,
         zone: wire.hall,
         spot: wire.loaners,
         age_ms: (wire.held_s.max(0.0) * 1000.0) as u64,
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -3,9 +3,9 @@
 pub mod cloud;
 pub mod config;
 pub mod graphs;
-pub mod mesh;
+pub mod kv;
 pub mod operators;
-pub mod state;
+pub mod peer;
 pub mod users;
 pub mod workers;
 
@@ -22,59 +22,63 @@
 
 /// An answer to an HTTP request, ready to be written.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub retry_after_s: Option<u32>,
     pub body: Vec<u8>,
     /// Text for people or scrapers instead of JSON.
-    pub text: bool,
+    pub is_text: bool,
 }
 
-impl Answer {
-    pub fn json(status: u16, body: &impl serde::Serialize) -> Answer {
-        Answer { status, ..Answer::raw(serde_json::to_vec(body).unwrap_or_default()) }
+impl HttpResponse {
+    pub fn json(status: u16, body: &impl serde::Serialize) -> HttpResponse {
+        HttpResponse { status, ..HttpResponse::json_bytes(serde_json::to_vec(body).unwrap_or_default()) }
     }
 
     /// A body that is JSON already.
-    pub fn raw(body: Vec<u8>) -> Answer {
-        Answer { status: 200, retry_after_s: None, body, text: false }
+    pub fn json_bytes(body: Vec<u8>) -> HttpResponse {
+        HttpResponse { status: 200, retry_after_s: None, body, is_text: false }
     }
 
-    pub fn error(status: u16, text: &str) -> Answer {
+    pub fn error(status: u16, text: &str) -> HttpResponse {
         #[derive(serde::Serialize)]
         struct Body<'a> {
             error: &'a str,
         }
-        Answer::json(status, &Body { error: text })
+        HttpResponse::json(status, &Body { error: text })
     }
 
     /// A refusal that says when to come back.
-    pub fn later(text: &str, seconds: u32) -> Answer {
-        Answer { retry_after_s: Some(seconds), ..Answer::error(503, text) }
+    pub fn retry_later(text: &str, seconds: u32) -> HttpResponse {
+        HttpResponse { retry_after_s: Some(seconds), ..HttpResponse::error(503, text) }
     }
 }
 
 /// An HTTP request to be sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Call {
+pub struct HttpRequest {
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
 }
 
-impl Call {
-    pub fn get(path: String) -> Call {
-        Call { method: "GET", path, body: Vec::new() }
+impl HttpRequest {
+    pub fn get(path: String) -> HttpRequest {
+        HttpRequest { method: "GET", path, body: Vec::new() }
     }
 
-    pub fn post(path: &str, body: &impl serde::Serialize) -> Call {
-        Call { method: "POST", path: path.to_string(), body: serde_json::to_vec(body).unwrap_or_default() }
+    pub fn post(path: &str, body: &impl serde::Serialize) -> HttpRequest {
+        HttpRequest {
+            method: "POST",
+            path: path.to_string(),
+            body: serde_json::to_vec(body).unwrap_or_default(),
+        }
     }
 }
 
 /// What came of a call.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum HttpOutcome {
     Response {
         status: u16,
         body: Vec<u8>,
@@ -84,5 +88,5 @@
     /// No response: it may have been carried out, or may be later.
     Unknown,
     /// A response that is more than may be held: it may have been carried out.
-    TooLong,
+    TooLarge,
 }
--- a/src/protocol/operators.rs
+++ b/src/protocol/operators.rs
@@ -2,37 +2,37 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Answer;
-use super::graphs::{RunName, RunQuery};
-use super::users::{Shape, Urgency};
+use super::HttpResponse;
+use super::graphs::{DagRunName, DagRunQuery};
+use super::users::{JobKind, PriorityClass};
 use crate::ids::JobId;
 
 /// Rows of a page unless asked for otherwise, and at most.
-pub const PAGE: usize = 100;
-pub const LARGEST_PAGE: usize = 500;
+pub const DEFAULT_PAGE_SIZE: usize = 100;
+pub const MAX_PAGE_SIZE: usize = 500;
 
 /// What of the operators' interface is asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorRequest {
-    List(ListQuery),
-    Inspect {
+    ListJobs(ListQuery),
+    InspectJob {
         id: JobId,
         after: Option<u32>,
         limit: usize,
     },
-    Explain {
+    ExplainJob {
         id: JobId,
         task: Option<u32>,
     },
-    Events {
+    JobEvents {
         id: JobId,
     },
     Status,
     Metrics,
     /// Runs of graphs.
-    Runs(RunQuery),
-    Run {
-        run: RunName,
+    ListDagRuns(DagRunQuery),
+    InspectDagRun {
+        run: DagRunName,
         after: Option<u32>,
         limit: usize,
     },
@@ -51,64 +51,65 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateFilter {
     /// Pending or running.
-    Live,
+    Active,
     /// Done or withdrawn.
-    Ended,
-    Only(JobState),
+    Terminal,
+    Exactly(JobPhase),
 }
 
 impl StateFilter {
     pub fn parse(word: &str) -> Option<StateFilter> {
         Some(match word {
-            "live" => StateFilter::Live,
-            "ended" => StateFilter::Ended,
-            "pending" => StateFilter::Only(JobState::Pending),
-            "running" => StateFilter::Only(JobState::Running),
-            "done" => StateFilter::Only(JobState::Done),
-            "withdrawn" => StateFilter::Only(JobState::Withdrawn),
+            "live" => StateFilter::Active,
+            "ended" => StateFilter::Terminal,
+            "pending" => StateFilter::Exactly(JobPhase::Pending),
+            "running" => StateFilter::Exactly(JobPhase::Running),
+            "done" => StateFilter::Exactly(JobPhase::Done),
+            "withdrawn" => StateFilter::Exactly(JobPhase::Cancelled),
             _ => return None,
         })
     }
 
-    pub fn takes(self, state: JobState) -> bool {
+    pub fn matches(self, state: JobPhase) -> bool {
         match self {
-            StateFilter::Live => !state.ended(),
-            StateFilter::Ended => state.ended(),
-            StateFilter::Only(only) => only == state,
+            StateFilter::Active => !state.is_terminal(),
+            StateFilter::Terminal => state.is_terminal(),
+            StateFilter::Exactly(only) => only == state,
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum JobState {
+pub enum JobPhase {
     Pending,
     Running,
     Done,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
-impl JobState {
-    pub fn ended(self) -> bool {
-        matches!(self, JobState::Done | JobState::Withdrawn)
+impl JobPhase {
+    pub fn is_terminal(self) -> bool {
+        matches!(self, JobPhase::Done | JobPhase::Cancelled)
     }
 
     /// As clients and logs write it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            JobState::Pending => "pending",
-            JobState::Running => "running",
-            JobState::Done => "done",
-            JobState::Withdrawn => "withdrawn",
+            JobPhase::Pending => "pending",
+            JobPhase::Running => "running",
+            JobPhase::Done => "done",
+            JobPhase::Cancelled => "withdrawn",
         }
     }
 }
 
 /// One job of a list. What is not known is null. Times are the time of day in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobRow {
+pub struct JobSummary {
     pub id: String,
-    pub state: JobState,
+    pub state: JobPhase,
     pub team: Option<String>,
     pub class: Option<String>,
     pub tasks: Option<u32>,
@@ -116,15 +117,17 @@
     pub running: Option<u32>,
     pub accepted_ms: Option<u64>,
     pub first_start_ms: Option<u64>,
-    pub ended_ms: Option<u64>,
+    #[serde(rename = "ended_ms")]
+    pub finished_ms: Option<u64>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobList {
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     /// Everything up to this revision of the state service is in here.
     pub revision: u64,
-    pub jobs: Vec<JobRow>,
+    pub jobs: Vec<JobSummary>,
     /// The `after` of the next page; null at the end. A page may be short, or empty, before the end.
     pub next: Option<String>,
 }
@@ -132,68 +135,80 @@
 /// Who answered: the leader knows where tasks are, the records only where they may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Source {
+pub enum AnswerSource {
     Leader,
-    Records,
+    #[serde(rename = "records")]
+    Store,
 }
 
 /// A job's specification, as far as it decides anything.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SpecView {
-    pub shape: Shape,
-    pub urgency: Urgency,
+pub struct JobSpecView {
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
+    #[serde(rename = "urgency")]
+    pub priority_class: PriorityClass,
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
-    pub kinds: Option<Vec<String>>,
+    #[serde(rename = "kinds")]
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
-    pub one_zone: bool,
+    #[serde(rename = "one_zone")]
+    pub same_zone: bool,
     pub spread: bool,
-    pub spot: bool,
+    #[serde(rename = "spot")]
+    pub spot_allowed: bool,
     pub image: String,
     pub image_gb: f64,
-    pub guess_s: f64,
-    pub checkpoint_s: f64,
-    pub due_ms: Option<u64>,
+    #[serde(rename = "guess_s")]
+    pub estimated_run_s: f64,
+    #[serde(rename = "checkpoint_s")]
+    pub checkpoint_interval_s: f64,
+    #[serde(rename = "due_ms")]
+    pub deadline_ms: Option<u64>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TaskWord {
+pub enum TaskStateView {
     Waiting,
     /// Failed or refused; tried again later.
     RetryWait,
     /// On a machine's record: it may be there, what it does is not known.
-    Placed,
+    #[serde(rename = "placed")]
+    Recorded,
     Starting,
     Fetching,
-    Gathering,
+    #[serde(rename = "gathering")]
+    WaitingForPeers,
     Running,
-    Saving,
+    #[serde(rename = "saving")]
+    Checkpointing,
     Stopping,
 }
 
-impl TaskWord {
-    pub fn word(self) -> &'static str {
+impl TaskStateView {
+    pub fn as_str(self) -> &'static str {
         match self {
-            TaskWord::Waiting => "waiting",
-            TaskWord::RetryWait => "retry_wait",
-            TaskWord::Placed => "placed",
-            TaskWord::Starting => "starting",
-            TaskWord::Fetching => "fetching",
-            TaskWord::Gathering => "gathering",
-            TaskWord::Running => "running",
-            TaskWord::Saving => "saving",
-            TaskWord::Stopping => "stopping",
+            TaskStateView::Waiting => "waiting",
+            TaskStateView::RetryWait => "retry_wait",
+            TaskStateView::Recorded => "placed",
+            TaskStateView::Starting => "starting",
+            TaskStateView::Fetching => "fetching",
+            TaskStateView::WaitingForPeers => "gathering",
+            TaskStateView::Running => "running",
+            TaskStateView::Checkpointing => "saving",
+            TaskStateView::Stopping => "stopping",
         }
     }
 }
 
 /// A task that is not done.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskRow {
+pub struct TaskSummary {
     pub task: u32,
-    pub state: TaskWord,
+    pub state: TaskStateView,
     pub attempt: Option<u64>,
     /// Where it is or may be: after a takeover that can be several places.
     pub machines: Vec<String>,
@@ -201,61 +216,76 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobDetail {
-    pub node: String,
-    pub source: Source,
-    pub row: JobRow,
+    #[serde(rename = "node")]
+    pub controller: String,
+    pub source: AnswerSource,
+    #[serde(rename = "row")]
+    pub summary: JobSummary,
     /// Not kept once the job has ended.
-    pub spec: Option<SpecView>,
-    pub tasks: Vec<TaskRow>,
+    pub spec: Option<JobSpecView>,
+    pub tasks: Vec<TaskSummary>,
     /// The `after` of the next page of tasks.
     pub next: Option<u32>,
 }
 
 /// Machines of one type, seen by a job that waits.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct KindRoom {
-    pub kind: String,
+pub struct MachineTypeCapacity {
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     pub machines: u32,
     /// Free on the machine that has most.
-    pub most_free_cpus: f64,
-    pub most_free_gpus: f64,
-    pub most_free_memory_gb: f64,
+    #[serde(rename = "most_free_cpus")]
+    pub max_free_cpus: f64,
+    #[serde(rename = "most_free_gpus")]
+    pub max_free_gpus: f64,
+    #[serde(rename = "most_free_memory_gb")]
+    pub max_free_memory_gb: f64,
     /// Machines without room, and those that are closed (sick, slow, going back, silent), that failed the job before,
     /// or that its zone rules exclude now.
-    pub full: u32,
+    #[serde(rename = "full")]
+    pub without_capacity: u32,
     /// Not needed by the plan of the fleet: they take no queued tasks and run empty.
-    pub parked: u32,
-    pub closed: u32,
-    pub failed_here: u32,
-    pub zone_rule: u32,
+    #[serde(rename = "parked")]
+    pub cordoned: u32,
+    #[serde(rename = "closed")]
+    pub unschedulable: u32,
+    #[serde(rename = "failed_here")]
+    pub excluded_after_failure: u32,
+    #[serde(rename = "zone_rule")]
+    pub excluded_by_zone: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobShare {
+pub struct JobUsage {
     pub job: String,
     pub cpus: f64,
 }
 
 /// One sort of machine that is on its way, or refused.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct OfferView {
-    pub kind: String,
+pub struct InstanceOfferView {
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub count: u32,
     /// Refused offers rest so long.
-    pub rests_s: Option<f64>,
+    #[serde(rename = "rests_s")]
+    pub backoff_s: Option<f64>,
 }
 
 /// Why a job is where it is: a closed list; docs/client.md has it with what would change each.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
-pub enum Reason {
-    Ended {
-        state: JobState,
+pub enum StateReason {
+    #[serde(rename = "ended")]
+    Terminal {
+        state: JobPhase,
     },
     /// All tasks are done, the end is being written.
-    Recording,
+    #[serde(rename = "recording")]
+    PersistingResult,
     Running {
         tasks: u32,
     },
@@ -266,28 +296,38 @@
         tasks: u32,
         image: String,
         image_gb: f64,
-        longest_s: f64,
+        #[serde(rename = "longest_s")]
+        max_remaining_s: f64,
     },
-    Gathering {
+    #[serde(rename = "gathering")]
+    WaitingForPeers {
         tasks: u32,
     },
     RetryWait {
         tasks: u32,
-        next_s: f64,
+        #[serde(rename = "next_s")]
+        retry_in_s: f64,
         failed_on: Vec<String>,
     },
     /// A node of a graph that waits for others, or cannot know yet: how many it comes after, and the first open ones.
-    Upstream {
+    #[serde(rename = "upstream")]
+    WaitingForUpstream {
         run: String,
-        rule: String,
-        open: u32,
-        first: Vec<String>,
+        #[serde(rename = "rule")]
+        trigger_rule: String,
+        #[serde(rename = "open")]
+        unfinished: u32,
+        #[serde(rename = "first")]
+        first_unfinished: Vec<String>,
     },
     /// As many runs of the graph as allowed are under way.
-    RunWaits {
+    #[serde(rename = "run_waits")]
+    ActiveRunLimit {
         run: String,
-        most_runs: u32,
-        before: Vec<String>,
+        #[serde(rename = "most_runs")]
+        max_active_runs: u32,
+        #[serde(rename = "before")]
+        earlier_runs: Vec<String>,
     },
     PoolFull {
         pool: String,
@@ -300,101 +340,133 @@
         limit_cpus: Option<f64>,
         used_gpus: f64,
         limit_gpus: Option<f64>,
-        by: Vec<JobShare>,
+        #[serde(rename = "by")]
+        used_by: Vec<JobUsage>,
     },
-    Behind {
+    #[serde(rename = "behind")]
+    QueuedBehind {
         jobs: u32,
         tasks: u64,
         cpu_seconds: f64,
-        first: Vec<String>,
+        #[serde(rename = "first")]
+        first_jobs: Vec<String>,
     },
-    NoMachine {
-        needs_cpus: f64,
-        needs_gpus: f64,
-        needs_memory_gb: f64,
+    #[serde(rename = "no_machine")]
+    NoEligibleMachine {
+        #[serde(rename = "needs_cpus")]
+        requested_cpus: f64,
+        #[serde(rename = "needs_gpus")]
+        requested_gpus: f64,
+        #[serde(rename = "needs_memory_gb")]
+        requested_memory_gb: f64,
         /// Machines that are up, and why the job may not use them.
         machines: u32,
-        wrong_kind: u32,
+        #[serde(rename = "wrong_kind")]
+        wrong_machine_type: u32,
         wrong_zone: u32,
-        wrong_spot: u32,
+        #[serde(rename = "wrong_spot")]
+        spot_not_allowed: u32,
         too_small: u32,
     },
-    NoRoom {
-        needs_cpus: f64,
-        needs_gpus: f64,
-        needs_memory_gb: f64,
-        kinds: Vec<KindRoom>,
+    #[serde(rename = "no_room")]
+    InsufficientCapacity {
+        #[serde(rename = "needs_cpus")]
+        requested_cpus: f64,
+        #[serde(rename = "needs_gpus")]
+        requested_gpus: f64,
+        #[serde(rename = "needs_memory_gb")]
+        requested_memory_gb: f64,
+        #[serde(rename = "kinds")]
+        machine_types: Vec<MachineTypeCapacity>,
     },
     HeldForGang {
         machines: u32,
         gangs: Vec<String>,
     },
-    GangLacks {
-        needs: u32,
-        could_start: u32,
+    #[serde(rename = "gang_lacks")]
+    GangInsufficientCapacity {
+        #[serde(rename = "needs")]
+        required: u32,
+        #[serde(rename = "could_start")]
+        schedulable: u32,
         zone: Option<String>,
     },
-    Booking {
-        offers: Vec<OfferView>,
+    #[serde(rename = "booking")]
+    Provisioning {
+        offers: Vec<InstanceOfferView>,
         booting: u32,
     },
-    CloudRefused {
-        offers: Vec<OfferView>,
+    #[serde(rename = "cloud_refused")]
+    CloudRejected {
+        offers: Vec<InstanceOfferView>,
     },
-    Due {
+    #[serde(rename = "due")]
+    Schedulable {
         machines: u32,
     },
-    StateUnreachable {
+    #[serde(rename = "state_unreachable")]
+    KvUnreachable {
         since_s: f64,
     },
     NoLeader {
         /// It holds the lead by the records, but this controller does not hear from it.
-        silent: Option<String>,
+        #[serde(rename = "silent")]
+        unreachable_leader: Option<String>,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     pub job: String,
     pub task: Option<u32>,
-    pub state: Option<JobState>,
+    pub state: Option<JobPhase>,
     pub tasks: Option<u32>,
     pub done: Option<u32>,
-    pub reasons: Vec<Reason>,
+    pub reasons: Vec<StateReason>,
 }
 
 /// What the leader decided or saw.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EventWord {
+pub enum JobEventKind {
     Accepted,
     /// Another node led before: what came earlier is unknown.
-    Inherited,
+    #[serde(rename = "inherited")]
+    Recovered,
     QueuedShared,
     QueuedDedicated,
-    QueuedNowhere,
+    #[serde(rename = "queued_nowhere")]
+    QueuedBacklog,
     Stolen,
     Spilled,
     Bound,
     Running,
-    HaltedForUrgent,
-    HaltedForDrain,
-    HaltedWithdrawn,
+    #[serde(rename = "halted_for_urgent")]
+    StoppedForPreemption,
+    #[serde(rename = "halted_for_drain")]
+    StoppedForDrain,
+    #[serde(rename = "halted_withdrawn")]
+    StoppedForCancel,
     Done,
     Failed,
-    Refused,
+    #[serde(rename = "refused")]
+    WorkerRejected,
     Stopped,
     GangLeft,
-    MachineGone,
-    Withdrawn,
+    #[serde(rename = "machine_gone")]
+    MachineLost,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
     JobDone,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EventRow {
+pub struct JobEvent {
     pub at_ms: u64,
-    pub event: EventWord,
+    #[serde(rename = "event")]
+    pub kind: JobEventKind,
     pub first_task: Option<u32>,
     /// Neighbours of one kind are merged.
     pub tasks: u32,
@@ -402,71 +474,91 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EventList {
-    pub node: String,
+pub struct JobEventList {
+    #[serde(rename = "node")]
+    pub controller: String,
     pub job: String,
     /// Events were dropped from the front, or another node led before.
-    pub earlier_unknown: bool,
-    pub events: Vec<EventRow>,
+    #[serde(rename = "earlier_unknown")]
+    pub truncated: bool,
+    pub events: Vec<JobEvent>,
 }
 
 /// One controller, for `latch top` and `/metrics`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct NodeStatus {
-    pub node: String,
+pub struct ControllerStatus {
+    #[serde(rename = "node")]
+    pub controller: String,
     pub zone: String,
     pub ready: bool,
-    pub leads: bool,
+    #[serde(rename = "leads")]
+    pub is_leader: bool,
     pub leader: Option<String>,
     pub revision: u64,
     /// Since the last poll of the state service that was answered.
-    pub mirror_age_s: Option<f64>,
-    pub state_reachable: bool,
-    pub jobs_live: u64,
-    pub jobs_ended: u64,
-    pub requests_held: u64,
-    pub takeovers: u64,
+    #[serde(rename = "mirror_age_s")]
+    pub cache_age_s: Option<f64>,
+    #[serde(rename = "state_reachable")]
+    pub kv_reachable: bool,
+    #[serde(rename = "jobs_live")]
+    pub jobs_active: u64,
+    #[serde(rename = "jobs_ended")]
+    pub jobs_terminal: u64,
+    #[serde(rename = "requests_held")]
+    pub requests_pending: u64,
+    #[serde(rename = "takeovers")]
+    pub failovers: u64,
     pub uptime_s: f64,
     /// Jobs by class and team; `told` is this controller's own, the rest is the same on all.
     #[serde(default)]
-    pub accounts: Vec<AccountView>,
+    #[serde(rename = "accounts")]
+    pub job_counters: Vec<JobCountersView>,
     /// Of the leader alone.
-    pub work: Option<LeaderStatus>,
+    #[serde(rename = "work")]
+    pub leader_status: Option<LeaderStatus>,
 }
 
 /// Jobs of a class that a team owns, by the records (docs/operations.md).
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct AccountView {
+pub struct JobCountersView {
     pub team: String,
     pub class: String,
     pub accepted: u64,
     pub started: u64,
     pub done: u64,
-    pub withdrawn: u64,
+    #[serde(rename = "withdrawn")]
+    pub cancelled: u64,
     /// Users told of the end with `done` by this controller.
-    pub told: u64,
+    #[serde(rename = "told")]
+    pub completions_reported: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LeaderStatus {
     pub machines_up: u64,
     pub machines_booting: u64,
-    pub machines_silent: u64,
+    #[serde(rename = "machines_silent")]
+    pub machines_unreachable: u64,
     pub cpus: f64,
     pub cpus_used: f64,
     pub queued_shared: u64,
     pub queued_dedicated: u64,
-    pub queued_nowhere: u64,
+    #[serde(rename = "queued_nowhere")]
+    pub queued_backlog: u64,
     pub gangs_waiting: u64,
-    pub tasks_out: u64,
-    pub starts: u64,
+    #[serde(rename = "tasks_out")]
+    pub tasks_placed: u64,
+    #[serde(rename = "starts")]
+    pub tasks_bound: u64,
     pub steals: u64,
     pub stolen_tasks: u64,
     pub spilled_tasks: u64,
     pub preempted_tasks: u64,
     pub machines_lost: u64,
-    pub state_changes: u64,
-    pub log_parts: u64,
+    #[serde(rename = "state_changes")]
+    pub kv_mutations: u64,
+    #[serde(rename = "log_parts")]
+    pub log_segments: u64,
     pub teams: Vec<TeamStatus>,
 }
 
@@ -479,84 +571,90 @@
 }
 
 /// Names and values of a query; `Err` is the answer that says what is wrong.
-pub(super) fn pairs(query: &str) -> Result<Vec<(&str, &str)>, Answer> {
+pub(super) fn parse_query(query: &str) -> Result<Vec<(&str, &str)>, HttpResponse> {
     let split = |pair| str::split_once(pair, '=').ok_or(pair);
     let read: Result<Vec<_>, &str> = query.split('&').filter(|pair| !pair.is_empty()).map(split).collect();
-    read.map_err(|pair| Answer::error(400, &format!("expected name=value in the query, not {pair:?}")))
+    read.map_err(|pair| HttpResponse::error(400, &format!("expected name=value in the query, not {pair:?}")))
 }
 
-pub(super) fn wrong(name: &str, expected: &str, found: &str) -> Answer {
-    Answer::error(400, &format!("{name}: expected {expected}, not {found:?}"))
+pub(super) fn invalid_parameter(name: &str, expected: &str, found: &str) -> HttpResponse {
+    HttpResponse::error(400, &format!("{name}: expected {expected}, not {found:?}"))
 }
 
-pub(super) fn read_limit(text: &str) -> Result<usize, Answer> {
-    let limit = text.parse().ok().filter(|limit| (1..=LARGEST_PAGE).contains(limit));
-    limit.ok_or_else(|| wrong("limit", &format!("1 to {LARGEST_PAGE}"), text))
+pub(super) fn parse_limit(text: &str) -> Result<usize, HttpResponse> {
+    let limit = text.parse().ok().filter(|limit| (1..=MAX_PAGE_SIZE).contains(limit));
+    limit.ok_or_else(|| invalid_parameter("limit", &format!("1 to {MAX_PAGE_SIZE}"), text))
 }
 
 /// Reads what follows `/v1/`. None: no such path. `Err` is the final answer.
-pub fn read_operator(path: &str, query: &str) -> Option<Result<OperatorRequest, Answer>> {
+pub fn parse_operator_request(path: &str, query: &str) -> Option<Result<OperatorRequest, HttpResponse>> {
     let parts: Vec<&str> = path.split('/').collect();
     Some(match parts.as_slice() {
         ["status"] => Ok(OperatorRequest::Status),
-        ["jobs"] => read_list(query).map(OperatorRequest::List),
-        ["jobs", id] => by_id(id, |id| read_inspect(id, query)),
-        ["jobs", id, "explain"] => by_id(id, |id| read_explain(id, query)),
-        ["jobs", id, "events"] => by_id(id, |id| Ok(OperatorRequest::Events { id })),
+        ["jobs"] => parse_list_query(query).map(OperatorRequest::ListJobs),
+        ["jobs", id] => with_job_id(id, |id| parse_inspect(id, query)),
+        ["jobs", id, "explain"] => with_job_id(id, |id| parse_explain(id, query)),
+        ["jobs", id, "events"] => with_job_id(id, |id| Ok(OperatorRequest::JobEvents { id })),
         _ => return None,
     })
 }
 
 /// A name of another form was never accepted.
-fn by_id(
+fn with_job_id(
     id: &str,
-    make: impl Fn(JobId) -> Result<OperatorRequest, Answer>,
-) -> Result<OperatorRequest, Answer> {
-    make(JobId::parse(id).ok_or_else(|| Answer::error(404, "no such job"))?)
+    build: impl Fn(JobId) -> Result<OperatorRequest, HttpResponse>,
+) -> Result<OperatorRequest, HttpResponse> {
+    build(JobId::parse(id).ok_or_else(|| HttpResponse::error(404, "no such job"))?)
 }
 
-fn read_list(query: &str) -> Result<ListQuery, Answer> {
-    let mut list = ListQuery { limit: PAGE, ..ListQuery::default() };
-    for (name, value) in pairs(query)? {
+fn parse_list_query(query: &str) -> Result<ListQuery, HttpResponse> {
+    let mut list = ListQuery { limit: DEFAULT_PAGE_SIZE, ..ListQuery::default() };
+    for (name, value) in parse_query(query)? {
         match name {
             "after" => {
-                let id = JobId::parse(value).ok_or_else(|| wrong(name, "an id like job-000412", value))?;
+                let id = JobId::parse(value)
+                    .ok_or_else(|| invalid_parameter(name, "an id like job-000412", value))?;
                 list.after = Some(id);
             }
-            "limit" => list.limit = read_limit(value)?,
+            "limit" => list.limit = parse_limit(value)?,
             "team" => list.team = Some(value.into()),
             "class" => list.class = Some(value.into()),
             "state" => {
                 let words = "live, ended, pending, running, done or withdrawn";
-                list.state = Some(StateFilter::parse(value).ok_or_else(|| wrong(name, words, value))?);
+                list.state =
+                    Some(StateFilter::parse(value).ok_or_else(|| invalid_parameter(name, words, value))?);
             }
-            _ => return Err(wrong("query", "after, limit, team, class or state", name)),
+            _ => return Err(invalid_parameter("query", "after, limit, team, class or state", name)),
         }
     }
     Ok(list)
 }
 
-fn read_inspect(id: JobId, query: &str) -> Result<OperatorRequest, Answer> {
-    let (mut after, mut limit) = (None, PAGE);
-    for (name, value) in pairs(query)? {
+fn parse_inspect(id: JobId, query: &str) -> Result<OperatorRequest, HttpResponse> {
+    let (mut after, mut limit) = (None, DEFAULT_PAGE_SIZE);
+    for (name, value) in parse_query(query)? {
         match name {
-            "after" => after = Some(value.parse().map_err(|_| wrong(name, "a task's number", value))?),
-            "limit" => limit = read_limit(value)?,
-            _ => return Err(wrong("query", "after or limit", name)),
+            "after" => {
+                after = Some(value.parse().map_err(|_| invalid_parameter(name, "a task's number", value))?)
+            }
+            "limit" => limit = parse_limit(value)?,
+            _ => return Err(invalid_parameter("query", "after or limit", name)),
         }
     }
-    Ok(OperatorRequest::Inspect { id, after, limit })
+    Ok(OperatorRequest::InspectJob { id, after, limit })
 }
 
-fn read_explain(id: JobId, query: &str) -> Result<OperatorRequest, Answer> {
+fn parse_explain(id: JobId, query: &str) -> Result<OperatorRequest, HttpResponse> {
     let mut task = None;
-    for (name, value) in pairs(query)? {
+    for (name, value) in parse_query(query)? {
         match name {
-            "task" => task = Some(value.parse().map_err(|_| wrong(name, "a task's number", value))?),
-            _ => return Err(wrong("query", "task", name)),
+            "task" => {
+                task = Some(value.parse().map_err(|_| invalid_parameter(name, "a task's number", value))?)
+            }
+            _ => return Err(invalid_parameter("query", "task", name)),
         }
     }
-    Ok(OperatorRequest::Explain { id, task })
+    Ok(OperatorRequest::ExplainJob { id, task })
 }
 
 #[cfg(test)]
--- a/src/protocol/tests/graphs.rs
+++ b/src/protocol/tests/graphs.rs
@@ -4,10 +4,15 @@
 
 #[test]
 fn a_large_graph_is_cut_into_parts_that_fit() {
-    let node = |at: u32| NodeRow { name: format!("node-{at}"), job: u64::from(at), template: 0, map: None };
-    let nodes: Vec<NodeRow> = (0..10_000).map(node).collect();
+    let node = |at: u32| DagNodeRecord {
+        name: format!("node-{at}"),
+        job: u64::from(at),
+        template: 0,
+        mapped_from: None,
+    };
+    let nodes: Vec<DagNodeRecord> = (0..10_000).map(node).collect();
     let edges: Vec<_> = (1..10_000).map(|at| (at, at - 1, 1)).collect();
-    let parts = pack(Vec::new(), nodes.clone(), edges.clone(), vec![(0, 1, 5)], 3_900);
+    let parts = split_into_parts(Vec::new(), nodes.clone(), edges.clone(), vec![(0, 1, 5)], 3_900);
     let size = |part: &GraphPart| serde_json::to_string(part).map_or(0, |text| text.len());
     assert!(parts.iter().map(size).max().is_some_and(|most| most <= 3_900));
     assert!(parts.len() < 200, "{} parts", parts.len());
@@ -19,12 +24,12 @@
 #[test]
 fn requests_are_read_or_named() {
     let header = br#"{"graph":"nightly","parts":2,"nodes":30}"#;
-    let Some(Ok(GraphAsked::Change(GraphRequest::Commit { header, .. }))) =
-        read_graph("POST", "graphs/n-1", "", header)
+    let Some(Ok(GraphRouteRequest::Modify(DagRequest::Commit { header, .. }))) =
+        parse_graph_request("POST", "graphs/n-1", "", header)
     else {
         panic!("a commit")
     };
-    assert_eq!(header.most_runs, 1);
+    assert_eq!(header.max_active_runs, 1);
     for (method, path, body, status) in [
         ("POST", "graphs/n 1", "{}", 400),
         ("POST", "graphs/n", "{}", 400),
@@ -35,8 +40,9 @@
         ("DELETE", "graphs/n", "", 405),
         ("GET", "graphs/n/cancel", "", 405),
     ] {
-        let answer = read_graph(method, path, "", body.as_bytes()).expect("a path").expect_err("refused");
+        let answer =
+            parse_graph_request(method, path, "", body.as_bytes()).expect("a path").expect_err("refused");
         assert_eq!(answer.status, status, "{method} {path} {body}");
     }
-    assert!(read_graph("GET", "graphs/n/colour", "", b"").is_none());
+    assert!(parse_graph_request("GET", "graphs/n/colour", "", b"").is_none());
 }
--- a/src/protocol/tests/operators.rs
+++ b/src/protocol/tests/operators.rs
@@ -5,9 +5,9 @@
 /// A query that is wrong is answered with what was expected; none is guessed at.
 #[test]
 fn queries_are_read_or_named() {
-    let ok = read_operator("jobs", "after=job-000412&limit=7&state=live&team=core");
-    let Some(Ok(OperatorRequest::List(list))) = ok else { panic!("{ok:?}") };
-    assert_eq!((list.after, list.limit, list.state), (Some(JobId(412)), 7, Some(StateFilter::Live)));
+    let ok = parse_operator_request("jobs", "after=job-000412&limit=7&state=live&team=core");
+    let Some(Ok(OperatorRequest::ListJobs(list))) = ok else { panic!("{ok:?}") };
+    assert_eq!((list.after, list.limit, list.state), (Some(JobId(412)), 7, Some(StateFilter::Active)));
     for (path, query, named) in [
         ("jobs", "after=412", "after"),
         ("jobs", "limit=0", "limit"),
@@ -18,10 +18,13 @@
         ("jobs/job-000001/explain", "task=x", "task"),
         ("jobs/job-000001", "after=-1", "after"),
     ] {
-        let Some(Err(answer)) = read_operator(path, query) else { panic!("{path}?{query}") };
+        let Some(Err(answer)) = parse_operator_request(path, query) else { panic!("{path}?{query}") };
         let body = String::from_utf8_lossy(&answer.body).to_string();
         assert!(answer.status == 400 && body.contains(named), "{path}?{query}: {body}");
     }
-    assert_eq!(read_operator("jobs/412", "").and_then(Result::err).map(|answer| answer.status), Some(404));
-    assert!(read_operator("jobs/job-000001/colour", "").is_none());
+    assert_eq!(
+        parse_operator_request("jobs/412", "").and_then(Result::err).map(|answer| answer.status),
+        Some(404)
+    );
+    assert!(parse_operator_request("jobs/job-000001/colour", "").is_none());
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Answer;
-use crate::ids::{JobId, milli_up, seconds};
+use super::HttpResponse;
+use crate::ids::{JobId, seconds_to_ms, to_milli_ceil};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobKind {
     #[serde(rename = "array")]
     Array,
     #[serde(rename = "gang")]
@@ -16,7 +16,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Urgency {
+pub enum PriorityClass {
     #[serde(rename = "critical")]
     Critical,
     #[serde(rename = "high")]
@@ -32,64 +32,83 @@
     Pending,
     Running,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
 impl JobStatus {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             JobStatus::Pending => "pending",
             JobStatus::Running => "running",
             JobStatus::Done => "done",
-            JobStatus::Withdrawn => "withdrawn",
+            JobStatus::Cancelled => "withdrawn",
         }
     }
 }
 
 /// A job as its user describes it; kept as it is in the job's durable record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobSpec {
-    pub uid: String,
-    pub jobclass: String,
-    pub owner: String,
-    pub shape: Shape,
-    pub urgency: Urgency,
-    pub pieces: u32,
-    pub vcpus: f64,
-    pub accelerators: f64,
+pub struct JobManifest {
+    #[serde(rename = "uid")]
+    pub id: String,
+    #[serde(rename = "jobclass")]
+    pub job_class: String,
+    #[serde(rename = "owner")]
+    pub team: String,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
+    #[serde(rename = "urgency")]
+    pub priority_class: PriorityClass,
+    #[serde(rename = "pieces")]
+    pub tasks: u32,
+    #[serde(rename = "vcpus")]
+    pub cpus: f64,
+    #[serde(rename = "accelerators")]
+    pub gpus: f64,
     pub memory_gb: f64,
-    pub bundle: String,
-    pub size_gb: f64,
+    #[serde(rename = "bundle")]
+    pub image: String,
+    #[serde(rename = "size_gb")]
+    pub image_gb: f64,
     #[serde(default)]
-    pub boxkinds: Option<Vec<String>>,
+    #[serde(rename = "boxkinds")]
+    pub machine_types: Option<Vec<String>>,
     #[serde(default)]
-    pub hall: Option<String>,
-    pub together: bool,
-    pub scatter: bool,
-    pub loaners: bool,
-    pub guess_s: f64,
-    pub snapshot_s: f64,
-    pub flush_s: f64,
+    #[serde(rename = "hall")]
+    pub zone: Option<String>,
+    #[serde(rename = "together")]
+    pub same_zone: bool,
+    #[serde(rename = "scatter")]
+    pub spread: bool,
+    #[serde(rename = "loaners")]
+    pub spot_allowed: bool,
+    #[serde(rename = "guess_s")]
+    pub estimated_run_s: f64,
+    #[serde(rename = "snapshot_s")]
+    pub checkpoint_interval_s: f64,
+    #[serde(rename = "flush_s")]
+    pub checkpoint_save_s: f64,
     #[serde(default)]
-    pub due_s: Option<f64>,
+    #[serde(rename = "due_s")]
+    pub deadline_s: Option<f64>,
 }
 
 /// Most tasks a job may have.
-pub const MOST_TASKS: u32 = 100_000;
-const LONGEST_NAME: usize = 200;
-const LARGEST_AMOUNT: f64 = 1e9;
+pub const MAX_TASKS: u32 = 100_000;
+const MAX_NAME_BYTES: usize = 200;
+const MAX_QUANTITY: f64 = 1e9;
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserRequest {
     /// The name could be read, the rest may be wrong; known names come first.
     Submit {
         id: JobId,
-        spec: Result<Box<JobSpec>, String>,
+        manifest: Result<Box<JobManifest>, String>,
     },
     Poll {
         id: JobId,
     },
-    Abort {
+    Cancel {
         id: JobId,
     },
 }
@@ -98,7 +117,7 @@
     /// The job that it is about.
     pub fn id(&self) -> JobId {
         match self {
-            UserRequest::Submit { id, .. } | UserRequest::Poll { id } | UserRequest::Abort { id } => *id,
+            UserRequest::Submit { id, .. } | UserRequest::Poll { id } | UserRequest::Cancel { id } => *id,
         }
     }
 }
@@ -113,12 +132,12 @@
     running: Option<u32>,
 }
 
-pub fn status_answer(code: u16, id: JobId, status: JobStatus, counts: Option<(u32, u32)>) -> Answer {
-    Answer::json(
+pub fn status_response(code: u16, id: JobId, status: JobStatus, counts: Option<(u32, u32)>) -> HttpResponse {
+    HttpResponse::json(
         code,
         &StatusWire {
             uid: id.to_string(),
-            status: status.word(),
+            status: status.as_str(),
             done: counts.map(|c| c.0),
             running: counts.map(|c| c.1),
         },
@@ -126,59 +145,62 @@
 }
 
 /// Reads a submission. `Err` is the final answer.
-pub fn read_submission(body: &[u8]) -> Result<UserRequest, Answer> {
+pub fn parse_submission(body: &[u8]) -> Result<UserRequest, HttpResponse> {
     let value: serde_json::Value =
-        serde_json::from_slice(body).map_err(|_| Answer::error(400, "the body is not JSON"))?;
+        serde_json::from_slice(body).map_err(|_| HttpResponse::error(400, "the body is not JSON"))?;
     let Some(object) = value.as_object() else {
-        return Err(Answer::error(400, "the body is not an object"));
+        return Err(HttpResponse::error(400, "the body is not an object"));
     };
     let id = object
         .get("uid")
         .and_then(|uid| uid.as_str())
         .and_then(JobId::parse)
-        .ok_or_else(|| Answer::error(400, "uid is missing or not of the form job-000412"))?;
-    let spec = serde_json::from_value::<JobSpec>(value)
+        .ok_or_else(|| HttpResponse::error(400, "uid is missing or not of the form job-000412"))?;
+    let spec = serde_json::from_value::<JobManifest>(value)
         .map_err(|error| error.to_string())
-        .and_then(|spec| check_spec(&spec).map(|()| Box::new(spec)));
-    Ok(UserRequest::Submit { id, spec })
+        .and_then(|spec| validate_manifest(&spec).map(|()| Box::new(spec)));
+    Ok(UserRequest::Submit { id, manifest: spec })
 }
 
-pub fn check_spec(spec: &JobSpec) -> Result<(), String> {
-    if spec.pieces == 0 || spec.pieces > MOST_TASKS {
-        return Err(format!("pieces must be 1 to {MOST_TASKS}"));
+pub fn validate_manifest(manifest: &JobManifest) -> Result<(), String> {
+    if manifest.tasks == 0 || manifest.tasks > MAX_TASKS {
+        return Err(format!("pieces must be 1 to {MAX_TASKS}"));
     }
     let amounts = [
-        ("vcpus", spec.vcpus),
-        ("accelerators", spec.accelerators),
-        ("memory_gb", spec.memory_gb),
-        ("size_gb", spec.size_gb),
-        ("guess_s", spec.guess_s),
-        ("snapshot_s", spec.snapshot_s),
-        ("flush_s", spec.flush_s),
-        ("due_s", spec.due_s.unwrap_or(0.0)),
+        ("vcpus", manifest.cpus),
+        ("accelerators", manifest.gpus),
+        ("memory_gb", manifest.memory_gb),
+        ("size_gb", manifest.image_gb),
+        ("guess_s", manifest.estimated_run_s),
+        ("snapshot_s", manifest.checkpoint_interval_s),
+        ("flush_s", manifest.checkpoint_save_s),
+        ("due_s", manifest.deadline_s.unwrap_or(0.0)),
     ];
     for (name, value) in amounts {
-        if !(0.0..=LARGEST_AMOUNT).contains(&value) {
+        if !(0.0..=MAX_QUANTITY).contains(&value) {
             return Err(format!("{name} is out of range"));
         }
     }
-    if milli_up(spec.vcpus) == 0 && milli_up(spec.memory_gb) == 0 && milli_up(spec.accelerators) == 0 {
+    if to_milli_ceil(manifest.cpus) == 0
+        && to_milli_ceil(manifest.memory_gb) == 0
+        && to_milli_ceil(manifest.gpus) == 0
+    {
         return Err("a task must take something of its machine".into());
     }
-    let names = [("jobclass", &spec.jobclass), ("owner", &spec.owner), ("bundle", &spec.bundle)];
+    let names = [("jobclass", &manifest.job_class), ("owner", &manifest.team), ("bundle", &manifest.image)];
     for (name, value) in names {
-        if value.is_empty() || value.len() > LONGEST_NAME {
-            return Err(format!("{name} must be 1 to {LONGEST_NAME} bytes"));
+        if value.is_empty() || value.len() > MAX_NAME_BYTES {
+            return Err(format!("{name} must be 1 to {MAX_NAME_BYTES} bytes"));
         }
     }
-    if spec.hall.as_ref().is_some_and(|hall| hall.len() > LONGEST_NAME) {
+    if manifest.zone.as_ref().is_some_and(|hall| hall.len() > MAX_NAME_BYTES) {
         return Err("hall is too long".into());
     }
     Ok(())
 }
 
-impl JobSpec {
-    pub fn guess_ms(&self) -> u64 {
-        seconds(self.guess_s)
+impl JobManifest {
+    pub fn estimated_run_ms(&self) -> u64 {
+        seconds_to_ms(self.estimated_run_s)
     }
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -4,65 +4,65 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Answer, Call};
-use crate::ids::{Attempt, Session, TaskRef, Token};
+use super::{HttpRequest, HttpResponse};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskId};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
     Done,
-    Halted { saved: bool },
-    Peers,
-    Incomplete,
+    Stopped { checkpointed: bool },
+    PeersLost,
+    GangIncomplete,
     Error,
-    NoRoom,
+    InsufficientCapacity,
     Busy,
     Unknown,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TaskState {
+pub enum TaskPhase {
     Fetching,
-    Gathering,
+    WaitingForPeers,
     Running,
-    Saving,
+    Checkpointing,
     Exited(ExitCause),
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Piece {
-    pub task: TaskRef,
+pub struct TaskStatus {
+    pub task: TaskId,
     pub attempt: Attempt,
-    pub state: TaskState,
+    pub state: TaskPhase,
     /// Of a task that is done: the attempt whose result counts, if a worker tells it.
-    pub made: Option<Attempt>,
+    pub published_attempt: Option<Attempt>,
     /// And the length of the list it gave.
-    pub gave: Option<u32>,
+    pub output_list_len: Option<u32>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: String,
     pub endpoint: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: Session,
-    pub tick: u64,
-    pub token: Token,
-    pub notice_ms: Option<u64>,
-    pub pieces: Vec<Piece>,
+    pub epoch: AgentEpoch,
+    pub sequence: u64,
+    pub token: FencingToken,
+    pub reclaim_notice_ms: Option<u64>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
-    Run { task: TaskRef, attempt: Attempt },
-    Halt { task: TaskRef, attempt: Attempt, grace_ms: u64 },
-    Reap { task: TaskRef, attempt: Attempt },
+pub enum WorkerCommand {
+    Run { task: TaskId, attempt: Attempt },
+    Stop { task: TaskId, attempt: Attempt, grace_ms: u64 },
+    Forget { task: TaskId, attempt: Attempt },
 }
 
 /// Text is borrowed from the body, unless it is escaped: reports are the most of what is read.
 #[derive(Deserialize)]
-struct PieceWire<'a> {
+struct TaskStatusWire<'a> {
     #[serde(borrow)]
     piece: Cow<'a, str>,
     #[serde(rename = "try")]
@@ -80,7 +80,7 @@
 }
 
 #[derive(Deserialize)]
-struct ReportWire<'a> {
+struct HeartbeatWire<'a> {
     #[serde(rename = "box")]
     machine: String,
     #[serde(default)]
@@ -95,11 +95,11 @@
     #[serde(default)]
     warning_s: Option<f64>,
     #[serde(borrow, default)]
-    pieces: Vec<PieceWire<'a>>,
+    pieces: Vec<TaskStatusWire<'a>>,
 }
 
 #[derive(Serialize)]
-struct OrderWire {
+struct CommandWire {
     verb: &'static str,
     piece: String,
     #[serde(rename = "try")]
@@ -109,73 +109,73 @@
 }
 
 #[derive(Serialize)]
-struct OrdersWire {
+struct CommandsWire {
     baton: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
     shift: Option<u64>,
-    orders: Vec<OrderWire>,
+    orders: Vec<CommandWire>,
 }
 
 #[derive(Serialize)]
-struct HomeWire<'a> {
+struct RedirectWire<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     home: Option<&'a str>,
 }
 
-pub fn read_report(body: &[u8]) -> Option<Report> {
-    let wire: ReportWire<'_> = serde_json::from_slice(body).ok()?;
-    let pieces: Option<Vec<Piece>> = wire.pieces.iter().map(read_piece).collect();
-    Some(Report {
+pub fn parse_heartbeat(body: &[u8]) -> Option<Heartbeat> {
+    let wire: HeartbeatWire<'_> = serde_json::from_slice(body).ok()?;
+    let pieces: Option<Vec<TaskStatus>> = wire.pieces.iter().map(parse_task_status).collect();
+    Some(Heartbeat {
         machine: wire.machine,
         endpoint: wire.endpoint,
-        kind: wire.boxkind,
+        machine_type: wire.boxkind,
         zone: wire.hall,
         spot: wire.loaners,
-        session: Session(wire.shift),
-        tick: wire.tick,
-        token: Token(wire.baton),
-        notice_ms: wire.warning_s.map(|s| (s.max(0.0) * 1000.0) as u64),
-        pieces: pieces?,
+        epoch: AgentEpoch(wire.shift),
+        sequence: wire.tick,
+        token: FencingToken(wire.baton),
+        reclaim_notice_ms: wire.warning_s.map(|s| (s.max(0.0) * 1000.0) as u64),
+        tasks: pieces?,
     })
 }
 
-fn read_piece(wire: &PieceWire<'_>) -> Option<Piece> {
-    Some(Piece {
-        task: TaskRef::parse(&wire.piece)?,
+fn parse_task_status(wire: &TaskStatusWire<'_>) -> Option<TaskStatus> {
+    Some(TaskStatus {
+        task: TaskId::parse(&wire.piece)?,
         attempt: Attempt(wire.attempt),
         state: match &*wire.status {
-            "fetching" => TaskState::Fetching,
-            "gathering" => TaskState::Gathering,
-            "running" => TaskState::Running,
-            "flushing" => TaskState::Saving,
-            "ended" => TaskState::Exited(read_cause(wire)),
+            "fetching" => TaskPhase::Fetching,
+            "gathering" => TaskPhase::WaitingForPeers,
+            "running" => TaskPhase::Running,
+            "flushing" => TaskPhase::Checkpointing,
+            "ended" => TaskPhase::Exited(parse_exit_cause(wire)),
             _ => return None,
         },
-        made: wire.made.map(Attempt),
-        gave: wire.gave,
+        published_attempt: wire.made.map(Attempt),
+        output_list_len: wire.gave,
     })
 }
 
-fn read_cause(wire: &PieceWire<'_>) -> ExitCause {
+fn parse_exit_cause(wire: &TaskStatusWire<'_>) -> ExitCause {
     match wire.cause.as_deref() {
         Some("done") => ExitCause::Done,
-        Some("halted") => ExitCause::Halted { saved: wire.kept == Some(true) },
-        Some("peers") => ExitCause::Peers,
-        Some("incomplete") => ExitCause::Incomplete,
-        Some("full") => ExitCause::NoRoom,
+        Some("halted") => ExitCause::Stopped { checkpointed: wire.kept == Some(true) },
+        Some("peers") => ExitCause::PeersLost,
+        Some("incomplete") => ExitCause::GangIncomplete,
+        Some("full") => ExitCause::InsufficientCapacity,
         Some("busy") => ExitCause::Busy,
         Some("unknown") => ExitCause::Unknown,
         _ => ExitCause::Error,
     }
 }
 
-fn order_wire(order: &Order) -> OrderWire {
+fn command_wire(order: &WorkerCommand) -> CommandWire {
     let (verb, task, attempt, grace_ms) = match order {
-        Order::Run { task, attempt } => ("run", task, attempt, None),
-        Order::Halt { task, attempt, grace_ms } => ("halt", task, attempt, Some(*grace_ms)),
-        Order::Reap { task, attempt } => ("reap", task, attempt, None),
+        WorkerCommand::Run { task, attempt } => ("run", task, attempt, None),
+        WorkerCommand::Stop { task, attempt, grace_ms } => ("halt", task, attempt, Some(*grace_ms)),
+        WorkerCommand::Forget { task, attempt } => ("reap", task, attempt, None),
     };
-    OrderWire {
+    CommandWire {
         verb,
         piece: task.to_string(),
         attempt: attempt.0,
@@ -183,27 +183,27 @@
     }
 }
 
-pub fn orders_answer(token: Token, orders: &[Order]) -> Answer {
-    Answer::json(
+pub fn commands_response(token: FencingToken, commands: &[WorkerCommand]) -> HttpResponse {
+    HttpResponse::json(
         200,
-        &OrdersWire { baton: token.0, shift: None, orders: orders.iter().map(order_wire).collect() },
+        &CommandsWire { baton: token.0, shift: None, orders: commands.iter().map(command_wire).collect() },
     )
 }
 
-pub fn orders_call(token: Token, session: Session, orders: &[Order]) -> Call {
-    Call::post(
+pub fn commands_request(token: FencingToken, epoch: AgentEpoch, commands: &[WorkerCommand]) -> HttpRequest {
+    HttpRequest::post(
         "/orders",
-        &OrdersWire {
+        &CommandsWire {
             baton: token.0,
-            shift: Some(session.0),
-            orders: orders.iter().map(order_wire).collect(),
+            shift: Some(epoch.0),
+            orders: commands.iter().map(command_wire).collect(),
         },
     )
 }
 
 /// Sends a worker to the node that is entitled to command it.
-pub fn elsewhere(home: Option<&str>) -> Answer {
-    Answer::json(421, &HomeWire { home })
+pub fn redirect_response(controller: Option<&str>) -> HttpResponse {
+    HttpResponse::json(421, &RedirectWire { home: controller })
 }
 
 #[cfg(test)]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::ids::{Amount, milli_down};
+use crate::ids::{Resources, to_milli_floor};
 
 #[derive(Debug, Error)]
 pub enum SettingsError {
@@ -19,15 +19,16 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Other {
-    pub node: String,
+pub struct PeerController {
+    #[serde(rename = "node")]
+    pub controller: String,
     #[serde(default)]
     pub zone: String,
     pub addr: SocketAddr,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct Endpoints {
+struct EndpointsWire {
     cloud: SocketAddr,
     state: SocketAddr,
 }
@@ -46,12 +47,13 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Objective {
+pub struct ServiceLevelObjective {
     pub kind: String,
     #[serde(default, rename = "class")]
-    pub jobclass: Option<String>,
+    pub job_class: Option<String>,
     #[serde(default)]
-    pub within_s: Option<f64>,
+    #[serde(rename = "within_s")]
+    pub target_s: Option<f64>,
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -66,11 +68,13 @@
 }
 
 #[derive(Debug, Clone, Copy, Deserialize)]
-pub struct StateLimits {
+pub struct KvLimits {
     pub rps: f64,
     pub write_rps: f64,
-    pub value_kb: f64,
-    pub txn_ops: usize,
+    #[serde(rename = "value_kb")]
+    pub max_value_kb: f64,
+    #[serde(rename = "txn_ops")]
+    pub max_txn_ops: usize,
 }
 
 #[derive(Debug, Clone, Copy, Deserialize)]
@@ -81,11 +85,12 @@
 }
 
 #[derive(Debug, Clone, Copy, Deserialize)]
-pub struct Quota {
+pub struct ControllerLimits {
     #[serde(default = "one")]
     pub core_share: f64,
     #[serde(default = "default_memory")]
-    pub mem_mb: f64,
+    #[serde(rename = "mem_mb")]
+    pub memory_mb: f64,
     #[serde(default = "default_connections")]
     pub max_connections: usize,
 }
@@ -103,80 +108,81 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct Cluster {
+struct ClusterWire {
     count: usize,
     zones: Vec<String>,
     #[serde(default)]
     teams: Vec<TeamWire>,
     #[serde(default)]
-    objectives: Vec<Objective>,
+    objectives: Vec<ServiceLevelObjective>,
     workers: WorkersWire,
-    state: StateLimits,
+    state: KvLimits,
     cloud: CloudWire,
-    quota: Quota,
+    quota: ControllerLimits,
     #[serde(default)]
     time_bound_ms: f64,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct Wire {
+struct SettingsWire {
     node: String,
     zone: String,
     front: SocketAddr,
     mesh_addr: SocketAddr,
     #[serde(default)]
-    others: Vec<Other>,
-    endpoints: Endpoints,
-    cluster: Cluster,
+    others: Vec<PeerController>,
+    endpoints: EndpointsWire,
+    cluster: ClusterWire,
 }
 
 /// A team's share; a maximum of 0 is no limit.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Team {
+pub struct TeamSettings {
     pub name: String,
-    pub guaranteed: Amount,
-    pub most: Amount,
+    pub guaranteed: Resources,
+    pub configured_limit: Resources,
     /// CPUs that operators have lowered the limit to, in thousandths (`bookkeeping::config`).
-    pub lowered_cpu: Option<u64>,
+    pub lowered_cpu_limit: Option<u64>,
 }
 
-impl Team {
+impl TeamSettings {
     /// What the team may use at most: 0 in the settings means that there is no limit.
-    pub fn limit(&self) -> Amount {
-        let open = |v: u64| if v == 0 { u64::MAX } else { v };
-        let cpu = open(self.most.cpu).min(self.lowered_cpu.unwrap_or(u64::MAX));
-        Amount { cpu, gpu: open(self.most.gpu), mem: u64::MAX }
+    pub fn effective_limit(&self) -> Resources {
+        let zero_as_unlimited = |v: u64| if v == 0 { u64::MAX } else { v };
+        let cpu =
+            zero_as_unlimited(self.configured_limit.cpu).min(self.lowered_cpu_limit.unwrap_or(u64::MAX));
+        Resources { cpu, gpu: zero_as_unlimited(self.configured_limit.gpu), mem: u64::MAX }
     }
 }
 
 /// How the workers behave, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WorkerTimes {
-    pub report_ms: u64,
-    pub lease_ms: u64,
+pub struct WorkerTimings {
+    pub heartbeat_interval_ms: u64,
+    pub lease_duration_ms: u64,
     pub gang_wait_ms: u64,
     pub gang_peer_ms: u64,
-    pub cancel_ms: u64,
+    pub cancel_deadline_ms: u64,
 }
 
 #[derive(Debug, Clone)]
 pub struct Settings {
-    pub node: String,
+    pub controller: String,
     pub zone: String,
-    pub front: SocketAddr,
-    pub mesh: SocketAddr,
-    pub others: Vec<Other>,
-    pub cloud: SocketAddr,
-    pub state: SocketAddr,
-    pub nodes: usize,
+    pub http_addr: SocketAddr,
+    pub peer_addr: SocketAddr,
+    pub peers: Vec<PeerController>,
+    pub cloud_addr: SocketAddr,
+    pub kv_addr: SocketAddr,
+    pub controller_count: usize,
     pub zones: Vec<String>,
-    pub teams: Vec<Team>,
-    pub objectives: Vec<Objective>,
-    pub workers: WorkerTimes,
-    pub state_limits: StateLimits,
+    pub teams: Vec<TeamSettings>,
+    pub objectives: Vec<ServiceLevelObjective>,
+    pub worker_timings: WorkerTimings,
+    pub kv_limits: KvLimits,
     pub cloud_rps: f64,
-    pub list_lag_ms: u64,
-    pub quota: Quota,
+    pub cloud_list_lag_ms: u64,
+    pub limits: ControllerLimits,
     pub time_bound_ms: u64,
 }
 
@@ -189,9 +195,9 @@
     }
 
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
-        let wire: Wire =
+        let wire: SettingsWire =
             serde_json::from_str(text).map_err(|error| SettingsError::Json { file: file.into(), error })?;
-        check(&wire).map_err(|(field, problem)| SettingsError::Value {
+        validate(&wire).map_err(|(field, problem)| SettingsError::Value {
             file: file.into(),
             field,
             problem,
@@ -199,25 +205,25 @@
         Ok(build(wire))
     }
 
-    pub fn zone_of_node(&self, node: &str) -> Option<&str> {
-        if node == self.node {
+    pub fn zone_of_controller(&self, node: &str) -> Option<&str> {
+        if node == self.controller {
             return Some(&self.zone);
         }
-        let other = self.others.iter().find(|other| other.node == node);
+        let other = self.peers.iter().find(|other| other.controller == node);
         other.map(|other| other.zone.as_str())
     }
 }
 
-type Problem = (String, String);
+type FieldError = (String, String);
 
-fn positive(field: &str, value: f64, most: f64) -> Result<(), Problem> {
-    if value.is_finite() && value > 0.0 && value <= most {
+fn check_positive(field: &str, value: f64, max: f64) -> Result<(), FieldError> {
+    if value.is_finite() && value > 0.0 && value <= max {
         return Ok(());
     }
-    Err((field.into(), format!("must be above 0 and at most {most}, not {value}")))
+    Err((field.into(), format!("must be above 0 and at most {max}, not {value}")))
 }
 
-fn check(wire: &Wire) -> Result<(), Problem> {
+fn validate(wire: &SettingsWire) -> Result<(), FieldError> {
     let cluster = &wire.cluster;
     if wire.node.is_empty() {
         return Err(("node".into(), "must not be empty".into()));
@@ -228,35 +234,35 @@
     if cluster.zones.is_empty() {
         return Err(("cluster.zones".into(), "must name at least one zone".into()));
     }
-    if wire.others.iter().any(|other| other.node == wire.node) {
+    if wire.others.iter().any(|other| other.controller == wire.node) {
         return Err(("others".into(), format!("names this node ({})", wire.node)));
     }
     let w = &cluster.workers;
     let day = 86_400.0;
-    positive("cluster.workers.report_s", w.report_s, day)?;
-    positive("cluster.workers.lease_s", w.lease_s, day)?;
-    positive("cluster.workers.gang_wait_s", w.gang_wait_s, day)?;
-    positive("cluster.workers.gang_peer_s", w.gang_peer_s, day)?;
-    positive("cluster.workers.cancel_s", w.cancel_s, day)?;
+    check_positive("cluster.workers.report_s", w.report_s, day)?;
+    check_positive("cluster.workers.lease_s", w.lease_s, day)?;
+    check_positive("cluster.workers.gang_wait_s", w.gang_wait_s, day)?;
+    check_positive("cluster.workers.gang_peer_s", w.gang_peer_s, day)?;
+    check_positive("cluster.workers.cancel_s", w.cancel_s, day)?;
     if w.lease_s <= w.report_s {
         return Err(("cluster.workers.lease_s".into(), "must be longer than report_s".into()));
     }
     let s = &cluster.state;
-    positive("cluster.state.rps", s.rps, 1e6)?;
-    positive("cluster.state.write_rps", s.write_rps, 1e6)?;
-    positive("cluster.state.value_kb", s.value_kb, 64.0)?;
-    if s.value_kb < 2.0 {
+    check_positive("cluster.state.rps", s.rps, 1e6)?;
+    check_positive("cluster.state.write_rps", s.write_rps, 1e6)?;
+    check_positive("cluster.state.value_kb", s.max_value_kb, 64.0)?;
+    if s.max_value_kb < 2.0 {
         return Err(("cluster.state.value_kb".into(), "must be at least 2".into()));
     }
-    if s.txn_ops < 3 {
+    if s.max_txn_ops < 3 {
         return Err(("cluster.state.txn_ops".into(), "must be at least 3".into()));
     }
-    positive("cluster.cloud.rps", cluster.cloud.rps, 1e6)?;
-    positive("cluster.quota.mem_mb", cluster.quota.mem_mb, 1e9)?;
-    check_teams(&cluster.teams)
+    check_positive("cluster.cloud.rps", cluster.cloud.rps, 1e6)?;
+    check_positive("cluster.quota.mem_mb", cluster.quota.memory_mb, 1e9)?;
+    validate_teams(&cluster.teams)
 }
 
-fn check_teams(teams: &[TeamWire]) -> Result<(), Problem> {
+fn validate_teams(teams: &[TeamWire]) -> Result<(), FieldError> {
     for team in teams {
         for (field, value) in [
             ("cpus", team.cpus),
@@ -273,39 +279,43 @@
     Ok(())
 }
 
-fn build(wire: Wire) -> Settings {
+fn build(wire: SettingsWire) -> Settings {
     let ms = |s: f64| (s * 1000.0).round() as u64;
     let cluster = wire.cluster;
-    let teams = cluster.teams.into_iter().map(|team| Team {
+    let teams = cluster.teams.into_iter().map(|team| TeamSettings {
         name: team.name,
-        guaranteed: Amount { cpu: milli_down(team.cpus), gpu: milli_down(team.gpus), mem: 0 },
-        most: Amount { cpu: milli_down(team.cpus_max), gpu: milli_down(team.gpus_max), mem: 0 },
-        lowered_cpu: None,
+        guaranteed: Resources { cpu: to_milli_floor(team.cpus), gpu: to_milli_floor(team.gpus), mem: 0 },
+        configured_limit: Resources {
+            cpu: to_milli_floor(team.cpus_max),
+            gpu: to_milli_floor(team.gpus_max),
+            mem: 0,
+        },
+        lowered_cpu_limit: None,
     });
     let w = cluster.workers;
     Settings {
-        node: wire.node,
+        controller: wire.node,
         zone: wire.zone,
-        front: wire.front,
-        mesh: wire.mesh_addr,
-        others: wire.others,
-        cloud: wire.endpoints.cloud,
-        state: wire.endpoints.state,
-        nodes: cluster.count,
+        http_addr: wire.front,
+        peer_addr: wire.mesh_addr,
+        peers: wire.others,
+        cloud_addr: wire.endpoints.cloud,
+        kv_addr: wire.endpoints.state,
+        controller_count: cluster.count,
         zones: cluster.zones,
         teams: teams.collect(),
         objectives: cluster.objectives,
-        workers: WorkerTimes {
-            report_ms: ms(w.report_s),
-            lease_ms: ms(w.lease_s),
+        worker_timings: WorkerTimings {
+            heartbeat_interval_ms: ms(w.report_s),
+            lease_duration_ms: ms(w.lease_s),
             gang_wait_ms: ms(w.gang_wait_s),
             gang_peer_ms: ms(w.gang_peer_s),
-            cancel_ms: ms(w.cancel_s),
+            cancel_deadline_ms: ms(w.cancel_s),
         },
-        state_limits: cluster.state,
+        kv_limits: cluster.state,
         cloud_rps: cluster.cloud.rps,
-        list_lag_ms: ms(cluster.cloud.list_lag_s),
-        quota: cluster.quota,
+        cloud_list_lag_ms: ms(cluster.cloud.list_lag_s),
+        limits: cluster.quota,
         time_bound_ms: cluster.time_bound_ms.max(0.0).ceil() as u64,
     }
 }
--- a/src/tests/logging.rs
+++ b/src/tests/logging.rs
@@ -9,7 +9,7 @@
     let shown = |format| {
         let args = format_args!("accepted\njob-000001");
         let record = Record::builder().args(args).level(log::Level::Info).key_values(&pairs).build();
-        line(format, "n0", 7, &record)
+        format_line(format, "n0", 7, &record)
     };
     let json = shown(LogFormat::Json);
     let value: serde_json::Value = serde_json::from_str(&json).expect("JSON");
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -3,279 +3,321 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use super::{Common, Keyed};
-use crate::coordination::{AskId, Input};
+use super::{ByKey, TransportContext};
+use crate::coordination::{Event, OutboundId};
 use crate::ids::Millis;
-use crate::protocol::{Call, Outcome};
+use crate::protocol::{HttpOutcome, HttpRequest};
 use olivelatch_net::http::{Parsed, parse_response, write_request};
-use olivelatch_net::stream::{Flow, Stream};
+use olivelatch_net::stream::{BufferedStream, StreamState};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Target {
-    State,
+    KvStore,
     Cloud,
     Worker(SocketAddr),
 }
 
 /// Connections to one target at once. The state service gets enough that a
 /// renewal does not wait behind a transaction.
-fn most_connections(target: Target) -> usize {
+fn max_connections(target: Target) -> usize {
     match target {
-        Target::State => 6,
+        Target::KvStore => 6,
         Target::Cloud => 2,
         Target::Worker(_) => 1,
     }
 }
 
-const IDLE_MS: u64 = 20_000;
+const IDLE_TIMEOUT_MS: u64 = 20_000;
 /// Idle connections are looked for that often, as there are hundreds of them.
-const CHECK_EVERY_MS: u64 = 1_000;
+const IDLE_CHECK_INTERVAL_MS: u64 = 1_000;
 /// The part of the settings' memory that one answer may take: it is held three times while
 /// it is read. Pages of the state service and the cloud's lists are far smaller.
-const ANSWER_SHARE: f64 = 0.1;
+const RESPONSE_MEMORY_SHARE: f64 = 0.1;
 /// Idle connections that give way at once when sockets run short.
-const GIVE_WAY: usize = 64;
+const MAX_EVICTED_IDLE: usize = 64;
 /// Room for an answer's head and chunks.
-const HEAD_ROOM: usize = 1024 * 1024;
+const HEADER_ROOM: usize = 1024 * 1024;
 
-struct Client {
-    stream: Stream,
+struct ClientConnection {
+    stream: BufferedStream,
     target: Target,
-    ask: Option<AskId>,
-    active: Millis,
+    outbound: Option<OutboundId>,
+    last_active: Millis,
 }
 
 #[derive(Default)]
-struct Pool {
+struct ConnectionPool {
     idle: Vec<usize>,
     open: usize,
-    queue: VecDeque<(AskId, Call)>,
+    queue: VecDeque<(OutboundId, HttpRequest)>,
 }
 
-pub struct Clients {
-    open: Keyed<Client>,
-    pools: HashMap<Target, Pool>,
-    asks: HashMap<AskId, (Target, Option<usize>)>,
-    deadlines: BTreeSet<(Millis, AskId)>,
-    checked: Millis,
-    state: SocketAddr,
-    cloud: SocketAddr,
-    most_answer: usize,
+pub struct ClientConnections {
+    connections: ByKey<ClientConnection>,
+    pools: HashMap<Target, ConnectionPool>,
+    outstanding: HashMap<OutboundId, (Target, Option<usize>)>,
+    deadlines: BTreeSet<(Millis, OutboundId)>,
+    idle_checked_at: Millis,
+    kv_addr: SocketAddr,
+    cloud_addr: SocketAddr,
+    max_response_bytes: usize,
     /// Sockets that the whole process may have, and has beside these.
-    most: usize,
-    pub others: usize,
+    max_sockets: usize,
+    pub other_sockets: usize,
 }
 
-impl Clients {
+impl ClientConnections {
     /// On a machine with so much memory, in a process with `most` sockets.
-    pub fn new(state: SocketAddr, cloud: SocketAddr, mem_mb: f64, most: usize) -> Clients {
-        Clients {
-            most,
-            others: 0,
-            open: HashMap::new(),
+    pub fn new(
+        kv_addr: SocketAddr,
+        cloud_addr: SocketAddr,
+        mem_mb: f64,
+        max_sockets: usize,
+    ) -> ClientConnections {
+        ClientConnections {
+            max_sockets,
+            other_sockets: 0,
+            connections: HashMap::new(),
             pools: HashMap::new(),
-            asks: HashMap::new(),
+            outstanding: HashMap::new(),
             deadlines: BTreeSet::new(),
-            checked: Millis::default(),
-            state,
-            cloud,
-            most_answer: ((mem_mb * ANSWER_SHARE) as usize).max(1) * 1024 * 1024,
+            idle_checked_at: Millis::default(),
+            kv_addr,
+            cloud_addr,
+            max_response_bytes: ((mem_mb * RESPONSE_MEMORY_SHARE) as usize).max(1) * 1024 * 1024,
         }
     }
 
-    pub fn has(&self, key: usize) -> bool {
-        self.open.contains_key(&key)
+    pub fn has_connection(&self, key: usize) -> bool {
+        self.connections.contains_key(&key)
     }
 
     pub fn is_worker(&self, key: usize) -> bool {
-        self.open.get(&key).is_some_and(|client| matches!(client.target, Target::Worker(_)))
+        self.connections.get(&key).is_some_and(|client| matches!(client.target, Target::Worker(_)))
     }
 
-    pub fn ask_state(&mut self, common: &mut Common, ask: AskId, call: Call, timeout_ms: u64) {
-        self.ask(common, Target::State, ask, call, timeout_ms);
+    pub fn request_kv_store(
+        &mut self,
+        context: &mut TransportContext,
+        outbound: OutboundId,
+        request: HttpRequest,
+        timeout_ms: u64,
+    ) {
+        self.enqueue_request(context, Target::KvStore, outbound, request, timeout_ms);
     }
 
-    pub fn ask_cloud(&mut self, common: &mut Common, ask: AskId, call: Call, timeout_ms: u64) {
-        self.ask(common, Target::Cloud, ask, call, timeout_ms);
+    pub fn request_cloud(
+        &mut self,
+        context: &mut TransportContext,
+        outbound: OutboundId,
+        request: HttpRequest,
+        timeout_ms: u64,
+    ) {
+        self.enqueue_request(context, Target::Cloud, outbound, request, timeout_ms);
     }
 
-    pub fn ask_worker(
+    pub fn request_worker(
         &mut self,
-        common: &mut Common,
-        ask: AskId,
+        context: &mut TransportContext,
+        outbound: OutboundId,
         endpoint: &str,
-        call: Call,
+        request: HttpRequest,
         timeout_ms: u64,
     ) {
         match endpoint.parse() {
-            Ok(addr) => self.ask(common, Target::Worker(addr), ask, call, timeout_ms),
-            Err(_) => common.inputs.push_back(outcome(Target::Worker(self.cloud), ask, Outcome::NotSent)),
+            Ok(addr) => self.enqueue_request(context, Target::Worker(addr), outbound, request, timeout_ms),
+            Err(_) => context.pending_events.push_back(outcome_event(
+                Target::Worker(self.cloud_addr),
+                outbound,
+                HttpOutcome::NotSent,
+            )),
         }
     }
 
-    fn ask(&mut self, common: &mut Common, target: Target, ask: AskId, call: Call, timeout_ms: u64) {
-        self.deadlines.insert((common.now().plus(timeout_ms), ask));
-        self.asks.insert(ask, (target, None));
-        self.pools.entry(target).or_default().queue.push_back((ask, call));
-        self.advance(common, target);
+    fn enqueue_request(
+        &mut self,
+        context: &mut TransportContext,
+        target: Target,
+        ask: OutboundId,
+        request: HttpRequest,
+        timeout_ms: u64,
+    ) {
+        self.deadlines.insert((context.now().saturating_add(timeout_ms), ask));
+        self.outstanding.insert(ask, (target, None));
+        self.pools.entry(target).or_default().queue.push_back((ask, request));
+        self.dispatch_queued(context, target);
     }
 
-    fn addr(&self, target: Target) -> SocketAddr {
+    fn target_addr(&self, target: Target) -> SocketAddr {
         match target {
-            Target::State => self.state,
-            Target::Cloud => self.cloud,
+            Target::KvStore => self.kv_addr,
+            Target::Cloud => self.cloud_addr,
             Target::Worker(addr) => addr,
         }
     }
 
     /// No socket is left in the process.
-    pub fn short(&self) -> bool {
-        self.open.len() + self.others >= self.most
+    pub fn is_out_of_sockets(&self) -> bool {
+        self.connections.len() + self.other_sockets >= self.max_sockets
     }
 
     /// Connections to workers that wait for their next call give way, the longest idle first. A new leader greets every
     /// machine while all of them report to it: with half as many again there were not sockets for both, and users were
     /// refused.
-    pub fn give_way(&mut self, common: &mut Common) {
-        let idle = |client: &Client| client.ask.is_none() && matches!(client.target, Target::Worker(_));
-        let idle = self.open.iter().filter(|(_, client)| idle(client));
-        let mut idle: Vec<(Millis, usize)> = idle.map(|(key, client)| (client.active, *key)).collect();
+    pub fn evict_idle_workers(&mut self, context: &mut TransportContext) {
+        let idle = |client: &ClientConnection| {
+            client.outbound.is_none() && matches!(client.target, Target::Worker(_))
+        };
+        let idle = self.connections.iter().filter(|(_, client)| idle(client));
+        let mut idle: Vec<(Millis, usize)> = idle.map(|(key, client)| (client.last_active, *key)).collect();
         idle.sort_unstable();
-        for (_, key) in idle.into_iter().take(GIVE_WAY) {
-            self.close(common, key);
+        for (_, key) in idle.into_iter().take(MAX_EVICTED_IDLE) {
+            self.close(context, key);
         }
     }
 
     /// Hands waiting calls to idle or new connections.
-    fn advance(&mut self, common: &mut Common, target: Target) {
+    fn dispatch_queued(&mut self, context: &mut TransportContext, target: Target) {
         let worker = matches!(target, Target::Worker(_));
-        if worker && self.short() && self.pools.get(&target).is_some_and(|pool| pool.open == 0) {
-            self.give_way(common);
+        if worker && self.is_out_of_sockets() && self.pools.get(&target).is_some_and(|pool| pool.open == 0) {
+            self.evict_idle_workers(context);
         }
         // The state service and the cloud have theirs whatever happens.
-        let short = worker && self.short();
+        let out_of_sockets = worker && self.is_out_of_sockets();
         loop {
-            let addr = self.addr(target);
+            let addr = self.target_addr(target);
             let Some(pool) = self.pools.get_mut(&target) else {
                 return;
             };
-            let Some((ask, call)) = pool.queue.pop_front() else {
+            let Some((outbound, request)) = pool.queue.pop_front() else {
                 return;
             };
-            if !self.asks.contains_key(&ask) {
+            if !self.outstanding.contains_key(&outbound) {
                 continue;
             }
             let key = match pool.idle.pop() {
                 Some(key) => key,
-                None if short && pool.open == 0 => {
-                    self.finish(common, ask, Outcome::NotSent);
+                None if out_of_sockets && pool.open == 0 => {
+                    self.complete_request(context, outbound, HttpOutcome::NotSent);
                     continue;
                 }
-                None if pool.open < most_connections(target) => {
-                    let key = common.key();
-                    match Stream::connect(&common.gate, addr, key) {
+                None if pool.open < max_connections(target) => {
+                    let key = context.allocate_key();
+                    match BufferedStream::connect(&context.poller, addr, key) {
                         Ok(stream) => {
                             pool.open += 1;
-                            let client = Client { stream, target, ask: None, active: common.now() };
-                            self.open.insert(key, client);
+                            let client = ClientConnection {
+                                stream,
+                                target,
+                                outbound: None,
+                                last_active: context.now(),
+                            };
+                            self.connections.insert(key, client);
                             key
                         }
                         Err(_) => {
-                            self.finish(common, ask, Outcome::NotSent);
+                            self.complete_request(context, outbound, HttpOutcome::NotSent);
                             continue;
                         }
                     }
                 }
                 None => {
-                    pool.queue.push_front((ask, call));
+                    pool.queue.push_front((outbound, request));
                     return;
                 }
             };
-            self.start(common, key, ask, &call, addr);
+            self.send_request(context, key, outbound, &request, addr);
         }
     }
 
-    fn start(&mut self, common: &mut Common, key: usize, ask: AskId, call: &Call, addr: SocketAddr) {
-        let Some(client) = self.open.get_mut(&key) else {
+    fn send_request(
+        &mut self,
+        context: &mut TransportContext,
+        key: usize,
+        outbound: OutboundId,
+        request: &HttpRequest,
+        addr: SocketAddr,
+    ) {
+        let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
-        let mut bytes = Vec::with_capacity(call.body.len() + 200);
-        write_request(&mut bytes, call.method, &call.path, &addr.to_string(), &call.body);
+        let mut bytes = Vec::with_capacity(request.body.len() + 200);
+        write_request(&mut bytes, request.method, &request.path, &addr.to_string(), &request.body);
         client.stream.queue(&bytes);
-        client.ask = Some(ask);
-        if let Some(entry) = self.asks.get_mut(&ask) {
+        client.outbound = Some(outbound);
+        if let Some(entry) = self.outstanding.get_mut(&outbound) {
             entry.1 = Some(key);
         }
         if !client.stream.connecting {
-            self.push(common, key);
+            self.flush(context, key);
         }
     }
 
-    fn push(&mut self, common: &mut Common, key: usize) {
-        let Some(client) = self.open.get_mut(&key) else {
+    fn flush(&mut self, context: &mut TransportContext, key: usize) {
+        let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
-        if client.stream.flush() == Flow::Closed || client.stream.rearm(true) == Flow::Closed {
-            self.close(common, key);
+        if client.stream.flush() == StreamState::Closed || client.stream.rearm(true) == StreamState::Closed {
+            self.close(context, key);
         }
     }
 
-    pub fn event(&mut self, common: &mut Common, key: usize) {
-        let Some(client) = self.open.get_mut(&key) else {
+    pub fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
+        let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
-        client.active = common.now();
+        client.last_active = context.now();
         let target = client.target;
         if client.stream.connecting {
-            self.push(common, key);
+            self.flush(context, key);
             return;
         }
-        let read = client.stream.fill(self.most_answer + HEAD_ROOM);
-        match parse_response(&client.stream.input, self.most_answer) {
-            Parsed::Whole(response, taken) if client.ask.is_some() => {
-                client.stream.take_input(taken);
-                let ask = client.ask.take();
-                let keep = response.keep_alive && read == Flow::Open && client.stream.input.is_empty();
-                if let Some(ask) = ask {
-                    let outcome = Outcome::Response { status: response.status, body: response.body };
-                    self.finish(common, ask, outcome);
+        let read = client.stream.read_available(self.max_response_bytes + HEADER_ROOM);
+        match parse_response(&client.stream.input, self.max_response_bytes) {
+            Parsed::Complete(response, taken) if client.outbound.is_some() => {
+                client.stream.consume_input(taken);
+                let outbound = client.outbound.take();
+                let keep = response.keep_alive && read == StreamState::Open && client.stream.input.is_empty();
+                if let Some(outbound) = outbound {
+                    let outcome = HttpOutcome::Response { status: response.status, body: response.body };
+                    self.complete_request(context, outbound, outcome);
                 }
                 if keep {
                     self.pools.entry(target).or_default().idle.push(key);
-                    self.push(common, key);
+                    self.flush(context, key);
                 } else {
-                    self.close(common, key);
+                    self.close(context, key);
                 }
-                self.advance(common, target);
+                self.dispatch_queued(context, target);
             }
-            Parsed::Partial if read == Flow::Open => self.push(common, key),
+            Parsed::Partial if read == StreamState::Open => self.flush(context, key),
             Parsed::TooLong => {
-                let ask = client.ask.take();
-                if let Some(ask) = ask {
-                    self.finish(common, ask, Outcome::TooLong);
+                let outbound = client.outbound.take();
+                if let Some(outbound) = outbound {
+                    self.complete_request(context, outbound, HttpOutcome::TooLarge);
                 }
-                self.close(common, key);
+                self.close(context, key);
             }
             // Closed, garbage, or an answer to nothing.
-            _ => self.close(common, key),
+            _ => self.close(context, key),
         }
     }
 
-    fn close(&mut self, common: &mut Common, key: usize) {
-        let Some(client) = self.open.remove(&key) else {
+    fn close(&mut self, context: &mut TransportContext, key: usize) {
+        let Some(client) = self.connections.remove(&key) else {
             return;
         };
         let pool = self.pools.entry(client.target).or_default();
         pool.open = pool.open.saturating_sub(1);
         pool.idle.retain(|idle| *idle != key);
-        if let Some(ask) = client.ask {
+        if let Some(outbound) = client.outbound {
             // A connection that was given up before it stood never completes later.
-            let lost = if client.stream.connecting { Outcome::NotSent } else { Outcome::Unknown };
-            self.finish(common, ask, lost);
+            let lost = if client.stream.connecting { HttpOutcome::NotSent } else { HttpOutcome::Unknown };
+            self.complete_request(context, outbound, lost);
         }
         let target = client.target;
         drop(client);
-        self.advance(common, target);
+        self.dispatch_queued(context, target);
         if let Some(pool) = self.pools.get(&target)
             && pool.open == 0
             && pool.queue.is_empty()
@@ -284,41 +326,48 @@
         }
     }
 
-    fn finish(&mut self, common: &mut Common, ask: AskId, result: Outcome) {
-        if let Some((target, _)) = self.asks.remove(&ask) {
-            common.inputs.push_back(outcome(target, ask, result));
+    fn complete_request(
+        &mut self,
+        context: &mut TransportContext,
+        outbound: OutboundId,
+        result: HttpOutcome,
+    ) {
+        if let Some((target, _)) = self.outstanding.remove(&outbound) {
+            context.pending_events.push_back(outcome_event(target, outbound, result));
         }
     }
 
-    pub fn expire(&mut self, common: &mut Common) {
-        let now = common.now();
-        while let Some((at, ask)) = self.deadlines.first().copied()
+    pub fn expire(&mut self, context: &mut TransportContext) {
+        let now = context.now();
+        while let Some((at, outbound)) = self.deadlines.first().copied()
             && at <= now
         {
             self.deadlines.pop_first();
-            match self.asks.get(&ask).copied() {
-                Some((_, Some(key))) => self.close(common, key),
-                Some((_, None)) => self.finish(common, ask, Outcome::NotSent),
+            match self.outstanding.get(&outbound).copied() {
+                Some((_, Some(key))) => self.close(context, key),
+                Some((_, None)) => self.complete_request(context, outbound, HttpOutcome::NotSent),
                 None => {}
             }
         }
-        if now.since(self.checked) < CHECK_EVERY_MS {
+        if now.saturating_since(self.idle_checked_at) < IDLE_CHECK_INTERVAL_MS {
             return;
         }
-        self.checked = now;
-        let idle = |client: &Client| client.ask.is_none() && now.since(client.active) > IDLE_MS;
+        self.idle_checked_at = now;
+        let idle = |client: &ClientConnection| {
+            client.outbound.is_none() && now.saturating_since(client.last_active) > IDLE_TIMEOUT_MS
+        };
         let stale: Vec<usize> =
-            self.open.iter().filter(|(_, client)| idle(client)).map(|(key, _)| *key).collect();
+            self.connections.iter().filter(|(_, client)| idle(client)).map(|(key, _)| *key).collect();
         for key in stale {
-            self.close(common, key);
+            self.close(context, key);
         }
     }
 }
 
-fn outcome(target: Target, ask: AskId, outcome: Outcome) -> Input {
+fn outcome_event(target: Target, outbound: OutboundId, outcome: HttpOutcome) -> Event {
     match target {
-        Target::State => Input::State { ask, outcome },
-        Target::Cloud => Input::Cloud { ask, outcome },
-        Target::Worker(_) => Input::Orders { ask, outcome },
+        Target::KvStore => Event::Kv { outbound, outcome },
+        Target::Cloud => Event::Cloud { outbound, outcome },
+        Target::Worker(_) => Event::WorkerCommands { outbound, outcome },
     }
 }
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -11,23 +11,23 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-use super::timings::Spread;
-use crate::protocol::operators::{LeaderStatus, NodeStatus};
+use super::timings::DurationHistogram;
+use crate::protocol::operators::{ControllerStatus, LeaderStatus};
 
 /// What one scrape shows.
 #[derive(Debug)]
-pub struct Scrape {
-    pub status: NodeStatus,
+pub struct MetricsSnapshot {
+    pub status: ControllerStatus,
     /// Answers by their status.
-    pub answers: BTreeMap<u16, u64>,
+    pub responses_by_status: BTreeMap<u16, u64>,
     /// How long each kind of event was worked on.
-    pub events: Vec<(&'static str, Spread)>,
+    pub event_durations: Vec<(&'static str, DurationHistogram)>,
     pub connections: u64,
     /// What other controllers said that was not taken.
     pub mesh_dropped: u64,
 }
 
-pub fn text(scrape: Scrape) -> String {
+pub fn render_openmetrics(scrape: MetricsSnapshot) -> String {
     let mut registry = Registry::default();
     registry.register_collector(Box::new(scrape));
     let mut text = String::new();
@@ -39,17 +39,21 @@
 }
 
 /// Name, help, value.
-type Figure = (&'static str, &'static str, f64);
+type Gauge = (&'static str, &'static str, f64);
 
-fn flag(value: bool) -> f64 {
+fn bool_gauge(value: bool) -> f64 {
     f64::from(u8::from(value))
 }
 
-fn node_gauges(status: &NodeStatus, connections: u64) -> Vec<Figure> {
+fn controller_gauges(status: &ControllerStatus, connections: u64) -> Vec<Gauge> {
     vec![
-        ("olivelatch_ready", "Whether this controller takes requests", flag(status.ready)),
-        ("olivelatch_leads", "Whether this controller leads", flag(status.leads)),
-        ("olivelatch_state_reachable", "Whether the state service answers it", flag(status.state_reachable)),
+        ("olivelatch_ready", "Whether this controller takes requests", bool_gauge(status.ready)),
+        ("olivelatch_leads", "Whether this controller leads", bool_gauge(status.is_leader)),
+        (
+            "olivelatch_state_reachable",
+            "Whether the state service answers it",
+            bool_gauge(status.kv_reachable),
+        ),
         (
             "olivelatch_revision",
             "Revision of the state service up to which it knows all",
@@ -58,21 +62,25 @@
         (
             "olivelatch_mirror_age_seconds",
             "Since the last poll that was answered",
-            status.mirror_age_s.unwrap_or(f64::NAN),
+            status.cache_age_s.unwrap_or(f64::NAN),
+        ),
+        ("olivelatch_jobs_live", "Jobs with a record", status.jobs_active as f64),
+        ("olivelatch_jobs_ended", "Jobs that are over", status.jobs_terminal as f64),
+        (
+            "olivelatch_requests_held",
+            "Users' requests that wait for an answer",
+            status.requests_pending as f64,
         ),
-        ("olivelatch_jobs_live", "Jobs with a record", status.jobs_live as f64),
-        ("olivelatch_jobs_ended", "Jobs that are over", status.jobs_ended as f64),
-        ("olivelatch_requests_held", "Users' requests that wait for an answer", status.requests_held as f64),
         ("olivelatch_connections", "Open connections of users, workers and operators", connections as f64),
         ("olivelatch_uptime_seconds", "Since this controller started", status.uptime_s),
     ]
 }
 
-fn leader_gauges(work: &LeaderStatus) -> Vec<Figure> {
+fn leader_gauges(work: &LeaderStatus) -> Vec<Gauge> {
     vec![
         ("olivelatch_machines_up", "Machines that report", work.machines_up as f64),
         ("olivelatch_machines_booting", "Machines rented and not heard of yet", work.machines_booting as f64),
-        ("olivelatch_machines_silent", "Machines whose lease has ended", work.machines_silent as f64),
+        ("olivelatch_machines_silent", "Machines whose lease has ended", work.machines_unreachable as f64),
         ("olivelatch_cpus", "CPUs of machines that are up", work.cpus),
         ("olivelatch_cpus_used", "CPUs bound to tasks on them", work.cpus_used),
         ("olivelatch_queued_shared_tasks", "Tasks in shared queues", work.queued_shared as f64),
@@ -80,37 +88,37 @@
         (
             "olivelatch_queued_nowhere_tasks",
             "Tasks that no present machine may take",
-            work.queued_nowhere as f64,
+            work.queued_backlog as f64,
         ),
         ("olivelatch_gangs_waiting", "Gangs and services with tasks to place", work.gangs_waiting as f64),
-        ("olivelatch_tasks_out", "Tasks that may be on machines", work.tasks_out as f64),
-        ("olivelatch_log_parts", "Parts of the log in the state service", work.log_parts as f64),
+        ("olivelatch_tasks_out", "Tasks that may be on machines", work.tasks_placed as f64),
+        ("olivelatch_log_parts", "Parts of the log in the state service", work.log_segments as f64),
     ]
 }
 
 fn leader_counters(work: &LeaderStatus) -> Vec<(&'static str, &'static str, u64)> {
     vec![
-        ("olivelatch_starts", "Tasks bound to machines in this leadership", work.starts),
+        ("olivelatch_starts", "Tasks bound to machines in this leadership", work.tasks_bound),
         ("olivelatch_steals", "Steals that found something", work.steals),
         ("olivelatch_stolen_tasks", "Tasks moved by steals and earlier turns", work.stolen_tasks),
         ("olivelatch_spilled_tasks", "Tasks moved from dedicated to shared queues", work.spilled_tasks),
         ("olivelatch_preempted_tasks", "Tasks stopped to make room", work.preempted_tasks),
         ("olivelatch_machines_lost", "Machines lost with what was on them", work.machines_lost),
-        ("olivelatch_state_changes", "Changes asked of the state service", work.state_changes),
+        ("olivelatch_state_changes", "Changes asked of the state service", work.kv_mutations),
     ]
 }
 
-impl Collector for Scrape {
+impl Collector for MetricsSnapshot {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), Error> {
-        let work = self.status.work.as_ref();
-        let mut gauges = node_gauges(&self.status, self.connections);
+        let work = self.status.leader_status.as_ref();
+        let mut gauges = controller_gauges(&self.status, self.connections);
         gauges.extend(work.map(leader_gauges).unwrap_or_default());
         for (name, help, value) in gauges {
             let gauge = ConstGauge::new(value);
             gauge.encode(encoder.encode_descriptor(name, help, None, MetricType::Gauge)?)?;
         }
         let mut counters = work.map(leader_counters).unwrap_or_default();
-        counters.push(("olivelatch_takeovers", "Times that it began to lead", self.status.takeovers));
+        counters.push(("olivelatch_takeovers", "Times that it began to lead", self.status.failovers));
         let help =
             "Late, doubled or foreign words of other controllers, and connections that newer ones replaced";
         counters.push(("olivelatch_mesh_dropped", help, self.mesh_dropped));
@@ -118,18 +126,18 @@
             let counter = ConstCounter::new(value);
             counter.encode(encoder.encode_descriptor(name, help, None, MetricType::Counter)?)?;
         }
-        self.encode_answers(&mut encoder)?;
-        self.encode_accounts(&mut encoder)?;
+        self.encode_responses(&mut encoder)?;
+        self.encode_job_counters(&mut encoder)?;
         self.encode_teams(&mut encoder)?;
         self.encode_events(&mut encoder)
     }
 }
 
-impl Scrape {
-    fn encode_answers(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
+impl MetricsSnapshot {
+    fn encode_responses(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
         let help = "Answers by status; 503 are requests sent away to come back";
         let mut family = encoder.encode_descriptor("olivelatch_answers", help, None, MetricType::Counter)?;
-        for (status, count) in &self.answers {
+        for (status, count) in &self.responses_by_status {
             let status = status.to_string();
             let labels = [("status", status.as_str())];
             family.encode_family(&labels)?.encode_counter::<NoLabelSet, _, u64>(count, None)?;
@@ -137,17 +145,17 @@
         Ok(())
     }
 
-    fn encode_accounts(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
+    fn encode_job_counters(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
         let help =
             "Jobs by team, class and what became of them, by the records; told: by this controller alone";
         let mut family = encoder.encode_descriptor("olivelatch_jobs", help, None, MetricType::Counter)?;
-        for row in &self.status.accounts {
+        for row in &self.status.job_counters {
             let counts = [
                 ("accepted", row.accepted),
                 ("started", row.started),
                 ("done", row.done),
-                ("withdrawn", row.withdrawn),
-                ("told", row.told),
+                ("withdrawn", row.cancelled),
+                ("told", row.completions_reported),
             ];
             for (state, count) in counts {
                 let labels = [("team", row.team.as_str()), ("class", row.class.as_str()), ("state", state)];
@@ -158,7 +166,7 @@
     }
 
     fn encode_teams(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
-        let Some(work) = &self.status.work else { return Ok(()) };
+        let Some(work) = &self.status.leader_status else { return Ok(()) };
         let help = "CPUs that a team's tasks take";
         let mut family =
             encoder.encode_descriptor("olivelatch_team_cpus_used", help, None, MetricType::Gauge)?;
@@ -171,7 +179,7 @@
     fn encode_events(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
         let (name, help) = ("olivelatch_event_seconds", "How long an event was worked on, by kind");
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Histogram)?;
-        for (kind, spread) in &self.events {
+        for (kind, spread) in &self.event_durations {
             let labels = [("kind", *kind)];
             let mut one = family.encode_family(&labels)?;
             one.encode_histogram::<NoLabelSet>(spread.sum_s, spread.count, &spread.buckets, None)?;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -14,49 +14,49 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use polling::{Event, Events};
+use polling::{Event as SocketEvent, Events};
 use rand::TryRng;
 use rand::rngs::SysRng;
 
-use crate::coordination::node::Node;
-use crate::coordination::{CallId, Clock, Input, Output};
+use crate::coordination::controller::Controller;
+use crate::coordination::{Action, Clock, Event, InboundId};
 use crate::ids::Millis;
-use crate::protocol::Answer;
+use crate::protocol::HttpResponse;
 use crate::protocol::operators::OperatorRequest;
 use crate::settings::Settings;
-use crate::transport::router::Interfaces;
+use crate::transport::router::EnabledApis;
 use crate::tunables::Tunables;
-use clients::Clients;
+use clients::ClientConnections;
 use mesh::Mesh;
-use metrics::Scrape;
-use olivelatch_net::poll::{Gate, Watch};
-use servers::{Facing, Servers};
+use metrics::MetricsSnapshot;
+use olivelatch_net::poller::{EventPoller, Registration};
+use servers::{EndpointState, ServerConnections};
 use timings::Timings;
 
-const FRONT: usize = 0;
-const MESH: usize = 1;
+const FRONT_KEY: usize = 0;
+const MESH_KEY: usize = 1;
 const FIRST_KEY: usize = 2;
 /// Without events the node is asked that often what is due; less often while nobody waits
 /// for it, as waking up was half of what a follower did.
 const TICK_MS: u64 = 50;
-const QUIET_TICK_MS: u64 = 200;
-const EVENTS: usize = 256;
+const IDLE_TICK_MS: u64 = 200;
+const EVENT_CAPACITY: usize = 256;
 /// Sockets beside all that is counted: two listeners, the poller, standard streams, what a person's shell opens.
-const OWN_SOCKETS: usize = 20;
+const RESERVED_SOCKETS: usize = 20;
 /// So many workers are served before others' events are looked for again.
-const TURN: usize = 16;
+const WORKER_EVENTS_PER_TURN: usize = 16;
 
 /// What the transport's parts share.
-pub struct Common {
-    gate: Arc<Gate>,
+pub struct TransportContext {
+    poller: Arc<EventPoller>,
     next_key: usize,
     start: Instant,
     /// What the node is to be told next.
-    inputs: VecDeque<Input>,
+    pending_events: VecDeque<Event>,
 }
 
-impl Common {
-    fn key(&mut self) -> usize {
+impl TransportContext {
+    fn allocate_key(&mut self) -> usize {
         self.next_key += 1;
         self.next_key
     }
@@ -72,49 +72,62 @@
     }
 }
 
-struct Runtime {
-    common: Common,
+struct TransportRuntime {
+    context: TransportContext,
     /// Locked for one event at a time; no I/O happens meanwhile.
-    node: Mutex<Node>,
-    front: Watch<TcpListener>,
-    mesh_listener: Watch<TcpListener>,
-    servers: Servers,
-    clients: Clients,
+    controller: Mutex<Controller>,
+    front_listener: Registration<TcpListener>,
+    mesh_listener: Registration<TcpListener>,
+    servers: ServerConnections,
+    clients: ClientConnections,
     mesh: Mesh,
     timings: Timings,
     /// Answers by status, for scrapes.
-    answers: BTreeMap<u16, u64>,
+    responses_by_status: BTreeMap<u16, u64>,
 }
 
-fn listen(gate: &Arc<Gate>, addr: std::net::SocketAddr, key: usize) -> io::Result<Watch<TcpListener>> {
+fn listen(
+    poller: &Arc<EventPoller>,
+    addr: std::net::SocketAddr,
+    key: usize,
+) -> io::Result<Registration<TcpListener>> {
     let listener = TcpListener::bind(addr)?;
     listener.set_nonblocking(true)?;
-    Watch::new(gate, listener, Event::readable(key))
+    Registration::new(poller, listener, SocketEvent::readable(key))
 }
 
 /// Runs a controller until it is killed.
 pub fn serve(settings: Settings, tunables: Tunables) -> io::Result<()> {
-    let gate = Arc::new(Gate::new()?);
-    let common =
-        Common { gate: gate.clone(), next_key: FIRST_KEY, start: Instant::now(), inputs: VecDeque::new() };
-    let front = listen(&gate, settings.front, FRONT)?;
-    let mesh_listener = listen(&gate, settings.mesh, MESH)?;
+    let poller = Arc::new(EventPoller::new()?);
+    let context = TransportContext {
+        poller: poller.clone(),
+        next_key: FIRST_KEY,
+        start: Instant::now(),
+        pending_events: VecDeque::new(),
+    };
+    let front = listen(&poller, settings.http_addr, FRONT_KEY)?;
+    let mesh_listener = listen(&poller, settings.peer_addr, MESH_KEY)?;
     // Sockets for our own calls are kept free; connections to workers take more of them while there are any.
-    let spare = 100 + settings.quota.max_connections / 10;
-    let sockets = settings.quota.max_connections.saturating_sub(OWN_SOCKETS);
-    let most = settings.quota.max_connections.saturating_sub(spare).max(50);
-    let clock = common.clock();
-    let seed = own_seed()?;
-    log::info!("serving users and workers on {}, controllers on {}", settings.front, settings.mesh);
-    let mut runtime = Runtime {
-        servers: Servers::new(most, settings.quota.mem_mb),
-        clients: Clients::new(settings.state, settings.cloud, settings.quota.mem_mb, sockets),
+    let spare = 100 + settings.limits.max_connections / 10;
+    let sockets = settings.limits.max_connections.saturating_sub(RESERVED_SOCKETS);
+    let most = settings.limits.max_connections.saturating_sub(spare).max(50);
+    let clock = context.clock();
+    let seed = random_seed()?;
+    log::info!("serving users and workers on {}, controllers on {}", settings.http_addr, settings.peer_addr);
+    let mut runtime = TransportRuntime {
+        servers: ServerConnections::new(most, settings.limits.memory_mb),
+        clients: ClientConnections::new(
+            settings.kv_addr,
+            settings.cloud_addr,
+            settings.limits.memory_mb,
+            sockets,
+        ),
         mesh: Mesh::new(&settings),
         timings: Timings::new(tunables.operators.enabled),
-        answers: BTreeMap::new(),
-        node: Mutex::new(Node::new(settings, tunables, seed, clock)),
-        common,
-        front,
+        responses_by_status: BTreeMap::new(),
+        controller: Mutex::new(Controller::new(settings, tunables, seed, clock)),
+        context,
+        front_listener: front,
         mesh_listener,
     };
     runtime.run()
@@ -122,207 +135,210 @@
 
 /// Nodes that start at the same moment should not act in step, and a process that is back at once must not take itself for
 /// the one before: neither its name nor the time of day tells them apart.
-fn own_seed() -> io::Result<u64> {
+fn random_seed() -> io::Result<u64> {
     SysRng.try_next_u64().map_err(io::Error::other)
 }
 
-impl Runtime {
+impl TransportRuntime {
     fn run(&mut self) -> io::Result<()> {
-        let capacity = NonZeroUsize::new(EVENTS).unwrap_or(NonZeroUsize::MIN);
+        let capacity = NonZeroUsize::new(EVENT_CAPACITY).unwrap_or(NonZeroUsize::MIN);
         let mut events = Events::with_capacity(capacity);
         // Each with the time since when it waits.
-        let mut later: VecDeque<(Millis, Event)> = VecDeque::new();
-        let mut ticked = Millis::default();
+        let mut deferred: VecDeque<(Millis, SocketEvent)> = VecDeque::new();
+        let mut last_tick = Millis::default();
         loop {
-            let now = self.common.now();
-            let tick_ms = if self.node().quiet() { QUIET_TICK_MS } else { TICK_MS };
-            let due = tick_ms.saturating_sub(now.since(ticked)).max(1);
-            let wait = if later.is_empty() { due } else { 0 };
+            let now = self.context.now();
+            let tick_ms = if self.lock_controller().is_idle() { IDLE_TICK_MS } else { TICK_MS };
+            let due = tick_ms.saturating_sub(now.saturating_since(last_tick)).max(1);
+            let wait = if deferred.is_empty() { due } else { 0 };
             events.clear();
-            match self.common.gate.wait(&mut events, Duration::from_millis(wait)) {
+            match self.context.poller.wait(&mut events, Duration::from_millis(wait)) {
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
-            let told = self.common.now();
+            let woken_at = self.context.now();
             for event in events.iter() {
-                if self.can_wait(event.key) {
-                    later.push_back((told, event));
+                if self.can_defer(event.key) {
+                    deferred.push_back((woken_at, event));
                 } else {
-                    self.event(event);
+                    self.handle_socket_event(event);
                 }
             }
-            self.drain();
-            let waited = later.front().map_or(0, |(since, _)| self.common.now().since(*since));
-            for (_, event) in later.drain(..later.len().min(TURN)) {
-                self.event(event);
+            self.drain_events();
+            let waited = deferred.front().map_or(0, |(since, _)| self.context.now().saturating_since(*since));
+            for (_, event) in deferred.drain(..deferred.len().min(WORKER_EVENTS_PER_TURN)) {
+                self.handle_socket_event(event);
             }
-            self.drain();
-            let now = self.common.now();
-            self.node().waited(now, waited);
-            if now.since(ticked) >= tick_ms {
-                ticked = now;
+            self.drain_events();
+            let now = self.context.now();
+            self.lock_controller().record_event_wait(now, waited);
+            if now.saturating_since(last_tick) >= tick_ms {
+                last_tick = now;
                 let started = self.timings.start();
-                self.clients.expire(&mut self.common);
-                self.servers.expire(&mut self.common);
+                self.clients.expire(&mut self.context);
+                self.servers.expire(&mut self.context);
                 self.timings.stop("transport-housekeeping", started);
-                self.timings.show(now, &self.common.gate.calls);
-                self.common.inputs.push_back(Input::Tick);
-                self.drain();
+                self.timings.log_recent(now, &self.context.poller.syscalls);
+                self.context.pending_events.push_back(Event::Tick);
+                self.drain_events();
             }
         }
     }
 
     /// Workers are hundreds and patient; the lease and users are not. With all workers ready at
     /// once a renewal's answer came seconds late, and the lead was lost again and again.
-    fn can_wait(&self, key: usize) -> bool {
+    fn can_defer(&self, key: usize) -> bool {
         self.servers.is_worker(key) || self.clients.is_worker(key)
     }
 
     /// Reads and parses what a socket has for us.
-    fn event(&mut self, event: Event) {
+    fn handle_socket_event(&mut self, event: SocketEvent) {
         let started = self.timings.start();
         let kind = match event.key {
-            FRONT => {
-                self.accept_front();
+            FRONT_KEY => {
+                self.accept_front_connections();
                 "transport-accept"
             }
-            MESH => {
-                self.accept_mesh();
+            MESH_KEY => {
+                self.accept_mesh_connections();
                 "transport-accept"
             }
-            key if self.servers.has(key) => {
-                let facing = self.facing();
-                self.servers.event(&mut self.common, key, facing);
+            key if self.servers.has_connection(key) => {
+                let facing = self.endpoint_state();
+                self.servers.handle_socket_event(&mut self.context, key, facing);
                 "transport-request"
             }
-            key if self.clients.has(key) => {
-                self.clients.event(&mut self.common, key);
+            key if self.clients.has_connection(key) => {
+                self.clients.handle_socket_event(&mut self.context, key);
                 "transport-answer"
             }
             key => {
-                self.mesh.event(&mut self.common, key);
+                self.mesh.handle_socket_event(&mut self.context, key);
                 "transport-mesh"
             }
         };
         self.timings.stop(kind, started);
     }
 
-    fn facing(&self) -> Facing {
-        let node = self.node();
-        let interfaces = Interfaces {
-            operators: node.serves_operators(),
-            graphs: node.serves_graphs(),
-            config: node.serves_config(),
+    fn endpoint_state(&self) -> EndpointState {
+        let controller = self.lock_controller();
+        let interfaces = EnabledApis {
+            operators: controller.serves_operators(),
+            graphs: controller.serves_graphs(),
+            config: controller.serves_config(),
         };
-        Facing { ready: node.ready(), interfaces }
+        EndpointState { ready: controller.is_ready(), enabled_apis: interfaces }
     }
 
-    fn scrape(&mut self, call: CallId) {
-        let status = self.node().status(self.common.clock());
-        let scrape = Scrape {
+    fn respond_with_metrics(&mut self, inbound: InboundId) {
+        let status = self.lock_controller().status(self.context.clock());
+        let scrape = MetricsSnapshot {
             status,
-            answers: self.answers.clone(),
-            events: self.timings.spreads(),
-            connections: self.servers.count_open(),
+            responses_by_status: self.responses_by_status.clone(),
+            event_durations: self.timings.duration_histograms(),
+            connections: self.servers.open_connections(),
             mesh_dropped: self.mesh.dropped,
         };
-        let answer = Answer { text: true, ..Answer::raw(metrics::text(scrape).into_bytes()) };
-        self.carry_out_one(Output::Answer { call, answer });
+        let response = HttpResponse {
+            is_text: true,
+            ..HttpResponse::json_bytes(metrics::render_openmetrics(scrape).into_bytes())
+        };
+        self.perform_action(Action::Respond { inbound, response });
     }
 
-    fn accept_front(&mut self) {
-        while let Ok((socket, _)) = self.front.source().accept() {
-            self.count_sockets();
-            if self.clients.short() {
-                self.clients.give_way(&mut self.common);
+    fn accept_front_connections(&mut self) {
+        while let Ok((socket, _)) = self.front_listener.source().accept() {
+            self.update_socket_count();
+            if self.clients.is_out_of_sockets() {
+                self.clients.evict_idle_workers(&mut self.context);
             }
-            self.servers.accept(&mut self.common, socket);
+            self.servers.accept(&mut self.context, socket);
         }
-        if self.front.want(true, false).is_err() {
+        if self.front_listener.set_interest(true, false).is_err() {
             log::error!("cannot accept on the front address");
         }
     }
 
     /// What the process holds beside connections to workers.
-    fn count_sockets(&mut self) {
-        self.clients.others = self.servers.count_open() as usize + self.mesh.count_open();
+    fn update_socket_count(&mut self) {
+        self.clients.other_sockets = self.servers.open_connections() as usize + self.mesh.open_connections();
     }
 
-    fn accept_mesh(&mut self) {
+    fn accept_mesh_connections(&mut self) {
         while let Ok((socket, _)) = self.mesh_listener.source().accept() {
-            self.mesh.accept(&mut self.common, socket);
+            self.mesh.accept(&mut self.context, socket);
         }
-        if self.mesh_listener.want(true, false).is_err() {
+        if self.mesh_listener.set_interest(true, false).is_err() {
             log::error!("cannot accept on the mesh address");
         }
     }
 
-    fn node(&self) -> MutexGuard<'_, Node> {
-        self.node.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_controller(&self) -> MutexGuard<'_, Controller> {
+        self.controller.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tells the node what happened and carries out what it decides, until nothing is left.
-    fn drain(&mut self) {
-        while let Some(input) = self.common.inputs.pop_front() {
-            if let Input::Operator { call, request: OperatorRequest::Metrics } = input {
-                self.scrape(call);
+    fn drain_events(&mut self) {
+        while let Some(input) = self.context.pending_events.pop_front() {
+            if let Event::Operator { inbound: call, request: OperatorRequest::Metrics } = input {
+                self.respond_with_metrics(call);
                 continue;
             }
-            let clock = self.common.clock();
-            let (kind, started) = (input.kind(), self.timings.start());
-            let outputs = self.node().take(clock, input);
+            let clock = self.context.clock();
+            let (kind, started) = (input.name(), self.timings.start());
+            let outputs = self.lock_controller().receive_event(clock, input);
             self.timings.stop(kind, started);
-            self.carry_out(outputs);
-            if self.common.inputs.is_empty() {
+            self.perform_actions(outputs);
+            if self.context.pending_events.is_empty() {
                 self.step();
             }
         }
     }
 
     fn step(&mut self) {
-        let clock = self.common.clock();
+        let clock = self.context.clock();
         let started = self.timings.start();
-        let outputs = self.node().step(clock);
+        let outputs = self.lock_controller().step(clock);
         self.timings.stop("step", started);
-        self.carry_out(outputs);
+        self.perform_actions(outputs);
     }
 
     /// Writes what the node decided.
-    fn carry_out(&mut self, outputs: Vec<Output>) {
-        for output in outputs {
+    fn perform_actions(&mut self, actions: Vec<Action>) {
+        for output in actions {
             let started = self.timings.start();
-            self.carry_out_one(output);
+            self.perform_action(output);
             self.timings.stop("transport-write", started);
         }
     }
 
-    fn carry_out_one(&mut self, output: Output) {
-        let common = &mut self.common;
-        match output {
-            Output::Answer { call, answer } => {
-                *self.answers.entry(answer.status).or_default() += 1;
-                self.servers.answer(common, call, &answer);
+    fn perform_action(&mut self, action: Action) {
+        let common = &mut self.context;
+        match action {
+            Action::Respond { inbound: call, response: answer } => {
+                *self.responses_by_status.entry(answer.status).or_default() += 1;
+                self.servers.send_response(common, call, &answer);
             }
-            Output::State { ask, request, timeout_ms } => {
-                self.clients.ask_state(common, ask, request.to_call(), timeout_ms);
+            Action::CallKv { outbound: ask, request, timeout_ms } => {
+                self.clients.request_kv_store(common, ask, request.to_http_request(), timeout_ms);
             }
-            Output::Cloud { ask, request, timeout_ms } => {
-                self.clients.ask_cloud(common, ask, request.to_call(), timeout_ms);
+            Action::CallCloud { outbound: ask, request, timeout_ms } => {
+                self.clients.request_cloud(common, ask, request.to_http_request(), timeout_ms);
             }
-            Output::Orders { ask, endpoint, call, timeout_ms, .. } => {
-                self.count_sockets();
-                self.clients.ask_worker(&mut self.common, ask, &endpoint, call, timeout_ms);
+            Action::SendWorkerCommands { outbound: ask, endpoint, request: call, timeout_ms, .. } => {
+                self.update_socket_count();
+                self.clients.request_worker(&mut self.context, ask, &endpoint, call, timeout_ms);
             }
-            Output::Mesh { node, message } => self.mesh.send(common, &node, &message),
+            Action::SendPeerMessage { controller: node, message } => self.mesh.send(common, &node, &message),
         }
     }
 }
 
 /// Calls are numbered as they come.
-fn call_id(counter: &mut u64) -> CallId {
+fn next_inbound_id(counter: &mut u64) -> InboundId {
     *counter += 1;
-    CallId(*counter)
+    InboundId(*counter)
 }
 
-type Keyed<T> = HashMap<usize, T>;
+type ByKey<T> = HashMap<usize, T>;
--- a/src/transport/router.rs
+++ b/src/transport/router.rs
@@ -1,35 +1,35 @@
 //! From a request's method and path to what is asked.
 
 use crate::ids::JobId;
-use crate::protocol::Answer;
-use crate::protocol::config::{ConfigRequest, read_config};
-use crate::protocol::graphs::{GraphAsked, GraphRequest, read_graph};
-use crate::protocol::operators::{OperatorRequest, read_operator};
-use crate::protocol::users::{UserRequest, read_submission};
-use crate::protocol::workers::{Report, read_report};
+use crate::protocol::HttpResponse;
+use crate::protocol::config::{ConfigRequest, parse_config_request};
+use crate::protocol::graphs::{DagRequest, GraphRouteRequest, parse_graph_request};
+use crate::protocol::operators::{OperatorRequest, parse_operator_request};
+use crate::protocol::users::{UserRequest, parse_submission};
+use crate::protocol::workers::{Heartbeat, parse_heartbeat};
 use olivelatch_net::http::Request;
 
-pub enum Routed {
+pub enum Route {
     Ready,
     User(UserRequest),
-    Report(Box<Report>),
+    Heartbeat(Box<Heartbeat>),
     Operator(OperatorRequest),
-    Graph(Box<GraphRequest>),
+    Graph(Box<DagRequest>),
     Config(Box<ConfigRequest>),
     /// Answered without further ado.
-    Final(Answer),
+    Respond(HttpResponse),
 }
 
 /// Which interfaces are turned on beside the protocol's own.
 #[derive(Debug, Clone, Copy)]
-pub struct Interfaces {
+pub struct EnabledApis {
     pub operators: bool,
     pub graphs: bool,
     pub config: bool,
 }
 
-pub fn route(request: &Request, interfaces: Interfaces) -> Routed {
-    let Interfaces { operators, graphs, config } = interfaces;
+pub fn route(request: &Request, enabled_apis: EnabledApis) -> Route {
+    let EnabledApis { operators, graphs, config } = enabled_apis;
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
     if graphs && let Some(routed) = route_graph(request, path, query) {
         return routed;
@@ -41,59 +41,59 @@
         return routed;
     }
     let parts: Vec<&str> = path.split('/').skip(1).collect();
-    let (method, action): (&str, &dyn Fn() -> Routed) = match parts.as_slice() {
-        ["ready"] => ("GET", &|| Routed::Ready),
-        ["v1", "report"] => ("POST", &|| match read_report(&request.body) {
-            Some(report) => Routed::Report(Box::new(report)),
-            None => Routed::Final(Answer::error(400, "not a report")),
+    let (method, action): (&str, &dyn Fn() -> Route) = match parts.as_slice() {
+        ["ready"] => ("GET", &|| Route::Ready),
+        ["v1", "report"] => ("POST", &|| match parse_heartbeat(&request.body) {
+            Some(report) => Route::Heartbeat(Box::new(report)),
+            None => Route::Respond(HttpResponse::error(400, "not a report")),
         }),
-        ["work"] => ("POST", &|| match read_submission(&request.body) {
-            Ok(submission) => Routed::User(submission),
-            Err(answer) => Routed::Final(answer),
+        ["work"] => ("POST", &|| match parse_submission(&request.body) {
+            Ok(submission) => Route::User(submission),
+            Err(answer) => Route::Respond(answer),
         }),
-        ["work", id] => ("GET", &|| by_id(id, |id| UserRequest::Poll { id })),
-        ["work", id, "abort"] => ("POST", &|| by_id(id, |id| UserRequest::Abort { id })),
-        _ => return Routed::Final(Answer::error(404, "no such path")),
+        ["work", id] => ("GET", &|| with_job_id(id, |id| UserRequest::Poll { id })),
+        ["work", id, "abort"] => ("POST", &|| with_job_id(id, |id| UserRequest::Cancel { id })),
+        _ => return Route::Respond(HttpResponse::error(404, "no such path")),
     };
     if request.method != method {
-        return Routed::Final(Answer::error(405, "wrong method"));
+        return Route::Respond(HttpResponse::error(405, "wrong method"));
     }
     action()
 }
 
-fn route_graph(request: &Request, path: &str, query: &str) -> Option<Routed> {
-    let asked = read_graph(&request.method, path.strip_prefix("/v1/")?, query, &request.body)?;
-    Some(match asked {
-        Ok(GraphAsked::Look(request)) => Routed::Operator(request),
-        Ok(GraphAsked::Change(request)) => Routed::Graph(Box::new(request)),
-        Err(answer) => Routed::Final(answer),
+fn route_graph(request: &Request, path: &str, query: &str) -> Option<Route> {
+    let parsed = parse_graph_request(&request.method, path.strip_prefix("/v1/")?, query, &request.body)?;
+    Some(match parsed {
+        Ok(GraphRouteRequest::Query(request)) => Route::Operator(request),
+        Ok(GraphRouteRequest::Modify(request)) => Route::Graph(Box::new(request)),
+        Err(answer) => Route::Respond(answer),
     })
 }
 
-fn route_config(request: &Request, path: &str, query: &str) -> Option<Routed> {
-    let asked = read_config(&request.method, path.strip_prefix("/v1/")?, query, &request.body)?;
-    Some(match asked {
-        Ok(request) => Routed::Config(Box::new(request)),
-        Err(answer) => Routed::Final(answer),
+fn route_config(request: &Request, path: &str, query: &str) -> Option<Route> {
+    let parsed = parse_config_request(&request.method, path.strip_prefix("/v1/")?, query, &request.body)?;
+    Some(match parsed {
+        Ok(request) => Route::Config(Box::new(request)),
+        Err(answer) => Route::Respond(answer),
     })
 }
 
-fn route_operator(request: &Request, path: &str, query: &str) -> Option<Routed> {
-    let asked = match path {
+fn route_operator(request: &Request, path: &str, query: &str) -> Option<Route> {
+    let parsed = match path {
         "/metrics" => Ok(OperatorRequest::Metrics),
-        _ => read_operator(path.strip_prefix("/v1/")?, query)?,
+        _ => parse_operator_request(path.strip_prefix("/v1/")?, query)?,
     };
-    Some(match asked {
-        _ if request.method != "GET" => Routed::Final(Answer::error(405, "wrong method")),
-        Ok(asked) => Routed::Operator(asked),
-        Err(answer) => Routed::Final(answer),
+    Some(match parsed {
+        _ if request.method != "GET" => Route::Respond(HttpResponse::error(405, "wrong method")),
+        Ok(asked) => Route::Operator(asked),
+        Err(answer) => Route::Respond(answer),
     })
 }
 
 /// A name of another form was never accepted.
-fn by_id(id: &str, make: impl Fn(JobId) -> UserRequest) -> Routed {
+fn with_job_id(id: &str, make: impl Fn(JobId) -> UserRequest) -> Route {
     match JobId::parse(id) {
-        Some(id) => Routed::User(make(id)),
-        None => Routed::Final(Answer::error(404, "no such job")),
+        Some(id) => Route::User(make(id)),
+        None => Route::Respond(HttpResponse::error(404, "no such job")),
     }
 }
--- a/src/transport/tests/metrics.rs
+++ b/src/transport/tests/metrics.rs
@@ -1,30 +1,30 @@
 //! Tests of `metrics`.
 
 use super::*;
-use crate::protocol::operators::AccountView;
+use crate::protocol::operators::JobCountersView;
 
 /// A follower shows no leader's figures; each line is one that a scraper takes.
 #[test]
 fn a_scrape_has_names_help_and_an_end() {
-    let spread = Spread { sum_s: 0.5, count: 3, buckets: vec![(0.001, 2), (f64::INFINITY, 1)] };
-    let scrape = |work| Scrape {
-        status: NodeStatus {
+    let spread = DurationHistogram { sum_s: 0.5, count: 3, buckets: vec![(0.001, 2), (f64::INFINITY, 1)] };
+    let scrape = |work| MetricsSnapshot {
+        status: ControllerStatus {
             ready: true,
-            work,
-            accounts: vec![AccountView {
+            leader_status: work,
+            job_counters: vec![JobCountersView {
                 team: "core".into(),
                 class: "work".into(),
                 done: 5,
-                ..AccountView::default()
+                ..JobCountersView::default()
             }],
-            ..NodeStatus::default()
+            ..ControllerStatus::default()
         },
-        answers: BTreeMap::from([(200, 4), (503, 1)]),
-        events: vec![("report", spread.clone())],
+        responses_by_status: BTreeMap::from([(200, 4), (503, 1)]),
+        event_durations: vec![("report", spread.clone())],
         connections: 7,
         mesh_dropped: 2,
     };
-    let leader = text(scrape(Some(LeaderStatus { starts: 9, ..LeaderStatus::default() })));
+    let leader = render_openmetrics(scrape(Some(LeaderStatus { tasks_bound: 9, ..LeaderStatus::default() })));
     for line in [
         "olivelatch_ready 1.0",
         "olivelatch_starts_total 9",
@@ -36,5 +36,5 @@
     ] {
         assert!(leader.lines().any(|found| found == line), "{line} in\n{leader}");
     }
-    assert!(!text(scrape(None)).contains("olivelatch_starts"));
+    assert!(!render_openmetrics(scrape(None)).contains("olivelatch_starts"));
 }
--- a/src/transport/timings.rs
+++ b/src/transport/timings.rs
@@ -8,18 +8,18 @@
 use hdrhistogram::Histogram;
 
 use crate::ids::Millis;
-use olivelatch_net::poll::Calls;
+use olivelatch_net::poller::SyscallCounters;
 
-const REPORT_EVERY_MS: u64 = 30_000;
+const LOG_INTERVAL_MS: u64 = 30_000;
 /// Longer than ten seconds counts as ten seconds.
-const LONGEST_US: u64 = 10_000_000;
+const MAX_US: u64 = 10_000_000;
 
 /// Upper bounds for scrapes, in microseconds.
-const BOUNDS_US: [u64; 10] = [20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 20_000, 100_000];
+const BUCKET_BOUNDS_US: [u64; 10] = [20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 20_000, 100_000];
 
 /// How long a kind of event took, as a scrape shows it.
 #[derive(Debug, Clone)]
-pub struct Spread {
+pub struct DurationHistogram {
     pub sum_s: f64,
     pub count: u64,
     /// Upper bound in seconds, and how many lie between the bound before and this one.
@@ -31,15 +31,15 @@
 /// Nothing is measured unless it is shown.
 #[derive(Default)]
 pub struct Timings {
-    kinds: ByKind,
-    shown: Millis,
+    recent: ByKind,
+    last_logged_at: Millis,
     /// Since the start, for scrapes; None if there are none.
     totals: Option<ByKind>,
 }
 
 fn record(kinds: &mut ByKind, kind: &'static str, us: u64) {
     if !kinds.contains_key(kind) {
-        let Ok(histogram) = Histogram::new_with_bounds(1, LONGEST_US, 2) else { return };
+        let Ok(histogram) = Histogram::new_with_bounds(1, MAX_US, 2) else { return };
         kinds.insert(kind, (histogram, 0));
     }
     if let Some((histogram, sum)) = kinds.get_mut(kind) {
@@ -48,23 +48,23 @@
     }
 }
 
-fn spread(histogram: &Histogram<u32>, sum_us: u64) -> Spread {
-    let mut buckets = Vec::with_capacity(BOUNDS_US.len() + 1);
+fn duration_histogram(histogram: &Histogram<u32>, sum_us: u64) -> DurationHistogram {
+    let mut buckets = Vec::with_capacity(BUCKET_BOUNDS_US.len() + 1);
     let mut below = 0;
-    for bound in BOUNDS_US {
+    for bound in BUCKET_BOUNDS_US {
         buckets.push((bound as f64 / 1e6, histogram.count_between(below, bound - 1)));
         below = bound;
     }
     buckets.push((f64::INFINITY, histogram.count_between(below, u64::MAX)));
     // What the buckets hold is the count, so that the two agree.
     let count = buckets.iter().map(|(_, count)| count).sum();
-    Spread { sum_s: sum_us as f64 / 1e6, count, buckets }
+    DurationHistogram { sum_s: sum_us as f64 / 1e6, count, buckets }
 }
 
 impl Timings {
     /// `scraped`: also kept since the start.
-    pub fn new(scraped: bool) -> Timings {
-        Timings { totals: scraped.then(BTreeMap::new), ..Timings::default() }
+    pub fn new(keep_totals: bool) -> Timings {
+        Timings { totals: keep_totals.then(BTreeMap::new), ..Timings::default() }
     }
 
     pub fn start(&self) -> Option<Instant> {
@@ -72,29 +72,29 @@
     }
 
     /// All kinds since the start.
-    pub fn spreads(&self) -> Vec<(&'static str, Spread)> {
+    pub fn duration_histograms(&self) -> Vec<(&'static str, DurationHistogram)> {
         let totals = self.totals.iter().flatten();
-        totals.map(|(kind, (histogram, sum))| (*kind, spread(histogram, *sum))).collect()
+        totals.map(|(kind, (histogram, sum))| (*kind, duration_histogram(histogram, *sum))).collect()
     }
 
     pub fn stop(&mut self, kind: &'static str, started: Option<Instant>) {
         let Some(started) = started else { return };
-        let us = (started.elapsed().as_micros() as u64).clamp(1, LONGEST_US);
+        let us = (started.elapsed().as_micros() as u64).clamp(1, MAX_US);
         if let Some(totals) = &mut self.totals {
             record(totals, kind, us);
         }
         if log::log_enabled!(log::Level::Debug) {
-            record(&mut self.kinds, kind, us);
+            record(&mut self.recent, kind, us);
         }
     }
 
     /// Shows the last half minute and begins anew.
-    pub fn show(&mut self, now: Millis, calls: &Calls) {
-        if self.kinds.is_empty() || now.since(self.shown) < REPORT_EVERY_MS {
+    pub fn log_recent(&mut self, now: Millis, calls: &SyscallCounters) {
+        if self.recent.is_empty() || now.saturating_since(self.last_logged_at) < LOG_INTERVAL_MS {
             return;
         }
-        self.shown = now;
-        for (kind, (histogram, sum)) in &self.kinds {
+        self.last_logged_at = now;
+        for (kind, (histogram, sum)) in &self.recent {
             log::debug!(
                 "time {kind}: {} events, {sum} us in all, {:.0} on average, p50 {}, p99 {}, longest {} us",
                 histogram.len(),
@@ -104,7 +104,7 @@
                 histogram.max()
             );
         }
-        self.kinds.clear();
+        self.recent.clear();
         let taken = |calls: &AtomicU64| calls.swap(0, Ordering::Relaxed);
         log::debug!(
             "calls: {} waits, {} reads, {} writes, {} registrations",
--- a/src/tunables.rs
+++ b/src/tunables.rs
@@ -6,20 +6,20 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::places::locate;
+use crate::source_location::with_line_number;
 
 #[derive(Debug, Error)]
 pub enum TunablesError {
     #[error("{file}: {error}")]
     Read { file: String, error: std::io::Error },
     #[error("{file}: {problem}")]
-    Hcl { file: String, problem: String },
+    InvalidHcl { file: String, problem: String },
     #[error("{file}: {name} must be {low} to {high}, not {value}")]
-    Range { file: String, name: &'static str, low: f64, high: f64, value: f64 },
+    OutOfRange { file: String, name: &'static str, low: f64, high: f64, value: f64 },
     #[error("{file}: graphs are asked about over the operators' interface: turn operators on as well")]
-    GraphsAlone { file: String },
+    GraphsRequireOperators { file: String },
     #[error("{file}: pool {pool}: expected 1 to 1000000 slots, not {slots}")]
-    Pool { file: String, pool: String, slots: f64 },
+    InvalidPoolSlots { file: String, pool: String, slots: f64 },
 }
 
 /// Defaults marked (source) are the paper's, the others the project's own.
@@ -33,19 +33,26 @@
     /// Fetch rate assumed until one was observed or published, in GB per second.
     pub fetch_gb_per_s: f64,
     /// First wait after a failed steal, doubled by each further one (source).
-    pub steal_wait_ms: f64,
+    #[serde(rename = "steal_wait_ms")]
+    pub steal_backoff_ms: f64,
     /// The wait at which an idle machine stops stealing until tasks arrive.
-    pub steal_bound_s: f64,
+    #[serde(rename = "steal_bound_s")]
+    pub max_steal_backoff_s: f64,
     /// How long a machine is held for a gang or a preempting job.
-    pub hold_s: f64,
+    #[serde(rename = "hold_s")]
+    pub machine_hold_s: f64,
     /// Life of the leader's lease at the state service.
-    pub leader_life_s: f64,
+    #[serde(rename = "leader_life_s")]
+    pub leader_lease_s: f64,
     /// An idle machine is returned after this.
-    pub idle_s: f64,
+    #[serde(rename = "idle_s")]
+    pub idle_return_s: f64,
     /// Jobs of a class without an aim should be done within this and a run time.
-    pub drain_s: f64,
+    #[serde(rename = "drain_s")]
+    pub queue_drain_target_s: f64,
     /// Part of the time to a job's aim within which its tasks should all have started.
-    pub haste: f64,
+    #[serde(rename = "haste")]
+    pub start_deadline_fraction: f64,
     /// What changes while there is more than can be served (docs/overload.md).
     pub overload: OverloadTunables,
     /// The operators' interface (docs/client.md).
@@ -63,20 +70,30 @@
 pub struct OverloadTunables {
     /// Jobs that cannot meet their aims are put off with a floor for each party, small gangs go first when there are too
     /// many, machines of scarce types are kept for gangs.
-    pub order: bool,
+    #[serde(rename = "order")]
+    pub overload_ordering: bool,
     /// A controller that is behind its events leaves planning and direct starts.
-    pub pressure: bool,
+    #[serde(rename = "pressure")]
+    pub load_shedding: bool,
     /// Work that nobody waits for leaves room for what others asked for lately.
     pub headroom: bool,
     /// Arrays stop long tasks that are less urgent, or what others have borrowed.
-    pub claims: bool,
+    #[serde(rename = "claims")]
+    pub preemption: bool,
     /// Jobs that fail wherever they are tried go on one task at a time.
-    pub trials: bool,
+    #[serde(rename = "trials")]
+    pub probation: bool,
 }
 
 impl Default for OverloadTunables {
     fn default() -> Self {
-        OverloadTunables { order: true, pressure: true, headroom: true, claims: true, trials: true }
+        OverloadTunables {
+            overload_ordering: true,
+            load_shedding: true,
+            headroom: true,
+            preemption: true,
+            probation: true,
+        }
     }
 }
 
@@ -88,18 +105,19 @@
     /// Decisions remembered of each job.
     pub events_per_job: f64,
     /// Lists, inspections and explanations worked out a second; beyond that clients are told to come back.
-    pub explains_per_s: f64,
+    #[serde(rename = "explains_per_s")]
+    pub queries_per_s: f64,
 }
 
 impl Default for OperatorTunables {
     fn default() -> Self {
-        OperatorTunables { enabled: false, events_per_job: 32.0, explains_per_s: 20.0 }
+        OperatorTunables { enabled: false, events_per_job: 32.0, queries_per_s: 20.0 }
     }
 }
 
 impl OperatorTunables {
     /// Decisions remembered of each job; none while the interface is off.
-    pub fn events(&self) -> usize {
+    pub fn event_capacity(&self) -> usize {
         if self.enabled { self.events_per_job as usize } else { 0 }
     }
 }
@@ -112,11 +130,14 @@
     /// Tasks of nodes that name a pool, at a time.
     pub pools: BTreeMap<String, f64>,
     /// Runs that have ended and are kept, so that they can be looked at and done over.
-    pub kept_runs: f64,
+    #[serde(rename = "kept_runs")]
+    pub retained_runs: f64,
     /// Nodes of all runs that are kept; beyond that no further run is accepted.
-    pub most_nodes: f64,
+    #[serde(rename = "most_nodes")]
+    pub max_nodes: f64,
     /// Parts that are not committed within this are removed.
-    pub sweep_s: f64,
+    #[serde(rename = "sweep_s")]
+    pub upload_expiry_s: f64,
 }
 
 impl Default for GraphTunables {
@@ -124,9 +145,9 @@
         GraphTunables {
             enabled: false,
             pools: BTreeMap::new(),
-            kept_runs: 50.0,
-            most_nodes: 60_000.0,
-            sweep_s: 600.0,
+            retained_runs: 50.0,
+            max_nodes: 60_000.0,
+            upload_expiry_s: 600.0,
         }
     }
 }
@@ -157,7 +178,7 @@
 }
 
 /// The shortest lease of a leader that may be asked for: others rely on it, whatever their own files say.
-pub const LEAST_LIFE_S: f64 = 1.0;
+pub const MIN_LEADER_LEASE_S: f64 = 1.0;
 
 impl Default for Tunables {
     fn default() -> Self {
@@ -165,13 +186,13 @@
             t: 0.5,
             tt_s: 10.0,
             fetch_gb_per_s: 0.1,
-            steal_wait_ms: 1.0,
-            steal_bound_s: 10.0,
-            hold_s: 60.0,
-            leader_life_s: 4.0,
-            idle_s: 45.0,
-            drain_s: 40.0,
-            haste: 0.5,
+            steal_backoff_ms: 1.0,
+            max_steal_backoff_s: 10.0,
+            machine_hold_s: 60.0,
+            leader_lease_s: 4.0,
+            idle_return_s: 45.0,
+            queue_drain_target_s: 40.0,
+            start_deadline_fraction: 0.5,
             overload: OverloadTunables::default(),
             operators: OperatorTunables::default(),
             graphs: GraphTunables::default(),
@@ -190,43 +211,47 @@
     }
 
     pub fn parse(file: &str, text: &str) -> Result<Tunables, TunablesError> {
-        let tunables: Tunables = hcl::from_str(text).map_err(|error| TunablesError::Hcl {
+        let tunables: Tunables = hcl::from_str(text).map_err(|error| TunablesError::InvalidHcl {
             file: file.into(),
-            problem: locate(text, &error.to_string()),
+            problem: with_line_number(text, &error.to_string()),
         })?;
-        tunables.check(file)?;
+        tunables.validate(file)?;
         Ok(tunables)
     }
 
-    fn check(&self, file: &str) -> Result<(), TunablesError> {
+    fn validate(&self, file: &str) -> Result<(), TunablesError> {
         let ranges = [
             ("t", self.t, 0.0, 1e9),
             ("tt_s", self.tt_s, 0.0, 1e6),
             ("fetch_gb_per_s", self.fetch_gb_per_s, 1e-6, 1e6),
-            ("steal_wait_ms", self.steal_wait_ms, 0.1, 1e6),
-            ("steal_bound_s", self.steal_bound_s, 0.001, 1e4),
-            ("hold_s", self.hold_s, 0.0, 600.0),
-            ("leader_life_s", self.leader_life_s, LEAST_LIFE_S, 60.0),
-            ("idle_s", self.idle_s, 0.0, 1e6),
-            ("drain_s", self.drain_s, 1.0, 1e6),
-            ("haste", self.haste, 0.05, 1.0),
+            ("steal_wait_ms", self.steal_backoff_ms, 0.1, 1e6),
+            ("steal_bound_s", self.max_steal_backoff_s, 0.001, 1e4),
+            ("hold_s", self.machine_hold_s, 0.0, 600.0),
+            ("leader_life_s", self.leader_lease_s, MIN_LEADER_LEASE_S, 60.0),
+            ("idle_s", self.idle_return_s, 0.0, 1e6),
+            ("drain_s", self.queue_drain_target_s, 1.0, 1e6),
+            ("haste", self.start_deadline_fraction, 0.05, 1.0),
             ("events_per_job", self.operators.events_per_job, 0.0, 1000.0),
-            ("explains_per_s", self.operators.explains_per_s, 0.1, 1e5),
-            ("kept_runs", self.graphs.kept_runs, 0.0, 1e5),
-            ("most_nodes", self.graphs.most_nodes, 0.0, 1e6),
-            ("sweep_s", self.graphs.sweep_s, 1.0, 1e6),
+            ("explains_per_s", self.operators.queries_per_s, 0.1, 1e5),
+            ("kept_runs", self.graphs.retained_runs, 0.0, 1e5),
+            ("most_nodes", self.graphs.max_nodes, 0.0, 1e6),
+            ("sweep_s", self.graphs.upload_expiry_s, 1.0, 1e6),
         ];
         for (name, value, low, high) in ranges {
             if !(low..=high).contains(&value) {
-                return Err(TunablesError::Range { file: file.into(), name, low, high, value });
+                return Err(TunablesError::OutOfRange { file: file.into(), name, low, high, value });
             }
         }
         if let Some((pool, slots)) = self.graphs.pools.iter().find(|(_, slots)| !(1.0..=1e6).contains(*slots))
         {
-            return Err(TunablesError::Pool { file: file.into(), pool: pool.clone(), slots: *slots });
+            return Err(TunablesError::InvalidPoolSlots {
+                file: file.into(),
+                pool: pool.clone(),
+                slots: *slots,
+            });
         }
         if self.graphs.enabled && !self.operators.enabled {
-            return Err(TunablesError::GraphsAlone { file: file.into() });
+            return Err(TunablesError::GraphsRequireOperators { file: file.into() });
         }
         Ok(())
     }
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,15 +1,19 @@
 //! Messages of users, workers, the cloud, the state service, operators, configuration, graphs, and between controllers.
 
-use olivelatch::ids::{Attempt, JobId, LeaseId, Revision, Session, Token};
+use olivelatch::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision};
 use olivelatch::protocol::cloud::CloudRequest;
-use olivelatch::protocol::config::read_config;
-use olivelatch::protocol::graphs::read_graph;
-use olivelatch::protocol::mesh::{self, MeshMessage, Question};
-use olivelatch::protocol::operators::{JobState, read_operator};
-use olivelatch::protocol::state::{Change, Guard, StateRequest};
-use olivelatch::protocol::users::{JobSpec, JobStatus, Shape, Urgency, read_submission, status_answer};
-use olivelatch::protocol::workers::{Order, elsewhere, orders_answer, orders_call, read_report};
-use olivelatch::protocol::{Answer, Outcome};
+use olivelatch::protocol::config::parse_config_request;
+use olivelatch::protocol::graphs::parse_graph_request;
+use olivelatch::protocol::kv::{KvMutation, KvRequest, Precondition};
+use olivelatch::protocol::operators::{JobPhase, parse_operator_request};
+use olivelatch::protocol::peer::{self, LeaderQuery, PeerMessage};
+use olivelatch::protocol::users::{
+    JobKind, JobManifest, JobStatus, PriorityClass, parse_submission, status_response,
+};
+use olivelatch::protocol::workers::{
+    WorkerCommand, commands_request, commands_response, parse_heartbeat, redirect_response,
+};
+use olivelatch::protocol::{HttpOutcome, HttpResponse};
 use serde_json::{Value, json};
 
 use crate::{golden, wire};
@@ -37,9 +41,9 @@
 #[test]
 fn users() {
     let mut golden = golden("users");
-    golden.round_trip::<JobSpec>("job", submission());
-    golden.round_trip::<Vec<Shape>>("shapes", json!(["array", "gang", "daemon"]));
-    golden.round_trip::<Vec<Urgency>>("urgencies", json!(["critical", "high", "normal", "low"]));
+    golden.round_trip::<JobManifest>("job", submission());
+    golden.round_trip::<Vec<JobKind>>("shapes", json!(["array", "gang", "daemon"]));
+    golden.round_trip::<Vec<PriorityClass>>("urgencies", json!(["critical", "high", "normal", "low"]));
     let bodies = [
         ("whole", submission()),
         ("short", without(submission(), &["boxkinds", "hall", "due_s"])),
@@ -54,25 +58,25 @@
     for (name, body) in bodies {
         golden.case(
             &format!("submission: {name}"),
-            wire::submission(read_submission(body.to_string().as_bytes())),
+            wire::submission(parse_submission(body.to_string().as_bytes())),
         );
     }
-    golden.case("submission: no JSON", wire::submission(read_submission(b"{")));
+    golden.case("submission: no JSON", wire::submission(parse_submission(b"{")));
     let states = [
         ("pending", JobStatus::Pending),
         ("running", JobStatus::Running),
         ("done", JobStatus::Done),
-        ("withdrawn", JobStatus::Withdrawn),
+        ("withdrawn", JobStatus::Cancelled),
     ];
     for (word, state) in states {
-        golden.case(word, wire::answer(&status_answer(200, JobId(412), state, None)));
+        golden.case(word, wire::answer(&status_response(200, JobId(412), state, None)));
         golden.case(
             &format!("{word}, counted"),
-            wire::answer(&status_answer(201, JobId(1_234_567), state, Some((3, 4)))),
+            wire::answer(&status_response(201, JobId(1_234_567), state, Some((3, 4)))),
         );
     }
-    golden.case("refused", wire::answer(&Answer::error(404, "no such job")));
-    golden.case("later", wire::answer(&Answer::later("no leader", 2)));
+    golden.case("refused", wire::answer(&HttpResponse::error(404, "no such job")));
+    golden.case("later", wire::answer(&HttpResponse::retry_later("no leader", 2)));
     golden.check();
 }
 
@@ -94,38 +98,38 @@
     let short = without(report(), &["endpoint", "baton", "warning_s", "pieces"]);
     let strange = with(report(), "pieces", json!([{"piece": "job-000412/0", "try": 1, "status": "asleep"}]));
     for (name, body) in [("whole", report()), ("short", short), ("a state that is not known", strange)] {
-        let read = read_report(body.to_string().as_bytes());
+        let read = parse_heartbeat(body.to_string().as_bytes());
         golden.case(&format!("report: {name}"), read.as_ref().map_or(Value::Null, wire::report));
     }
     let (task, attempt) = (wire::task("job-000412/3"), Attempt(77));
     let orders = [
-        Order::Run { task, attempt },
-        Order::Halt { task, attempt, grace_ms: 1_500 },
-        Order::Halt { task, attempt, grace_ms: 0 },
-        Order::Reap { task, attempt },
+        WorkerCommand::Run { task, attempt },
+        WorkerCommand::Stop { task, attempt, grace_ms: 1_500 },
+        WorkerCommand::Stop { task, attempt, grace_ms: 0 },
+        WorkerCommand::Forget { task, attempt },
     ];
-    golden.case("orders", wire::answer(&orders_answer(Token(31), &orders)));
-    golden.case("no orders", wire::answer(&orders_answer(Token(31), &[])));
-    golden.case("orders, called", wire::call(&orders_call(Token(31), Session(4), &orders)));
-    golden.case("elsewhere", wire::answer(&elsewhere(Some("n2"))));
-    golden.case("elsewhere, not known where", wire::answer(&elsewhere(None)));
+    golden.case("orders", wire::answer(&commands_response(FencingToken(31), &orders)));
+    golden.case("no orders", wire::answer(&commands_response(FencingToken(31), &[])));
+    golden.case("orders, called", wire::call(&commands_request(FencingToken(31), AgentEpoch(4), &orders)));
+    golden.case("elsewhere", wire::answer(&redirect_response(Some("n2"))));
+    golden.case("elsewhere, not known where", wire::answer(&redirect_response(None)));
     golden.check();
 }
 
-fn ok(body: Value) -> Outcome {
+fn ok(body: Value) -> HttpOutcome {
     response(200, &body.to_string())
 }
 
-fn response(status: u16, body: &str) -> Outcome {
-    Outcome::Response { status, body: body.as_bytes().to_vec() }
+fn response(status: u16, body: &str) -> HttpOutcome {
+    HttpOutcome::Response { status, body: body.as_bytes().to_vec() }
 }
 
 /// What may come of any call.
-fn troubles() -> Vec<(&'static str, Outcome)> {
+fn troubles() -> Vec<(&'static str, HttpOutcome)> {
     vec![
-        ("not sent", Outcome::NotSent),
-        ("no response", Outcome::Unknown),
-        ("too long", Outcome::TooLong),
+        ("not sent", HttpOutcome::NotSent),
+        ("no response", HttpOutcome::Unknown),
+        ("too long", HttpOutcome::TooLarge),
         ("malformed", response(200, "{")),
         ("400", response(400, "{}")),
         ("no such lease", response(400, r#"{"error":"no such lease"}"#)),
@@ -140,9 +144,9 @@
 }
 
 fn cloud_requests() -> Vec<(&'static str, CloudRequest, Value)> {
-    let rent = |spot, count| CloudRequest::Rent {
-        booking: "b-7".into(),
-        kind: "small".into(),
+    let rent = |spot, count| CloudRequest::ScaleOut {
+        request_id: "b-7".into(),
+        machine_type: "small".into(),
         zone: "north-a".into(),
         spot,
         count,
@@ -161,14 +165,14 @@
         listed("m-4", "something new"),
         without(listed("m-5", "booting"), &["endpoint", "held_s"])
     ]);
-    let release = CloudRequest::Release { machines: vec!["m-1".into(), "m-2".into()] };
+    let release = CloudRequest::ScaleIn { machines: vec!["m-1".into(), "m-2".into()] };
     vec![
         ("catalog", CloudRequest::Catalog, json!({"boxkinds": [kind, short]})),
         ("rent", rent(true, 3), json!({"boxes": ["m-1", "m-2"]})),
         ("rent many", rent(false, 1_000), json!({"boxes": []})),
         ("release", release, json!({})),
-        ("list", CloudRequest::List { after: None }, json!({"boxes": boxes, "has_next": true})),
-        ("list on", CloudRequest::List { after: Some("m-2".into()) }, json!({"boxes": []})),
+        ("list", CloudRequest::ListMachines { after: None }, json!({"boxes": boxes, "has_next": true})),
+        ("list on", CloudRequest::ListMachines { after: Some("m-2".into()) }, json!({"boxes": []})),
     ]
 }
 
@@ -176,10 +180,10 @@
 fn cloud() {
     let mut golden = golden("cloud");
     for (name, request, reply) in cloud_requests() {
-        golden.case(name, wire::call(&request.to_call()));
-        golden.case(&format!("{name}: reply"), wire::cloud(&request.read_reply(&ok(reply))));
+        golden.case(name, wire::call(&request.to_http_request()));
+        golden.case(&format!("{name}: reply"), wire::cloud(&request.parse_reply(&ok(reply))));
         for (trouble, outcome) in troubles() {
-            golden.case(&format!("{name}: {trouble}"), wire::cloud(&request.read_reply(&outcome)));
+            golden.case(&format!("{name}: {trouble}"), wire::cloud(&request.parse_reply(&outcome)));
         }
     }
     golden.check();
@@ -188,21 +192,21 @@
 /// A value whose spacing must survive.
 const SPACED: &str = r#"{"node": "n0",  "lease":7}"#;
 
-fn transaction() -> StateRequest {
-    let guard = |key: &str, stamp| Guard { key: key.into(), stamp: Revision(stamp) };
-    let put = |key: &str, lease| Change::Put { key: key.into(), value: SPACED.into(), lease };
-    StateRequest::Txn {
-        guards: vec![guard("olivelatch/leader", 0), guard("olivelatch/graphs", 12)],
-        changes: vec![
+fn transaction() -> KvRequest {
+    let guard = |key: &str, stamp| Precondition { key: key.into(), revision: Revision(stamp) };
+    let put = |key: &str, lease| KvMutation::Put { key: key.into(), value: SPACED.into(), lease };
+    KvRequest::Transaction {
+        preconditions: vec![guard("olivelatch/leader", 0), guard("olivelatch/graphs", 12)],
+        mutations: vec![
             put("olivelatch/leader", Some(LeaseId(7))),
             put("olivelatch/kind/small", None),
-            Change::Delete { key: "olivelatch/log/n0-1".into() },
+            KvMutation::Delete { key: "olivelatch/log/n0-1".into() },
         ],
     }
 }
 
 /// Requests and the bodies of their replies, as text: values are kept as they are written.
-fn state_requests() -> Vec<(&'static str, StateRequest, String)> {
+fn state_requests() -> Vec<(&'static str, KvRequest, String)> {
     let prefix = || String::from("olivelatch/");
     let page = format!(
         r#"{{"pairs":[{{"key":"olivelatch/leader","value":{SPACED},"stamp":8}}],"has_next":true,"ledger_rev":9}}"#
@@ -212,22 +216,22 @@
     );
     let after = Some("olivelatch/job/job-000412".into());
     vec![
-        ("page", StateRequest::Page { prefix: prefix(), after: None, limit: 500 }, page),
+        ("page", KvRequest::ListPage { prefix: prefix(), after: None, limit: 500 }, page),
         (
             "page on",
-            StateRequest::Page { prefix: prefix(), after, limit: 2 },
+            KvRequest::ListPage { prefix: prefix(), after, limit: 2 },
             r#"{"pairs":[],"ledger_rev":9}"#.into(),
         ),
-        ("watch", StateRequest::Changes { prefix: prefix(), after: Revision(7) }, changes),
+        ("watch", KvRequest::PollChanges { prefix: prefix(), after: Revision(7) }, changes),
         ("transaction", transaction(), r#"{"ledger_rev":10}"#.into()),
         (
             "transaction of nothing",
-            StateRequest::Txn { guards: Vec::new(), changes: Vec::new() },
+            KvRequest::Transaction { preconditions: Vec::new(), mutations: Vec::new() },
             r#"{"ledger_rev":10}"#.into(),
         ),
-        ("grant", StateRequest::Grant { life_ms: 4_000 }, r#"{"permit":7}"#.into()),
-        ("renew", StateRequest::Renew { lease: LeaseId(7) }, "{}".into()),
-        ("revoke", StateRequest::Revoke { lease: LeaseId(7) }, "{}".into()),
+        ("grant", KvRequest::GrantLease { ttl_ms: 4_000 }, r#"{"permit":7}"#.into()),
+        ("renew", KvRequest::RenewLease { lease: LeaseId(7) }, "{}".into()),
+        ("revoke", KvRequest::RevokeLease { lease: LeaseId(7) }, "{}".into()),
     ]
 }
 
@@ -235,10 +239,10 @@
 fn state() {
     let mut golden = golden("state");
     for (name, request, reply) in state_requests() {
-        golden.case(name, wire::call(&request.to_call()));
-        golden.case(&format!("{name}: reply"), wire::state(&request.read_reply(&response(200, &reply))));
+        golden.case(name, wire::call(&request.to_http_request()));
+        golden.case(&format!("{name}: reply"), wire::state(&request.parse_reply(&response(200, &reply))));
         for (trouble, outcome) in troubles() {
-            golden.case(&format!("{name}: {trouble}"), wire::state(&request.read_reply(&outcome)));
+            golden.case(&format!("{name}: {trouble}"), wire::state(&request.parse_reply(&outcome)));
         }
     }
     golden.check();
@@ -273,7 +277,7 @@
     ];
     for path in asked {
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
-        golden.case(path, wire::read(read_operator(bare, query), wire::operator));
+        golden.case(path, wire::read(parse_operator_request(bare, query), wire::operator));
     }
     crate::views::operators(&mut golden);
     golden.check();
@@ -302,7 +306,7 @@
     ];
     for (method, path, body) in asked {
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
-        let read = read_config(method, bare, query, body.to_string().as_bytes());
+        let read = parse_config_request(method, bare, query, body.to_string().as_bytes());
         golden.case(&format!("{method} {path}"), wire::read(read, wire::config));
     }
     crate::views::config(&mut golden);
@@ -333,41 +337,49 @@
     ];
     for (method, path, body) in asked {
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
-        let read = read_graph(method, bare, query, body.to_string().as_bytes());
+        let read = parse_graph_request(method, bare, query, body.to_string().as_bytes());
         golden.case(&format!("{method} {path}"), wire::read(read, wire::graph));
     }
     crate::views::graphs(&mut golden);
     golden.check();
 }
 
-fn mesh_messages() -> Vec<(&'static str, MeshMessage)> {
-    let ask = |ask, question| MeshMessage::Ask { ask, question };
-    let told =
-        |retry_after_s| MeshMessage::Told { ask: 7, status: 503, retry_after_s, body: b"{\"a\":1}".to_vec() };
-    let beat = |state_ok| MeshMessage::Beat { state_ok, misdirected: 3, misdirected_elsewhere: 4 };
+fn mesh_messages() -> Vec<(&'static str, PeerMessage)> {
+    let ask = |ask, question| PeerMessage::Query { query_id: ask, query: question };
+    let told = |retry_after_s| PeerMessage::QueryResponse {
+        query_id: 7,
+        status: 503,
+        retry_after_s,
+        body: b"{\"a\":1}".to_vec(),
+    };
+    let beat = |state_ok| PeerMessage::HealthStatus {
+        kv_reachable: state_ok,
+        misrouted_workers: 3,
+        misrouted_workers_elsewhere: 4,
+    };
     vec![
-        ("hello", MeshMessage::Hello { node: "n0".into() }),
-        ("hello, long", MeshMessage::Hello { node: "a-node-of-a-long-name".into() }),
-        ("notify", MeshMessage::Notify { revision: 0x0102_0304_0506 }),
+        ("hello", PeerMessage::Hello { controller: "n0".into() }),
+        ("hello, long", PeerMessage::Hello { controller: "a-node-of-a-long-name".into() }),
+        ("notify", PeerMessage::RevisionNotice { revision: 0x0102_0304_0506 }),
         ("beat", beat(true)),
         ("beat, blind", beat(false)),
-        ("yield", MeshMessage::Yield),
-        ("inspect", ask(1, Question::Inspect { job: 412, after: None, limit: 100 })),
-        ("inspect on", ask(2, Question::Inspect { job: 412, after: Some(9), limit: 100 })),
-        ("explain", ask(3, Question::Explain { job: 412, task: None })),
-        ("explain a task", ask(4, Question::Explain { job: 412, task: Some(3) })),
-        ("events", ask(5, Question::Events { job: 412 })),
+        ("yield", PeerMessage::TransferLeadership),
+        ("inspect", ask(1, LeaderQuery::InspectJob { job: 412, after: None, limit: 100 })),
+        ("inspect on", ask(2, LeaderQuery::InspectJob { job: 412, after: Some(9), limit: 100 })),
+        ("explain", ask(3, LeaderQuery::ExplainJob { job: 412, task: None })),
+        ("explain a task", ask(4, LeaderQuery::ExplainJob { job: 412, task: Some(3) })),
+        ("events", ask(5, LeaderQuery::JobEvents { job: 412 })),
         ("told", told(None)),
         ("told, later", told(Some(2))),
-        ("read", MeshMessage::Read { revision: 77 }),
+        ("read", PeerMessage::ReadWatermark { revision: 77 }),
     ]
 }
 
 /// A job's states as clients read them, beside what users are told.
 #[test]
 fn states_have_one_word_each() {
-    for state in [JobState::Pending, JobState::Running, JobState::Done, JobState::Withdrawn] {
-        assert_eq!(json!(state), json!(state.word()));
+    for state in [JobPhase::Pending, JobPhase::Running, JobPhase::Done, JobPhase::Cancelled] {
+        assert_eq!(json!(state), json!(state.as_str()));
     }
 }
 
@@ -388,11 +400,11 @@
     let kept = golden.kept();
     for (name, message) in mesh_messages() {
         let frame =
-            kept.as_ref().map_or(mesh::encode(&message), |kept| bytes(kept[name].as_str().expect(name)));
-        let read = mesh::decode(&frame[4..]);
+            kept.as_ref().map_or(peer::encode(&message), |kept| bytes(kept[name].as_str().expect(name)));
+        let read = peer::decode(&frame[4..]);
         assert!(read.as_ref() == Some(&message), "{name}");
-        assert_eq!(hex(&mesh::encode(&read.expect("a message"))), hex(&frame), "{name}");
-        golden.case(name, hex(&mesh::encode(&message)));
+        assert_eq!(hex(&peer::encode(&read.expect("a message"))), hex(&frame), "{name}");
+        golden.case(name, hex(&peer::encode(&message)));
     }
     golden.check();
 }
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -1,40 +1,42 @@
 //! Durable records: the text of their keys and the JSON of their values.
 
-use olivelatch::bookkeeping::bits::Bits;
-use olivelatch::bookkeeping::graph_records::{GraphRecord, NodeEnd, Phase, TriesRecord, TurnRecord};
-use olivelatch::bookkeeping::jobs::End;
+use olivelatch::bookkeeping::bit_set::BitSet;
+use olivelatch::bookkeeping::dag_records::{
+    DagRunRecord, NodeTerminalRecord, RetryStateRecord, RunPhase, RunPhaseRecord,
+};
+use olivelatch::bookkeeping::jobs::TerminalState;
 use olivelatch::bookkeeping::records::{
-    BookingRecord, EndRecord, FinishedRecord, JobRecord, Key, LeaderRecord, LogRecord, MachineRecord, Place,
-    Recorded,
+    AssignmentLogRecord, FinishedRecord, JobRecord, LeaderRecord, LegacyMachineRecord, MachineDescriptor,
+    ProvisioningRecord, RecordKey, RecordedMachine, TerminalRecord,
 };
 use olivelatch::ids::{Attempt, JobId};
-use olivelatch::protocol::cloud::CatalogEntry;
-use olivelatch::protocol::config::{EntryName, EntryRecord};
-use olivelatch::protocol::graphs::{GraphPart, RunName};
+use olivelatch::protocol::cloud::MachineTypeRecord;
+use olivelatch::protocol::config::{ConfigKey, ConfigRecord};
+use olivelatch::protocol::graphs::{DagRunName, GraphPart};
 use serde_json::{Value, json};
 
 use crate::messages::submission;
 use crate::support::{decode, encode};
 use crate::{golden, views, wire};
 
-fn keys() -> Vec<(&'static str, Key)> {
-    let run = || RunName::parse("nightly-1").expect("a run");
+fn keys() -> Vec<(&'static str, RecordKey)> {
+    let run = || DagRunName::parse("nightly-1").expect("a run");
     vec![
-        ("leader", Key::Leader),
-        ("job", Key::Job(JobId(412))),
-        ("job of many digits", Key::Job(JobId(900_000_000_000_000_001))),
-        ("end", Key::End(JobId(412))),
-        ("fin", Key::Finished(JobId(412), 3)),
-        ("machine", Key::Machine("m-1".into())),
-        ("log", Key::Log("n0-31-7".into())),
-        ("booking", Key::Booking("b-7".into())),
-        ("kind", Key::Kind("small".into())),
-        ("graphs", Key::Graphs),
-        ("part", Key::Part(run(), 3)),
-        ("graph", Key::Graph(run())),
-        ("turn", Key::Turn(run())),
-        ("tries", Key::Tries(JobId(412), 3)),
-        ("config", Key::Config("team/grid".into())),
+        ("leader", RecordKey::Leader),
+        ("job", RecordKey::Job(JobId(412))),
+        ("job of many digits", RecordKey::Job(JobId(900_000_000_000_000_001))),
+        ("end", RecordKey::Terminal(JobId(412))),
+        ("fin", RecordKey::Finished(JobId(412), 3)),
+        ("machine", RecordKey::LegacyMachine("m-1".into())),
+        ("log", RecordKey::AssignmentLog("n0-31-7".into())),
+        ("booking", RecordKey::ProvisioningRequest("b-7".into())),
+        ("kind", RecordKey::MachineType("small".into())),
+        ("graphs", RecordKey::GraphAcceptance),
+        ("part", RecordKey::GraphPart(run(), 3)),
+        ("graph", RecordKey::DagRun(run())),
+        ("turn", RecordKey::RunPhase(run())),
+        ("tries", RecordKey::RetryState(JobId(412), 3)),
+        ("config", RecordKey::ConfigEntry("team/grid".into())),
     ]
 }
 
@@ -43,9 +45,9 @@
     let mut golden = golden("keys");
     let kept = golden.kept();
     for (name, key) in keys() {
-        let text = kept.as_ref().map_or(key.text(), |kept| kept[name].as_str().expect(name).into());
-        assert!(Key::parse(&text).as_ref() == Some(&key), "{text}");
-        golden.case(name, key.text());
+        let text = kept.as_ref().map_or(key.encode(), |kept| kept[name].as_str().expect(name).into());
+        assert!(RecordKey::parse(&text).as_ref() == Some(&key), "{text}");
+        golden.case(name, key.encode());
     }
     let others = [
         "other/leader",
@@ -54,8 +56,8 @@
         "olivelatch/fin/job-000412",
         "olivelatch/",
     ];
-    assert!(others.iter().all(|text| Key::parse(text).is_none()));
-    let entry = EntryName::parse("team/grid").expect("an entry");
+    assert!(others.iter().all(|text| RecordKey::parse(text).is_none()));
+    let entry = ConfigKey::parse("team/grid").expect("an entry");
     golden.case("entry", entry.to_string());
     golden.case("entry's team", entry.team());
     golden.check();
@@ -70,44 +72,44 @@
     golden.round_trip::<LeaderRecord>("leader, before", json!({"node": "n0"}));
     golden.round_trip::<JobRecord>("job", json!({"at": AT, "spec": submission()}));
     let detail = json!({"team": "grid", "class": "ingest", "tasks": 12, "accepted": AT, "first": AT + 1});
-    golden.round_trip::<EndRecord>("end", json!({"end": "done", "at": AT, "detail": detail}));
-    golden.round_trip::<EndRecord>("end, withdrawn", json!({"end": "withdrawn", "at": AT}));
-    golden.round_trip::<EndRecord>(
+    golden.round_trip::<TerminalRecord>("end", json!({"end": "done", "at": AT, "detail": detail}));
+    golden.round_trip::<TerminalRecord>("end, withdrawn", json!({"end": "withdrawn", "at": AT}));
+    golden.round_trip::<TerminalRecord>(
         "end of a node",
         json!({"end": "withdrawn", "at": AT, "node": {"run": "nightly-1", "n": "raw", "o": "failed", "a": 77, "g": 4,
             "e": [{"t": 2, "a": 76, "m": "m-1", "c": "exit 1"}]}}),
     );
-    golden.round_trip::<NodeEnd>(
+    golden.round_trip::<NodeTerminalRecord>(
         "end of a node, short",
         json!({"run": "nightly-1", "n": "raw", "o": "skipped"}),
     );
     golden.round_trip::<FinishedRecord>("fin", json!({"tasks": "f10"}));
-    golden.round_trip::<BookingRecord>(
+    golden.round_trip::<ProvisioningRecord>(
         "booking",
         json!({"kind": "small", "zone": "north-a", "spot": true, "count": 3}),
     );
-    golden.round_trip::<CatalogEntry>(
+    golden.round_trip::<MachineTypeRecord>(
         "kind",
         json!({"name": "small", "vcpus": 4.0, "accelerators": 1.0, "memory_gb": 16.0, "local_gb": 50.0,
             "pull_gb_per_s": 0.25, "price": 1.5, "low_price": 0.5, "ready_s": 20.0, "halls": ["north-a"]}),
     );
     golden.round_trip::<GraphPart>("part", views::part());
-    golden.round_trip::<GraphRecord>(
+    golden.round_trip::<DagRunRecord>(
         "graph",
         json!({"at": AT, "graph": "nightly", "parts": 2, "nodes": 3, "most_runs": 4}),
     );
-    golden.round_trip::<GraphRecord>("graph, swept", json!({"swept": AT}));
-    golden.round_trip::<TurnRecord>("turn", json!({"phase": "waiting", "at": AT}));
-    golden.round_trip::<TurnRecord>(
+    golden.round_trip::<DagRunRecord>("graph, swept", json!({"swept": AT}));
+    golden.round_trip::<RunPhaseRecord>("turn", json!({"phase": "waiting", "at": AT}));
+    golden.round_trip::<RunPhaseRecord>(
         "turn, ended",
         json!({"phase": "ended", "at": AT, "cancelled": true, "well": false, "gone": true, "redos": [[2, 1]]}),
     );
-    golden.round_trip::<Vec<Phase>>("phases", json!(["waiting", "active", "ended"]));
-    golden.round_trip::<TriesRecord>(
+    golden.round_trip::<Vec<RunPhase>>("phases", json!(["waiting", "active", "ended"]));
+    golden.round_trip::<RetryStateRecord>(
         "tries",
         json!({"tasks": {"3": {"n": 2, "last": [{"a": 76, "m": "m-1", "c": "exit 1"}]}}}),
     );
-    golden.round_trip::<EntryRecord>(
+    golden.round_trip::<ConfigRecord>(
         "config",
         json!({"format": 1, "limit_cpus": 4.0, "guaranteed_cpus": null, "by": "ada", "why": "a quiet week",
             "at": AT, "change": "c-1"}),
@@ -115,61 +117,61 @@
     golden.check();
 }
 
-fn place(name: &str, zone: &str, spot: bool) -> Place {
-    Place {
+fn place(name: &str, zone: &str, spot: bool) -> MachineDescriptor {
+    MachineDescriptor {
         name: name.into(),
         endpoint: "10.0.0.7:700".into(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: zone.into(),
         spot,
     }
 }
 
 /// Part of the log, as the leader builds it.
-fn log() -> LogRecord {
-    let mut log = LogRecord::new(Attempt(1_000));
-    log.machine(&place("m-1", "north-a", true));
-    log.start(wire::task("job-000412/0"), Attempt(1_007));
-    log.start(wire::task("job-000412/1"), Attempt(993));
-    log.machine(&place("m-2", "north-b", false));
-    log.returning();
+fn log() -> AssignmentLogRecord {
+    let mut log = AssignmentLogRecord::new(Attempt(1_000));
+    log.add_machine(&place("m-1", "north-a", true));
+    log.add_task(wire::task("job-000412/0"), Attempt(1_007));
+    log.add_task(wire::task("job-000412/1"), Attempt(993));
+    log.add_machine(&place("m-2", "north-b", false));
+    log.mark_returning();
     for done in ["job-000412/2", "job-000412/3", "job-000412/7", "job-000413/0"] {
-        log.done(wire::task(done));
+        log.add_finished(wire::task(done));
     }
     log
 }
 
-fn recorded(recorded: &Recorded) -> Value {
+fn recorded(recorded: &RecordedMachine) -> Value {
     let tasks: Vec<Value> =
         recorded.tasks.iter().map(|(task, attempt)| json!([task.to_string(), attempt.0])).collect();
-    let place = &recorded.place;
-    json!({"n": place.name, "e": place.endpoint, "kind": place.kind, "zone": place.zone, "s": place.spot,
+    let place = &recorded.machine;
+    json!({"n": place.name, "e": place.endpoint, "kind": place.machine_type, "zone": place.zone, "s": place.spot,
         "r": recorded.returning, "t": tasks})
 }
 
-fn log_value(log: &LogRecord) -> Value {
+fn log_value(log: &AssignmentLogRecord) -> Value {
     let rows: Vec<Value> =
-        log.done_rows().map(|(job, first, count)| json!([job.to_string(), first, count])).collect();
-    json!({"machines": log.machines().map(|one| recorded(&one)).collect::<Vec<_>>(), "done": rows,
-        "starts": log.starts().count()})
+        log.finished_ranges().map(|(job, first, count)| json!([job.to_string(), first, count])).collect();
+    json!({"machines": log.recorded_machines().map(|one| recorded(&one)).collect::<Vec<_>>(), "done": rows,
+        "starts": log.assigned_tasks().count()})
 }
 
 #[test]
 fn log_and_machines() {
     let mut golden = golden("log");
     let text = golden.kept().map_or(encode(&log()), |kept| kept["log"].as_str().expect("the log").into());
-    let read = decode::<LogRecord>(&text);
+    let read = decode::<AssignmentLogRecord>(&text);
     assert_eq!(encode(&read), text);
     golden.case("log", encode(&log()));
-    golden.case("log, empty", encode(&LogRecord::new(Attempt(7))));
-    golden.case("log, most bytes", log().bytes());
+    golden.case("log, empty", encode(&AssignmentLogRecord::new(Attempt(7))));
+    golden.case("log, most bytes", log().max_json_bytes());
     golden.case("log, read", log_value(&read));
     let before = json!({"kind": "small", "zone": "north-a", "spot": true, "endpoint": "10.0.0.7:700",
         "returning": true, "tasks": {"job-000412": [[0, 77], [1, 78]]}});
     let short = json!({"kind": "small", "zone": "north-a", "spot": false, "endpoint": ""});
     for (name, value) in [("machine", before), ("machine, short", short)] {
-        let machine: MachineRecord = decode(&value.to_string());
-        golden.case(name, recorded(&machine.recorded("m-1")));
+        let machine: LegacyMachineRecord = decode(&value.to_string());
+        golden.case(name, recorded(&machine.to_recorded("m-1")));
     }
     golden.check();
 }
@@ -179,17 +181,17 @@
 fn blocks_of_finished_tasks() {
     let mut golden = golden("blocks");
     let kept = golden.kept();
-    let mut done = Bits::new(3_000);
+    let mut done = BitSet::new(3_000);
     for (first, count) in [(0, 4), (7, 1), (2_046, 4), (2_999, 1)] {
-        done.add_row(first, count);
+        done.insert_range(first, count);
     }
-    let mut read = Bits::new(3_000);
+    let mut read = BitSet::new(3_000);
     for block in 0..2 {
         let name = format!("block {block}");
         let hex =
-            kept.as_ref().map_or(done.block_hex(block), |kept| kept[&name].as_str().expect("hex").into());
-        read.add_hex(block, &hex);
-        golden.case(&name, done.block_hex(block));
+            kept.as_ref().map_or(done.encode_block(block), |kept| kept[&name].as_str().expect("hex").into());
+        read.insert_encoded_block(block, &hex);
+        golden.case(&name, done.encode_block(block));
     }
     assert!(read == done);
     golden.check();
@@ -199,15 +201,15 @@
 #[test]
 fn ends_as_written() {
     let mut golden = golden("ends");
-    for (word, end) in [("done", End::Done), ("withdrawn", End::Withdrawn)] {
-        let record = EndRecord::new(end, AT, None);
-        assert!(decode::<EndRecord>(&encode(&record)).end() == end, "{word}");
+    for (word, end) in [("done", TerminalState::Done), ("withdrawn", TerminalState::Cancelled)] {
+        let record = TerminalRecord::new(end, AT, None);
+        assert!(decode::<TerminalRecord>(&encode(&record)).terminal_state() == end, "{word}");
         golden.case(word, encode(&record));
     }
-    let run = RunName::parse("nightly-1").expect("a run");
+    let run = DagRunName::parse("nightly-1").expect("a run");
     for word in ["success", "failed", "upstream_failed", "skipped", "cancelled"] {
-        let node = NodeEnd::new(&run, "raw", decode(&json!(word).to_string()));
-        golden.case(&format!("node: {word}"), encode(&EndRecord::of_node(node, AT, None)));
+        let node = NodeTerminalRecord::new(&run, "raw", decode(&json!(word).to_string()));
+        golden.case(&format!("node: {word}"), encode(&TerminalRecord::for_node(node, AT, None)));
     }
     golden.check();
 }
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,6 +1,6 @@
 //! Files that are read and never written: the platform's settings, and tunables.
 
-use olivelatch::settings::{Objective, Other, Settings, Team};
+use olivelatch::settings::{PeerController, ServiceLevelObjective, Settings, TeamSettings};
 use olivelatch::tunables::{LogFormat, Tunables};
 use serde_json::{Value, json};
 
@@ -11,37 +11,37 @@
 /// Tunables with every field set.
 const EVERYTHING: &str = include_str!("tunables.hcl");
 
-fn other(other: &Other) -> Value {
-    json!({"node": other.node, "zone": other.zone, "addr": other.addr})
+fn other(other: &PeerController) -> Value {
+    json!({"node": other.controller, "zone": other.zone, "addr": other.addr})
 }
 
-fn team(team: &Team) -> Value {
+fn team(team: &TeamSettings) -> Value {
     json!({"name": team.name, "cpus_milli": team.guaranteed.cpu, "gpus_milli": team.guaranteed.gpu,
-        "cpus_max_milli": team.most.cpu, "gpus_max_milli": team.most.gpu, "limit_cpus_milli": team.limit().cpu,
-        "limit_gpus_milli": team.limit().gpu, "lowered": team.lowered_cpu})
+        "cpus_max_milli": team.configured_limit.cpu, "gpus_max_milli": team.configured_limit.gpu, "limit_cpus_milli": team.effective_limit().cpu,
+        "limit_gpus_milli": team.effective_limit().gpu, "lowered": team.lowered_cpu_limit})
 }
 
-fn objective(objective: &Objective) -> Value {
-    json!({"kind": objective.kind, "class": objective.jobclass, "within_s": objective.within_s,
+fn objective(objective: &ServiceLevelObjective) -> Value {
+    json!({"kind": objective.kind, "class": objective.job_class, "within_s": objective.target_s,
         "share": objective.share})
 }
 
 /// What was read, in the words of the file; times in milliseconds.
 fn platform(settings: &Settings) -> Value {
-    let (workers, state, quota) = (&settings.workers, &settings.state_limits, &settings.quota);
-    json!({"node": settings.node, "zone": settings.zone, "front": settings.front, "mesh_addr": settings.mesh,
-        "others": settings.others.iter().map(other).collect::<Vec<_>>(),
-        "endpoints": {"cloud": settings.cloud, "state": settings.state},
-        "cluster": {"count": settings.nodes, "zones": settings.zones,
+    let (workers, state, quota) = (&settings.worker_timings, &settings.kv_limits, &settings.limits);
+    json!({"node": settings.controller, "zone": settings.zone, "front": settings.http_addr, "mesh_addr": settings.peer_addr,
+        "others": settings.peers.iter().map(other).collect::<Vec<_>>(),
+        "endpoints": {"cloud": settings.cloud_addr, "state": settings.kv_addr},
+        "cluster": {"count": settings.controller_count, "zones": settings.zones,
             "teams": settings.teams.iter().map(team).collect::<Vec<_>>(),
             "objectives": settings.objectives.iter().map(objective).collect::<Vec<_>>(),
-            "workers": {"report_ms": workers.report_ms, "lease_ms": workers.lease_ms,
+            "workers": {"report_ms": workers.heartbeat_interval_ms, "lease_ms": workers.lease_duration_ms,
                 "gang_wait_ms": workers.gang_wait_ms, "gang_peer_ms": workers.gang_peer_ms,
-                "cancel_ms": workers.cancel_ms},
-            "state": {"rps": state.rps, "write_rps": state.write_rps, "value_kb": state.value_kb,
-                "txn_ops": state.txn_ops},
-            "cloud": {"rps": settings.cloud_rps, "list_lag_ms": settings.list_lag_ms},
-            "quota": {"core_share": quota.core_share, "mem_mb": quota.mem_mb,
+                "cancel_ms": workers.cancel_deadline_ms},
+            "state": {"rps": state.rps, "write_rps": state.write_rps, "value_kb": state.max_value_kb,
+                "txn_ops": state.max_txn_ops},
+            "cloud": {"rps": settings.cloud_rps, "list_lag_ms": settings.cloud_list_lag_ms},
+            "quota": {"core_share": quota.core_share, "mem_mb": quota.memory_mb,
                 "max_connections": quota.max_connections},
             "time_bound_ms": settings.time_bound_ms}})
 }
@@ -94,14 +94,14 @@
 fn tunables(read: &Tunables) -> Value {
     let (overload, operators, graphs) = (&read.overload, &read.operators, &read.graphs);
     json!({"t": read.t, "tt_s": read.tt_s, "fetch_gb_per_s": read.fetch_gb_per_s,
-        "steal_wait_ms": read.steal_wait_ms, "steal_bound_s": read.steal_bound_s, "hold_s": read.hold_s,
-        "leader_life_s": read.leader_life_s, "idle_s": read.idle_s, "drain_s": read.drain_s, "haste": read.haste,
-        "overload": {"order": overload.order, "pressure": overload.pressure, "headroom": overload.headroom,
-            "claims": overload.claims, "trials": overload.trials},
+        "steal_wait_ms": read.steal_backoff_ms, "steal_bound_s": read.max_steal_backoff_s, "hold_s": read.machine_hold_s,
+        "leader_life_s": read.leader_lease_s, "idle_s": read.idle_return_s, "drain_s": read.queue_drain_target_s, "haste": read.start_deadline_fraction,
+        "overload": {"order": overload.overload_ordering, "pressure": overload.load_shedding, "headroom": overload.headroom,
+            "claims": overload.preemption, "trials": overload.probation},
         "operators": {"enabled": operators.enabled, "events_per_job": operators.events_per_job,
-            "explains_per_s": operators.explains_per_s},
-        "graphs": {"enabled": graphs.enabled, "pools": graphs.pools, "kept_runs": graphs.kept_runs,
-            "most_nodes": graphs.most_nodes, "sweep_s": graphs.sweep_s},
+            "explains_per_s": operators.queries_per_s},
+        "graphs": {"enabled": graphs.enabled, "pools": graphs.pools, "kept_runs": graphs.retained_runs,
+            "most_nodes": graphs.max_nodes, "sweep_s": graphs.upload_expiry_s},
         "config": {"enabled": read.config.enabled}, "log": {"format": log_format(read.log.format)}})
 }
 
--- a/tests/golden/views.rs
+++ b/tests/golden/views.rs
@@ -1,14 +1,17 @@
 //! Types that the controllers write and the client reads: a sample of each, with every field and every word.
 
-use olivelatch::protocol::config::{ChangeRequest, EntryList, EntryView, HeldUp, TeamValue, WaitsFor};
+use olivelatch::protocol::config::{
+    ConfigChangeRequest, ConfigEntryList, ConfigEntryView, PendingOn, PropagationBlocker, TeamQuota,
+};
 use olivelatch::protocol::graphs::{
-    Evidence, GraphHeader, GraphPart, NodeRow, NodeView, NodeWord, PartsUpload, RedoRequest, RunDetail,
-    RunList, RunState, Template,
+    DagNodeRecord, DagNodeState, DagNodeView, DagRunDetail, DagRunHeader, DagRunList, DagRunState,
+    FailedAttempt, GraphPart, NodeTemplate, PartsUpload, RerunRequest,
 };
 use olivelatch::protocol::operators::{
-    EventList, EventWord, Explanation, JobDetail, JobList, JobState, NodeStatus, Reason, Source, TaskWord,
+    AnswerSource, ControllerStatus, Explanation, JobDetail, JobEventKind, JobEventList, JobList, JobPhase,
+    StateReason, TaskStateView,
 };
-use olivelatch_graph::{Outcome, Rule};
+use olivelatch_graph::{NodeOutcome, TriggerRule};
 use serde_json::{Value, json};
 
 use crate::messages::submission;
@@ -113,10 +116,10 @@
         "list",
         json!({"node": "n0", "revision": 99, "jobs": [job_row(), bare_row()], "next": "job-000413"}),
     );
-    golden.round_trip::<Vec<JobState>>("states of jobs", json!(["pending", "running", "done", "withdrawn"]));
+    golden.round_trip::<Vec<JobPhase>>("states of jobs", json!(["pending", "running", "done", "withdrawn"]));
     golden.round_trip::<JobDetail>("detail", job_detail());
-    golden.round_trip::<Vec<Source>>("sources", json!(["leader", "records"]));
-    golden.round_trip::<Vec<TaskWord>>(
+    golden.round_trip::<Vec<AnswerSource>>("sources", json!(["leader", "records"]));
+    golden.round_trip::<Vec<TaskStateView>>(
         "states of tasks",
         json!([
             "waiting",
@@ -130,21 +133,21 @@
             "stopping"
         ]),
     );
-    golden.round_trip::<Vec<Reason>>("reasons", reasons());
+    golden.round_trip::<Vec<StateReason>>("reasons", reasons());
     golden.round_trip::<Explanation>(
         "explanation",
         json!({"node": "n0", "job": "job-000412", "task": 3, "state": "pending", "tasks": 12, "done": 3,
             "reasons": [{"reason": "recording"}]}),
     );
-    golden.round_trip::<Vec<EventWord>>("words of events", event_words());
-    golden.round_trip::<EventList>(
+    golden.round_trip::<Vec<JobEventKind>>("words of events", event_words());
+    golden.round_trip::<JobEventList>(
         "events",
         json!({"node": "n0", "job": "job-000412", "earlier_unknown": true, "events": [
             {"at_ms": 1_790_000_000_000_u64, "event": "bound", "first_task": 3, "tasks": 2, "machine": "m-1"},
             {"at_ms": 1_790_000_000_001_u64, "event": "job_done", "first_task": null, "tasks": 0,
                 "machine": null}]}),
     );
-    golden.round_trip::<NodeStatus>("status, leading", status());
+    golden.round_trip::<ControllerStatus>("status, leading", status());
 }
 
 pub fn config(golden: &mut Golden) {
@@ -153,18 +156,18 @@
         "by": "ada", "why": "a quiet week", "at_ms": 1_790_000_000_000_u64, "in_force": false,
         "waits_for": {"node": "n1", "reason": "leader_behind", "since_s": 1.5}, "used_cpus": 3.5,
         "above_cpus": 0.5});
-    golden.round_trip::<TeamValue>("value", value.clone());
-    golden.round_trip::<ChangeRequest>(
+    golden.round_trip::<TeamQuota>("value", value.clone());
+    golden.round_trip::<ConfigChangeRequest>(
         "change",
         json!({"value": value, "expected": null, "by": "ada", "why": "", "change": "c-1"}),
     );
-    golden.round_trip::<Vec<HeldUp>>(
+    golden.round_trip::<Vec<PropagationBlocker>>(
         "reasons",
         json!(["not_read", "leader_behind", "leader_ignores", "not_understood"]),
     );
-    golden.round_trip::<WaitsFor>("waits", json!({"node": null, "reason": "not_read", "since_s": 0.0}));
-    golden.round_trip::<EntryView>("entry", view.clone());
-    golden.round_trip::<EntryList>("entries", json!({"node": "n0", "revision": 99, "entries": [view]}));
+    golden.round_trip::<PendingOn>("waits", json!({"node": null, "reason": "not_read", "since_s": 0.0}));
+    golden.round_trip::<ConfigEntryView>("entry", view.clone());
+    golden.round_trip::<ConfigEntryList>("entries", json!({"node": "n0", "revision": 99, "entries": [view]}));
 }
 
 fn template() -> Value {
@@ -195,22 +198,22 @@
 }
 
 pub fn graphs(golden: &mut Golden) {
-    golden.round_trip::<Template>("template", template());
-    golden.round_trip::<Template>("template, short", json!({"spec": submission(), "tries": 1}));
-    golden.round_trip::<NodeRow>("row", json!({"n": "raw", "j": 7, "t": 0}));
+    golden.round_trip::<NodeTemplate>("template", template());
+    golden.round_trip::<NodeTemplate>("template, short", json!({"spec": submission(), "tries": 1}));
+    golden.round_trip::<DagNodeRecord>("row", json!({"n": "raw", "j": 7, "t": 0}));
     golden.round_trip::<GraphPart>("part", part());
     golden.round_trip::<GraphPart>("part, empty", json!({}));
     golden.round_trip::<PartsUpload>("parts", json!({"first": 1, "parts": [part()]}));
-    golden.round_trip::<GraphHeader>(
+    golden.round_trip::<DagRunHeader>(
         "header",
         json!({"graph": "nightly", "parts": 2, "nodes": 3, "most_runs": 4}),
     );
-    golden.round_trip::<RedoRequest>("redo", json!({"from": 2, "parts": 1}));
-    golden.round_trip::<Vec<RunState>>(
+    golden.round_trip::<RerunRequest>("redo", json!({"from": 2, "parts": 1}));
+    golden.round_trip::<Vec<DagRunState>>(
         "states of runs",
         json!(["waiting", "running", "cancelling", "success", "failed", "cancelled"]),
     );
-    golden.round_trip::<Vec<NodeWord>>(
+    golden.round_trip::<Vec<DagNodeState>>(
         "states of nodes",
         json!([
             "waiting",
@@ -224,7 +227,7 @@
             "cancelled"
         ]),
     );
-    golden.round_trip::<Vec<Rule>>(
+    golden.round_trip::<Vec<TriggerRule>>(
         "rules",
         json!([
             "all_success",
@@ -236,17 +239,17 @@
             "none_failed_min_one_success"
         ]),
     );
-    golden.round_trip::<Vec<Outcome>>(
+    golden.round_trip::<Vec<NodeOutcome>>(
         "outcomes",
         json!(["success", "failed", "upstream_failed", "skipped", "cancelled"]),
     );
-    golden.round_trip::<Evidence>("evidence", json!({"t": 2, "a": 76, "m": "m-1", "c": "exit 1"}));
-    golden.round_trip::<NodeView>("node", node_view());
-    golden.round_trip::<RunList>(
+    golden.round_trip::<FailedAttempt>("evidence", json!({"t": 2, "a": 76, "m": "m-1", "c": "exit 1"}));
+    golden.round_trip::<DagNodeView>("node", node_view());
+    golden.round_trip::<DagRunList>(
         "runs",
         json!({"node": "n0", "revision": 99, "runs": [run_row()], "next": "nightly-1"}),
     );
-    golden.round_trip::<RunDetail>(
+    golden.round_trip::<DagRunDetail>(
         "run",
         json!({"node": "n0", "row": run_row(), "first": 1, "nodes": [node_view()], "next": 2}),
     );
