--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -1,72 +1,74 @@
 //! What was read, back in the words of the wire.
 
-use olivelatch::ids::TaskRef;
-use olivelatch::protocol::cloud::{CloudReply, Listed, ListedState};
+use olivelatch::ids::TaskId;
+use olivelatch::protocol::cloud::{CloudMachine, CloudMachineState, CloudReply};
 use olivelatch::protocol::config::ConfigRequest;
-use olivelatch::protocol::graphs::{GraphAsked, GraphRequest};
+use olivelatch::protocol::graphs::{DagRequest, GraphRouteRequest};
+use olivelatch::protocol::kv::{KvEntry, KvReply};
 use olivelatch::protocol::operators::{ListQuery, OperatorRequest, StateFilter};
-use olivelatch::protocol::state::{Pair, StateReply};
 use olivelatch::protocol::users::UserRequest;
-use olivelatch::protocol::workers::{ExitCause, Piece, Report, TaskState};
-use olivelatch::protocol::{Answer, Call};
+use olivelatch::protocol::workers::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
+use olivelatch::protocol::{HttpRequest, HttpResponse};
 use serde_json::{Value, json};
 
 fn text(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).expect("text")
 }
 
-pub fn answer(answer: &Answer) -> Value {
+pub fn answer(answer: &HttpResponse) -> Value {
     json!({"status": answer.status, "retry-after": answer.retry_after_s, "body": text(&answer.body),
-        "plain": answer.text})
+        "plain": answer.is_text})
 }
 
-pub fn call(call: &Call) -> Value {
+pub fn call(call: &HttpRequest) -> Value {
     json!({"call": format!("{} {}", call.method, call.path), "body": text(&call.body)})
 }
 
-pub fn task(text: &str) -> TaskRef {
-    TaskRef::parse(text).expect("a task")
+pub fn task(text: &str) -> TaskId {
+    TaskId::parse(text).expect("a task")
 }
 
-pub fn report(report: &Report) -> Value {
-    json!({"box": report.machine, "endpoint": report.endpoint, "boxkind": report.kind, "hall": report.zone,
-        "loaners": report.spot, "shift": report.session.0, "tick": report.tick, "baton": report.token.0,
-        "warning_ms": report.notice_ms, "pieces": report.pieces.iter().map(piece).collect::<Vec<_>>()})
+pub fn report(report: &Heartbeat) -> Value {
+    json!({"box": report.machine, "endpoint": report.endpoint, "boxkind": report.machine_type, "hall": report.zone,
+        "loaners": report.spot, "shift": report.epoch.0, "tick": report.sequence, "baton": report.token.0,
+        "warning_ms": report.reclaim_notice_ms, "pieces": report.tasks.iter().map(piece).collect::<Vec<_>>()})
 }
 
-fn piece(piece: &Piece) -> Value {
+fn piece(piece: &TaskStatus) -> Value {
     let (status, cause, kept) = match piece.state {
-        TaskState::Fetching => ("fetching", None, None),
-        TaskState::Gathering => ("gathering", None, None),
-        TaskState::Running => ("running", None, None),
-        TaskState::Saving => ("flushing", None, None),
-        TaskState::Exited(cause) => ("ended", Some(word(cause)), kept(cause)),
+        TaskPhase::Fetching => ("fetching", None, None),
+        TaskPhase::WaitingForPeers => ("gathering", None, None),
+        TaskPhase::Running => ("running", None, None),
+        TaskPhase::Checkpointing => ("flushing", None, None),
+        TaskPhase::Exited(cause) => ("ended", Some(word(cause)), kept(cause)),
     };
     json!({"piece": piece.task.to_string(), "try": piece.attempt.0, "status": status, "cause": cause, "kept": kept,
-        "made": piece.made.map(|made| made.0), "gave": piece.gave})
+        "made": piece.published_attempt.map(|made| made.0), "gave": piece.output_list_len})
 }
 
 fn word(cause: ExitCause) -> &'static str {
     match cause {
         ExitCause::Done => "done",
-        ExitCause::Halted { .. } => "halted",
-        ExitCause::Peers => "peers",
-        ExitCause::Incomplete => "incomplete",
+        ExitCause::Stopped { .. } => "halted",
+        ExitCause::PeersLost => "peers",
+        ExitCause::GangIncomplete => "incomplete",
         ExitCause::Error => "error",
-        ExitCause::NoRoom => "full",
+        ExitCause::InsufficientCapacity => "full",
         ExitCause::Busy => "busy",
         ExitCause::Unknown => "unknown",
     }
 }
 
 fn kept(cause: ExitCause) -> Option<bool> {
-    if let ExitCause::Halted { saved } = cause { Some(saved) } else { None }
+    if let ExitCause::Stopped { checkpointed: saved } = cause { Some(saved) } else { None }
 }
 
-pub fn submission(read: Result<UserRequest, Answer>) -> Value {
+pub fn submission(read: Result<UserRequest, HttpResponse>) -> Value {
     match read {
-        Ok(UserRequest::Submit { id, spec: Ok(spec) }) => json!({"uid": id.to_string(), "job": *spec}),
-        Ok(UserRequest::Submit { id, spec: Err(error) }) => json!({"uid": id.to_string(), "error": error}),
+        Ok(UserRequest::Submit { id, manifest: Ok(spec) }) => json!({"uid": id.to_string(), "job": *spec}),
+        Ok(UserRequest::Submit { id, manifest: Err(error) }) => {
+            json!({"uid": id.to_string(), "error": error})
+        }
         Ok(other) => panic!("{} is no submission", other.id()),
         Err(refused) => answer(&refused),
     }
@@ -75,54 +77,56 @@
 pub fn cloud(reply: &CloudReply) -> Value {
     match reply {
         CloudReply::Catalog(kinds) => json!({"boxkinds": kinds}),
-        CloudReply::Rented(boxes) => json!({"boxes": boxes}),
+        CloudReply::ScaledOut(boxes) => json!({"boxes": boxes}),
         CloudReply::NoCapacity => json!("no capacity"),
-        CloudReply::Released => json!("released"),
-        CloudReply::List { machines, more } => {
+        CloudReply::ScaledIn => json!("released"),
+        CloudReply::MachineList { machines, has_more: more } => {
             json!({"boxes": machines.iter().map(listed).collect::<Vec<_>>(), "has_next": more})
         }
-        CloudReply::Refused { status } => json!({"status": status}),
+        CloudReply::Rejected { status } => json!({"status": status}),
         CloudReply::Unknown => json!("not known"),
     }
 }
 
-fn listed(listed: &Listed) -> Value {
+fn listed(listed: &CloudMachine) -> Value {
     let status = match listed.state {
-        ListedState::Booting => "booting",
-        ListedState::Running => "running",
-        ListedState::Failed => "failed",
+        CloudMachineState::Booting => "booting",
+        CloudMachineState::Running => "running",
+        CloudMachineState::Failed => "failed",
     };
-    json!({"uid": listed.name, "endpoint": listed.endpoint, "boxkind": listed.kind, "hall": listed.zone,
+    json!({"uid": listed.name, "endpoint": listed.endpoint, "boxkind": listed.machine_type, "hall": listed.zone,
         "loaners": listed.spot, "status": status, "held_ms": listed.age_ms})
 }
 
-pub fn state(reply: &StateReply) -> Value {
-    let all = |pairs: &[Pair]| pairs.iter().map(pair).collect::<Vec<_>>();
+pub fn state(reply: &KvReply) -> Value {
+    let all = |pairs: &[KvEntry]| pairs.iter().map(pair).collect::<Vec<_>>();
     match reply {
-        StateReply::Page { pairs, more, revision } => {
+        KvReply::ListPage { entries: pairs, has_more: more, revision } => {
             json!({"pairs": all(pairs), "has_next": more, "ledger_rev": revision.0})
         }
-        StateReply::Changes { pairs, revision } => json!({"events": all(pairs), "ledger_rev": revision.0}),
-        StateReply::Applied { revision } => json!({"ledger_rev": revision.0}),
-        StateReply::Conflict { failed } => json!({"failed": failed}),
-        StateReply::Granted { lease } => json!({"permit": lease.0}),
-        StateReply::Renewed => json!("fine"),
-        StateReply::NoSuchLease => json!("no such lease"),
-        StateReply::Compacted => json!("too old"),
-        StateReply::Refused { status } => json!({"status": status}),
-        StateReply::Unknown => json!("not known"),
+        KvReply::ChangedEntries { entries: pairs, revision } => {
+            json!({"events": all(pairs), "ledger_rev": revision.0})
+        }
+        KvReply::Committed { revision } => json!({"ledger_rev": revision.0}),
+        KvReply::PreconditionFailed { failed_keys: failed } => json!({"failed": failed}),
+        KvReply::LeaseGranted { lease } => json!({"permit": lease.0}),
+        KvReply::LeaseUpdated => json!("fine"),
+        KvReply::LeaseNotFound => json!("no such lease"),
+        KvReply::Compacted => json!("too old"),
+        KvReply::Rejected { status } => json!({"status": status}),
+        KvReply::Unknown => json!("not known"),
     }
 }
 
-fn pair(pair: &Pair) -> Value {
-    json!({"key": pair.key, "value": pair.value, "stamp": pair.stamp.0})
+fn pair(pair: &KvEntry) -> Value {
+    json!({"key": pair.key, "value": pair.value, "stamp": pair.revision.0})
 }
 
 fn filter(filter: StateFilter) -> &'static str {
     match filter {
-        StateFilter::Live => "live",
-        StateFilter::Ended => "ended",
-        StateFilter::Only(state) => state.word(),
+        StateFilter::Active => "live",
+        StateFilter::Terminal => "ended",
+        StateFilter::Exactly(state) => state.as_str(),
     }
 }
 
@@ -133,46 +137,52 @@
 
 pub fn operator(request: &OperatorRequest) -> Value {
     match request {
-        OperatorRequest::List(query) => json!({"jobs": list(query)}),
-        OperatorRequest::Inspect { id, after, limit } => {
+        OperatorRequest::ListJobs(query) => json!({"jobs": list(query)}),
+        OperatorRequest::InspectJob { id, after, limit } => {
             json!({"job": id.to_string(), "after": after, "limit": limit})
         }
-        OperatorRequest::Explain { id, task } => json!({"explain": id.to_string(), "task": task}),
-        OperatorRequest::Events { id } => json!({"events": id.to_string()}),
+        OperatorRequest::ExplainJob { id, task } => json!({"explain": id.to_string(), "task": task}),
+        OperatorRequest::JobEvents { id } => json!({"events": id.to_string()}),
         OperatorRequest::Status => json!("status"),
         OperatorRequest::Metrics => json!("metrics"),
-        OperatorRequest::Runs(query) => json!({"graph": query.graph, "limit": query.limit,
+        OperatorRequest::ListDagRuns(query) => json!({"graph": query.graph, "limit": query.limit,
             "after": query.after.as_ref().map(|run| run.to_string())}),
-        OperatorRequest::Run { run, after, limit } => {
+        OperatorRequest::InspectDagRun { run, after, limit } => {
             json!({"run": run.to_string(), "after": after, "limit": limit})
         }
     }
 }
 
-pub fn graph(asked: &GraphAsked) -> Value {
+pub fn graph(asked: &GraphRouteRequest) -> Value {
     match asked {
-        GraphAsked::Look(request) => operator(request),
-        GraphAsked::Change(GraphRequest::Parts { run, upload }) => {
+        GraphRouteRequest::Query(request) => operator(request),
+        GraphRouteRequest::Modify(DagRequest::UploadParts { run, upload }) => {
             json!({"run": run.to_string(), "parts": upload})
         }
-        GraphAsked::Change(GraphRequest::Commit { run, header }) => {
+        GraphRouteRequest::Modify(DagRequest::Commit { run, header }) => {
             json!({"run": run.to_string(), "commit": header})
         }
-        GraphAsked::Change(GraphRequest::Cancel { run }) => json!({"run": run.to_string(), "cancel": true}),
-        GraphAsked::Change(GraphRequest::Redo { run, redo }) => json!({"run": run.to_string(), "redo": redo}),
+        GraphRouteRequest::Modify(DagRequest::Cancel { run }) => {
+            json!({"run": run.to_string(), "cancel": true})
+        }
+        GraphRouteRequest::Modify(DagRequest::Rerun { run, rerun: redo }) => {
+            json!({"run": run.to_string(), "redo": redo})
+        }
     }
 }
 
 pub fn config(request: &ConfigRequest) -> Value {
     match request {
         ConfigRequest::List => json!("all"),
-        ConfigRequest::Get { entry, version } => json!({"entry": entry.to_string(), "version": version}),
-        ConfigRequest::Set { entry, change } => json!({"entry": entry.to_string(), "change": change}),
+        ConfigRequest::Get { key: entry, min_version: version } => {
+            json!({"entry": entry.to_string(), "version": version})
+        }
+        ConfigRequest::Set { key: entry, change } => json!({"entry": entry.to_string(), "change": change}),
     }
 }
 
 /// A request that was read, the answer that refuses it, or null where there is no such path.
-pub fn read<T>(read: Option<Result<T, Answer>>, write: impl Fn(&T) -> Value) -> Value {
+pub fn read<T>(read: Option<Result<T, HttpResponse>>, write: impl Fn(&T) -> Value) -> Value {
     match read {
         None => Value::Null,
         Some(Ok(request)) => write(&request),
--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -2,14 +2,14 @@
 //! of work: jobs of every shape, a graph's run, an entry of the configuration. Controllers that start from it know all of
 //! it, leave running tasks where they are, and bring the jobs to their ends. `GOLDEN_WRITE=1` writes the file.
 
-mod world;
+mod simulation;
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use olivelatch::bookkeeping::records::{Key, LogRecord};
+use olivelatch::bookkeeping::records::{AssignmentLogRecord, RecordKey};
 use serde_json::{Value, json};
-use world::World;
+use simulation::SimulatedCluster;
 
 /// The region: the same when the file is written and when it is read.
 const REGION: [&str; 6] = [
@@ -41,24 +41,24 @@
     "node r last 130 after=f*,map rule=all_success run=1 team=works",
 ];
 
-fn play(world: &mut World, line: &str) {
+fn play(world: &mut SimulatedCluster, line: &str) {
     let words: Vec<&str> = line.split_whitespace().collect();
-    world.command(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
+    world.run_action(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
 }
 
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-fn region() -> World {
-    let mut world = World::new();
+fn region() -> SimulatedCluster {
+    let mut world = SimulatedCluster::new();
     REGION.iter().for_each(|line| play(&mut world, line));
     play(&mut world, "config");
     world
 }
 
 /// A job as a version before the log left it: accepted, with two tasks on a machine by that machine's own record.
-fn earlier_records(world: &mut World) {
+fn earlier_records(world: &mut SimulatedCluster) {
     let spec = json!({"uid": "job-000009", "jobclass": "work", "owner": "works", "shape": "array",
         "urgency": "normal", "pieces": 3, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "img-1",
         "size_gb": 0.1, "boxkinds": null, "hall": null, "together": false, "scatter": false, "loaners": false,
@@ -66,11 +66,11 @@
     play(world, "machine small b");
     let name = world.machine_names().pop().expect("a machine");
     let number: u32 = name.trim_start_matches("host-").parse().expect("a number");
-    world.state.put("olivelatch/job/job-000009", json!({"at": 1_700_000_100_000_u64, "spec": spec}));
+    world.kv_store.put("olivelatch/job/job-000009", json!({"at": 1_700_000_100_000_u64, "spec": spec}));
     let record = json!({"kind": "small", "zone": "b", "spot": false,
         "endpoint": format!("10.9.0.{}:9000", number + 1), "tasks": {"job-000009": [[0, 7], [1, 8]]}});
-    world.state.put(&format!("olivelatch/machine/{name}"), record);
-    world.state.put(
+    world.kv_store.put(&format!("olivelatch/machine/{name}"), record);
+    world.kv_store.put(
         "olivelatch/booking/b-earlier",
         json!({"kind": "small", "zone": "a", "spot": false, "count": 1}),
     );
@@ -114,7 +114,7 @@
 }
 
 /// Keys of records by their texts.
-fn sorts(world: &World) -> Vec<String> {
+fn sorts(world: &SimulatedCluster) -> Vec<String> {
     world.all_records().into_iter().map(|(key, _)| key).collect()
 }
 
@@ -186,7 +186,7 @@
 }
 
 /// The region goes on from the file, with the machines as they were.
-fn resumed(kept: &Value) -> World {
+fn resumed(kept: &Value) -> SimulatedCluster {
     let mut world = region();
     JOBS.iter().for_each(|job| play(&mut world, &format!("known {job}")));
     RUN.iter().for_each(|line| play(&mut world, line));
@@ -198,7 +198,7 @@
 }
 
 /// Every sort of record is there, and the log speaks of the tasks that run.
-fn check_records(world: &World, kept: &Value) {
+fn check_records(world: &SimulatedCluster, kept: &Value) {
     let records = world.all_records();
     for sort in ["job", "end", "fin", "machine", "log", "booking", "kind", "part", "graph", "turn", "config"]
     {
@@ -207,12 +207,12 @@
     }
     let mut logged = BTreeSet::new();
     for (key, value) in &records {
-        let parsed = Key::parse(key).unwrap_or_else(|| panic!("{key}"));
-        assert_eq!(parsed.text(), *key);
-        if matches!(parsed, Key::Log(_)) {
-            let log: LogRecord = serde_json::from_value(value.clone()).expect("part of the log");
+        let parsed = RecordKey::parse(key).unwrap_or_else(|| panic!("{key}"));
+        assert_eq!(parsed.encode(), *key);
+        if matches!(parsed, RecordKey::AssignmentLog(_)) {
+            let log: AssignmentLogRecord = serde_json::from_value(value.clone()).expect("part of the log");
             assert_eq!(serde_json::to_value(&log).expect("JSON"), *value, "{key}");
-            logged.extend(log.starts().map(|(task, attempt)| (task.to_string(), attempt.0)));
+            logged.extend(log.assigned_tasks().map(|(task, attempt)| (task.to_string(), attempt.0)));
         }
     }
     let unknown = |(_, task, attempt): &&(String, String, u64)| {
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use olivelatch::protocol::mesh::{MeshMessage, encode};
-use olivelatch_region::{Cloud, KindSpec};
-use olivelatch_store::Engine;
+use olivelatch::protocol::peer::{PeerMessage, encode};
+use olivelatch_region::{Cloud, MachineTypeSpec};
+use olivelatch_store::KvEngine;
 use serde_json::{Value, json};
 
 /// Reads one HTTP message: first line and body.
@@ -55,12 +55,12 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let handler = handler.clone();
-            std::thread::spawn(move || answer(stream, &*handler));
+            std::thread::spawn(move || serve_connection(stream, &*handler));
         }
     });
 }
 
-fn answer(mut stream: TcpStream, handler: &Handler) {
+fn serve_connection(mut stream: TcpStream, handler: &Handler) {
     while let Some((first, body)) = read_message(&mut stream) {
         let mut words = first.split(' ');
         let (method, path) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
@@ -76,7 +76,7 @@
 struct Controllers {
     children: Vec<Option<Child>>,
     files: Vec<std::path::PathBuf>,
-    fronts: Vec<String>,
+    client_addresses: Vec<String>,
 }
 
 impl Controllers {
@@ -92,19 +92,20 @@
     }
 
     /// Any controller that answers, as users behind a balancer see it.
-    fn ask(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
+    fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        let up = (0..self.fronts.len()).filter(|at| self.children[*at].is_some());
+        let up = (0..self.client_addresses.len()).filter(|at| self.children[*at].is_some());
         up.into_iter().find_map(|at| {
-            call(&self.fronts[at], method, path, body.as_bytes()).filter(|(status, _)| *status != 503)
+            call(&self.client_addresses[at], method, path, body.as_bytes())
+                .filter(|(status, _)| *status != 503)
         })
     }
 
-    fn until(&self, seconds: u64, path: &str, holds: impl Fn(u16, &Value) -> bool) {
+    fn wait_until(&self, seconds: u64, path: &str, holds: impl Fn(u16, &Value) -> bool) {
         let end = Instant::now() + Duration::from_secs(seconds);
         let mut last = None;
         while Instant::now() < end {
-            last = self.ask("GET", path, &Value::Null);
+            last = self.request("GET", path, &Value::Null);
             if last.as_ref().is_some_and(|(status, body)| holds(*status, body)) {
                 return;
             }
@@ -133,22 +134,26 @@
 }
 
 /// The state service and the cloud, for as long as the test runs; their addresses.
-fn serve_region(state: Arc<Mutex<Engine>>, cloud: Arc<Mutex<Cloud>>, start: Instant) -> (String, String) {
+fn serve_platform(state: Arc<Mutex<KvEngine>>, cloud: Arc<Mutex<Cloud>>, start: Instant) -> (String, String) {
     let now = move || start.elapsed().as_millis() as u64 + 1000;
     let (state_listener, state_addr) = listener();
     let (cloud_listener, cloud_addr) = listener();
     serve(
         state_listener,
-        Arc::new(move |m: &str, p: &str, b: &[u8]| state.lock().expect("state").call(m, p, b, now())),
+        Arc::new(move |m: &str, p: &str, b: &[u8]| {
+            state.lock().expect("state").handle_request(m, p, b, now())
+        }),
     );
     serve(
         cloud_listener,
-        Arc::new(move |m: &str, p: &str, b: &[u8]| cloud.lock().expect("cloud").call(m, p, b, now())),
+        Arc::new(move |m: &str, p: &str, b: &[u8]| {
+            cloud.lock().expect("cloud").handle_request(m, p, b, now())
+        }),
     );
     (state_addr, cloud_addr)
 }
 
-fn free_addr() -> String {
+fn free_address() -> String {
     listener().1
 }
 
@@ -167,12 +172,12 @@
 }
 
 /// A controller, ready, with a state service and a cloud; and where it is asked.
-fn one_controller(name: &str, mesh: &str, others: &Value) -> (Controllers, String) {
+fn start_one_controller(name: &str, mesh: &str, others: &Value) -> (Controllers, String) {
     let cloud = Arc::new(Mutex::new(Cloud::default()));
-    cloud.lock().expect("cloud").kinds.push(small());
-    let state = Arc::new(Mutex::new(Engine::default()));
-    let (state_addr, cloud_addr) = serve_region(state, cloud, Instant::now());
-    let front = free_addr();
+    cloud.lock().expect("cloud").machine_types.push(small_machine_type());
+    let state = Arc::new(Mutex::new(KvEngine::default()));
+    let (state_addr, cloud_addr) = serve_platform(state, cloud, Instant::now());
+    let front = free_address();
     let count = 1 + others.as_array().map_or(0, Vec::len);
     let settings = json!({"node": "n0", "zone": "a", "front": front, "mesh_addr": mesh, "others": others,
         "endpoints": {"cloud": cloud_addr, "state": state_addr},
@@ -184,23 +189,23 @@
     let file = std::env::temp_dir().join(format!("olivelatch-{name}-{}.json", std::process::id()));
     std::fs::write(&file, settings.to_string()).expect("a settings file");
     let mut controllers =
-        Controllers { children: vec![None], files: vec![file], fronts: vec![front.clone()] };
+        Controllers { children: vec![None], files: vec![file], client_addresses: vec![front.clone()] };
     controllers.start(0);
-    controllers.until(15, "/ready", |status, _| status == 200);
+    controllers.wait_until(15, "/ready", |status, _| status == 200);
     (controllers, front)
 }
 
 /// A node that is back at once calls while connections of its former self are still open: the newest counts, the others
 /// are closed, and so are strangers. Without this they stayed open for good, until none was left for anybody.
 #[test]
-fn a_node_has_one_connection_at_another() {
-    let mesh = free_addr();
+fn a_controller_has_one_connection_to_another() {
+    let mesh = free_address();
     let (_controllers, _) =
-        one_controller("mesh", &mesh, &json!([{"node": "n1", "zone": "a", "addr": free_addr()}]));
+        start_one_controller("mesh", &mesh, &json!([{"node": "n1", "zone": "a", "addr": free_address()}]));
     let call = |node: &str| {
         let mut stream = TcpStream::connect(&mesh).expect("a connection");
         stream.set_read_timeout(Some(Duration::from_millis(1_500))).expect("a time-out");
-        stream.write_all(&encode(&MeshMessage::Hello { node: node.into() })).expect("a greeting");
+        stream.write_all(&encode(&PeerMessage::Hello { controller: node.into() })).expect("a greeting");
         std::thread::sleep(Duration::from_millis(30));
         stream
     };
@@ -214,7 +219,7 @@
     assert!(former.iter_mut().all(closed));
     assert!(!closed(&mut newest));
     assert!(closed(&mut call("stranger")));
-    newest.write_all(&encode(&MeshMessage::Hello { node: "n1".into() })).expect("said twice");
+    newest.write_all(&encode(&PeerMessage::Hello { controller: "n1".into() })).expect("said twice");
     assert!(!closed(&mut newest));
 }
 
@@ -222,7 +227,7 @@
 /// stay within their part of the settings' memory, and reports and submissions get through.
 #[test]
 fn half_sent_requests_stay_within_the_memory() {
-    let (controllers, front) = one_controller("memory", &free_addr(), &json!([]));
+    let (controllers, front) = start_one_controller("memory", &free_address(), &json!([]));
 
     let connect = || TcpStream::connect(&front).expect("a connection");
     let mut open: Vec<TcpStream> = (0..100).map(|_| connect()).collect();
@@ -246,7 +251,7 @@
     let held = resident_mb(controllers.children[0].as_ref().expect("it runs"));
     assert!(held < 9, "{held} MB held");
 
-    let (status, _) = controllers.ask("POST", "/work", &submission("job-000001", 1)).expect("an answer");
+    let (status, _) = controllers.request("POST", "/work", &submission("job-000001", 1)).expect("an answer");
     assert_eq!(status, 201);
     let report = json!({"box": "m", "endpoint": "127.0.0.1:9", "boxkind": "small", "hall": "a", "loaners": false,
         "shift": 1, "tick": 1, "baton": 0, "warning_s": null, "pieces": [], "padding": "x".repeat(40_000)});
@@ -259,16 +264,16 @@
     assert_eq!(call(&front, "get", "/work", b"").expect("an answer").0, 400);
 }
 
-fn small() -> KindSpec {
-    KindSpec {
+fn small_machine_type() -> MachineTypeSpec {
+    MachineTypeSpec {
         name: "small".into(),
         cpus: 4.0,
-        memory: 16.0,
+        memory_gb: 16.0,
         gpus: 0.0,
-        fetch: 1.0,
+        fetch_gb_per_s: 1.0,
         boot_s: 1.0,
         zones: vec!["a".into()],
-        count: 0,
-        spot: 0,
+        on_demand_per_zone: 0,
+        spot_per_zone: 0,
     }
 }
--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -3,38 +3,38 @@
 //! of the last trouble and ends, one node leads in the end. A plan that fails is shrunk by leaving troubles out and printed
 //! as a scenario. `SEED=17 cargo test --test plans` plays one plan of each kind, `SEEDS=1000 ...` more of them.
 
-mod world;
+mod simulation;
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use world::World;
+use simulation::SimulatedCluster;
 
 /// Plans of each kind that the checks play: the same verdict always.
 const SEEDS: u64 = 24;
 
 /// What is done to the region: lines with the time since the trouble began, in milliseconds.
-type Trouble = Vec<(u64, String)>;
+type FaultScript = Vec<(u64, String)>;
 
 /// Troubles with their times, between a beginning and an end that they all share.
-struct Plan {
-    head: Vec<String>,
-    troubles: Vec<(u64, Trouble)>,
+struct FaultPlan {
+    setup: Vec<String>,
+    faults: Vec<(u64, FaultScript)>,
     /// What users do meanwhile: no trouble that could be left out, as the end asks for its jobs.
-    users: Trouble,
-    tail: Vec<String>,
+    user_actions: FaultScript,
+    final_checks: Vec<String>,
 }
 
-impl Plan {
+impl FaultPlan {
     /// As the lines of a scenario.
-    fn lines(&self) -> Vec<String> {
+    fn scenario_lines(&self) -> Vec<String> {
         let mut timed: Vec<(u64, &String)> = self
-            .troubles
+            .faults
             .iter()
             .flat_map(|(begin, trouble)| trouble.iter().map(move |(at, line)| (begin + at, line)))
-            .chain(self.users.iter().map(|(at, line)| (*at, line)))
+            .chain(self.user_actions.iter().map(|(at, line)| (*at, line)))
             .collect();
         timed.sort_by_key(|(at, _)| *at);
-        let mut lines = self.head.clone();
+        let mut lines = self.setup.clone();
         let mut now = 0;
         for (at, line) in timed {
             if at > now {
@@ -43,35 +43,40 @@
             }
             lines.push(line.clone());
         }
-        lines.extend(self.tail.iter().cloned());
+        lines.extend(self.final_checks.iter().cloned());
         lines
     }
 
-    fn without(&self, left_out: usize) -> Plan {
-        let mut troubles = self.troubles.clone();
+    fn without_fault(&self, left_out: usize) -> FaultPlan {
+        let mut troubles = self.faults.clone();
         troubles.remove(left_out);
-        Plan { head: self.head.clone(), troubles, users: self.users.clone(), tail: self.tail.clone() }
+        FaultPlan {
+            setup: self.setup.clone(),
+            faults: troubles,
+            user_actions: self.user_actions.clone(),
+            final_checks: self.final_checks.clone(),
+        }
     }
 
-    fn play(&self) -> Result<u64, String> {
-        self.play_in(World::new())
+    fn run(&self) -> Result<u64, String> {
+        self.play_in(SimulatedCluster::new())
     }
 
-    fn play_in(&self, mut world: World) -> Result<u64, String> {
-        for line in self.lines() {
+    fn play_in(&self, mut world: SimulatedCluster) -> Result<u64, String> {
+        for line in self.scenario_lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            world.command(&words).map_err(|problem| format!("{line}: {problem}"))?;
+            world.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
         }
-        Ok(world.longest_stay())
+        Ok(world.longest_cancelled_stay_ms())
     }
 }
 
 /// Leaves troubles out as long as the plan still fails.
-fn shrunk(mut plan: Plan, mut problem: String) -> (Plan, String) {
+fn shrink(mut plan: FaultPlan, mut problem: String) -> (FaultPlan, String) {
     let mut at = 0;
-    while at < plan.troubles.len() {
-        let smaller = plan.without(at);
-        match smaller.play() {
+    while at < plan.faults.len() {
+        let smaller = plan.without_fault(at);
+        match smaller.run() {
             Err(still) => (plan, problem) = (smaller, still),
             Ok(_) => at += 1,
         }
@@ -84,113 +89,116 @@
 }
 
 /// From `first` on and, `for_ms` later, over again.
-fn lasting(first: &[&str], for_ms: u64, then: &[&str]) -> Trouble {
+fn lasting_fault(first: &[&str], for_ms: u64, then: &[&str]) -> FaultScript {
     let begin = first.iter().map(|line| (0, (*line).to_string()));
     begin.chain(then.iter().map(|line| (for_ms, (*line).to_string()))).collect()
 }
 
-fn one_of<'a>(rng: &mut SmallRng, choices: &[&'a str]) -> &'a str {
+fn pick_one<'a>(rng: &mut SmallRng, choices: &[&'a str]) -> &'a str {
     choices[rng.random_range(0..choices.len())]
 }
 
 /// A controller ends and is back after so many milliseconds, knowing nothing.
-fn flash(node: &str, back_ms: u64) -> Trouble {
+fn restart_at_once(node: &str, back_ms: u64) -> FaultScript {
     vec![(0, format!("kill {node}")), (back_ms, "start-all".into())]
 }
 
-fn later(trouble: Trouble, by_ms: u64) -> Trouble {
+fn delayed(trouble: FaultScript, by_ms: u64) -> FaultScript {
     trouble.into_iter().map(|(at, line)| (at + by_ms, line)).collect()
 }
 
-const LASTING: [u64; 7] = [300, 1_000, 3_000, 6_000, 15_000, 30_000, 60_000];
+const FAULT_DURATIONS_MS: [u64; 7] = [300, 1_000, 3_000, 6_000, 15_000, 30_000, 60_000];
 
 /// Processes that end and are back at once, in the middle of something.
-fn quick_return(rng: &mut SmallRng, nodes: usize) -> Trouble {
+fn random_quick_restart(rng: &mut SmallRng, nodes: usize) -> FaultScript {
     let node = format!("n{}", rng.random_range(0..nodes));
     let back = [20, 40, 100, 200, 500, 1000][rng.random_range(0..6)];
     let soon = rng.random_range(100..6_000);
     let then = |first: &[&str], last: &[&str]| {
-        let mut over = lasting(first, soon + back + 20, last);
-        over.extend(later(flash(&node, back), soon));
+        let mut over = lasting_fault(first, soon + back + 20, last);
+        over.extend(delayed(restart_at_once(&node, back), soon));
         over.sort_by_key(|(at, _)| *at);
         over
     };
     match rng.random_range(0..12) {
-        0..=3 => flash(&node, back),
-        4 => lasting(&["kill n0", "kill n1"], back, &["start-all"]),
-        5 => {
-            (0..nodes as u64).flat_map(|at| later(flash(&format!("n{at}"), back), at * (back + 20))).collect()
-        }
+        0..=3 => restart_at_once(&node, back),
+        4 => lasting_fault(&["kill n0", "kill n1"], back, &["start-all"]),
+        5 => (0..nodes as u64)
+            .flat_map(|at| delayed(restart_at_once(&format!("n{at}"), back), at * (back + 20)))
+            .collect(),
         6 => then(&["txns lost"], &["txns fine"]),
         7 => then(&["txns late"], &[if rng.random_bool(0.5) { "deliver" } else { "lose" }, "txns fine"]),
         8 => then(&["mesh held"], &["mesh fine", "deliver"]),
         9 => then(&["direct lost"], &["direct fine", "deliver"]),
         10 => then(&["outage on"], &["outage off"]),
         _ => {
-            let from = one_of(rng, &["state", "workers", "mesh", "all"]);
+            let from = pick_one(rng, &["state", "workers", "mesh", "all"]);
             then(&[&format!("cut {node} {from}")], &[&format!("uncut {from}")])
         }
     }
 }
 
 /// Whatever else is known to meet.
-fn any_trouble(rng: &mut SmallRng, nodes: usize) -> Trouble {
-    let for_ms = LASTING[rng.random_range(0..LASTING.len())];
+fn random_fault(rng: &mut SmallRng, nodes: usize) -> FaultScript {
+    let for_ms = FAULT_DURATIONS_MS[rng.random_range(0..FAULT_DURATIONS_MS.len())];
     let host = format!("host-{:06}", rng.random_range(0..6));
     let other = format!("host-{:06}", rng.random_range(0..6));
-    let node = one_of(rng, &["leader?", "n0", "n1", "n2"]);
+    let node = pick_one(rng, &["leader?", "n0", "n1", "n2"]);
     match rng.random_range(0..22) {
-        0 => flash("leader?", [40, 200, 1_000, 6_000][rng.random_range(0..4)]),
+        0 => restart_at_once("leader?", [40, 200, 1_000, 6_000][rng.random_range(0..4)]),
         1 => {
-            let mut all: Trouble = (0..nodes).map(|at| (0, format!("kill n{at}"))).collect();
+            let mut all: FaultScript = (0..nodes).map(|at| (0, format!("kill n{at}"))).collect();
             all.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
             all
         }
-        2 => lasting(&[&format!("cut {node} state")], for_ms, &["uncut state"]),
-        3 => lasting(
+        2 => lasting_fault(&[&format!("cut {node} state")], for_ms, &["uncut state"]),
+        3 => lasting_fault(
             &[&format!("cut {node} state"), &format!("cut {node} mesh")],
             for_ms,
             &["uncut state", "uncut mesh"],
         ),
-        4 => lasting(&[&format!("cut {node} all")], for_ms, &["uncut all"]),
-        5 => lasting(&[&format!("cut {node} workers")], for_ms, &["uncut workers"]),
-        6 => lasting(&[&format!("cut {node} polls")], for_ms, &["uncut polls"]),
-        7 => lasting(&["outage on"], for_ms, &["outage off"]),
-        8 => lasting(
-            &[&format!("state {}", one_of(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"]))],
+        4 => lasting_fault(&[&format!("cut {node} all")], for_ms, &["uncut all"]),
+        5 => lasting_fault(&[&format!("cut {node} workers")], for_ms, &["uncut workers"]),
+        6 => lasting_fault(&[&format!("cut {node} polls")], for_ms, &["uncut polls"]),
+        7 => lasting_fault(&["outage on"], for_ms, &["outage off"]),
+        8 => lasting_fault(
+            &[&format!(
+                "state {}",
+                pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
+            )],
             for_ms,
             &["state fine"],
         ),
-        9 => lasting(
-            &[&format!("txns late {}", one_of(rng, &["2", "4", "7", "12"]))],
+        9 => lasting_fault(
+            &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
             for_ms.min(15_000),
             &["txns fine"],
         ),
-        10 => lasting(&["txns lost"], for_ms.min(6_000), &["txns fine"]),
-        11 => lasting(&["copies 2 7 15 31 50"], for_ms, &["copies none"]),
-        12 => lasting(&[&format!("deaf {host} {other}")], for_ms, &["deaf none"]),
-        13 => lasting(&["deaf all"], for_ms.min(15_000), &["deaf none"]),
-        14 => lasting(
+        10 => lasting_fault(&["txns lost"], for_ms.min(6_000), &["txns fine"]),
+        11 => lasting_fault(&["copies 2 7 15 31 50"], for_ms, &["copies none"]),
+        12 => lasting_fault(&[&format!("deaf {host} {other}")], for_ms, &["deaf none"]),
+        13 => lasting_fault(&["deaf all"], for_ms.min(15_000), &["deaf none"]),
+        14 => lasting_fault(
             &[&format!("hang {host}"), &format!("hang {other}")],
             for_ms,
             &[&format!("unhang {host}"), &format!("unhang {other}")],
         ),
-        15 => lasting(&["direct lost"], for_ms.min(15_000), &["direct fine", "deliver"]),
-        16 => lasting(&["mesh held"], for_ms, &["mesh fine", "deliver"]),
-        17 => lasting(&[&format!("mute {host} {other}")], for_ms, &["mute none"]),
-        18 => lasting(&["mute all"], for_ms.min(15_000), &["mute none"]),
-        19 => lasting(&["copies next"], for_ms, &["copies none"]),
-        20 => lasting(
-            &[&format!("cloud-answers late {}", one_of(rng, &["1", "2.5", "9"]))],
+        15 => lasting_fault(&["direct lost"], for_ms.min(15_000), &["direct fine", "deliver"]),
+        16 => lasting_fault(&["mesh held"], for_ms, &["mesh fine", "deliver"]),
+        17 => lasting_fault(&[&format!("mute {host} {other}")], for_ms, &["mute none"]),
+        18 => lasting_fault(&["mute all"], for_ms.min(15_000), &["mute none"]),
+        19 => lasting_fault(&["copies next"], for_ms, &["copies none"]),
+        20 => lasting_fault(
+            &[&format!("cloud-answers late {}", pick_one(rng, &["1", "2.5", "9"]))],
             for_ms,
             &["cloud-answers fine"],
         ),
-        _ => lasting(&[&format!("freeze {node}")], for_ms, &["thaw"]),
+        _ => lasting_fault(&[&format!("freeze {node}")], for_ms, &["thaw"]),
     }
 }
 
 /// Whatever is still wrong is over.
-const MENDED: [&str; 18] = [
+const RECOVERY_LINES: [&str; 18] = [
     "heal",
     "outage off",
     "state fine",
@@ -216,8 +224,8 @@
 }
 
 /// Controllers that end and are back at once, one trouble after the other.
-fn flashes(seed: u64) -> Plan {
-    const TROUBLES: usize = 14;
+fn restart_plan(seed: u64) -> FaultPlan {
+    const FAULT_COUNT: usize = 14;
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = if seed % 2 == 0 { 3 } else { 5 };
     let mut head = lines(&["team core max=14", "team guest", "kind small cpus=4 boot=4 count=4 zones=a,b"]);
@@ -232,8 +240,8 @@
     ]));
     let mut troubles = Vec::new();
     let mut begin = 0;
-    for at in 0..TROUBLES {
-        let mut trouble = quick_return(&mut rng, nodes);
+    for at in 0..FAULT_COUNT {
+        let mut trouble = random_quick_restart(&mut rng, nodes);
         let over = trouble.iter().map(|(at, _)| *at).max().unwrap_or(0);
         // In the middle of it, so that some acceptances are lost on their way.
         trouble.insert(trouble.len().min(1), (0, format!("submit {} tasks=2 run=2", 10 + at)));
@@ -245,21 +253,21 @@
         troubles.push((begin, trouble));
         begin += over + rng.random_range(20..4_000);
     }
-    let mut tail = lines(&MENDED);
+    let mut tail = lines(&RECOVERY_LINES);
     tail.extend(lines(&["until 60 withdrawn 4", "until 90 tasks <= 30"]));
-    let jobs = [1, 2, 3, 5].into_iter().chain((0..TROUBLES).map(|at| 10 + at));
+    let jobs = [1, 2, 3, 5].into_iter().chain((0..FAULT_COUNT).map(|at| 10 + at));
     tail.extend(jobs.map(|job| format!("until 400 done {job}")));
     tail.extend(lines(&["advance 40", "expect leaders = 1", "expect tasks <= 0"]));
-    Plan { head, troubles, users: Trouble::new(), tail }
+    FaultPlan { setup: head, faults: troubles, user_actions: FaultScript::new(), final_checks: tail }
 }
 
 /// Two or three troubles, each at most so long after the one before, and when a next one would begin.
-fn overlapping(rng: &mut SmallRng, nodes: usize, most_gap_ms: u64) -> (Vec<(u64, Trouble)>, u64) {
+fn overlapping_faults(rng: &mut SmallRng, nodes: usize, most_gap_ms: u64) -> (Vec<(u64, FaultScript)>, u64) {
     let mut troubles = Vec::new();
     let mut begin = 0;
     for _ in 0..rng.random_range(2..4) {
         let from_both = rng.random_range(0..5) > 0;
-        let trouble = if from_both { any_trouble(rng, nodes) } else { quick_return(rng, nodes) };
+        let trouble = if from_both { random_fault(rng, nodes) } else { random_quick_restart(rng, nodes) };
         troubles.push((begin, trouble));
         begin += rng.random_range(0..most_gap_ms);
     }
@@ -267,7 +275,7 @@
 }
 
 /// Two or three troubles over one another, with jobs of every shape, long tasks, cancellations and questions.
-fn meetings(seed: u64) -> Plan {
+fn overlapping_faults_plan(seed: u64) -> FaultPlan {
     const LONG: std::ops::Range<usize> = 30..36;
     const AT_END: [usize; 3] = [20, 40, 60];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
@@ -294,8 +302,8 @@
     if seed % 4 == 1 {
         head.push("state uneven".into());
     }
-    let (troubles, begin) = overlapping(&mut rng, nodes, 8_000);
-    let mut users = Trouble::new();
+    let (troubles, begin) = overlapping_faults(&mut rng, nodes, 8_000);
+    let mut users = FaultScript::new();
     for job in LONG {
         users.push((rng.random_range(0..begin + 20_000), format!("abort {job}")));
     }
@@ -303,7 +311,7 @@
     for job in (10..16).chain(AT_END) {
         users.push((rng.random_range(0..begin + 20_000), format!("submit {job} tasks=2 run=2")));
     }
-    let mut tail = lines(&MENDED);
+    let mut tail = lines(&RECOVERY_LINES);
     let ends = [1, 2, 3, 5, 6, 8, 10, 11, 12, 13, 14, 15];
     tail.push(format!("until 75 known 7 {}", ends.map(|job| job.to_string()).join(" ")));
     tail.extend(LONG.map(|job| format!("until 60 withdrawn {job}")));
@@ -316,7 +324,7 @@
         "expect leaders = 1",
         "expect tasks <= 0",
     ]));
-    Plan { head, troubles, users, tail }
+    FaultPlan { setup: head, faults: troubles, user_actions: users, final_checks: tail }
 }
 
 /// Times of the workers: how often they report, their lease, what a cancellation has.
@@ -326,7 +334,7 @@
 
 /// The state service refuses the leader alone, other controllers confirm cancellations, then it is down for all for longer
 /// than a cancellation has, while workers go on reporting to the former leader.
-fn blind(site: usize, gap_ms: u64, rng: &mut SmallRng) -> Plan {
+fn blind_leader_plan(site: usize, gap_ms: u64, rng: &mut SmallRng) -> FaultPlan {
     let [report, lease, cancel] = SITES[site];
     let mut head = vec![format!("settings workers report_s={report} lease_s={lease} cancel_s={cancel}")];
     head.extend(lines(&["team long", "kind small cpus=4 boot=4 count=5", "nodes a a a"]));
@@ -360,16 +368,21 @@
     let cancel_ms = cancel.parse::<f64>().expect("seconds") * 1000.0;
     let over = gap_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
     trouble.push((over, "outage off".into()));
-    let mut tail = lines(&MENDED);
+    let mut tail = lines(&RECOVERY_LINES);
     tail.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
     tail.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
     tail.extend((5..=8).map(|job| format!("abort {job}")));
     tail.extend(lines(&["until 60 tasks <= 0", "expect leaders = 1"]));
-    Plan { head, troubles: vec![(0, trouble)], users: Trouble::new(), tail }
+    FaultPlan {
+        setup: head,
+        faults: vec![(0, trouble)],
+        user_actions: FaultScript::new(),
+        final_checks: tail,
+    }
 }
 
 /// Limits that change while troubles meet: the world judges each start against what was in force at that moment.
-fn limits(seed: u64) -> Plan {
+fn limit_changes_plan(seed: u64) -> FaultPlan {
     const CHANGES: usize = 12;
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11317);
     let nodes = if seed % 3 == 0 { 5 } else { 3 };
@@ -384,42 +397,42 @@
         "submit 3 gang tasks=3 cpus=2 run=15 checkpoint=4",
         "advance 8",
     ]));
-    let (troubles, begin) = overlapping(&mut rng, nodes, 12_000);
-    let mut users = Trouble::new();
+    let (troubles, begin) = overlapping_faults(&mut rng, nodes, 12_000);
+    let mut users = FaultScript::new();
     for change in 0..CHANGES {
-        let team = one_of(&mut rng, &["core", "guest"]);
+        let team = pick_one(&mut rng, &["core", "guest"]);
         let at = rng.random_range(0..begin + 20_000);
         users.push((at, format!("set c{change} {team} limit={}", rng.random_range(1..14))));
     }
     users.push((rng.random_range(0..begin + 20_000), "abort 2".into()));
     users.sort();
-    let mut tail = lines(&MENDED);
+    let mut tail = lines(&RECOVERY_LINES);
     tail.extend((0..CHANGES).map(|change| format!("until 60 config over c{change}")));
     tail.extend(lines(&["set last core", "until 10 config in-force last", "until 60 withdrawn 2"]));
     tail.extend(lines(&["until 900 done 1", "until 300 done 3", "advance 40", "expect tasks <= 0"]));
-    Plan { head, troubles, users, tail }
+    FaultPlan { setup: head, faults: troubles, user_actions: users, final_checks: tail }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn environment_number(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok())
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    match number("SEED") {
+    match environment_number("SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..number("SEEDS").unwrap_or(SEEDS),
+        None => 0..environment_number("SEEDS").unwrap_or(SEEDS),
     }
 }
 
-fn hold(plans: impl Iterator<Item = (String, Plan)>) {
+fn check_plans(plans: impl Iterator<Item = (String, FaultPlan)>) {
     let mut longest = 0;
     let mut failed = Vec::new();
     for (name, plan) in plans {
-        match plan.play_in(World::traced(&name)) {
+        match plan.play_in(SimulatedCluster::traced(&name)) {
             Ok(stay) => longest = longest.max(stay),
             Err(problem) => {
-                let (plan, problem) = shrunk(plan, problem);
-                failed.push(format!("{name}: {problem}\n{}", plan.lines().join("\n")));
+                let (plan, problem) = shrink(plan, problem);
+                failed.push(format!("{name}: {problem}\n{}", plan.scenario_lines().join("\n")));
             }
         }
     }
@@ -428,18 +441,18 @@
 }
 
 #[test]
-fn the_rules_hold_when_controllers_are_back_at_once() {
-    hold(seeds().map(|seed| (format!("flashes, seed {seed}"), flashes(seed))));
+fn the_invariants_hold_when_controllers_restart_at_once() {
+    check_plans(seeds().map(|seed| (format!("flashes, seed {seed}"), restart_plan(seed))));
 }
 
 #[test]
-fn the_rules_hold_when_troubles_meet() {
-    hold(seeds().map(|seed| (format!("meetings, seed {seed}"), meetings(seed))));
+fn the_invariants_hold_when_faults_overlap() {
+    check_plans(seeds().map(|seed| (format!("meetings, seed {seed}"), overlapping_faults_plan(seed))));
 }
 
 #[test]
-fn nothing_starts_above_a_limit_in_force_when_troubles_meet() {
-    hold(seeds().map(|seed| (format!("limits, seed {seed}"), limits(seed))));
+fn nothing_starts_above_a_limit_in_force_when_faults_overlap() {
+    check_plans(seeds().map(|seed| (format!("limits, seed {seed}"), limit_changes_plan(seed))));
 }
 
 /// Each site and gap, and random ones beyond these.
@@ -447,13 +460,13 @@
 fn cancelled_tasks_are_gone_in_time_when_the_leader_is_blind() {
     for (site, [_, lease, cancel]) in SITES.iter().enumerate() {
         println!("lease {lease} s, cancellation {cancel} s:");
-        hold(seeds().map(|seed| {
+        check_plans(seeds().map(|seed| {
             let mut rng = SmallRng::seed_from_u64(seed ^ 0xb11d);
             let gap = match GAPS_MS.get(seed as usize) {
                 Some(gap) => *gap,
                 None => rng.random_range(80..15_000),
             };
-            (format!("blind, seed {seed}, site {site}, gap {gap} ms"), blind(site, gap, &mut rng))
+            (format!("blind, seed {seed}, site {site}, gap {gap} ms"), blind_leader_plan(site, gap, &mut rng))
         }));
     }
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,10 +1,10 @@
 //! Random and damaged input at every door: an answer or a refusal, never a panic, never more held than came in.
 //! The cases are the same in every run.
 
-use olivelatch::protocol::mesh::{MeshMessage, Question, decode, encode};
-use olivelatch::protocol::operators::read_operator;
-use olivelatch::protocol::users::read_submission;
-use olivelatch::protocol::workers::read_report;
+use olivelatch::protocol::operators::parse_operator_request;
+use olivelatch::protocol::peer::{LeaderQuery, PeerMessage, decode, encode};
+use olivelatch::protocol::users::parse_submission;
+use olivelatch::protocol::workers::parse_heartbeat;
 use olivelatch::settings::Settings;
 use olivelatch::tunables::Tunables;
 use olivelatch_net::http::{Parsed, parse_request, parse_response};
@@ -23,7 +23,7 @@
 }
 
 /// A text with some of its bytes changed, cut short at some place.
-fn damaged(text: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
+fn damaged_bytes(text: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
     let changes = proptest::collection::vec((0..text.len(), any::<u8>()), 0..6);
     (changes, 0..=text.len()).prop_map(move |(changes, cut)| {
         let mut bytes = text.to_vec();
@@ -38,7 +38,7 @@
     let words = "(jobs|status|job-[0-9]{1,20}|explain|events|/|\\?|%|[a-z0-9]{0,9}){0,6}";
     let query = "((after|limit|team|class|state|task)?=?[a-z0-9-]{0,20}&?){0,6}";
     let checked = runner().run(&(words, query), |(path, query)| {
-        if let Some(Err(answer)) = read_operator(&path, &query) {
+        if let Some(Err(answer)) = parse_operator_request(&path, &query) {
             prop_assert!([400, 404].contains(&answer.status));
             prop_assert!(answer.body.len() < 1000);
         }
@@ -53,12 +53,12 @@
 
 #[test]
 fn bodies_of_users_and_workers_are_read_or_refused() {
-    let checked = runner().run(&(damaged(SUBMISSION), bytes()), |(body, noise)| {
+    let checked = runner().run(&(damaged_bytes(SUBMISSION), bytes()), |(body, noise)| {
         for body in [&body, &noise] {
-            if let Err(answer) = read_submission(body) {
+            if let Err(answer) = parse_submission(body) {
                 prop_assert_eq!(answer.status, 400);
             }
-            let _ = read_report(body);
+            let _ = parse_heartbeat(body);
         }
         Ok(())
     });
@@ -73,18 +73,20 @@
 /// No message takes more of the buffer than there is.
 #[test]
 fn http_is_parsed_or_refused() {
-    let checked =
-        runner().run(&(damaged(REQUEST), damaged(RESPONSE), bytes()), |(request, response, noise)| {
+    let checked = runner().run(
+        &(damaged_bytes(REQUEST), damaged_bytes(RESPONSE), bytes()),
+        |(request, response, noise)| {
             for bytes in [&request, &response, &noise] {
-                if let Parsed::Whole(request, taken) = parse_request(bytes) {
+                if let Parsed::Complete(request, taken) = parse_request(bytes) {
                     prop_assert!(taken <= bytes.len() && request.body.len() <= bytes.len());
                 }
-                if let Parsed::Whole(response, taken) = parse_response(bytes, 1000) {
+                if let Parsed::Complete(response, taken) = parse_response(bytes, 1000) {
                     prop_assert!(taken <= bytes.len() && response.body.len() <= bytes.len());
                 }
             }
             Ok(())
-        });
+        },
+    );
     checked.expect("every message is parsed or refused");
 }
 
@@ -92,16 +94,16 @@
 #[test]
 fn mesh_messages_are_validated() {
     let whole = [
-        MeshMessage::Ask { ask: 7, question: Question::Explain { job: 412, task: Some(3) } },
-        MeshMessage::Told {
-            ask: 7,
+        PeerMessage::Query { query_id: 7, query: LeaderQuery::ExplainJob { job: 412, task: Some(3) } },
+        PeerMessage::QueryResponse {
+            query_id: 7,
             status: 503,
             retry_after_s: Some(1),
             body: b"{\"error\":\"later\"}".to_vec(),
         },
-        MeshMessage::Hello { node: "node-1".into() },
-        MeshMessage::Notify { revision: u64::MAX },
-        MeshMessage::Read { revision: 412 },
+        PeerMessage::Hello { controller: "node-1".into() },
+        PeerMessage::RevisionNotice { revision: u64::MAX },
+        PeerMessage::ReadWatermark { revision: 412 },
     ];
     let frames: Vec<Vec<u8>> = whole.iter().map(|message| encode(message)[4..].to_vec()).collect();
     for (frame, message) in frames.iter().zip(&whole) {
@@ -116,7 +118,7 @@
         let length = frame.len();
         changes.into_iter().for_each(|(at, byte)| frame[at % length] = byte);
         for bytes in [&frame, &noise] {
-            if let Some(MeshMessage::Told { body, .. }) = decode(bytes) {
+            if let Some(PeerMessage::QueryResponse { body, .. }) = decode(bytes) {
                 prop_assert!(body.len() <= bytes.len());
             }
         }
@@ -130,7 +132,7 @@
 #[test]
 fn settings_are_read_or_refused() {
     assert!(Tunables::parse("f", std::str::from_utf8(TUNABLES).expect("text")).is_ok());
-    let checked = runner().run(&(damaged(TUNABLES), bytes()), |(tunables, noise)| {
+    let checked = runner().run(&(damaged_bytes(TUNABLES), bytes()), |(tunables, noise)| {
         for bytes in [&tunables, &noise] {
             let text = String::from_utf8_lossy(bytes);
             if let Err(problem) = Tunables::parse("f", &text) {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,20 +1,20 @@
 //! Measurements in virtual time, for docs/measurements.md; not part of CI:
 //!     cargo test --release --test scale -- --ignored --nocapture --test-threads 1
 
-mod world;
+mod simulation;
 
-use olivelatch::coordination::{CallId, Input, Output};
-use olivelatch::protocol::Outcome;
-use olivelatch::protocol::operators::read_operator;
+use olivelatch::coordination::{Action, Event, InboundId};
+use olivelatch::protocol::HttpOutcome;
+use olivelatch::protocol::operators::parse_operator_request;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
-use world::{STEP_MS, World};
+use simulation::{STEP_MS, SimulatedCluster};
 
 #[test]
 #[ignore = "a measurement"]
 fn lists_and_explanations_at_size() {
-    let mut world = World::new();
+    let mut world = SimulatedCluster::new();
     let lines = [
         "operators explains_per_s=100000",
         "settings state rps=100000 write_rps=100000",
@@ -32,14 +32,14 @@
     for at in 0..100_000_u64 {
         let detail = json!({"team": "core", "class": "work", "tasks": 3, "accepted": 5});
         world
-            .state
+            .kv_store
             .put(&format!("olivelatch/end/job-{at:06}"), json!({"end": "done", "at": 7, "detail": detail}));
     }
     for line in lines {
         let words: Vec<&str> = line.split_whitespace().collect();
-        world.command(&words).expect(line);
+        world.run_action(&words).expect(line);
     }
-    let at = world.node("leader");
+    let at = world.controller_index("leader");
     let follower = (at + 1) % 3;
     for (what, at, path) in [
         ("explain, a job behind its team's limit", at, "jobs/job-900002/explain"),
@@ -54,30 +54,30 @@
         let mut took = Vec::new();
         let mut bytes = 0;
         for _ in 0..50 {
-            let request = read_operator(path, query).expect("a path").expect("a question");
-            world.next_call += 1;
-            let call = CallId(world.next_call);
-            let clock = world.clock(0);
-            let node = world.nodes[at].node.as_mut().expect("a node");
-            node.take(clock, Input::Operator { call, request });
+            let request = parse_operator_request(path, query).expect("a path").expect("a question");
+            world.next_request += 1;
+            let call = InboundId(world.next_request);
+            let clock = world.controller_clock(0);
+            let node = world.controllers[at].controller.as_mut().expect("a node");
+            node.receive_event(clock, Event::Operator { inbound: call, request });
             // Its poll and the barrier: what the node does until the answer is there.
             for _ in 0..20 {
                 world.now += STEP_MS;
-                let clock = world.clock(0);
-                let Some(node) = world.nodes[at].node.as_mut() else { continue };
+                let clock = world.controller_clock(0);
+                let Some(node) = world.controllers[at].controller.as_mut() else { continue };
                 let outputs = node.step(clock);
                 let mut answered = false;
                 for output in outputs {
-                    if let Output::State { ask, request, .. } = output {
-                        let asked = request.to_call();
+                    if let Action::CallKv { outbound: ask, request, .. } = output {
+                        let asked = request.to_http_request();
                         let (status, body) =
-                            world.state.call(asked.method, &asked.path, &asked.body, world.now);
-                        let outcome = Outcome::Response { status, body: body.to_string().into_bytes() };
-                        let node = world.nodes[at].node.as_mut().expect("a node");
+                            world.kv_store.handle_request(asked.method, &asked.path, &asked.body, world.now);
+                        let outcome = HttpOutcome::Response { status, body: body.to_string().into_bytes() };
+                        let node = world.controllers[at].controller.as_mut().expect("a node");
                         let started = std::time::Instant::now();
-                        let out = node.take(clock, Input::State { ask, outcome });
+                        let out = node.receive_event(clock, Event::Kv { outbound: ask, outcome });
                         for output in out {
-                            if let Output::Answer { call: answered_call, answer } = output
+                            if let Action::Respond { inbound: answered_call, response: answer } = output
                                 && answered_call == call
                             {
                                 took.push(started.elapsed().as_micros() as u64);
@@ -103,21 +103,21 @@
     }
 }
 
-fn world(lines: &[&str]) -> World {
-    let mut world = World::new();
-    play(&mut world, lines);
+fn start_cluster(lines: &[&str]) -> SimulatedCluster {
+    let mut world = SimulatedCluster::new();
+    run_lines(&mut world, lines);
     world
 }
 
 /// Jobs with an end.
-fn ended(world: &World) -> usize {
-    world.state.keys().filter(|key| key.starts_with("olivelatch/end/")).count()
+fn finished_jobs(world: &SimulatedCluster) -> usize {
+    world.kv_store.keys().filter(|key| key.starts_with("olivelatch/end/")).count()
 }
 
-fn play(world: &mut World, lines: &[&str]) {
+fn run_lines(world: &mut SimulatedCluster, lines: &[&str]) {
     for line in lines {
         let words: Vec<&str> = line.split_whitespace().collect();
-        world.command(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
+        world.run_action(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
     }
 }
 
@@ -157,7 +157,7 @@
         .collect()
 }
 
-fn draft(world: &mut World, run: &str, first: u64, shape: &[Vec<u64>]) {
+fn draft_graph(world: &mut SimulatedCluster, run: &str, first: u64, shape: &[Vec<u64>]) {
     for (at, after) in shape.iter().enumerate() {
         let all = after.len() + 1 == shape.len() && after.len() > 100;
         let names: Vec<String> = after.iter().map(|up| format!("n{up}")).collect();
@@ -168,12 +168,12 @@
         };
         // The last of a fan-in has a name that `n*` does not take in.
         let name = if all { "last".to_string() } else { format!("n{at}") };
-        play(world, &[&format!("node {run} {name} {}{after} {NODE}", first + at as u64)]);
+        run_lines(world, &[&format!("node {run} {name} {}{after} {NODE}", first + at as u64)]);
     }
 }
 
 /// Nodes on the longest way through a graph.
-fn longest(shape: &[Vec<u64>]) -> u64 {
+fn critical_path_length(shape: &[Vec<u64>]) -> u64 {
     let mut layers = vec![1; shape.len()];
     for (at, after) in shape.iter().enumerate() {
         layers[at] = after.iter().map(|up| layers[*up as usize] + 1).max().unwrap_or(1);
@@ -182,30 +182,36 @@
 }
 
 /// From the last end that a node waited for, as it is stored, to its first task's image.
-fn delays(world: &World, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
+fn start_delays(world: &SimulatedCluster, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
     let name = |at: u64| format!("job-{:06}", first + at);
     let ended = |at: u64| {
-        let end = world.state.get(&format!("olivelatch/end/{}", name(at)))?;
+        let end = world.kv_store.get(&format!("olivelatch/end/{}", name(at)))?;
         Some(end["at"].as_u64()? - 1_700_000_000_000)
     };
     let delay = |(at, after): (usize, &Vec<u64>)| {
         let last = after.iter().filter_map(|up| ended(*up)).max()?;
-        Some(world.started.get(&name(at as u64))?.saturating_sub(last))
+        Some(world.first_start.get(&name(at as u64))?.saturating_sub(last))
     };
     let mut all: Vec<u64> = shape.iter().enumerate().filter_map(delay).collect();
     all.sort_unstable();
     all
 }
 
-fn told(world: &World, what: &str, nodes: u64, began: u64, before: (u64, std::time::Duration)) {
+fn print_result(
+    world: &SimulatedCluster,
+    what: &str,
+    nodes: u64,
+    began: u64,
+    before: (u64, std::time::Duration),
+) {
     let seconds = (world.now - began) as f64 / 1000.0;
     println!(
         "{what}: {nodes} in {seconds:.1} s, {:.1} a second; {:.2} changes each; {:.0} us of processor time each, {:.1} ms over one event at most ({})",
         nodes as f64 / seconds,
-        (world.written - before.0) as f64 / nodes as f64,
-        (world.spent.all - before.1).as_micros() as f64 / nodes as f64,
-        world.spent.most.as_micros() as f64 / 1000.0,
-        world.spent.kind,
+        (world.kv_mutations - before.0) as f64 / nodes as f64,
+        (world.event_cpu_time.total - before.1).as_micros() as f64 / nodes as f64,
+        world.event_cpu_time.longest.as_micros() as f64 / 1000.0,
+        world.event_cpu_time.longest_event,
     );
 }
 
@@ -214,34 +220,34 @@
 #[ignore = "a measurement"]
 fn nodes_and_plain_jobs_at_size() {
     const NODES: u64 = 10_000;
-    let mut plain = world(&REGION);
-    let (began, before) = (plain.now, (plain.written, plain.spent.all));
+    let mut plain = start_cluster(&REGION);
+    let (began, before) = (plain.now, (plain.kv_mutations, plain.event_cpu_time.total));
     for at in 0..NODES {
-        play(&mut plain, &[&format!("submit {} {NODE}", 1 + at)]);
+        run_lines(&mut plain, &[&format!("submit {} {NODE}", 1 + at)]);
         // As fast as users can come through: submissions are held and refused beyond that.
         if at % 50 == 49 {
-            play(&mut plain, &["advance 0.2"]);
+            run_lines(&mut plain, &["advance 0.2"]);
         }
     }
-    while ended(&plain) < NODES as usize {
+    while finished_jobs(&plain) < NODES as usize {
         plain.step();
     }
-    told(&plain, "plain jobs", NODES, began, before);
+    print_result(&plain, "plain jobs", NODES, began, before);
     // A pipeline is as slow as its one way; with 2,000 nodes there is room for all that are ready at once.
     for (sort, nodes) in
         [("fan-out", NODES), ("fan-in", NODES), ("random", NODES), ("random", 2_000), ("pipeline", 1_000)]
     {
         let shape = shape(sort, nodes);
-        let mut world = world(&REGION);
-        draft(&mut world, "r", 1, &shape);
-        let (began, before) = (world.now, (world.written, world.spent.all));
-        play(&mut world, &["commit r g"]);
-        while ended(&world) < nodes as usize {
+        let mut world = start_cluster(&REGION);
+        draft_graph(&mut world, "r", 1, &shape);
+        let (began, before) = (world.now, (world.kv_mutations, world.event_cpu_time.total));
+        run_lines(&mut world, &["commit r g"]);
+        while finished_jobs(&world) < nodes as usize {
             world.step();
         }
-        told(&world, sort, nodes, began, before);
-        println!("  {} layers", longest(&shape));
-        let delays = delays(&world, 1, &shape);
+        print_result(&world, sort, nodes, began, before);
+        println!("  {} layers", critical_path_length(&shape));
+        let delays = start_delays(&world, 1, &shape);
         if let (Some(middle), Some(late)) =
             (delays.get(delays.len() / 2), delays.get(delays.len() * 99 / 100))
         {
@@ -254,31 +260,31 @@
 #[test]
 #[ignore = "a measurement"]
 fn takeover_with_fifty_graphs() {
-    let mut world = world(&REGION);
+    let mut world = start_cluster(&REGION);
     let shape = shape("random", 1_000);
     for run in 0..50u64 {
-        draft(&mut world, &format!("r{run}"), 1 + run * 1_000, &shape);
-        play(&mut world, &[&format!("commit r{run} g{run}"), "advance 1"]);
+        draft_graph(&mut world, &format!("r{run}"), 1 + run * 1_000, &shape);
+        run_lines(&mut world, &[&format!("commit r{run} g{run}"), "advance 1"]);
     }
-    play(&mut world, &["until 60 sent", "advance 5"]);
-    let ends = ended(&world);
+    run_lines(&mut world, &["until 60 sent", "advance 5"]);
+    let ends = finished_jobs(&world);
     println!(
         "before: {ends} of 50,000 nodes have ended, {:.1} ms over one event at most",
-        world.spent.most.as_micros() as f64 / 1000.0
+        world.event_cpu_time.longest.as_micros() as f64 / 1000.0
     );
-    world.spent = Default::default();
+    world.event_cpu_time = Default::default();
     let began = world.now;
-    play(&mut world, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
+    run_lines(&mut world, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
     println!(
         "takeover: a leader after {:.1} s; {:.0} ms of processor time of three controllers, {:.1} ms over one event at most ({})",
         (world.now - began) as f64 / 1000.0,
-        world.spent.all.as_micros() as f64 / 1000.0,
-        world.spent.most.as_micros() as f64 / 1000.0,
-        world.spent.kind,
+        world.event_cpu_time.total.as_micros() as f64 / 1000.0,
+        world.event_cpu_time.longest.as_micros() as f64 / 1000.0,
+        world.event_cpu_time.longest_event,
     );
-    let before = ended(&world);
+    let before = finished_jobs(&world);
     let began = world.now;
-    while ended(&world) < before + 500 {
+    while finished_jobs(&world) < before + 500 {
         world.step();
     }
     println!("500 further ends after {:.1} s", (world.now - began) as f64 / 1000.0);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,16 +1,16 @@
 //! Runs every file of `tests/scenarios/` in virtual time, each as a test of its own name. A failure names file and line.
 
-mod world;
+mod simulation;
 
 use std::path::{Path, PathBuf};
 
 use libtest_mimic::{Arguments, Failed, Trial};
-use world::World;
+use simulation::SimulatedCluster;
 
 /// Plays one file; the error names the line.
-fn play(path: &Path) -> Result<(), String> {
+fn run_scenario(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-    let mut world = World::traced(&name(path));
+    let mut world = SimulatedCluster::traced(&name(path));
     let mut lines = 0;
     for (at, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
@@ -20,7 +20,7 @@
         lines += 1;
         log::info!("{} s: {line}", world.now as f64 / 1000.0);
         let place = || format!("{}:{}: {line}", path.display(), at + 1);
-        world.command(&words).map_err(|problem| format!("{}: {problem}", place()))?;
+        world.run_action(&words).map_err(|problem| format!("{}: {problem}", place()))?;
     }
     if lines == 0 { Err(format!("{}: empty", path.display())) } else { Ok(()) }
 }
@@ -29,7 +29,7 @@
     path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default()
 }
 
-fn files() -> Vec<PathBuf> {
+fn scenario_files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let entries = std::fs::read_dir(folder).expect("the scenarios");
     let mut files: Vec<PathBuf> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
@@ -42,7 +42,7 @@
 fn a_wrong_scenario_fails_and_names_its_line() -> Result<(), Failed> {
     let path = std::env::temp_dir().join(format!("olivelatch-wrong-{}.txt", std::process::id()));
     std::fs::write(&path, "team core\nkind k\nnodes a\nuntil 5 done 1\n")?;
-    let result = play(&path);
+    let result = run_scenario(&path);
     let _ = std::fs::remove_file(&path);
     match result {
         Err(problem) if problem.contains(":4: until 5 done 1") => Ok(()),
@@ -54,7 +54,7 @@
 fn main() {
     // LOG_LEVEL=info SCENARIO=steal: what the controllers say of it.
     if std::env::var("LOG_LEVEL").is_ok() {
-        olivelatch::logging::start("scenario", olivelatch::tunables::LogFormat::Text);
+        olivelatch::logging::init("scenario", olivelatch::tunables::LogFormat::Text);
     }
     let mut arguments = Arguments::from_args();
     // Part of a name, where the command line names none.
@@ -63,11 +63,11 @@
     }
     let scenario = |path: PathBuf| {
         Trial::test(name(&path), move || {
-            Ok(std::panic::catch_unwind(|| play(&path))
+            Ok(std::panic::catch_unwind(|| run_scenario(&path))
                 .unwrap_or_else(|_| Err(format!("{}: panicked", path.display())))?)
         })
     };
-    let mut trials: Vec<Trial> = files().into_iter().map(scenario).collect();
+    let mut trials: Vec<Trial> = scenario_files().into_iter().map(scenario).collect();
     trials.push(Trial::test(
         "a_wrong_scenario_fails_and_names_its_line",
         a_wrong_scenario_fails_and_names_its_line,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What operators write: good files are taken, bad ones named by place.
 
-use olivelatch::ids::Amount;
+use olivelatch::ids::Resources;
 use olivelatch::settings::Settings;
 use olivelatch::tunables::Tunables;
 use serde_json::{Value, json};
@@ -28,11 +28,11 @@
 #[test]
 fn a_maximum_of_zero_is_no_limit() {
     let settings = Settings::parse("f.json", &platform().to_string()).expect("fine");
-    let huge = Amount { cpu: 1 << 40, gpu: 1 << 40, mem: 1 << 40 };
-    assert!(huge.fits(&settings.teams[0].limit()));
-    assert!(!huge.fits(&settings.teams[1].limit()));
-    assert!(Amount { cpu: 8000, gpu: 5, mem: 1 }.fits(&settings.teams[1].limit()));
-    assert!(!Amount { cpu: 8001, gpu: 0, mem: 1 }.fits(&settings.teams[1].limit()));
+    let huge = Resources { cpu: 1 << 40, gpu: 1 << 40, mem: 1 << 40 };
+    assert!(huge.fits_in(&settings.teams[0].effective_limit()));
+    assert!(!huge.fits_in(&settings.teams[1].effective_limit()));
+    assert!(Resources { cpu: 8000, gpu: 5, mem: 1 }.fits_in(&settings.teams[1].effective_limit()));
+    assert!(!Resources { cpu: 8001, gpu: 0, mem: 1 }.fits_in(&settings.teams[1].effective_limit()));
 }
 
 #[test]
--- a/tests/world/flows.rs
+++ b/tests/simulation/dag_runs.rs
@@ -2,47 +2,49 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch::protocol::Answer;
-use olivelatch::protocol::graphs::{GraphAsked, GraphPart, NodeRow, Template, pack, read_graph};
-use olivelatch_store::Engine;
+use olivelatch::protocol::HttpResponse;
+use olivelatch::protocol::graphs::{
+    DagNodeRecord, GraphPart, GraphRouteRequest, NodeTemplate, parse_graph_request, split_into_parts,
+};
+use olivelatch_store::KvEngine;
 use serde_json::{Value, json};
 
-const ASK_EVERY_MS: u64 = 500;
-const AGAIN_MS: u64 = 1_000;
+const POLL_INTERVAL_MS: u64 = 500;
+const RETRY_MS: u64 = 1_000;
 
 /// A graph as a scenario describes it.
 #[derive(Default)]
-pub struct Draft {
-    templates: Vec<Template>,
-    pub nodes: Vec<NodeRow>,
+pub struct GraphDraft {
+    templates: Vec<NodeTemplate>,
+    pub nodes: Vec<DagNodeRecord>,
     edges: Vec<(u32, u32, u32)>,
     /// The parts that do nodes over, so far.
-    redos: Vec<GraphPart>,
+    rerun_parts: Vec<GraphPart>,
     next_part: u32,
 }
 
 /// What goes to a controller next, and which answer is expected (else it is repeated until it is taken).
 #[derive(Clone)]
-pub struct Send {
+pub struct GraphRequest {
     pub run: String,
     pub path: String,
     pub body: Value,
     pub expect: Option<u16>,
     /// A commit: what it names is accepted with the answer.
-    pub accepts: bool,
+    pub is_commit: bool,
 }
 
 #[derive(Default)]
-pub struct Flows {
-    drafts: BTreeMap<String, Draft>,
-    queue: Vec<(u64, Send)>,
+pub struct DagRuns {
+    drafts: BTreeMap<String, GraphDraft>,
+    queue: Vec<(u64, GraphRequest)>,
     /// Runs with a request on its way.
-    open: Vec<String>,
+    in_flight: Vec<String>,
     /// The last answers, by path.
-    answers: BTreeMap<String, Value>,
-    next: BTreeMap<String, u64>,
+    responses: BTreeMap<String, Value>,
+    next_poll: BTreeMap<String, u64>,
     /// Final states of nodes that were told, by job.
-    finals: BTreeMap<String, String>,
+    final_states: BTreeMap<String, String>,
     pub accepted: Vec<String>,
 }
 
@@ -50,20 +52,22 @@
     format!("job-{number:06}")
 }
 
-pub fn asked(method: &str, path: &str, body: &Value) -> GraphAsked {
+pub fn parse_route(method: &str, path: &str, body: &Value) -> GraphRouteRequest {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let text = body.to_string();
-    read_graph(method, path, query, text.as_bytes()).expect("a path of the interface").expect("a request")
+    parse_graph_request(method, path, query, text.as_bytes())
+        .expect("a path of the interface")
+        .expect("a request")
 }
 
-impl Draft {
+impl GraphDraft {
     fn position(&self, name: &str) -> u32 {
         self.nodes.iter().position(|node| node.name == name).unwrap_or_else(|| panic!("no node {name}"))
             as u32
     }
 
     /// `after`: names, or `prefix*` for all nodes that begin so.
-    pub fn add(&mut self, name: &str, job: u64, template: Template, after: &[&str], map: Option<&str>) {
+    pub fn add(&mut self, name: &str, job: u64, template: NodeTemplate, after: &[&str], map: Option<&str>) {
         let known = self.templates.iter().position(|other| *other == template);
         let template = known.unwrap_or_else(|| {
             self.templates.push(template);
@@ -73,7 +77,7 @@
         for before in after {
             match before.strip_suffix('*') {
                 Some(prefix) => {
-                    let ours = |node: &&NodeRow| node.name.starts_with(prefix);
+                    let ours = |node: &&DagNodeRecord| node.name.starts_with(prefix);
                     let first = self.nodes.iter().position(|node| ours(&node)).expect("nodes") as u32;
                     self.edges.push((at, first, self.nodes.iter().filter(ours).count() as u32));
                 }
@@ -81,11 +85,11 @@
             }
         }
         let map = map.map(|map| self.position(map));
-        self.nodes.push(NodeRow { name: name.into(), job, template, map });
+        self.nodes.push(DagNodeRecord { name: name.into(), job, template, mapped_from: map });
     }
 
     fn parts(&self, largest: usize) -> Vec<GraphPart> {
-        pack(self.templates.clone(), self.nodes.clone(), self.edges.clone(), Vec::new(), largest)
+        split_into_parts(self.templates.clone(), self.nodes.clone(), self.edges.clone(), Vec::new(), largest)
     }
 
     fn upstream(&self, node: u32) -> Vec<u32> {
@@ -93,7 +97,7 @@
         ours.flat_map(|(_, first, count)| *first..first + count).collect()
     }
 
-    fn behind(&self, node: u32) -> Vec<u32> {
+    fn downstream(&self, node: u32) -> Vec<u32> {
         let mut found = vec![node];
         for at in node + 1..self.nodes.len() as u32 {
             if self.upstream(at).iter().any(|up| found.contains(up)) {
@@ -104,13 +108,13 @@
     }
 }
 
-impl Flows {
-    pub fn draft(&mut self, run: &str) -> &mut Draft {
+impl DagRuns {
+    pub fn draft(&mut self, run: &str) -> &mut GraphDraft {
         self.drafts.entry(run.into()).or_default()
     }
 
     fn push(&mut self, now: u64, run: &str, path: String, body: Value, expect: Option<u16>) {
-        self.queue.push((now, Send { run: run.into(), path, body, expect, accepts: false }));
+        self.queue.push((now, GraphRequest { run: run.into(), path, body, expect, is_commit: false }));
     }
 
     /// Uploads the first `most` parts, a few in a request.
@@ -135,8 +139,13 @@
         draft.next_part = parts;
         let body =
             json!({"graph": graph, "parts": parts, "nodes": draft.nodes.len(), "most_runs": most_runs});
-        let send =
-            Send { run: run.into(), path: format!("graphs/{run}"), body, expect, accepts: expect.is_none() };
+        let send = GraphRequest {
+            run: run.into(),
+            path: format!("graphs/{run}"),
+            body,
+            expect,
+            is_commit: expect.is_none(),
+        };
         self.queue.push((now, send));
     }
 
@@ -145,9 +154,9 @@
     }
 
     /// Does a node and all behind it over, with jobs from `job` on. Returns the old and the new jobs.
-    pub fn redo(&mut self, now: u64, run: &str, node: &str, job: u64) -> Vec<(String, String)> {
+    pub fn rerun(&mut self, now: u64, run: &str, node: &str, job: u64) -> Vec<(String, String)> {
         let draft = self.draft(run);
-        let nodes = draft.behind(draft.position(node));
+        let nodes = draft.downstream(draft.position(node));
         let rows: Vec<_> = nodes.iter().zip(job..).map(|(node, job)| (*node, 1, job)).collect();
         let mut names = Vec::new();
         for (node, _, job) in &rows {
@@ -155,20 +164,20 @@
             names.push((job_name(row.job), job_name(*job)));
             row.job = *job;
         }
-        let parts = pack(Vec::new(), Vec::new(), Vec::new(), rows, 3_000);
+        let parts = split_into_parts(Vec::new(), Vec::new(), Vec::new(), rows, 3_000);
         let (from, count) = (draft.next_part, parts.len() as u32);
         draft.next_part += count;
-        draft.redos.extend(parts.clone());
+        draft.rerun_parts.extend(parts.clone());
         self.push(now, run, format!("graphs/{run}/parts"), json!({"first": from, "parts": parts}), None);
         self.push(now, run, format!("graphs/{run}/redo"), json!({"from": from, "parts": count}), None);
         names
     }
 
     /// What is sent now: of each run one request at a time, in order.
-    pub fn due(&mut self, now: u64) -> Vec<Send> {
-        let mut due: Vec<Send> = Vec::new();
+    pub fn due_requests(&mut self, now: u64) -> Vec<GraphRequest> {
+        let mut due: Vec<GraphRequest> = Vec::new();
         let mut rest = Vec::new();
-        let mut waits: Vec<String> = self.open.clone();
+        let mut waits: Vec<String> = self.in_flight.clone();
         for (at, send) in std::mem::take(&mut self.queue) {
             if at <= now && !waits.contains(&send.run) {
                 waits.push(send.run.clone());
@@ -179,18 +188,23 @@
             }
         }
         self.queue = rest;
-        self.open.extend(due.iter().map(|send| send.run.clone()));
+        self.in_flight.extend(due.iter().map(|send| send.run.clone()));
         due
     }
 
     /// An answer to what was sent; None: there was none. Err names what must not be.
-    pub fn answered(&mut self, send: Send, answer: Option<&Answer>, now: u64) -> Result<(), String> {
-        self.open.retain(|run| *run != send.run);
+    pub fn handle_response(
+        &mut self,
+        send: GraphRequest,
+        answer: Option<&HttpResponse>,
+        now: u64,
+    ) -> Result<(), String> {
+        self.in_flight.retain(|run| *run != send.run);
         let status = answer.map_or(503, |answer| answer.status);
         if let Some(expect) = send.expect {
             return match status {
                 503 => {
-                    self.queue.insert(0, (now + AGAIN_MS, send));
+                    self.queue.insert(0, (now + RETRY_MS, send));
                     Ok(())
                 }
                 _ if status == expect => Ok(()),
@@ -198,7 +212,7 @@
             };
         }
         if status < 300 {
-            if send.accepts {
+            if send.is_commit {
                 let jobs: Vec<String> =
                     self.draft(&send.run).nodes.iter().map(|node| job_name(node.job)).collect();
                 self.accepted.extend(jobs);
@@ -210,16 +224,16 @@
                 answer.map_or(String::new(), |answer| String::from_utf8_lossy(&answer.body).into_owned());
             return Err(format!("{}: answered {status}: {text}", send.path));
         }
-        self.queue.insert(0, (now + AGAIN_MS, send));
+        self.queue.insert(0, (now + RETRY_MS, send));
         Ok(())
     }
 
     /// What was last told of runs, for failures.
-    pub fn shown(&self) -> String {
-        self.answers.values().map(|answer| format!("\n  {} {}", answer["row"], answer["nodes"])).collect()
+    pub fn responses_text(&self) -> String {
+        self.responses.values().map(|answer| format!("\n  {} {}", answer["row"], answer["nodes"])).collect()
     }
 
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.queue.is_empty()
     }
 
@@ -229,58 +243,58 @@
         format!("graphs/{run}?{after}limit=1")
     }
 
-    fn watch(&mut self, path: &str) {
-        self.next.entry(path.into()).or_insert(0);
+    fn start_polling(&mut self, path: &str) {
+        self.next_poll.entry(path.into()).or_insert(0);
     }
 
     /// Pages that are due to be asked for.
-    pub fn looks(&mut self, now: u64) -> Vec<String> {
-        let due = self.next.iter_mut().filter(|(_, at)| **at <= now);
+    pub fn due_polls(&mut self, now: u64) -> Vec<String> {
+        let due = self.next_poll.iter_mut().filter(|(_, at)| **at <= now);
         due.map(|(path, at)| {
-            *at = now + ASK_EVERY_MS;
+            *at = now + POLL_INTERVAL_MS;
             path.clone()
         })
         .collect()
     }
 
     /// A page came. Err: it contradicts one before.
-    pub fn seen(&mut self, path: &str, answer: &Answer) -> Result<(), String> {
+    pub fn handle_poll_response(&mut self, path: &str, answer: &HttpResponse) -> Result<(), String> {
         let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
         if answer.status != 200 {
-            self.answers.remove(path);
+            self.responses.remove(path);
             return Ok(());
         }
         for node in body["nodes"].as_array().into_iter().flatten() {
             let (job, state) = (node["job"].as_str().unwrap_or(""), node["state"].as_str().unwrap_or(""));
-            let known = self.finals.get(job);
+            let known = self.final_states.get(job);
             if let Some(known) = known.filter(|known| *known != state) {
                 return Err(format!("went_back: node {job} was {known} and is {state}"));
             }
             if ["success", "failed", "upstream_failed", "skipped", "cancelled"].contains(&state) {
-                self.finals.insert(job.into(), state.into());
+                self.final_states.insert(job.into(), state.into());
             }
         }
-        self.answers.insert(path.into(), body);
+        self.responses.insert(path.into(), body);
         Ok(())
     }
 
-    pub fn node(&mut self, run: &str, node: &str) -> Option<&Value> {
+    pub fn node_view(&mut self, run: &str, node: &str) -> Option<&Value> {
         let path = self.path_of(run, node);
-        self.watch(&path);
-        self.answers.get(&path)?["nodes"].as_array()?.first()
+        self.start_polling(&path);
+        self.responses.get(&path)?["nodes"].as_array()?.first()
     }
 
-    pub fn row(&mut self, run: &str) -> Option<&Value> {
+    pub fn run_row(&mut self, run: &str) -> Option<&Value> {
         let path = format!("graphs/{run}?limit=1");
-        self.watch(&path);
-        Some(&self.answers.get(&path)?["row"])
+        self.start_polling(&path);
+        Some(&self.responses.get(&path)?["row"])
     }
 
     /// A task of a job got its image: did its node's rule hold, by the ends that are stored?
-    pub fn started_too_early(&self, job: &str, state: &Engine) -> Option<String> {
-        let of = |draft: &Draft| draft.nodes.iter().position(|node| job_name(node.job) == job);
+    pub fn find_early_start(&self, job: &str, state: &KvEngine) -> Option<String> {
+        let of = |draft: &GraphDraft| draft.nodes.iter().position(|node| job_name(node.job) == job);
         let (draft, at) = self.drafts.values().find_map(|draft| Some((draft, of(draft)?)))?;
-        let rule = draft.templates[draft.nodes[at].template as usize].rule.word();
+        let rule = draft.templates[draft.nodes[at].template as usize].trigger_rule.as_str();
         let end = |up: u32| {
             let value = state.get(&format!("olivelatch/end/{}", job_name(draft.nodes[up as usize].job)))?;
             Some(value["end"] == "done")
--- /dev/null
+++ b/tests/simulation/graph_actions.rs
@@ -0,0 +1,98 @@
+//! Verbs about graphs.
+
+use olivelatch_worker::TaskWork;
+use serde_json::json;
+
+use super::actions::{ActionResult, parse_status, usage_error};
+use super::{SimulatedCluster, named_argument, numeric_argument};
+
+impl SimulatedCluster {
+    /// Turns the graphs' interface on, with the operators': pool:NAME=SLOTS, other settings as they are.
+    pub fn set_graphs(&mut self, words: &[&str]) -> ActionResult {
+        let (pools, settings): (Vec<&str>, Vec<&str>) =
+            words.iter().partition(|word| word.starts_with("pool:"));
+        let line = |pair: &str| format!("  {}\n", pair.replace('=', " = "));
+        let pools: String = pools.iter().map(|pool| line(&pool[5..])).collect();
+        let settings: String = settings.iter().map(|pair| line(pair)).collect();
+        self.tunables.push_str("operators {\n  enabled = true\n}\n");
+        self.tunables
+            .push_str(&format!("graphs {{\n  enabled = true\n{settings}  pools = {{\n{pools}  }}\n}}\n"));
+        Ok(())
+    }
+
+    /// A node of a run that is being drafted: RUN NAME JOB [after=A,B*] [map=A] [rule= tries= wait= limit= pool=
+    /// output=], and the words of a job.
+    pub fn add_node(&mut self, words: &[&str]) -> ActionResult {
+        let [run, name, rest @ ..] = words else { return usage_error("RUN NAME JOB ...") };
+        let job: u64 = rest.first().and_then(|job| job.parse().ok()).ok_or("a job's number")?;
+        let (_, mut spec, _) = self.describe_job(rest);
+        spec["uid"] = json!("");
+        let template = json!({"spec": spec, "rule": named_argument(rest, "rule").unwrap_or("all_success"),
+            "tries": numeric_argument(rest, "tries", 1.0) as u32, "wait_s": numeric_argument(rest, "wait", 1.0),
+            "most_wait_s": numeric_argument(rest, "most_wait", 60.0), "limit_s": named_argument(rest, "limit").map(|l| l.parse::<f64>().expect("limit")),
+            "pool": named_argument(rest, "pool"), "output_gb": numeric_argument(rest, "output", 0.0)});
+        let template = serde_json::from_value(template).map_err(|error| error.to_string())?;
+        let after: Vec<&str> =
+            named_argument(rest, "after").map_or(Vec::new(), |after| after.split(',').collect());
+        self.dag_runs.draft(run).add(name, job, template, &after, named_argument(rest, "map"));
+        Ok(())
+    }
+
+    /// Many nodes alike: RUN PREFIX FIRST-JOB COUNT, and the words of a node.
+    pub fn add_fan_out(&mut self, words: &[&str]) -> ActionResult {
+        let [run, prefix, job, count, rest @ ..] = words else {
+            return usage_error("RUN PREFIX JOB COUNT ...");
+        };
+        let job: u64 = job.parse().map_err(|_| "a job's number")?;
+        for at in 0..count.parse::<u64>().map_err(|_| "a count")? {
+            let (name, job) = (format!("{prefix}{at}"), (job + at).to_string());
+            let words: Vec<&str> =
+                [*run, name.as_str(), job.as_str()].into_iter().chain(rest.iter().copied()).collect();
+            self.add_node(&words)?;
+        }
+        Ok(())
+    }
+
+    /// Uploads the first parts of a run and no more: RUN COUNT [bytes=].
+    pub fn upload_graph(&mut self, words: &[&str]) -> ActionResult {
+        let [run, count, rest @ ..] = words else { return usage_error("RUN COUNT [bytes=]") };
+        let most = count.parse().map_err(|_| "a count")?;
+        self.dag_runs.upload(self.now, run, numeric_argument(rest, "bytes", 3_900.0) as usize, most);
+        Ok(())
+    }
+
+    /// Uploads and commits: RUN GRAPH [most=] [bytes=] [expect=]; `alone`: without the upload.
+    pub fn commit_graph(&mut self, words: &[&str]) -> ActionResult {
+        let [run, graph, rest @ ..] = words else { return usage_error("RUN GRAPH ...") };
+        let bytes = numeric_argument(rest, "bytes", 3_900.0) as usize;
+        let most = if rest.contains(&"alone") { 0 } else { usize::MAX };
+        let parts = self.dag_runs.upload(self.now, run, bytes, most);
+        let expect = named_argument(rest, "expect").map(parse_status).transpose()?;
+        self.dag_runs.commit(self.now, run, graph, parts, numeric_argument(rest, "most", 1.0) as u64, expect);
+        Ok(())
+    }
+
+    pub fn cancel_run(&mut self, words: &[&str]) -> ActionResult {
+        let [run] = words else { return usage_error("RUN") };
+        self.dag_runs.cancel(self.now, run);
+        Ok(())
+    }
+
+    /// Does a node and all behind it over: RUN NODE FIRST-JOB; the new jobs fail no more.
+    pub fn rerun(&mut self, words: &[&str]) -> ActionResult {
+        let [run, node, job] = words else { return usage_error("RUN NODE JOB") };
+        let job = job.parse().map_err(|_| "a job's number")?;
+        for (old, new) in self.dag_runs.rerun(self.now, run, node, job) {
+            if let (Some(mut facts), Some(spec)) =
+                (self.jobs.get(&old).cloned(), self.submissions.get(&old).cloned())
+            {
+                if let TaskWork::Simulated { fails, .. } = &mut facts.work {
+                    *fails = false;
+                }
+                self.jobs.insert(new.clone(), facts);
+                self.submissions.insert(new, spec);
+            }
+        }
+        Ok(())
+    }
+}
--- a/tests/world/stored.rs
+++ b/tests/simulation/stored.rs
@@ -2,45 +2,45 @@
 
 use std::path::Path;
 
-use olivelatch_store::{Engine, File, Saved};
+use olivelatch_store::{AuxiliaryRecord, KvEngine, StoreFile};
 use serde_json::{Value, json};
 
-use super::World;
+use super::SimulatedCluster;
 
 /// What lies beside the service's own: the cloud as its stand-in keeps it, and the time.
 const CLOUD: &str = "cloud";
 const TIME: &str = "time";
 
-fn saved(name: &str, bytes: Vec<u8>) -> Saved {
-    Saved { name: name.into(), bytes: Some(bytes) }
+fn saved(name: &str, bytes: Vec<u8>) -> AuxiliaryRecord {
+    AuxiliaryRecord { name: name.into(), bytes: Some(bytes) }
 }
 
-fn bytes<'a>(beside: &'a [Saved], name: &str) -> &'a [u8] {
+fn bytes<'a>(beside: &'a [AuxiliaryRecord], name: &str) -> &'a [u8] {
     let found = beside.iter().find(|saved| saved.name == name);
     found.and_then(|saved| saved.bytes.as_deref()).expect(name)
 }
 
-impl World {
+impl SimulatedCluster {
     /// From now on the state service notes what a file has to keep.
     pub fn durable(&mut self) {
-        self.state = Engine::restored(&[], self.now);
+        self.kv_store = KvEngine::restore(&[], self.now);
     }
 
     /// Everything is written as the state service and the region write it.
     pub fn write_file(&mut self, path: &Path) {
-        let (file, _, _) = File::open(path).expect("a new state file");
+        let (file, _, _) = StoreFile::open(path).expect("a new state file");
         let beside = [
             saved(CLOUD, serde_json::to_vec(&self.cloud).expect("JSON")),
             saved(TIME, self.now.to_string().into_bytes()),
         ];
-        file.commit(&self.state.take_deltas(), &beside).expect("a commit");
+        file.commit(&self.kv_store.take_deltas(), &beside).expect("a commit");
     }
 
     /// Before any controller is there: records, machines and time as a file has them.
     pub fn read_file(&mut self, path: &Path) {
-        let (_, deltas, beside) = File::open(path).expect("the state file");
+        let (_, deltas, beside) = StoreFile::open(path).expect("the state file");
         self.now = serde_json::from_slice(bytes(&beside, TIME)).expect("a time");
-        self.state = Engine::restored(&deltas, self.now);
+        self.kv_store = KvEngine::restore(&deltas, self.now);
         self.cloud = serde_json::from_slice(bytes(&beside, CLOUD)).expect("the cloud");
     }
 
@@ -51,8 +51,8 @@
             let worker = self.workers.iter_mut().find(|worker| worker.machine.name == *machine);
             let worker = worker.expect("a machine");
             let orders = json!([{"verb": "run", "piece": task, "try": attempt}]);
-            let body = json!({"baton": 1, "shift": worker.session, "orders": orders}).to_string();
-            let (status, _) = worker.direct(body.as_bytes(), self.now, &self.jobs);
+            let body = json!({"baton": 1, "shift": worker.epoch, "orders": orders}).to_string();
+            let (status, _) = worker.handle_direct_command(body.as_bytes(), self.now, &self.jobs);
             assert_eq!(status, 200, "{machine} {task}");
         }
     }
@@ -60,7 +60,7 @@
     /// Attempts that are on machines and have not ended: machine, task, attempt.
     pub fn attempts(&self) -> Vec<(String, String, u64)> {
         let of = |worker: &olivelatch_worker::Worker| {
-            let live = worker.attempts.iter().filter(|attempt| !attempt.ended());
+            let live = worker.attempts.iter().filter(|attempt| !attempt.is_ended());
             let name = worker.machine.name.clone();
             live.map(|live| (name.clone(), live.task.clone(), live.attempt)).collect::<Vec<_>>()
         };
@@ -74,7 +74,7 @@
 
     /// All records by key.
     pub fn all_records(&self) -> Vec<(String, Value)> {
-        let value = |key: &str| self.state.get(key).cloned().unwrap_or_default();
-        self.state.keys().map(|key| (key.to_string(), value(key))).collect()
+        let value = |key: &str| self.kv_store.get(key).cloned().unwrap_or_default();
+        self.kv_store.keys().map(|key| (key.to_string(), value(key))).collect()
     }
 }
--- a/tests/world/trace.rs
+++ b/tests/simulation/trace.rs
@@ -5,9 +5,9 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-use olivelatch::coordination::{Input, Output};
-use olivelatch::protocol::mesh::{self, MeshMessage};
-use olivelatch::protocol::{Call, Outcome};
+use olivelatch::coordination::{Action, Event};
+use olivelatch::protocol::peer::{self, PeerMessage};
+use olivelatch::protocol::{HttpOutcome, HttpRequest};
 
 /// Names the folder of the traces; without it none are written.
 const FOLDER: &str = "TRACE_DIR";
@@ -26,64 +26,66 @@
     }
 
     /// What a controller is given.
-    pub fn event(&mut self, now: u64, node: &str, event: &Input) {
+    pub fn event(&mut self, now: u64, node: &str, event: &Event) {
         let Some(file) = &mut self.0 else { return };
         let text = match event {
-            Input::Tick => return,
-            Input::State { ask, outcome }
-            | Input::Cloud { ask, outcome }
-            | Input::Orders { ask, outcome } => {
-                format!("{} {} {}", event.kind(), ask.0, outcome_text(outcome))
+            Event::Tick => return,
+            Event::Kv { outbound: ask, outcome }
+            | Event::Cloud { outbound: ask, outcome }
+            | Event::WorkerCommands { outbound: ask, outcome } => {
+                format!("{} {} {}", event.name(), ask.0, outcome_text(outcome))
             }
-            Input::Mesh { node, message } => format!("mesh {node} {}", mesh_text(message)),
-            Input::User { call, .. }
-            | Input::Report { call, .. }
-            | Input::Operator { call, .. }
-            | Input::Graph { call, .. }
-            | Input::Config { call, .. } => format!("{} {}", event.kind(), call.0),
+            Event::Peer { controller: node, message } => format!("mesh {node} {}", mesh_text(message)),
+            Event::User { inbound: call, .. }
+            | Event::Heartbeat { inbound: call, .. }
+            | Event::Operator { inbound: call, .. }
+            | Event::Graph { inbound: call, .. }
+            | Event::Config { inbound: call, .. } => format!("{} {}", event.name(), call.0),
         };
         writeln!(file, "{now} {node} < {text}").expect("a trace");
     }
 
     /// What a controller does.
-    pub fn action(&mut self, now: u64, node: &str, action: &Output) {
+    pub fn action(&mut self, now: u64, node: &str, action: &Action) {
         let Some(file) = &mut self.0 else { return };
         let text = match action {
-            Output::Answer { call, answer } => {
+            Action::Respond { inbound: call, response: answer } => {
                 let body = String::from_utf8_lossy(&answer.body);
                 format!(
                     "answer {} {} {:?} {} {body}",
-                    call.0, answer.status, answer.retry_after_s, answer.text
+                    call.0, answer.status, answer.retry_after_s, answer.is_text
                 )
             }
-            Output::State { ask, request, timeout_ms } => {
-                format!("state {} {timeout_ms} {}", ask.0, call_text(&request.to_call()))
+            Action::CallKv { outbound: ask, request, timeout_ms } => {
+                format!("state {} {timeout_ms} {}", ask.0, call_text(&request.to_http_request()))
             }
-            Output::Cloud { ask, request, timeout_ms } => {
-                format!("cloud {} {timeout_ms} {}", ask.0, call_text(&request.to_call()))
+            Action::CallCloud { outbound: ask, request, timeout_ms } => {
+                format!("cloud {} {timeout_ms} {}", ask.0, call_text(&request.to_http_request()))
             }
-            Output::Orders { ask, endpoint, call, timeout_ms } => {
+            Action::SendWorkerCommands { outbound: ask, endpoint, request: call, timeout_ms } => {
                 format!("orders {} {endpoint} {timeout_ms} {}", ask.0, call_text(call))
             }
-            Output::Mesh { node, message } => format!("mesh {node} {}", mesh_text(message)),
+            Action::SendPeerMessage { controller: node, message } => {
+                format!("mesh {node} {}", mesh_text(message))
+            }
         };
         writeln!(file, "{now} {node} > {text}").expect("a trace");
     }
 }
 
-fn call_text(call: &Call) -> String {
+fn call_text(call: &HttpRequest) -> String {
     format!("{} {} {}", call.method, call.path, String::from_utf8_lossy(&call.body))
 }
 
-fn outcome_text(outcome: &Outcome) -> String {
+fn outcome_text(outcome: &HttpOutcome) -> String {
     match outcome {
-        Outcome::Response { status, body } => format!("{status} {}", String::from_utf8_lossy(body)),
-        Outcome::NotSent => "not sent".into(),
-        Outcome::Unknown => "unknown".into(),
-        Outcome::TooLong => "too long".into(),
+        HttpOutcome::Response { status, body } => format!("{status} {}", String::from_utf8_lossy(body)),
+        HttpOutcome::NotSent => "not sent".into(),
+        HttpOutcome::Unknown => "unknown".into(),
+        HttpOutcome::TooLarge => "too long".into(),
     }
 }
 
-fn mesh_text(message: &MeshMessage) -> String {
-    mesh::encode(message).iter().map(|byte| format!("{byte:02x}")).collect()
+fn mesh_text(message: &PeerMessage) -> String {
+    peer::encode(message).iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- /dev/null
+++ b/tests/simulation/waiting.rs
@@ -0,0 +1,131 @@
+//! Nobody waits for no reason: once the troubles are over, no job has a task waiting for 90 s while a machine that fits has
+//! room for it and its team is under its limit.
+
+use std::collections::BTreeMap;
+
+use olivelatch_worker::Worker;
+use serde_json::{Value, json};
+
+use super::actions::{ActionResult, usage_error};
+use super::{ControllerSlot, SimulatedCluster};
+
+const MAX_WAIT_MS: u64 = 90_000;
+const CHECK_INTERVAL_MS: u64 = 1_000;
+
+#[derive(Default)]
+pub struct WaitingCheck {
+    /// Since when there are no troubles.
+    enabled: bool,
+    /// Since when each job waits although it need not.
+    waiting_since: BTreeMap<String, u64>,
+}
+
+/// What a machine has, in thousandths: CPUs and memory.
+type FreeCapacity = [i64; 2];
+
+fn to_thousandths(value: f64) -> i64 {
+    (value * 1000.0).round() as i64
+}
+
+impl SimulatedCluster {
+    pub fn expect_prompt_starts(&mut self, words: &[&str]) -> ActionResult {
+        if !words.is_empty() {
+            return usage_error("nothing after calm");
+        }
+        self.waiting_check.enabled = true;
+        Ok(())
+    }
+
+    pub fn check_waiting(&mut self) {
+        if !self.waiting_check.enabled || self.now % CHECK_INTERVAL_MS != 0 {
+            return;
+        }
+        let Some(leader) =
+            self.controllers.iter().find_map(|slot: &ControllerSlot| slot.controller.as_ref()?.leader())
+        else {
+            self.waiting_check.waiting_since.clear();
+            return;
+        };
+        let mut could_start = Vec::new();
+        for work in leader.jobs.values().filter(|work| work.waiting_tasks() > 0 && !work.finishing) {
+            let id = work.spec.id.to_string();
+            // What fails wherever it is tried waits for longer and longer.
+            let fails = work.probation.is_some() || work.retried_exclusions > 0;
+            let Some(spec) = self.submissions.get(&id).filter(|_| !fails) else { continue };
+            let gang = spec["shape"] == json!("gang");
+            let tasks = if gang { work.spec.tasks as usize } else { 1 };
+            if self.could_start(spec, tasks) {
+                could_start.push(id);
+            }
+        }
+        let now = self.now;
+        let before = std::mem::take(&mut self.waiting_check.waiting_since);
+        for id in could_start {
+            // A job that has started something since does not stand still.
+            let started = self.last_start.get(&id).copied().unwrap_or(0);
+            let since = before.get(&id).copied().filter(|since| *since > started).unwrap_or(now);
+            if now - since > MAX_WAIT_MS {
+                self.violations.push(format!("waits: {id} since {since} ms with room for it"));
+            }
+            self.waiting_check.waiting_since.insert(id, since);
+        }
+    }
+
+    fn could_start(&self, spec: &Value, tasks: usize) -> bool {
+        let need: FreeCapacity =
+            ["vcpus", "memory_gb"].map(|name| to_thousandths(spec[name].as_f64().unwrap_or(0.0)));
+        if !self.is_under_limit(spec, need[0] * tasks as i64) {
+            return false;
+        }
+        let mut fit: BTreeMap<&str, i64> = BTreeMap::new();
+        for worker in self.workers.iter().filter(|worker| self.accepts_job(worker, spec)) {
+            let free = self.free_capacity(worker);
+            let most = (0..2).filter(|at| need[*at] > 0).map(|at| free[at] / need[at]).min().unwrap_or(0);
+            *fit.entry(worker.machine.zone.as_str()).or_default() += most.max(0);
+        }
+        let room = if spec["together"] == json!(true) {
+            fit.values().copied().max().unwrap_or(0)
+        } else {
+            fit.values().sum()
+        };
+        // How the halves of a scattered job fall is not looked at.
+        spec["scatter"] != json!(true) && room >= tasks as i64
+    }
+
+    fn accepts_job(&self, worker: &Worker, spec: &Value) -> bool {
+        let machine = &worker.machine;
+        let kinds = spec["boxkinds"].as_array();
+        self.cloud.machines.iter().any(|there| there.name == machine.name)
+            && !worker.fails_tasks
+            && kinds.is_none_or(|kinds| kinds.contains(&json!(machine.machine_type)))
+            && spec["hall"].as_str().is_none_or(|zone| zone == machine.zone)
+            && (!machine.spot || spec["loaners"] == json!(true))
+    }
+
+    fn free_capacity(&self, worker: &Worker) -> FreeCapacity {
+        let kind = self.cloud.machine_types.iter().find(|kind| kind.name == worker.machine.machine_type);
+        let mut free =
+            kind.map_or([0, 0], |kind| [to_thousandths(kind.cpus), to_thousandths(kind.memory_gb)]);
+        for job in
+            worker.attempts.iter().filter(|p| !p.is_ended()).filter_map(|p| self.jobs.get(p.job_name()))
+        {
+            free[0] -= to_thousandths(job.cpus);
+            free[1] -= to_thousandths(job.memory_gb);
+        }
+        free
+    }
+
+    fn is_under_limit(&self, spec: &Value, more: i64) -> bool {
+        let teams = self.config["cluster"]["teams"].as_array();
+        let team = teams.and_then(|teams| teams.iter().find(|team| team["name"] == spec["owner"]));
+        let limit = team.and_then(|team| team["cpus_max"].as_f64()).unwrap_or(0.0);
+        let of_team =
+            |id: &str| self.submissions.get(id).is_some_and(|other| other["owner"] == spec["owner"]);
+        let pieces = self.workers.iter().flat_map(|worker| &worker.attempts);
+        let used: i64 = pieces
+            .filter(|piece| !piece.is_ended() && of_team(piece.job_name()))
+            .filter_map(|piece| self.jobs.get(piece.job_name()).map(|job| to_thousandths(job.cpus)))
+            .sum();
+        limit == 0.0 || used + more <= to_thousandths(limit)
+    }
+}
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,10 +1,10 @@
 //! What a submission may lack or say wrongly, field by field: it is refused (400, or 422 for what can never run), and a
 //! controller that may not yet know whether it could run says so (503).
 
-use olivelatch::bookkeeping::mirror::Mirror;
-use olivelatch::coordination::users::judge;
-use olivelatch::protocol::cloud::CatalogEntry;
-use olivelatch::protocol::users::{UserRequest, read_submission};
+use olivelatch::bookkeeping::store_cache::StoreCache;
+use olivelatch::coordination::user_requests::check_feasibility;
+use olivelatch::protocol::cloud::MachineTypeRecord;
+use olivelatch::protocol::users::{UserRequest, parse_submission};
 use olivelatch::settings::Settings;
 use serde_json::{Value, json};
 
@@ -30,29 +30,29 @@
     Settings::parse("test", &config.to_string()).expect("settings")
 }
 
-fn catalog() -> Mirror {
-    let mut mirror = Mirror::default();
-    let kind: CatalogEntry = serde_json::from_value(json!({"name": "g8", "vcpus": 96, "accelerators": 8,
+fn catalog_cache() -> StoreCache {
+    let mut mirror = StoreCache::default();
+    let kind: MachineTypeRecord = serde_json::from_value(json!({"name": "g8", "vcpus": 96, "accelerators": 8,
         "memory_gb": 768, "local_gb": 200, "pull_gb_per_s": 1.0, "price": 12.0, "low_price": 4.5, "ready_s": 45,
         "halls": ["a", "b"]}))
     .expect("a machine type");
-    mirror.kinds.insert(kind.name.clone(), kind);
+    mirror.machine_types.insert(kind.name.clone(), kind);
     mirror
 }
 
 /// The status with which a controller that knows the machine types refuses it; None: it may be accepted.
-fn refused(job: &Value, mirror: &Mirror) -> Option<u16> {
-    match read_submission(job.to_string().as_bytes()) {
+fn refusal_status(job: &Value, mirror: &StoreCache) -> Option<u16> {
+    match parse_submission(job.to_string().as_bytes()) {
         Err(answer) => Some(answer.status),
-        Ok(UserRequest::Submit { spec: Err(_), .. }) => Some(400),
-        Ok(UserRequest::Submit { spec: Ok(spec), .. }) => {
-            judge(&spec, mirror, &settings()).err().map(|answer| answer.status)
+        Ok(UserRequest::Submit { manifest: Err(_), .. }) => Some(400),
+        Ok(UserRequest::Submit { manifest: Ok(spec), .. }) => {
+            check_feasibility(&spec, mirror, &settings()).err().map(|answer| answer.status)
         }
         Ok(other) => panic!("read as {other:?}"),
     }
 }
 
-fn with(name: &str, value: Value) -> Value {
+fn job_with(name: &str, value: Value) -> Value {
     let mut job = job();
     job[name] = value;
     job
@@ -60,8 +60,8 @@
 
 #[test]
 fn each_field_is_there_and_of_its_kind() {
-    let mirror = catalog();
-    assert_eq!(refused(&job(), &mirror), None);
+    let mirror = catalog_cache();
+    assert_eq!(refusal_status(&job(), &mirror), None);
     let fields: Vec<String> = job().as_object().expect("an object").keys().cloned().collect();
     assert_eq!(fields.len(), 20);
     for name in &fields {
@@ -69,51 +69,51 @@
         let mut lacks = job();
         lacks.as_object_mut().expect("an object").remove(name);
         let expected = if optional { None } else { Some(400) };
-        assert_eq!(refused(&lacks, &mirror), expected, "without {name}");
-        assert_eq!(refused(&with(name, Value::Null), &mirror), expected, "{name}: null");
+        assert_eq!(refusal_status(&lacks, &mirror), expected, "without {name}");
+        assert_eq!(refusal_status(&job_with(name, Value::Null), &mirror), expected, "{name}: null");
         // What is no value of the field, whatever its kind.
         for wrong in [json!({}), json!([[1]]), json!([null])] {
-            assert_eq!(refused(&with(name, wrong.clone()), &mirror), Some(400), "{name}: {wrong}");
+            assert_eq!(refusal_status(&job_with(name, wrong.clone()), &mirror), Some(400), "{name}: {wrong}");
         }
         let kind = &job()[name];
         let other = if kind.is_string() || kind.is_null() { json!(7) } else { json!("seven") };
-        assert_eq!(refused(&with(name, other.clone()), &mirror), Some(400), "{name}: {other}");
+        assert_eq!(refusal_status(&job_with(name, other.clone()), &mirror), Some(400), "{name}: {other}");
     }
 }
 
 #[test]
 fn numbers_and_names_are_in_range() {
-    let mirror = catalog();
+    let mirror = catalog_cache();
     for name in ["vcpus", "accelerators", "memory_gb", "size_gb", "guess_s", "snapshot_s", "flush_s", "due_s"]
     {
         for value in [json!(-0.5), json!(1e12)] {
-            assert_eq!(refused(&with(name, value.clone()), &mirror), Some(400), "{name}: {value}");
+            assert_eq!(refusal_status(&job_with(name, value.clone()), &mirror), Some(400), "{name}: {value}");
         }
     }
     for value in [json!(0), json!(-1), json!(100_001), json!(1.5), json!(1e20)] {
-        assert_eq!(refused(&with("pieces", value.clone()), &mirror), Some(400), "pieces: {value}");
+        assert_eq!(refusal_status(&job_with("pieces", value.clone()), &mirror), Some(400), "pieces: {value}");
     }
     for name in ["jobclass", "owner", "bundle"] {
-        assert_eq!(refused(&with(name, json!("")), &mirror), Some(400), "{name}: empty");
+        assert_eq!(refusal_status(&job_with(name, json!("")), &mirror), Some(400), "{name}: empty");
     }
     for value in ["", "job-", "job-x", "task-000001", "job-000412/3"] {
-        assert_eq!(refused(&with("uid", json!(value)), &mirror), Some(400), "uid: {value}");
+        assert_eq!(refusal_status(&job_with("uid", json!(value)), &mirror), Some(400), "uid: {value}");
     }
     for (name, value) in [("shape", "ring"), ("urgency", "soon")] {
-        assert_eq!(refused(&with(name, json!(value)), &mirror), Some(400), "{name}: {value}");
+        assert_eq!(refusal_status(&job_with(name, json!(value)), &mirror), Some(400), "{name}: {value}");
     }
-    let mut nothing = with("vcpus", json!(0.0));
+    let mut nothing = job_with("vcpus", json!(0.0));
     nothing["memory_gb"] = json!(0.0);
     nothing["accelerators"] = json!(0.0);
-    assert_eq!(refused(&nothing, &mirror), Some(400));
+    assert_eq!(refusal_status(&nothing, &mirror), Some(400));
     for body in ["", "[]", "7", "{\"uid\":", "null"] {
-        assert_eq!(read_submission(body.as_bytes()).err().map(|answer| answer.status), Some(400), "{body}");
+        assert_eq!(parse_submission(body.as_bytes()).err().map(|answer| answer.status), Some(400), "{body}");
     }
 }
 
 #[test]
 fn what_can_never_run_is_refused() {
-    let mirror = catalog();
+    let mirror = catalog_cache();
     let never = [
         ("owner", json!("nobody")),
         ("boxkinds", json!(["none"])),
@@ -128,15 +128,15 @@
         ("pieces", json!(5)),
     ];
     for (name, value) in never {
-        assert_eq!(refused(&with(name, value.clone()), &mirror), Some(422), "{name}: {value}");
+        assert_eq!(refusal_status(&job_with(name, value.clone()), &mirror), Some(422), "{name}: {value}");
     }
     // One task of an array at a time is within it.
-    let mut array = with("shape", json!("array"));
+    let mut array = job_with("shape", json!("array"));
     array["pieces"] = json!(1_000);
-    assert_eq!(refused(&array, &mirror), None);
+    assert_eq!(refusal_status(&array, &mirror), None);
     array["vcpus"] = json!(33.0);
-    assert_eq!(refused(&array, &mirror), Some(422));
+    assert_eq!(refusal_status(&array, &mirror), Some(422));
     // Without machine types a controller cannot decide; an unknown team it knows.
-    assert_eq!(refused(&job(), &Mirror::default()), Some(503));
-    assert_eq!(refused(&with("owner", json!("nobody")), &Mirror::default()), Some(422));
+    assert_eq!(refusal_status(&job(), &StoreCache::default()), Some(503));
+    assert_eq!(refusal_status(&job_with("owner", json!("nobody")), &StoreCache::default()), Some(422));
 }
