--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! What `latch` can be told: one definition of each flag, for help and completions alike.
+//! What `olivelatchctl` can be told: one definition of each flag, for help and completions alike.
 
 use std::ffi::OsString;
 use std::io;
@@ -9,15 +9,15 @@
 
 const AFTER_HELP: &str = "\
 Examples:
-  latch demo                                 a region, a mixed batch, a controller killed in the middle
-  latch up                                   a region on this machine, until Ctrl-C
-  latch submit --tasks 10 -- sh -c 'echo $OLIVELATCH_TASK'
-  latch submit jobs.hcl --wait
-  latch explain job-000412                   why it is where it is
-  latch list --state live --json
-  latch graph submit examples/billing.hcl --wait
-  latch config set team/default --limit-cpus 8 --wait
-  latch scale run examples/scale/small.hcl --out /tmp/small
+  olivelatchctl demo                                 a region, a mixed batch, a controller killed in the middle
+  olivelatchctl up                                   a region on this machine, until Ctrl-C
+  olivelatchctl submit --tasks 10 -- sh -c 'echo $OLIVELATCH_TASK'
+  olivelatchctl submit jobs.hcl --wait
+  olivelatchctl explain job-000412                   why it is where it is
+  olivelatchctl list --state live --json
+  olivelatchctl graph submit examples/billing.hcl --wait
+  olivelatchctl config set team/default --limit-cpus 8 --wait
+  olivelatchctl scale run examples/scale/small.hcl --out /tmp/small
 
 Exit codes:
   0  fine                                    4  refused: the request is wrong, or can never run
@@ -26,7 +26,7 @@
   3  no controller answered in time";
 
 #[derive(Debug, Parser)]
-#[command(name = "latch", version, about = "Submit, inspect and explain jobs; run a region on one machine", after_help = AFTER_HELP)]
+#[command(name = "olivelatchctl", version, about = "Submit, inspect and explain jobs; run a region on one machine", after_help = AFTER_HELP)]
 pub struct Cli {
     #[command(flatten)]
     pub common: Common,
@@ -361,7 +361,7 @@
     /// Tunables of the controllers (HCL); the operators' interface is on without one
     #[arg(long, value_name = "FILE")]
     pub tunables: Option<PathBuf>,
-    /// The controllers' program instead of latch itself
+    /// The controllers' program instead of olivelatchctl itself
     #[arg(long, value_name = "PROGRAM")]
     pub controller: Option<PathBuf>,
     /// error, info or debug, for the controllers' logs
@@ -387,7 +387,7 @@
 }
 
 pub fn completions(shell: Shell) {
-    clap_complete::generate(shell, &mut Cli::command(), "latch", &mut io::stdout());
+    clap_complete::generate(shell, &mut Cli::command(), "olivelatchctl", &mut io::stdout());
 }
 
 #[cfg(test)]
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -88,7 +88,7 @@
             common.deadline
         )));
     }
-    let none = "no contexts file: start a region with `latch up`, or name one with --contexts";
+    let none = "no contexts file: start a region with `olivelatchctl up`, or name one with --contexts";
     let path = contexts_path(common).ok_or_else(|| CommandError::Usage(none.into()))?;
     let contexts = Contexts::load(&path)?;
     let context = contexts.select(&path.display().to_string(), context.or(common.context.as_deref()))?;
@@ -185,7 +185,7 @@
     for job in &jobs {
         let status = submit_job(client, job).inspect_err(|error| {
             // What came before it stands; the user must know which.
-            eprintln!("latch: {} ({}) was not accepted: {error}", job.name, job.id);
+            eprintln!("olivelatchctl: {} ({}) was not accepted: {error}", job.name, job.id);
         })?;
         progress.inc(1);
         progress.suspend(|| {
@@ -231,7 +231,7 @@
     match (partial, after) {
         (Some(error), _) => Err(CommandError::Other(format!("the list is partial: {error}"))),
         (None, Some(after)) if !common.json => {
-            eprintln!("latch: more jobs follow: --after {after}");
+            eprintln!("olivelatchctl: more jobs follow: --after {after}");
             Ok(())
         }
         _ => Ok(()),
@@ -271,7 +271,7 @@
         if !open.is_empty() && end.is_some_and(|end| Instant::now() >= end) {
             progress.finish_and_clear();
             eprintln!(
-                "latch: not over in time: {}",
+                "olivelatchctl: not over in time: {}",
                 open.iter().map(|id| id.as_str()).collect::<Vec<_>>().join(", ")
             );
             return Ok(ExitCode::from(WAIT_TIMEOUT));
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `latch config`: what operators change while the service runs.
+//! `olivelatchctl config`: what operators change while the service runs.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `latch demo`: a region, a mixed batch, the leading controller killed in the middle, a table at the end.
+//! `olivelatchctl demo`: a region, a mixed batch, the leading controller killed in the middle, a table at the end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -8,7 +8,7 @@
 use anstream::println;
 use olivelatch::protocol::operators::ControllerStatus;
 use olivelatch_client::{Client, JobEntry, PreparedJob};
-use olivelatch_region::LocalCluster;
+use olivelatch_local_cluster::LocalCluster;
 use serde_json::Value;
 
 use crate::args::{Demo, Up};
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,11 +1,11 @@
-//! Exit codes, documented in `latch --help`.
+//! Exit codes, documented in `olivelatchctl --help`.
 
 use std::process::ExitCode;
 
 use olivelatch_client::{ClientError, ConfigFileError, ContextsError, JobFileError};
-use olivelatch_flow::DagFileError;
-use olivelatch_region::LocalClusterError;
-use olivelatch_scale::ScaleError;
+use olivelatch_dag_files::DagFileError;
+use olivelatch_local_cluster::LocalClusterError;
+use olivelatch_scale_test::ScaleError;
 
 /// Something was not found, or the region could not go on.
 const OTHER_FAILURE: u8 = 1;
--- a/crates/cli/src/graphs.rs
+++ b/crates/cli/src/graphs.rs
@@ -8,7 +8,7 @@
 use anstream::println;
 use olivelatch::protocol::graphs::{DagNodeState, DagRunDetail, DagRunState, DagRunSummary};
 use olivelatch_client::{Client, ClientError};
-use olivelatch_flow::{DagFile, PreparedRun, Rerun, RunView};
+use olivelatch_dag_files::{DagFile, PreparedRun, Rerun, RunView};
 use serde_json::json;
 
 use crate::args::{Common, Graph};
@@ -212,7 +212,7 @@
             Err(error) => return Err(error.into()),
         }
         if end.is_some_and(|end| Instant::now() >= end) {
-            eprintln!("latch: not over in time: {run}");
+            eprintln!("olivelatchctl: not over in time: {run}");
             return Ok(ExitCode::from(WAIT_TIMEOUT));
         }
         std::thread::sleep(POLL_INTERVAL);
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
-//! `latch`: the command line of olivelatch.
+//! `olivelatchctl`: the command line of olivelatch.
 //!
-//! A thin assembly: `olivelatch-client` asks, `olivelatch-region` runs a region on one machine, `olivelatch` is the controller
+//! A thin assembly: `olivelatch-client` asks, `olivelatch-local-cluster` runs a region on one machine, `olivelatch` is the controller
 //! that it starts. What is here is arguments, tables and words.
 
 mod args;
@@ -38,7 +38,7 @@
         command => commands::run(&cli.common, command),
     };
     result.unwrap_or_else(|failure: CommandError| {
-        eprintln!("latch: {failure}");
+        eprintln!("olivelatchctl: {failure}");
         failure.exit_code()
     })
 }
--- a/crates/cli/src/render.rs
+++ b/crates/cli/src/render.rs
@@ -250,7 +250,7 @@
             (
                 "retry_wait",
                 format!("{} failed or refused, tried again from {next_s:.1} s on{on}", tasks(*count)),
-                "the wait; if it fails on every machine, the job itself (latch logs)",
+                "the wait; if it fails on every machine, the job itself (olivelatchctl logs)",
             )
         }
         StateReason::WaitingForUpstream {
@@ -265,7 +265,7 @@
                 plural(u64::from(*open), "node is", "nodes are"),
                 none_or(first.join(", "))
             ),
-            "their ends (latch graph show)",
+            "their ends (olivelatchctl graph show)",
         ),
         StateReason::ActiveRunLimit { run, max_active_runs: most_runs, earlier_runs: before } => (
             "run_waits",
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,8 +1,8 @@
-//! `latch scale`: a control plane of the planned size on this machine.
+//! `olivelatchctl scale`: a control plane of the planned size on this machine.
 
 use std::process::ExitCode;
 
-use olivelatch_scale::{Plan, RunArguments, ScaleError, run as play, serve_kv_store, serve_zone};
+use olivelatch_scale_test::{Plan, RunArguments, ScaleError, run as play, serve_kv_store, serve_zone};
 use serde::de::DeserializeOwned;
 
 use crate::args::Scale;
@@ -18,7 +18,7 @@
     match command {
         Scale::Run { plan, out, log_level } => {
             let program = std::env::current_exe()
-                .map_err(|error| CommandError::Other(format!("finding latch itself: {error}")))?;
+                .map_err(|error| CommandError::Other(format!("finding olivelatchctl itself: {error}")))?;
             return Ok(play(&RunArguments { plan, out, program, log_level })?);
         }
         Scale::Check { plan } => {
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -1,10 +1,12 @@
-//! `latch up`: a region on this machine.
+//! `olivelatchctl up`: a region on this machine.
 
 use std::path::{Path, PathBuf};
 
 use olivelatch::tunables::Tunables;
 use olivelatch_client::{Context, Contexts};
-use olivelatch_region::{ClusterAddresses, ClusterConfig, ControllerPlan, LocalCluster, MachineTypeSpec};
+use olivelatch_local_cluster::{
+    ClusterAddresses, ClusterConfig, ControllerPlan, LocalCluster, MachineTypeSpec,
+};
 
 use crate::args::Up;
 use crate::exit::CommandError;
@@ -40,7 +42,7 @@
     Ok((name.into(), number(guaranteed)?, number(most)?))
 }
 
-/// The controllers' program: latch itself, unless another is named.
+/// The controllers' program: olivelatchctl itself, unless another is named.
 fn controller_plan(args: &Up) -> Result<ControllerPlan, CommandError> {
     let tunables = match &args.tunables {
         Some(path) => std::fs::read_to_string(path)
@@ -50,7 +52,8 @@
     let named = args.tunables.as_ref().map_or("tunables".into(), |path| path.display().to_string());
     Tunables::parse(&named, &tunables).map_err(|error| usage_error(error.to_string()))?;
     let itself = || {
-        std::env::current_exe().map_err(|error| CommandError::Other(format!("finding latch itself: {error}")))
+        std::env::current_exe()
+            .map_err(|error| CommandError::Other(format!("finding olivelatchctl itself: {error}")))
     };
     let (program, arguments) = match &args.controller {
         Some(program) => (program.clone(), vec!["serve".into()]),
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 use serde_json::Value;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_latch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_olivelatchctl");
 
 pub struct TestCluster {
     pub folder: PathBuf,
--- a/crates/cli/tests/config.rs
+++ b/crates/cli/tests/config.rs
@@ -1,4 +1,4 @@
-//! `latch config` against a real region on loopback, as an operator uses it.
+//! `olivelatchctl config` against a real region on loopback, as an operator uses it.
 
 mod common;
 
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -37,7 +37,7 @@
     let contexts = folder.join("contexts.hcl");
     std::fs::write(&contexts, format!("context \"one\" {{\n  controllers = [\"{addr}\"]\n}}\n"))
         .expect("contexts");
-    let run = Command::new(env!("CARGO_BIN_EXE_latch"))
+    let run = Command::new(env!("CARGO_BIN_EXE_olivelatchctl"))
         .arg(CONTEXTS)
         .arg(&contexts)
         .args(["--deadline", "1"])
--- a/crates/cli/tests/measure.rs
+++ b/crates/cli/tests/measure.rs
@@ -1,5 +1,5 @@
 //! Measurements on loopback, for docs/measurements.md; not part of CI:
-//!     cargo test --release -p latch --test measure -- --ignored --nocapture --test-threads 1
+//!     cargo test --release -p olivelatchctl --test measure -- --ignored --nocapture --test-threads 1
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_latch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_olivelatchctl");
 
 struct MeasuredCluster {
     folder: tempfile::TempDir,
@@ -181,7 +181,10 @@
         let started: u128 = log.lines().last().expect("a line").trim().parse().expect("a time");
         waits.push(started.saturating_sub(before) as f64);
     }
-    println!("from the start of `latch submit` to the command's own clock: {}", quantiles_text(waits));
+    println!(
+        "from the start of `olivelatchctl submit` to the command's own clock: {}",
+        quantiles_text(waits)
+    );
 }
 
 fn read_run_log(folder: &Path) -> (usize, f64) {
@@ -216,7 +219,7 @@
     ]);
     let (starts, seconds) = read_run_log(region.folder.path());
     println!(
-        "latch up, 4 machines of 4 CPUs, tasks of 0.1 CPU: {starts} starts in {seconds:.2} s, {:.0} a second",
+        "olivelatchctl up, 4 machines of 4 CPUs, tasks of 0.1 CPU: {starts} starts in {seconds:.2} s, {:.0} a second",
         starts as f64 / seconds
     );
     let start = Instant::now();
--- a/crates/cli/tests/scale_run.rs
+++ b/crates/cli/tests/scale_run.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_latch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_olivelatchctl");
 
 fn small_plan() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale/small.hcl")
--- a/crates/cli/tests/terminal_records.rs
+++ b/crates/cli/tests/terminal_records.rs
@@ -1,5 +1,5 @@
 //! Ends are kept for ever: what they cost a controller and the state service in memory, and in time until it serves.
-//! A measurement: `cargo test --release -p latch --test ends -- --ignored --nocapture`.
+//! A measurement: `cargo test --release -p olivelatchctl --test terminal_records -- --ignored --nocapture`.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use olivelatch::bookkeeping::jobs::TerminalState;
 use olivelatch::bookkeeping::records::{RecordKey, TerminalDetail, TerminalRecord};
 use olivelatch::ids::JobId;
-use olivelatch_store::{Delta, StoreFile};
+use olivelatch_kv_store::{Delta, StoreFile};
 use serde_json::Value;
 
 const RECORD_COUNTS: [u64; 4] = [0, 50_000, 200_000, 400_000];
--- a/crates/client/src/tests/jobs.rs
+++ b/crates/client/src/tests/jobs.rs
@@ -16,7 +16,7 @@
 #[test]
 fn the_examples_are_good() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
-    // Graph files are another form: olivelatch-flow checks them. Plans of scale runs have a folder and a check of their own.
+    // Graph files are another form: olivelatch-dag-files checks them. Plans of scale runs have a folder and a check of their own.
     let graph = |path: &Path| std::fs::read_to_string(path).is_ok_and(|text| text.contains("\ngraph "));
     let files = std::fs::read_dir(folder).expect("the examples").flatten();
     let files = files.filter(|file| file.path().is_file() && !graph(&file.path()));
--- a/crates/flow/src/file.rs
+++ b/crates/dag-files/src/file.rs
@@ -8,7 +8,7 @@
 use olivelatch::protocol::graphs::DagRunName;
 use olivelatch::source_location::{collapse_whitespace, find_line, quoted_name};
 use olivelatch_client::JobEntry;
-use olivelatch_graph::{DagTopology, TopologyError, TriggerRule};
+use olivelatch_dag::{DagTopology, TopologyError, TriggerRule};
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use thiserror::Error;
--- a/crates/flow/src/prepare.rs
+++ b/crates/dag-files/src/prepare.rs
@@ -7,7 +7,7 @@
     DagNodeRecord, DagNodeView, DagRunHeader, DagRunName, GraphPart, NodeTemplate, split_into_parts,
 };
 use olivelatch::protocol::users::JobManifest;
-use olivelatch_graph::{DagTopology, NodeIx};
+use olivelatch_dag::{DagTopology, NodeIx};
 use rand::RngExt;
 use serde_json::{Value, json};
 
--- a/crates/flow/src/render.rs
+++ b/crates/dag-files/src/render.rs
@@ -2,7 +2,7 @@
 
 use minijinja::{Environment, context};
 use olivelatch::protocol::graphs::{DagNodeState, DagNodeView, DagRunDetail};
-use olivelatch_graph::{DagTopology, NodeIx};
+use olivelatch_dag::{DagTopology, NodeIx};
 use serde::Serialize;
 
 use crate::prepare::graph_shape;
--- a/crates/flow/tests/golden.rs
+++ b/crates/dag-files/tests/golden.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use olivelatch_flow::{DagFile, PreparedRun};
+use olivelatch_dag_files::{DagFile, PreparedRun};
 use serde_json::{Value, json};
 use support::{Golden, encode};
 
--- a/crates/graph/tests/model.rs
+++ b/crates/dag/tests/model.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-use olivelatch_graph::{
+use olivelatch_dag::{
     DagProgress, DagTopology, Failure, FailureEffect, NodeIx, NodeOutcome, RetryPolicy, RetryState,
     TriggerRule,
 };
--- a/crates/store/tests/golden.rs
+++ b/crates/kv-store/tests/golden.rs
@@ -3,7 +3,7 @@
 #[path = "../../../tests/golden/support.rs"]
 mod support;
 
-use olivelatch_store::KvEngine;
+use olivelatch_kv_store::KvEngine;
 use serde_json::{Value, json};
 use support::Golden;
 
--- a/crates/store/tests/torn.rs
+++ b/crates/kv-store/tests/torn.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use olivelatch_store::{AuxiliaryRecord, Delta, KvEngine, StoreFile};
+use olivelatch_kv_store::{AuxiliaryRecord, Delta, KvEngine, StoreFile};
 use proptest::prelude::*;
 use serde_json::json;
 
--- a/crates/region/src/cloud.rs
+++ b/crates/local-cluster/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_store::query_parameter;
+use olivelatch_kv_store::query_parameter;
 use olivelatch_worker::Machine;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
--- a/crates/region/src/cluster.rs
+++ b/crates/local-cluster/src/cluster.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+use olivelatch_kv_store::{AuxiliaryRecord, Delta, KvEngine, StoreError, StoreFile, query_parameter};
 use olivelatch_net::client::HttpClient;
 use olivelatch_net::poller::{EventPoller, KeyAllocator, Registration};
 use olivelatch_net::server::{ConnectionId, HttpServer, IncomingRequest, ListenerId};
-use olivelatch_store::{AuxiliaryRecord, Delta, KvEngine, StoreError, StoreFile, query_parameter};
 use olivelatch_worker::processes::Processes;
 use polling::{Event, Events};
 use serde_json::{Value, json};
@@ -319,7 +319,7 @@
         }
     }
 
-    /// The region as `latch` and tests see it.
+    /// The region as `olivelatchctl` and tests see it.
     fn describe_cluster(&mut self, method: &str, path: &str) -> (u16, Value) {
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         match (method, parts.as_slice()) {
--- a/crates/region/src/job_store.rs
+++ b/crates/local-cluster/src/job_store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use olivelatch_store::AuxiliaryRecord;
+use olivelatch_kv_store::AuxiliaryRecord;
 use olivelatch_worker::processes::Processes;
 use olivelatch_worker::{JobDescription, JobDescriptions, TaskResult};
 use serde_json::{Value, json};
--- a/crates/scale/src/changes.rs
+++ b/crates/scale-test/src/changes.rs
@@ -4,8 +4,8 @@
 
 use indexmap::IndexMap;
 use olivelatch::protocol::config::{ConfigChangeRequest, ConfigEntryView, TeamQuota};
+use olivelatch_local_cluster::TeamSettings;
 use olivelatch_net::http::Response;
-use olivelatch_region::TeamSettings;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/scale/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_region::{Cloud, CloudMachine};
+use olivelatch_local_cluster::{Cloud, CloudMachine};
 use serde_json::Value;
 
 use crate::control::{SimulatedMachine, ZoneCommand};
--- a/crates/scale/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use olivelatch_store::StoreError;
+use olivelatch_kv_store::StoreError;
 use thiserror::Error;
 
 use crate::plan::PlanError;
--- a/crates/scale/src/kv_store.rs
+++ b/crates/scale-test/src/kv_store.rs
@@ -6,9 +6,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use olivelatch_kv_store::{Delta, KvEngine, Limits, StoreFile};
 use olivelatch_net::poller::{EventPoller, KeyAllocator};
 use olivelatch_net::server::{ConnectionId, HttpServer, IncomingRequest, ListenerId};
-use olivelatch_store::{Delta, KvEngine, Limits, StoreFile};
 use polling::Events;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/scale/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use olivelatch::protocol::users::{JobKind, PriorityClass};
 use olivelatch::source_location::with_line_number;
-use olivelatch_region::{
+use olivelatch_local_cluster::{
     ControllerQuota, KvLimits, MachineTypeSpec, ObjectivePlan, Platform, TeamSettings, WorkerTimings,
 };
 use serde::Deserialize;
--- a/crates/scale/src/run/faults.rs
+++ b/crates/scale-test/src/run/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of a run: who is struck, and when each is over.
 
-use olivelatch_region::{controller_index, controller_name};
+use olivelatch_local_cluster::{controller_index, controller_name};
 
 use super::{FaultAction, ScaleRun};
 use crate::control::ZoneCommand;
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale-test/src/run/mod.rs
@@ -41,7 +41,7 @@
 pub struct RunArguments {
     pub plan: PathBuf,
     pub out: PathBuf,
-    /// The program whose hidden commands serve controllers, workers and the state service: `latch` itself.
+    /// The program whose hidden commands serve controllers, workers and the state service: `olivelatchctl` itself.
     pub program: PathBuf,
     /// The controllers' log level.
     pub log_level: String,
--- a/crates/scale/src/run/start.rs
+++ b/crates/scale-test/src/run/start.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
+use olivelatch_local_cluster::{ClusterAddresses as Addresses, controller_name, controller_settings};
 use olivelatch_net::client::HttpClient;
 use olivelatch_net::poller::{EventPoller, KeyAllocator};
 use olivelatch_net::server::{HttpServer, ListenerId};
-use olivelatch_region::{ClusterAddresses as Addresses, controller_name, controller_settings};
 use signal_hook::consts::{SIGINT, SIGTERM};
 
 use super::{RunArguments, ScaleRun, ZoneLink};
--- a/crates/scale/src/simulated_workers.rs
+++ b/crates/scale-test/src/simulated_workers.rs
@@ -6,11 +6,11 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use olivelatch_local_cluster::controller_index;
 use olivelatch_net::client::{CallSlot, HttpClient};
 use olivelatch_net::http::Response;
 use olivelatch_net::poller::{EventPoller, KeyAllocator};
 use olivelatch_net::server::{ConnectionId, HttpServer, IncomingRequest, ListenerId};
-use olivelatch_region::controller_index;
 use olivelatch_worker::{
     AttemptPhase, GangTimes, HeartbeatResponse, HeartbeatSender, HeartbeatTimes, JobDescriptions,
     TaskAttempt, Worker, coordinate_gangs,
--- a/crates/scale/tests/check.rs
+++ b/crates/scale-test/tests/check.rs
@@ -1,6 +1,6 @@
 //! The independent check sees each rule broken, and nothing where none is.
 
-use olivelatch_scale::{CancelTimes, InvariantChecker, JobFacts, TaskEvent, TaskEventKind};
+use olivelatch_scale_test::{CancelTimes, InvariantChecker, JobFacts, TaskEvent, TaskEventKind};
 
 fn event(at_ms: u64, worker: &str, task: &str, kind: TaskEventKind) -> TaskEvent {
     TaskEvent { at_ms, worker: worker.into(), task: task.into(), attempt: 1, kind }
--- a/crates/scale/tests/golden.rs
+++ b/crates/scale-test/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use std::path::Path;
 
-use olivelatch_scale::{Arrival, Arrivals, FaultKind, Plan};
+use olivelatch_scale_test::{Arrival, Arrivals, FaultKind, Plan};
 use serde_json::{Map, Value, json};
 use support::Golden;
 
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale-test/tests/plans.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use olivelatch_scale::{Arrival, Arrivals, Plan};
+use olivelatch_scale_test::{Arrival, Arrivals, Plan};
 
 fn examples() -> Vec<std::path::PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale");
--- a/deploy/config.hcl
+++ b/deploy/config.hcl
@@ -1,4 +1,4 @@
-# Limits and guarantees of teams, changed while the service runs (`latch config`, docs/client.md). All controllers must run
+# Limits and guarantees of teams, changed while the service runs (`olivelatchctl config`, docs/client.md). All controllers must run
 # with it: while one leads that does not, no change is in force.
 
 operators {
--- a/examples/batch.hcl
+++ b/examples/batch.hcl
@@ -1,7 +1,7 @@
-# latch up                       (in another terminal, or in the background)
-# latch submit examples/batch.hcl --wait
+# olivelatchctl up                       (in another terminal, or in the background)
+# olivelatchctl submit examples/batch.hcl --wait
 #
-# Every word has a default; `latch check FILE` says what is wrong with a file before anything is sent.
+# Every word has a default; `olivelatchctl check FILE` says what is wrong with a file before anything is sent.
 
 job "readings" {
   class   = "ingest"
--- a/examples/billing.hcl
+++ b/examples/billing.hcl
@@ -1,11 +1,11 @@
 # The nightly chain: raw readings, balances, billing files.
 #
-#   latch up                                       (in another terminal, or in the background)
-#   latch graph submit examples/billing.hcl --wait
-#   latch graph show billing-2026-12-01
+#   olivelatchctl up                                       (in another terminal, or in the background)
+#   olivelatchctl graph submit examples/billing.hcl --wait
+#   olivelatchctl graph show billing-2026-12-01
 #
 # It ends badly while the file `trouble` names a town: `echo east > /tmp/trouble` before, with
-# `--var trouble=/tmp/trouble`. Then remove the file and `latch graph retry billing-2026-12-01 --wait`.
+# `--var trouble=/tmp/trouble`. Then remove the file and `olivelatchctl graph retry billing-2026-12-01 --wait`.
 # Output is in .latch/published/billing-2026-12-01, whole or not at all.
 
 graph = "billing"
--- a/src/bookkeeping/dag.rs
+++ b/src/bookkeeping/dag.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
 
-use olivelatch_graph::{DagProgress, DagTopology, NodeIx, TopologyError, TriggerRule};
+use olivelatch_dag::{DagProgress, DagTopology, NodeIx, TopologyError, TriggerRule};
 
 use crate::ids::{JobId, from_milli};
 use crate::protocol::graphs::{DagNodeRecord, GraphPart, NodeTemplate};
--- a/src/bookkeeping/dag_records.rs
+++ b/src/bookkeeping/dag_records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_graph::{NodeOutcome, RetryState};
+use olivelatch_dag::{NodeOutcome, RetryState};
 use serde::{Deserialize, Serialize};
 
 use crate::protocol::graphs::{DagRunHeader, DagRunName, FailedAttempt};
--- a/src/bookkeeping/dag_runs.rs
+++ b/src/bookkeeping/dag_runs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use olivelatch_graph::{NodeIx, NodeOutcome, RetryState, TriggerRule};
+use olivelatch_dag::{NodeIx, NodeOutcome, RetryState, TriggerRule};
 
 use super::dag::Dag;
 use super::dag_records::{
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use olivelatch_graph::RetryPolicy;
+use olivelatch_dag::RetryPolicy;
 
 use super::bit_set::BitSet;
 use crate::ids::{
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use olivelatch_graph::NodeOutcome;
+use olivelatch_dag::NodeOutcome;
 
 use super::dag_records::NodeTerminalRecord;
 use super::jobs::TerminalState;
--- a/src/bookkeeping/run_listing.rs
+++ b/src/bookkeeping/run_listing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_graph::{NodeIx, NodeOutcome};
+use olivelatch_dag::{NodeIx, NodeOutcome};
 
 use super::dag::{Dag, downstream_path_s};
 use super::dag_records::RunPhase;
--- a/src/bookkeeping/tests/dag_records.rs
+++ b/src/bookkeeping/tests/dag_records.rs
@@ -1,7 +1,7 @@
 //! Tests of `graph_records`.
 
 use super::*;
-use olivelatch_graph::{Failure, RetryPolicy};
+use olivelatch_dag::{Failure, RetryPolicy};
 
 /// Names of machines are short; with such as long as this one a block still fits the smallest value allowed.
 #[test]
--- a/src/coordination/controller/graph_requests.rs
+++ b/src/coordination/controller/graph_requests.rs
@@ -87,7 +87,7 @@
         if run.phase_record.phase == RunPhase::Waiting {
             return Some(self.waiting_run_reason(run));
         }
-        let open = |up: &olivelatch_graph::NodeIx| flow.progress.outcome(*up).is_none();
+        let open = |up: &olivelatch_dag::NodeIx| flow.progress.outcome(*up).is_none();
         let first = flow.upstream(node).filter(open).take(MAX_UPSTREAM_NAMED);
         Some(StateReason::WaitingForUpstream {
             run: run.name.to_string(),
--- a/src/coordination/leader/dag_runs.rs
+++ b/src/coordination/leader/dag_runs.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use olivelatch_graph::{Failure, FailureEffect, NodeOutcome, RetryState};
+use olivelatch_dag::{Failure, FailureEffect, NodeOutcome, RetryState};
 use rand::RngExt;
 
 use super::{Binding, JobState, Leader};
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{ExitCause, Heartbeat, TaskPhase, TaskStatus, WorkerCommand};
-use olivelatch_graph::RetryState;
+use olivelatch_dag::RetryState;
 
 /// Before a task that failed, or was refused, is tried again.
 pub const ERROR_RETRY_DELAY_MS: u64 = 1000;
--- a/src/coordination/leader/records/dag_records.rs
+++ b/src/coordination/leader/records/dag_records.rs
@@ -1,6 +1,6 @@
 //! What the leader writes for runs of graphs: ends that follow from others, turns, failures, and what is forgotten.
 
-use olivelatch_graph::{NodeIx, NodeOutcome};
+use olivelatch_dag::{NodeIx, NodeOutcome};
 
 use super::store_writer::{WriteBatch, WriteEffect, to_json};
 use crate::bookkeeping::dag_records::{
--- a/src/coordination/leader/records/store_writer.rs
+++ b/src/coordination/leader/records/store_writer.rs
@@ -126,7 +126,7 @@
 }
 
 /// The blocks that a job's failures are told in.
-fn retry_blocks(retries: &BTreeMap<u32, olivelatch_graph::RetryState>) -> BTreeSet<u32> {
+fn retry_blocks(retries: &BTreeMap<u32, olivelatch_dag::RetryState>) -> BTreeSet<u32> {
     retries.keys().map(|task| task / RETRY_BLOCK_TASKS).collect()
 }
 
--- a/src/protocol/graphs.rs
+++ b/src/protocol/graphs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use olivelatch_graph::{Failure, RetryPolicy, TriggerRule};
+use olivelatch_dag::{Failure, RetryPolicy, TriggerRule};
 use serde::{Deserialize, Serialize};
 
 use super::HttpResponse;
--- a/src/protocol/operators.rs
+++ b/src/protocol/operators.rs
@@ -484,7 +484,7 @@
     pub events: Vec<JobEvent>,
 }
 
-/// One controller, for `latch top` and `/metrics`.
+/// One controller, for `olivelatchctl top` and `/metrics`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ControllerStatus {
     #[serde(rename = "node")]
--- a/tests/golden/views.rs
+++ b/tests/golden/views.rs
@@ -11,7 +11,7 @@
     AnswerSource, ControllerStatus, Explanation, JobDetail, JobEventKind, JobEventList, JobList, JobPhase,
     StateReason, TaskStateView,
 };
-use olivelatch_graph::{NodeOutcome, TriggerRule};
+use olivelatch_dag::{NodeOutcome, TriggerRule};
 use serde_json::{Value, json};
 
 use crate::messages::submission;
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use olivelatch::protocol::peer::{PeerMessage, encode};
-use olivelatch_region::{Cloud, MachineTypeSpec};
-use olivelatch_store::KvEngine;
+use olivelatch_kv_store::KvEngine;
+use olivelatch_local_cluster::{Cloud, MachineTypeSpec};
 use serde_json::{Value, json};
 
 /// Reads one HTTP message: first line and body.
--- a/tests/simulation/actions.rs
+++ b/tests/simulation/actions.rs
@@ -5,7 +5,7 @@
 use olivelatch::coordination::Event;
 use olivelatch::ids::JobId;
 use olivelatch::protocol::users::{UserRequest, parse_submission};
-use olivelatch_region::MachineTypeSpec;
+use olivelatch_local_cluster::MachineTypeSpec;
 use olivelatch_worker::{TaskWork, Worker};
 use serde_json::{Value, json};
 
--- a/tests/simulation/dag_runs.rs
+++ b/tests/simulation/dag_runs.rs
@@ -6,7 +6,7 @@
 use olivelatch::protocol::graphs::{
     DagNodeRecord, GraphPart, GraphRouteRequest, NodeTemplate, parse_graph_request, split_into_parts,
 };
-use olivelatch_store::KvEngine;
+use olivelatch_kv_store::KvEngine;
 use serde_json::{Value, json};
 
 const POLL_INTERVAL_MS: u64 = 500;
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -38,8 +38,8 @@
 use olivelatch::protocol::{HttpOutcome, HttpResponse};
 use olivelatch::settings::Settings;
 use olivelatch::tunables::Tunables;
-use olivelatch_region::Cloud;
-use olivelatch_store::KvEngine;
+use olivelatch_kv_store::KvEngine;
+use olivelatch_local_cluster::Cloud;
 use olivelatch_worker::{
     GangTimes, JobDescription, JobDescriptions, ProcessAction, TaskWork, Worker, coordinate_gangs,
 };
--- a/tests/simulation/stored.rs
+++ b/tests/simulation/stored.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use olivelatch_store::{AuxiliaryRecord, KvEngine, StoreFile};
+use olivelatch_kv_store::{AuxiliaryRecord, KvEngine, StoreFile};
 use serde_json::{Value, json};
 
 use super::SimulatedCluster;
