--- a/src/coordination/controller/config_requests.rs
+++ b/src/coordination/controller/config_requests.rs
@@ -82,7 +82,7 @@
 fn team_cpu_usage(leader: Option<&Leader>, cache: &StoreCache, team: &str) -> u64 {
     let Some(team) = cache.names.teams.find(team) else { return 0 };
     match leader {
-        Some(leader) => leader.usage.get(&team).map_or(0, |used| used.cpu),
+        Some(leader) => leader.quotas.usage.get(&team).map_or(0, |used| used.cpu),
         None => cache
             .live_jobs()
             .filter(|(_, job)| job.spec.team == team)
--- a/src/coordination/controller/graph_requests.rs
+++ b/src/coordination/controller/graph_requests.rs
@@ -52,7 +52,7 @@
     pub(super) fn enqueue_ready_nodes(&mut self, clock: Clock) {
         let ready = self.cache.take_newly_ready();
         let Some(leader) = self.leader.as_mut().filter(|_| !ready.is_empty()) else { return };
-        let new: Vec<_> = ready.into_iter().filter(|ix| !leader.jobs.contains_key(ix)).collect();
+        let new: Vec<_> = ready.into_iter().filter(|ix| !leader.workload.jobs.contains_key(ix)).collect();
         for ix in &new {
             leader.track_job(*ix, &self.cache, clock);
         }
--- a/src/coordination/controller/kv_replies.rs
+++ b/src/coordination/controller/kv_replies.rs
@@ -144,7 +144,7 @@
         let leader_revision = self.cache.leader.as_ref().map(|leader| leader.revision);
         if let (Some(leader), Some(token)) = (&self.leader, ours)
             && leader_revision != Some(Revision(token.0))
-            && self.cache.revision.0 >= leader.token.0
+            && self.cache.revision.0 >= leader.term.token().0
         {
             log::info!("another leader has taken over");
             self.step_down();
@@ -160,10 +160,10 @@
         let mut new = Vec::new();
         for (ix, id, end) in live {
             match end {
-                Some((TerminalState::Cancelled, at)) if leader.jobs.contains_key(&ix) => {
+                Some((TerminalState::Cancelled, at)) if leader.workload.jobs.contains_key(&ix) => {
                     leader.cancel_job(id, Some(ix), at, clock);
                 }
-                None if !leader.jobs.contains_key(&ix) => {
+                None if !leader.workload.jobs.contains_key(&ix) => {
                     leader.track_job(ix, &self.cache, clock);
                     new.push(ix);
                 }
@@ -204,8 +204,8 @@
             event = "leads", token = token.0;
             "leads with token {}: {} jobs, {} machines on record",
             token.0,
-            leader.jobs.len(),
-            leader.machines.len()
+            leader.workload.jobs.len(),
+            leader.cluster.machines.len()
         );
         self.leader = Some(leader);
         self.leaderships_started += 1;
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -288,13 +288,13 @@
         leader.run_provisioner(clock, &self.cache, out);
         leader.write_records(clock, &self.cache, &mut self.kv_client, out);
         for direct in leader.take_direct_messages(clock, may_act) {
-            let machine = &leader.machines[direct.machine.index()];
+            let machine = &leader.cluster.machines[direct.machine.index()];
             self.last_direct_id += 1;
             let outbound = OutboundId(self.last_direct_id);
             out.push(Action::SendWorkerCommands {
                 outbound,
                 endpoint: machine.endpoint.clone(),
-                request: commands_request(leader.token, direct.epoch, &direct.commands),
+                request: commands_request(leader.term.token(), direct.epoch, &direct.commands),
                 timeout_ms: DIRECT_COMMAND_TIMEOUT_MS,
             });
             self.direct_commands.insert(outbound, direct);
@@ -310,7 +310,7 @@
         let behind = self.pressure.level() > PressureLevel::Calm;
         if behind
             || self.peer_names.is_empty()
-            || clock.now.saturating_since(leader.acquired_at) < LEADER_SETTLE_MS
+            || clock.now.saturating_since(leader.term.acquired_at()) < LEADER_SETTLE_MS
         {
             return;
         }
@@ -357,7 +357,7 @@
         let respond_until =
             self.leadership.serves_workers_until(&self.settings.worker_timings, self.kv_client.fresh_as_of);
         if let Some(leader) = &mut self.leader {
-            if report.token > leader.token {
+            if report.token > leader.term.token() {
                 log::info!("{} has heard of a later leader", report.machine);
                 self.step_down();
                 return redirect_response(None);
@@ -366,7 +366,7 @@
                 return HttpResponse::retry_later("not entitled", 1);
             }
             return match leader.handle_heartbeat(&mut self.cache, clock, report, may_act) {
-                HeartbeatReply::Commands(orders) => commands_response(leader.token, &orders),
+                HeartbeatReply::Commands(orders) => commands_response(leader.term.token(), &orders),
                 HeartbeatReply::Reject => HttpResponse::retry_later("not entitled", 1),
             };
         }
@@ -423,12 +423,12 @@
         if let HttpOutcome::Response { body, .. } = outcome
             && let Some(report) = parse_heartbeat(body)
         {
-            if report.token > leader.token {
+            if report.token > leader.term.token() {
                 log::info!("{} has heard of a later leader", report.machine);
                 self.step_down();
                 return;
             }
-            let same_machine = leader.machines[direct.machine.index()].name == report.machine;
+            let same_machine = leader.cluster.machines[direct.machine.index()].name == report.machine;
             if same_machine {
                 leader.observe_command_response(direct.machine, clock, &report);
             }
--- a/src/coordination/controller/operator_queries.rs
+++ b/src/coordination/controller/operator_queries.rs
@@ -209,7 +209,7 @@
         };
         let mut row = row;
         if let Some((leader, ix)) = known
-            && let Some(work) = leader.jobs.get(&ix)
+            && let Some(work) = leader.workload.jobs.get(&ix)
         {
             row.first_start_ms = work.first_run.wall_ms();
         }
@@ -291,7 +291,9 @@
     /// How many tasks of a job run, for display.
     pub(super) fn running_task_count(&self, id: JobId) -> u32 {
         match self.leader.as_ref().zip(self.cache.find(id)) {
-            Some((leader, ix)) => leader.jobs.get(&ix).map_or(0, |work| work.placements.len() as u32),
+            Some((leader, ix)) => {
+                leader.workload.jobs.get(&ix).map_or(0, |work| work.placements.len() as u32)
+            }
             None => self.cache.recorded_running_tasks(id),
         }
     }
--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -19,8 +19,8 @@
 
     /// None of the job's queued tasks starts any more.
     pub fn remove_queued_tasks(&mut self, ix: JobIx) {
-        self.backlog.remove_job(ix);
-        for machine in &mut self.machines {
+        self.placement.backlog.remove_job(ix);
+        for machine in &mut self.cluster.machines {
             machine.shared_queue.remove_job(ix);
             machine.dedicated_queue.remove_job(ix);
         }
@@ -29,20 +29,20 @@
     /// The user has withdrawn the job: nothing of it starts any more, everything stops.
     pub fn cancel_job(&mut self, id: JobId, ix: Option<JobIx>, cancelled_wall_ms: u64, clock: Clock) {
         if let Some(ix) = ix
-            && let Some(work) = self.jobs.remove(&ix)
+            && let Some(work) = self.workload.jobs.remove(&ix)
         {
-            self.waiting_gangs.remove(&work.queue_order);
+            self.placement.waiting_gangs.remove(&work.queue_order);
             self.remove_queued_tasks(ix);
             self.release_holds_of(ix);
         }
         self.event_log.record(id, JobEventKind::Cancelled, None, 0, 0);
         let deadline = self.cancel_deadline(cancelled_wall_ms, clock);
-        let tasks = self.placed_task_counts.get(&id).copied().unwrap_or(0);
+        let tasks = self.workload.placed_task_counts.get(&id).copied().unwrap_or(0);
         let ago_ms = clock.wall_ms.saturating_sub(cancelled_wall_ms);
         log::info!(event = "stops", job:% = id, tasks, ago_ms; "{id} was withdrawn {ago_ms} ms ago: {tasks} tasks stop");
-        for at in 0..self.machines.len() {
-            self.machines[at].failed_jobs.remove(&id);
-            for binding in &mut self.machines[at].bindings {
+        for at in 0..self.cluster.machines.len() {
+            self.cluster.machines[at].failed_jobs.remove(&id);
+            for binding in &mut self.cluster.machines[at].bindings {
                 if binding.task.job == id {
                     let task = binding.task.task;
                     self.event_log.record(
@@ -56,7 +56,7 @@
                     binding.stop_grace_ms = Some(0);
                     binding.stop_sent_at = None;
                     binding.lease_renewal_cutoff = Some(deadline);
-                    self.pending_announcements.insert(MachineIx(at as u32));
+                    self.cluster.pending_announcements.insert(MachineIx(at as u32));
                 }
             }
             self.drop_unsent_bindings(MachineIx(at as u32), clock);
--- /dev/null
+++ b/src/coordination/leader/cluster.rs
@@ -0,0 +1,94 @@
+//! The machines the leader knows, their types, and the indices over them.
+//!
+//! Owns every [`Machine`]; a machine is registered once and keeps its index until the term ends.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use super::Leader;
+use super::machine::{Machine, MachineIdentity};
+use super::machines::placement_index::PlacementIndex;
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::coordination::Clock;
+use crate::ids::{ImageIx, MachineIx, MachineTypeIx, Resources, ZoneIx, to_milli_floor};
+use crate::protocol::cloud::MachineTypeRecord;
+
+/// A machine type of the cloud's catalog, with what has been measured of it.
+#[derive(Debug, Clone)]
+pub struct MachineType {
+    pub name: String,
+    pub capacity: Resources,
+    pub image_cache_mb: u64,
+    pub fetch_mb_per_s: f64,
+    pub price: f64,
+    pub spot_price: Option<f64>,
+    pub boot_ms: u64,
+    pub zones: Vec<ZoneIx>,
+}
+
+/// All machines of the cluster as the leader knows them.
+#[derive(Debug, Default)]
+pub struct ClusterState {
+    pub(in crate::coordination) machines: Vec<Machine>,
+    pub(super) machines_by_name: HashMap<String, MachineIx>,
+    pub(super) machine_types: BTreeMap<MachineTypeIx, MachineType>,
+    /// Which machines placement has to examine.
+    pub(super) placement_index: PlacementIndex,
+    /// Machines that should have an image in their cache.
+    pub(super) image_holders: HashMap<ImageIx, BTreeSet<MachineIx>>,
+    /// Machines that have to be sent a direct command, so that they learn who leads without waiting for their heartbeat.
+    pub(super) pending_announcements: BTreeSet<MachineIx>,
+}
+
+impl MachineType {
+    /// `fetch_mb_per_s`: the measured image fetch rate, or the first estimate of it.
+    fn from_catalog(entry: &MachineTypeRecord, zones: Vec<ZoneIx>, fetch_mb_per_s: f64) -> MachineType {
+        MachineType {
+            name: entry.name.clone(),
+            capacity: Resources {
+                cpu: to_milli_floor(entry.cpus),
+                gpu: to_milli_floor(entry.gpus),
+                mem: to_milli_floor(entry.memory_gb),
+            },
+            image_cache_mb: to_milli_floor(entry.image_cache_gb),
+            fetch_mb_per_s,
+            price: entry.price,
+            spot_price: entry.spot_price,
+            boot_ms: (entry.boot_s * 1000.0) as u64,
+            zones,
+        }
+    }
+}
+
+impl Leader {
+    /// Takes in the machine types on record. A measured fetch rate outlives a new catalog.
+    pub fn load_machine_types(&mut self, cache: &mut StoreCache) {
+        for entry in cache.machine_types.values() {
+            let ix = cache.names.machine_types.intern(&entry.name);
+            let zones = entry.zones.iter().map(|zone| cache.names.zones.intern(zone)).collect();
+            let published = entry.fetch_gb_per_s * 1000.0;
+            let estimate = if published > 0.0 { published } else { self.tunables.fetch_gb_per_s * 1000.0 };
+            let rate = self.cluster.machine_types.get(&ix).map_or(estimate, |known| known.fetch_mb_per_s);
+            self.cluster.machine_types.insert(ix, MachineType::from_catalog(entry, zones, rate));
+        }
+        for machine in &mut self.cluster.machines {
+            if let Some(machine_type) = self.cluster.machine_types.get(&machine.machine_type) {
+                machine.capacity = machine_type.capacity;
+            }
+        }
+        self.cluster.placement_index.recheck_backlog = true;
+    }
+
+    /// The index of a machine of this name; an unknown one is registered as booting.
+    pub fn register_machine(&mut self, identity: MachineIdentity<'_>, clock: Clock) -> MachineIx {
+        if let Some(ix) = self.cluster.machines_by_name.get(identity.name) {
+            return *ix;
+        }
+        let ix = MachineIx(self.cluster.machines.len() as u32);
+        self.cluster.machines_by_name.insert(identity.name.into(), ix);
+        let machine_type = self.cluster.machine_types.get(&identity.machine_type);
+        let capacity = machine_type.map(|machine_type| machine_type.capacity).unwrap_or_default();
+        let steal_backoff_ms = self.tunables.steal_backoff_ms;
+        self.cluster.machines.push(Machine::new(identity, capacity, steal_backoff_ms, clock.now));
+        ix
+    }
+}
--- a/src/coordination/leader/dag_runs.rs
+++ b/src/coordination/leader/dag_runs.rs
@@ -57,7 +57,7 @@
 
     /// What a new job is as a node. Tries used up without an end: the leader before got no further.
     pub(super) fn init_node_state(&mut self, ix: JobIx, cache: &StoreCache) {
-        let Some(work) = self.jobs.get_mut(&ix) else { return };
+        let Some(work) = self.workload.jobs.get_mut(&ix) else { return };
         if work.spec.node.is_none() || work.dag_node.is_some() {
             return;
         }
@@ -89,7 +89,7 @@
         status: &TaskStatus,
         clock: Clock,
     ) {
-        let node = job.and_then(|job| self.jobs.get(&job)?.spec.node.as_ref());
+        let node = job.and_then(|job| self.workload.jobs.get(&job)?.spec.node.as_ref());
         if let Some(limit) = node.and_then(|node| node.timeout_ms) {
             let due = self.dag_runs.time_limits.entry(clock.now.saturating_add(limit)).or_default();
             due.push((ix, status.task, status.attempt));
@@ -111,9 +111,10 @@
 
     fn stop_over_time_limit(&mut self, ix: MachineIx, task: TaskId, attempt: Attempt) {
         let same_attempt = |binding: &Binding| binding.task.job == task.job && binding.attempt == attempt;
-        let found = self.machines[ix.index()].bindings.iter().find(|b| same_attempt(b) && b.task == task);
+        let found =
+            self.cluster.machines[ix.index()].bindings.iter().find(|b| same_attempt(b) && b.task == task);
         let Some(job) = found.and_then(|binding| binding.job) else { return };
-        let Some(work) = self.jobs.get(&job) else { return };
+        let Some(work) = self.workload.jobs.get(&job) else { return };
         let gang = work.spec.kind == JobKind::Gang;
         let machines: BTreeSet<MachineIx> = if gang {
             work.placements.values().flatten().map(|(ix, _)| *ix).collect()
@@ -122,12 +123,12 @@
         };
         log::info!(event = "over_limit", task:% = task; "{task} has run longer than it may");
         for place in machines {
-            let bindings = self.machines[place.index()].bindings.iter_mut();
+            let bindings = self.cluster.machines[place.index()].bindings.iter_mut();
             for binding in bindings.filter(|b| same_attempt(b) && (gang || b.task == task)) {
                 binding.stop_grace_ms = Some(0);
                 binding.timed_out = true;
             }
-            self.pending_announcements.insert(place);
+            self.cluster.pending_announcements.insert(place);
         }
     }
 
@@ -144,9 +145,9 @@
             _ => return None,
         };
         let job = binding.job?;
-        let machine = self.machines[ix.index()].name.clone();
-        let jitter: f64 = self.rng.random();
-        let work = self.jobs.get_mut(&job)?;
+        let machine = self.cluster.machines[ix.index()].name.clone();
+        let jitter: f64 = self.placement.rng.random();
+        let work = self.workload.jobs.get_mut(&job)?;
         let retry = work.spec.node.as_ref()?.retry_policy;
         // A gang fails as one.
         let task = if work.spec.kind == JobKind::Gang { 0 } else { binding.task.task };
@@ -162,13 +163,13 @@
             log::info!(event = "node_failed", job:% = id; "{id} has failed for good");
             self.fail_node(job, task);
         }
-        let ending = self.jobs.get(&job).is_none_or(|work| work.finishing);
+        let ending = self.workload.jobs.get(&job).is_none_or(|work| work.finishing);
         Some((!ending).then_some(backoff_ms))
     }
 
     /// The node's tries are used up: nothing of it starts any more, and once its end is durable the rest stops.
     fn fail_node(&mut self, job: JobIx, task: u32) {
-        let Some(work) = self.jobs.get_mut(&job) else { return };
+        let Some(work) = self.workload.jobs.get_mut(&job) else { return };
         let Some((info, node)) = work.spec.node.as_ref().zip(work.dag_node.as_ref()) else { return };
         work.finishing = true;
         let mut terminal = NodeTerminalRecord::new(&info.run, &info.name, NodeOutcome::Failed);
@@ -189,7 +190,7 @@
 
     /// A task of a node is done: whose result counts, where its output is.
     pub(super) fn record_node_task_done(&mut self, ix: MachineIx, job: JobIx, status: &TaskStatus) {
-        let Some(work) = self.jobs.get_mut(&job) else { return };
+        let Some(work) = self.workload.jobs.get_mut(&job) else { return };
         let Some((info, node)) = work.spec.node.as_ref().zip(work.dag_node.as_mut()) else { return };
         if work.spec.tasks == 1 || work.spec.kind == JobKind::Gang {
             let list_length = status.output_list_len.or(node.result.and_then(|(_, gave)| gave));
@@ -276,6 +277,6 @@
     /// May tasks of the run's nodes be anywhere?
     fn has_bound_tasks(&self, run: &crate::bookkeeping::dag_runs::DagRun) -> bool {
         let nodes = run.dag.iter().flat_map(|flow| &flow.nodes);
-        nodes.into_iter().any(|node| self.placed_task_counts.contains_key(&node.job))
+        nodes.into_iter().any(|node| self.workload.placed_task_counts.contains_key(&node.job))
     }
 }
--- a/src/coordination/leader/debug_status.rs
+++ b/src/coordination/leader/debug_status.rs
@@ -28,19 +28,20 @@
         }
         self.next_status_at = now.saturating_add(STATUS_INTERVAL_MS);
         for (kind, status) in self.status_by_machine_type() {
-            let name = self.machine_types.get(&kind).map_or("?", |kind| &kind.name);
+            let name = self.cluster.machine_types.get(&kind).map_or("?", |kind| &kind.name);
             log::debug!("status {name}: {status:?}");
         }
         let (mut shared, mut dedicated) = (0, 0);
-        for machine in &self.machines {
+        for machine in &self.cluster.machines {
             shared += machine.shared_queue.len();
             dedicated += machine.dedicated_queue.len();
         }
-        let teams: BTreeMap<TeamIx, u64> = self.usage.iter().map(|(team, used)| (*team, used.cpu)).collect();
+        let teams: BTreeMap<TeamIx, u64> =
+            self.quotas.usage.iter().map(|(team, used)| (*team, used.cpu)).collect();
         log::debug!(
             "status queues: shared {shared} dedicated {dedicated} backlog {} gangs {} parts {} teams {teams:?} {:?}",
-            self.backlog.len(),
-            self.waiting_gangs.len(),
+            self.placement.backlog.len(),
+            self.placement.waiting_gangs.len(),
             self.assignment_log.segment_count(),
             self.counters
         );
@@ -48,7 +49,7 @@
 
     fn status_by_machine_type(&self) -> BTreeMap<MachineTypeIx, MachineTypeStatus> {
         let mut kinds: BTreeMap<MachineTypeIx, MachineTypeStatus> = BTreeMap::new();
-        for machine in self.machines.iter().filter(|machine| machine.state != MachineState::Gone) {
+        for machine in self.cluster.machines.iter().filter(|machine| machine.state != MachineState::Gone) {
             let status = kinds.entry(machine.machine_type).or_default();
             let free = machine.free().cpu;
             if machine.state == MachineState::Booting {
--- a/src/coordination/leader/event_log.rs
+++ b/src/coordination/leader/event_log.rs
@@ -147,7 +147,7 @@
 impl Leader {
     pub fn log_queued(&mut self, job: JobIx, tasks: &[u32], event: JobEventKind) {
         if let (true, Some(work), Some(first)) =
-            (self.event_log.is_enabled(), self.jobs.get(&job), tasks.first())
+            (self.event_log.is_enabled(), self.workload.jobs.get(&job), tasks.first())
         {
             self.event_log.record(work.spec.id, event, None, *first, tasks.len() as u32);
         }
@@ -159,7 +159,7 @@
             return;
         }
         for (rank, task) in moved {
-            if let Some(work) = self.jobs.get(&rank.job) {
+            if let Some(work) = self.workload.jobs.get(&rank.job) {
                 self.event_log.record(work.spec.id, event, Some(to), *task, 1);
             }
         }
--- a/src/coordination/leader/explain.rs
+++ b/src/coordination/leader/explain.rs
@@ -81,7 +81,7 @@
         names: &NameRegistry,
         clock: Clock,
     ) -> Vec<StateReason> {
-        let Some(work) = self.jobs.get(&ix) else { return vec![StateReason::PersistingResult] };
+        let Some(work) = self.workload.jobs.get(&ix) else { return vec![StateReason::PersistingResult] };
         if work.finishing || work.finished.is_full() || task.is_some_and(|task| work.finished.contains(task))
         {
             return vec![StateReason::PersistingResult];
@@ -114,7 +114,7 @@
     ) -> PlacedCounts {
         let machines: HashSet<MachineIx> = work.placements.values().flatten().map(|(ix, _)| *ix).collect();
         let mut placed = PlacedCounts::default();
-        let bindings = machines.iter().flat_map(|machine| &self.machines[machine.index()].bindings);
+        let bindings = machines.iter().flat_map(|machine| &self.cluster.machines[machine.index()].bindings);
         bindings
             .filter(|binding| binding.job == Some(ix) && matches_task(binding.task.task))
             .for_each(|binding| placed.count(binding, clock));
@@ -124,13 +124,15 @@
     /// Tasks that wait before they are tried again, and when the first is.
     fn retry_delays(&self, ix: JobIx, matches_task: impl Fn(u32) -> bool, clock: Clock) -> (u32, u64) {
         let (mut count, mut next) = (0, None);
-        if let Some((work, trial)) = self.jobs.get(&ix).and_then(|work| Some((work, work.probation?))) {
+        if let Some((work, trial)) =
+            self.workload.jobs.get(&ix).and_then(|work| Some((work, work.probation?)))
+        {
             let is_waiting = |task: &u32| matches_task(*task) && !work.placements.contains_key(task);
             let queued = usize::from(trial.queued);
             let waiting = work.finished.iter_missing().filter(is_waiting).count().saturating_sub(queued);
             return (waiting as u32, trial.next_attempt_at.saturating_since(clock.now));
         }
-        for (at, tasks) in &self.retry_queue {
+        for (at, tasks) in &self.workload.retry_queue {
             let matching =
                 tasks.iter().filter(|(job, task)| *job == ix && matches_task(*task)).count() as u32;
             if matching > 0 {
@@ -144,7 +146,7 @@
     fn failed_machine_names(&self, work: &JobState) -> Vec<String> {
         let mut failed: Vec<MachineIx> = work.failed_on.iter().copied().collect();
         failed.sort();
-        failed.iter().take(MAX_NAMES).map(|ix| self.machines[ix.index()].name.clone()).collect()
+        failed.iter().take(MAX_NAMES).map(|ix| self.cluster.machines[ix.index()].name.clone()).collect()
     }
 
     fn waiting_reasons(
@@ -173,7 +175,7 @@
             reasons.push(StateReason::Schedulable { machines: counts.usable });
         }
         if counts.held > 0 {
-            let gangs = counts.holders.iter().filter_map(|job| self.jobs.get(job));
+            let gangs = counts.holders.iter().filter_map(|job| self.workload.jobs.get(job));
             let gangs = gangs.take(MAX_NAMES).map(|work| work.spec.id.to_string()).collect();
             reasons.push(StateReason::HeldForGang { machines: counts.held, gangs });
         }
@@ -212,10 +214,13 @@
 
     fn team_limit_reason(&self, work: &JobState, names: &NameRegistry) -> Option<StateReason> {
         let team = work.spec.team;
-        let limit = self.team_settings.get(&team)?.effective_limit();
-        let used = self.usage.get(&team).copied().unwrap_or_default();
-        let of_team =
-            self.jobs.values().filter(|other| other.spec.team == team && !other.placements.is_empty());
+        let limit = self.quotas.team_settings.get(&team)?.effective_limit();
+        let used = self.quotas.usage.get(&team).copied().unwrap_or_default();
+        let of_team = self
+            .workload
+            .jobs
+            .values()
+            .filter(|other| other.spec.team == team && !other.placements.is_empty());
         let mut by_job: Vec<(u64, String)> = of_team
             .map(|other| {
                 (other.spec.task_resources.cpu * other.placements.len() as u64, other.spec.id.to_string())
@@ -245,7 +250,7 @@
 
     fn count_blockers(&self, job: JobIx, work: &JobState, names: &NameRegistry) -> BlockerCounts {
         let mut counts = BlockerCounts::default();
-        for at in 0..self.machines.len() {
+        for at in 0..self.cluster.machines.len() {
             self.count_machine(MachineIx(at as u32), job, work, names, &mut counts);
         }
         counts
@@ -259,7 +264,7 @@
         names: &NameRegistry,
         counts: &mut BlockerCounts,
     ) {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let info = &work.spec;
         let may_use = info.allows(machine.machine_type, machine.zone, machine.spot)
             && info.task_resources.fits_in(&machine.capacity);
@@ -295,7 +300,7 @@
         blocker: Option<PlacementBlocker>,
         counts: &mut BlockerCounts,
     ) {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let free = machine.free();
         let type_room = counts.machine_types.entry(machine.machine_type).or_default();
         if type_room.machines == 0 {
@@ -329,11 +334,13 @@
     fn behind_reason(&self, ix: JobIx, work: &JobState) -> Option<StateReason> {
         let own_order = self.queue_order(&work.queue_order);
         let shares_machine_type = |other: &JobState| {
-            self.machine_types
+            self.cluster
+                .machine_types
                 .keys()
                 .any(|kind| other.spec.allows_machine_type(*kind) && work.spec.allows_machine_type(*kind))
         };
         let mut earlier: Vec<_> = self
+            .workload
             .jobs
             .iter()
             .filter(|(other, _)| **other != ix)
@@ -372,8 +379,12 @@
         reasons: &mut Vec<StateReason>,
     ) {
         let is_usable = |offer: &InstanceOffer| {
-            let size =
-                self.machine_types.get(&offer.machine_type).map(|kind| kind.capacity).unwrap_or_default();
+            let size = self
+                .cluster
+                .machine_types
+                .get(&offer.machine_type)
+                .map(|kind| kind.capacity)
+                .unwrap_or_default();
             work.spec.allows(offer.machine_type, offer.zone, offer.spot)
                 && work.spec.task_resources.fits_in(&size)
         };
@@ -404,7 +415,7 @@
     /// How a task of a job that is on a machine is shown.
     pub fn binding_of(&self, ix: MachineIx, job: JobIx, task: u32) -> Option<&Binding> {
         let matches_task = |b: &&Binding| b.job == Some(job) && b.task.task == task;
-        self.machines[ix.index()].bindings.iter().find(matches_task)
+        self.cluster.machines[ix.index()].bindings.iter().find(matches_task)
     }
 }
 
--- a/src/coordination/leader/machine.rs
+++ b/src/coordination/leader/machine.rs
@@ -130,7 +130,69 @@
     pub recent_finishes: Vec<Millis>,
 }
 
+/// What tells a machine from others: by its heartbeats, the cloud's list or the records.
+#[derive(Debug, Clone, Copy)]
+pub struct MachineIdentity<'a> {
+    pub name: &'a str,
+    /// Where its agent listens, `ip:port`.
+    pub endpoint: &'a str,
+    pub machine_type: MachineTypeIx,
+    pub zone: ZoneIx,
+    pub spot: bool,
+}
+
 impl Machine {
+    /// A machine that has been rented and not been heard from.
+    pub fn new(
+        identity: MachineIdentity<'_>,
+        capacity: Resources,
+        steal_backoff_ms: f64,
+        now: Millis,
+    ) -> Machine {
+        Machine {
+            name: identity.name.into(),
+            endpoint: identity.endpoint.into(),
+            machine_type: identity.machine_type,
+            zone: identity.zone,
+            spot: identity.spot,
+            state: MachineState::Booting,
+            cloud_running: false,
+            created_at: now,
+            epoch: AgentEpoch(0),
+            epoch_first_seen: None,
+            sequence: 0,
+            last_heartbeat_id: (AgentEpoch(0), 0),
+            token_acknowledged: false,
+            token_first_acknowledged: None,
+            last_answered_heartbeat_at: None,
+            unacknowledged_since: None,
+            unacknowledged_starts: 0,
+            reclaim_notice_until: None,
+            returning: false,
+            return_log_segment: None,
+            bindings: Vec::new(),
+            used: Resources::default(),
+            capacity,
+            shared_queue: Queue::default(),
+            dedicated_queue: Queue::default(),
+            steal_backoff_ms,
+            steal_not_before: Millis::default(),
+            hold: None,
+            images: Vec::new(),
+            direct_send_in_flight: false,
+            direct_send_not_before: Millis::default(),
+            late_starts: HashSet::new(),
+            idle_since: now,
+            failed_jobs: BTreeSet::new(),
+            quarantined: false,
+            run_time_ratio: (0, 0.0),
+            slow: false,
+            cordoned: false,
+            reserved: false,
+            recent_finishes: Vec::new(),
+        }
+    }
+
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.used)
     }
--- a/src/coordination/leader/machines/capacity_plan.rs
+++ b/src/coordination/leader/machines/capacity_plan.rs
@@ -72,7 +72,7 @@
     /// How many machines of which sort the waiting work needs beyond those there.
     pub fn plan_capacity(&mut self, clock: Clock, cache: &StoreCache) {
         self.remove_settled_requests(clock);
-        if self.machine_types.is_empty() {
+        if self.cluster.machine_types.is_empty() {
             return;
         }
         self.update_guaranteed_jobs();
@@ -100,13 +100,13 @@
     }
 
     fn update_cordons(&mut self, needed: &MachineSet) {
-        for at in 0..self.machines.len() {
+        for at in 0..self.cluster.machines.len() {
             let ix = MachineIx(at as u32);
             let cordoned = !needed.contains(ix);
-            if cordoned == self.machines[at].cordoned {
+            if cordoned == self.cluster.machines[at].cordoned {
                 continue;
             }
-            self.machines[at].cordoned = cordoned;
+            self.cluster.machines[at].cordoned = cordoned;
             self.refresh_placement_index(ix);
             if cordoned {
                 self.requeue_machine_queues(ix);
@@ -118,7 +118,7 @@
     pub fn time_left_ms(&self, work: &JobState, clock: Clock) -> u64 {
         let age = clock.wall_ms.saturating_sub(work.spec.accepted_wall_ms);
         let due = work.spec.slo_wall_ms.map(|due| due.saturating_sub(clock.wall_ms));
-        let slo = self.completion_slos.get(&work.spec.class).and_then(|aims| aims.first());
+        let slo = self.slos.completion_slos.get(&work.spec.class).and_then(|aims| aims.first());
         let slo_left_ms = slo.map(|aim| aim.saturating_sub(age));
         let fallback = (self.tunables.queue_drain_target_s * 1000.0) as u64 + work.expected_run_ms();
         if self.is_past_slo(work, clock) {
@@ -137,27 +137,27 @@
 
     /// Within what time of its acceptance a job of the class should be done at the latest.
     pub fn longest_slo_ms(&self, work: &JobState) -> Option<u64> {
-        self.completion_slos.get(&work.spec.class)?.last().copied()
+        self.slos.completion_slos.get(&work.spec.class)?.last().copied()
     }
 
     /// CPU milliseconds that a task still needs, as far as can be told.
     pub fn remaining_cpu_ms(&self, binding: &crate::coordination::leader::Binding, clock: Clock) -> u64 {
-        let Some(work) = binding.job.and_then(|job| self.jobs.get(&job)) else { return 0 };
+        let Some(work) = binding.job.and_then(|job| self.workload.jobs.get(&job)) else { return 0 };
         let ran = binding.running_since.map_or(0, |since| clock.now.saturating_since(since));
         binding.need.cpu * work.expected_run_ms().saturating_sub(ran).max(1000) / 1000
     }
 
     /// Tasks of a gang that a machine has room for, its own hold counted in.
     fn gang_capacity(&self, job: JobIx, work: &JobState, ix: MachineIx) -> u64 {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let held = machine.hold.is_some_and(|hold| hold.job == job);
         let free = if held { machine.capacity } else { machine.free() };
         if work.failed_on.contains(&ix) { 0 } else { work.spec.task_resources.max_count_in(&free) }
     }
 
     pub fn price_per_cpu(&self, ix: MachineIx) -> f64 {
-        let machine = &self.machines[ix.index()];
-        let Some(kind) = self.machine_types.get(&machine.machine_type) else { return f64::MAX };
+        let machine = &self.cluster.machines[ix.index()];
+        let Some(kind) = self.cluster.machine_types.get(&machine.machine_type) else { return f64::MAX };
         let price = if machine.spot { kind.spot_price.unwrap_or(kind.price) } else { kind.price };
         price / kind.capacity.cpu.max(1) as f64
     }
@@ -209,9 +209,9 @@
 impl<'a> CapacityPlan<'a> {
     fn new(leader: &'a Leader, clock: Clock) -> CapacityPlan<'a> {
         let mut planned_machines = Vec::new();
-        for (at, machine) in leader.machines.iter().enumerate() {
+        for (at, machine) in leader.cluster.machines.iter().enumerate() {
             let ix = MachineIx(at as u32);
-            let kind = leader.machine_types.get(&machine.machine_type);
+            let kind = leader.cluster.machine_types.get(&machine.machine_type);
             let boot = kind.map_or(0, |kind| kind.boot_ms);
             let available_in_ms = match machine.state {
                 MachineState::Up if machine.is_schedulable() || !machine.token_acknowledged => 0,
@@ -247,6 +247,7 @@
     fn assign_jobs(&mut self) {
         let leader = self.leader;
         let mut jobs: Vec<(bool, u64, JobIx, &JobState)> = leader
+            .workload
             .jobs
             .iter()
             .map(|(ix, work)| {
@@ -265,7 +266,7 @@
 
     fn assign_gang(&mut self, ix: JobIx, work: &JobState) {
         let leader = self.leader;
-        if !leader.waiting_gangs.contains(&work.queue_order) {
+        if !leader.placement.waiting_gangs.contains(&work.queue_order) {
             return;
         }
         let mut demand = ZoneDemand::new(work);
@@ -276,7 +277,7 @@
             if demand.unplaced == 0 {
                 break;
             }
-            let machine = &leader.machines[place.ix.index()];
+            let machine = &leader.cluster.machines[place.ix.index()];
             if self.gang_machines.contains(place.ix)
                 || !work.spec.allows(machine.machine_type, machine.zone, machine.spot)
             {
@@ -299,7 +300,7 @@
             else {
                 return;
             };
-            let Some(kind) = leader.machine_types.get(&offer.machine_type) else { return };
+            let Some(kind) = leader.cluster.machine_types.get(&offer.machine_type) else { return };
             demand.assign(offer.zone, work.spec.task_resources.max_count_in(&kind.capacity).max(1));
             *self.wanted_offers.entry(offer).or_default() += 1;
         }
@@ -310,7 +311,7 @@
     fn choose_zone(&self, ix: JobIx, work: &JobState) -> Option<ZoneIx> {
         let mut room: BTreeMap<ZoneIx, u64> = BTreeMap::new();
         for place in &self.planned_machines {
-            let machine = &self.leader.machines[place.ix.index()];
+            let machine = &self.leader.cluster.machines[place.ix.index()];
             let slots = self.leader.gang_capacity(ix, work, place.ix);
             if !self.gang_machines.contains(place.ix) && slots > 0 {
                 *room.entry(machine.zone).or_default() += slots;
@@ -331,7 +332,7 @@
         mut try_use: impl FnMut(ZoneIx, &MachineType) -> bool,
     ) {
         for (offer, count) in &mut self.pending {
-            let Some(kind) = self.leader.machine_types.get(&offer.machine_type) else { continue };
+            let Some(kind) = self.leader.cluster.machine_types.get(&offer.machine_type) else { continue };
             let fits = work.spec.task_resources.fits_in(&kind.capacity);
             if !fits || !work.spec.allows(offer.machine_type, offer.zone, offer.spot) {
                 continue;
@@ -363,7 +364,7 @@
             if left == 0 {
                 break;
             }
-            let machine = &leader.machines[place.ix.index()];
+            let machine = &leader.cluster.machines[place.ix.index()];
             let fits = work.spec.task_resources.fits_in(&machine.capacity);
             if !fits || !work.spec.allows(machine.machine_type, machine.zone, machine.spot) {
                 continue;
@@ -396,7 +397,7 @@
         let mut added = 0;
         while left > 0 && added < MAX_ADDED_PER_JOB {
             let Some(offer) = leader.cheapest_offer(work, self.clock, |_| true) else { return };
-            let Some(kind) = leader.machine_types.get(&offer.machine_type) else { return };
+            let Some(kind) = leader.cluster.machine_types.get(&offer.machine_type) else { return };
             let share = left.min(usable_cpu_ms(kind));
             *self.spare_capacity.entry(offer).or_default() += usable_cpu_ms(kind) - share;
             left -= share;
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -48,7 +48,7 @@
         sequence: Option<u64>,
         may_start: bool,
     ) -> Vec<WorkerCommand> {
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         let mut commands = Vec::new();
         for binding in &mut machine.bindings {
             if commands.len() >= MAX_COMMANDS {
@@ -87,14 +87,14 @@
         } else {
             MAX_ANNOUNCEMENTS
         };
-        for ix in std::mem::take(&mut self.pending_announcements) {
-            let machine = &self.machines[ix.index()];
+        for ix in std::mem::take(&mut self.cluster.pending_announcements) {
+            let machine = &self.cluster.machines[ix.index()];
             if machine.state != MachineState::Up
                 || machine.direct_send_in_flight
                 || clock.now < machine.direct_send_not_before
             {
                 if machine.receive_path_down() && machine.state == MachineState::Up {
-                    self.pending_announcements.insert(ix);
+                    self.cluster.pending_announcements.insert(ix);
                 }
                 continue;
             }
@@ -110,7 +110,7 @@
             }
             // All at once they would hold up renewals and reports; who reports first needs none.
             if announcing && announcements >= max_announcements {
-                self.pending_announcements.insert(ix);
+                self.cluster.pending_announcements.insert(ix);
                 continue;
             }
             announcements += u64::from(announcing);
@@ -126,7 +126,7 @@
                     _ => None,
                 })
                 .collect();
-            let machine = &mut self.machines[ix.index()];
+            let machine = &mut self.cluster.machines[ix.index()];
             machine.direct_send_in_flight = true;
             messages.push(DirectMessage { machine: ix, epoch: machine.epoch, task_starts, commands });
         }
@@ -137,12 +137,12 @@
     }
 
     pub fn handle_direct_outcome(&mut self, message: &DirectMessage, outcome: DirectOutcome, clock: Clock) {
-        let machine = &mut self.machines[message.machine.index()];
+        let machine = &mut self.cluster.machines[message.machine.index()];
         machine.direct_send_in_flight = false;
         if outcome == DirectOutcome::Refused && machine.epoch > message.epoch {
             // A worker takes no notice of a token that comes with another session than its
             // own, which no record tells: its refusal did.
-            self.pending_announcements.insert(message.machine);
+            self.cluster.pending_announcements.insert(message.machine);
         } else if outcome != DirectOutcome::Executed {
             machine.direct_send_not_before = clock.now.saturating_add(DIRECT_BACKOFF_MS);
         }
@@ -171,11 +171,11 @@
             // Also those that were seen to exit meanwhile: a late copy must find them there.
             machine.late_starts.extend(message.task_starts.iter().copied());
         }
-        let machine = &self.machines[message.machine.index()];
+        let machine = &self.cluster.machines[message.machine.index()];
         if delivered {
             self.refresh_placement_index(message.machine);
         } else if machine.receive_path_down() {
-            self.pending_announcements.insert(message.machine);
+            self.cluster.pending_announcements.insert(message.machine);
         } else if outcome == DirectOutcome::Unknown
             && machine.state == MachineState::Up
             && !message.task_starts.is_empty()
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -73,9 +73,9 @@
         let due =
             |work: &JobState| !work.failed_on.is_empty() && clock.now >= work.retry_exclusion_not_before;
         let excluded_everywhere =
-            self.jobs.iter().filter(|(_, work)| due(work) && self.has_failed_everywhere(work));
+            self.workload.jobs.iter().filter(|(_, work)| due(work) && self.has_failed_everywhere(work));
         for ix in excluded_everywhere.map(|(ix, _)| *ix).collect::<Vec<JobIx>>() {
-            let Some(work) = self.jobs.get_mut(&ix) else { continue };
+            let Some(work) = self.workload.jobs.get_mut(&ix) else { continue };
             let id = work.spec.id;
             log::info!(event = "forgiven", job:% = id; "{id} failed on all it may use: tried there again");
             work.retried_exclusions += work.failed_on.len();
@@ -88,8 +88,8 @@
     /// Of the machines that could run its tasks, each has failed one. Parked ones take no queued tasks.
     fn has_failed_everywhere(&self, work: &JobState) -> bool {
         let mut failed = false;
-        for ix in self.placement_index.open() {
-            let usable = work.spec.is_all_or_nothing() || self.placement_index.accepts_queued(*ix);
+        for ix in self.cluster.placement_index.open() {
+            let usable = work.spec.is_all_or_nothing() || self.cluster.placement_index.accepts_queued(*ix);
             match self.machine_blocker(*ix, work) {
                 None if usable => return false,
                 Some(PlacementBlocker::FailedBefore) => failed = true,
@@ -100,26 +100,27 @@
     }
 
     pub fn record_failure(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
-        let machine = self.machines[ix.index()].name.as_str();
+        let machine = self.cluster.machines[ix.index()].name.as_str();
         log::info!(event = "failed", task:% = binding.task, machine; "{} failed on {machine}", binding.task);
-        let Some((job, work)) = binding.job.and_then(|job| Some((job, self.jobs.get_mut(&job)?))) else {
+        let Some((job, work)) = binding.job.and_then(|job| Some((job, self.workload.jobs.get_mut(&job)?)))
+        else {
             return;
         };
         work.failed_on.insert(ix);
         if work.is_at_fault() {
             // Its own fault: machines that failed nothing else are good again.
             let id = work.spec.id;
-            for at in 0..self.machines.len() {
-                if self.machines[at].failed_jobs.remove(&id) {
-                    self.machines[at].quarantined &= self.should_quarantine(MachineIx(at as u32));
+            for at in 0..self.cluster.machines.len() {
+                if self.cluster.machines[at].failed_jobs.remove(&id) {
+                    self.cluster.machines[at].quarantined &= self.should_quarantine(MachineIx(at as u32));
                 }
             }
             self.start_probation(job, clock);
             return;
         }
-        self.machines[ix.index()].failed_jobs.insert(binding.task.job);
-        if self.should_quarantine(ix) && !self.machines[ix.index()].quarantined {
-            let machine = &mut self.machines[ix.index()];
+        self.cluster.machines[ix.index()].failed_jobs.insert(binding.task.job);
+        if self.should_quarantine(ix) && !self.cluster.machines[ix.index()].quarantined {
+            let machine = &mut self.cluster.machines[ix.index()];
             log::info!(event = "sick", machine = machine.name.as_str(); "machine {} taken for sick", machine.name);
             machine.quarantined = true;
             self.requeue_machine_queues(ix);
@@ -128,17 +129,17 @@
 
     /// Different jobs failed there, with no success between.
     fn should_quarantine(&self, ix: MachineIx) -> bool {
-        let errors = &self.machines[ix.index()].failed_jobs;
+        let errors = &self.cluster.machines[ix.index()].failed_jobs;
         // A job that is over was done: what a user withdraws is taken off.
         let unproven =
-            |id: &JobId| self.jobs.values().any(|work| work.spec.id == *id && !work.has_succeeded());
+            |id: &JobId| self.workload.jobs.values().any(|work| work.spec.id == *id && !work.has_succeeded());
         errors.len()
             >= if errors.iter().all(unproven) { QUARANTINE_UNPROVEN_JOBS } else { QUARANTINE_FAILED_JOBS }
     }
 
     /// The job has failed once more: nothing of it waits in any queue, and the next task is tried after a while.
     fn start_probation(&mut self, ix: JobIx, clock: Clock) {
-        let Some(work) = self.jobs.get_mut(&ix) else { return };
+        let Some(work) = self.workload.jobs.get_mut(&ix) else { return };
         // Gangs are tried one attempt at a time anyway, and graphs say themselves how often a node is.
         if work.spec.is_all_or_nothing() || work.dag_node.is_some() || !self.tunables.overload.probation {
             return;
@@ -155,7 +156,7 @@
         let id = work.spec.id;
         log::info!(event = "on_trial", job:% = id; "{id} fails wherever it is tried: one task at a time from now on");
         self.remove_queued_tasks(ix);
-        for waiting in self.retry_queue.values_mut() {
+        for waiting in self.workload.retry_queue.values_mut() {
             waiting.retain(|(job, _)| *job != ix);
         }
     }
@@ -166,9 +167,10 @@
             let due = work.probation.is_some_and(|trial| !trial.queued && trial.next_attempt_at <= clock.now);
             due && work.placements.is_empty() && !work.finishing
         };
-        let due: Vec<JobIx> = self.jobs.iter().filter(|(_, work)| due(work)).map(|(ix, _)| *ix).collect();
+        let due: Vec<JobIx> =
+            self.workload.jobs.iter().filter(|(_, work)| due(work)).map(|(ix, _)| *ix).collect();
         for ix in due {
-            let Some(work) = self.jobs.get_mut(&ix) else { continue };
+            let Some(work) = self.workload.jobs.get_mut(&ix) else { continue };
             let Some(task) = work.finished.iter_missing().next() else { continue };
             if let Some(trial) = &mut work.probation {
                 trial.queued = true;
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::machines::faults::backoff_factor;
-use crate::coordination::leader::{Binding, DispatchState, Leader, MachineState};
+use crate::coordination::leader::{Binding, DispatchState, Leader, MachineIdentity, MachineState};
 use crate::ids::{AgentEpoch, Attempt, JobIx, MachineIx, TaskId};
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::users::JobKind;
@@ -44,38 +44,38 @@
     ) -> HeartbeatReply {
         let ix = self.register_reporting_machine(cache, report, clock);
         let previous = std::mem::replace(
-            &mut self.machines[ix.index()].last_heartbeat_id,
+            &mut self.cluster.machines[ix.index()].last_heartbeat_id,
             (report.epoch, report.sequence),
         );
         if (report.epoch, report.sequence) <= previous {
             // A copy that comes late: nobody waits for the answer, and no lease grows by it.
-            self.machines[ix.index()].last_heartbeat_id = previous;
+            self.cluster.machines[ix.index()].last_heartbeat_id = previous;
             return HeartbeatReply::Reject;
         }
         // A report older than the body of an answer to `/orders` may still be the worker's latest: its answer keeps
         // the worker alive like any other, but it says nothing new.
         let newer = self.is_newer_heartbeat(ix, report);
         self.mark_machine_up(ix, clock);
-        if newer && report.token != self.token && self.check_unacknowledged_timeout(ix, clock) {
+        if newer && report.token != self.term.token() && self.check_unacknowledged_timeout(ix, clock) {
             return HeartbeatReply::Reject;
         }
         if newer {
             self.apply_heartbeat(ix, clock, report);
             self.reconcile_done_tasks(cache, report, clock);
         }
-        if newer && report.token == self.token {
-            let machine = &mut self.machines[ix.index()];
+        if newer && report.token == self.term.token() {
+            let machine = &mut self.cluster.machines[ix.index()];
             machine.token_acknowledged = true;
             machine.unacknowledged_since = None;
             self.reconcile_missing_tasks(ix, clock, report);
         }
         self.refresh_placement_index(ix);
         let overdue = |binding: &Binding| binding.lease_renewal_cutoff.is_some_and(|by| by <= clock.now);
-        if self.machines[ix.index()].bindings.iter().any(overdue) {
+        if self.cluster.machines[ix.index()].bindings.iter().any(overdue) {
             return HeartbeatReply::Reject;
         }
-        self.machines[ix.index()].last_answered_heartbeat_at = Some(clock.now);
-        if !newer || report.token != self.token {
+        self.cluster.machines[ix.index()].last_answered_heartbeat_at = Some(clock.now);
+        if !newer || report.token != self.term.token() {
             // It hears of us only now; orders follow once it shows the token.
             return HeartbeatReply::Commands(Vec::new());
         }
@@ -91,13 +91,13 @@
             return;
         }
         self.apply_heartbeat(ix, clock, heartbeat);
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         // Its reports may still be on their way to a leader that is cut off, for 16 s after
         // a takeover: what it showed here entitles us just as well.
-        if heartbeat.token == self.token && !machine.token_acknowledged {
+        if heartbeat.token == self.term.token() && !machine.token_acknowledged {
             machine.token_acknowledged = true;
             machine.token_first_acknowledged = Some(clock.now);
-            self.pending_announcements.insert(ix);
+            self.cluster.pending_announcements.insert(ix);
         }
         self.refresh_placement_index(ix);
     }
@@ -110,23 +110,23 @@
     ) -> MachineIx {
         let machine_type = cache.names.machine_types.intern(&heartbeat.machine_type);
         let zone = cache.names.zones.intern(&heartbeat.zone);
-        let ix = self.register_machine(
-            &heartbeat.machine,
-            &heartbeat.endpoint,
+        let identity = MachineIdentity {
+            name: &heartbeat.machine,
+            endpoint: &heartbeat.endpoint,
             machine_type,
             zone,
-            heartbeat.spot,
-            clock,
-        );
-        self.machines[ix.index()].endpoint.clone_from(&heartbeat.endpoint);
+            spot: heartbeat.spot,
+        };
+        let ix = self.register_machine(identity, clock);
+        self.cluster.machines[ix.index()].endpoint.clone_from(&heartbeat.endpoint);
         ix
     }
 
     /// It is there, or there again.
     fn mark_machine_up(&mut self, ix: MachineIx, clock: Clock) {
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         if machine.state == MachineState::Booting {
-            let kind = self.machine_types.get(&machine.machine_type).map_or("", |kind| &kind.name);
+            let kind = self.cluster.machine_types.get(&machine.machine_type).map_or("", |kind| &kind.name);
             log::info!(event = "machine_up", machine = machine.name.as_str(); "machine {} up ({kind})", machine.name);
             machine.idle_since = clock.now;
         }
@@ -137,18 +137,18 @@
     }
 
     fn is_newer_heartbeat(&self, ix: MachineIx, heartbeat: &Heartbeat) -> bool {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         (heartbeat.epoch, heartbeat.sequence) > (machine.epoch, machine.sequence)
     }
 
     /// Whoever calls it refreshes the machine when all is taken in.
     fn apply_heartbeat(&mut self, ix: MachineIx, clock: Clock, heartbeat: &Heartbeat) {
-        let before = self.machines[ix.index()].epoch;
+        let before = self.cluster.machines[ix.index()].epoch;
         if heartbeat.epoch > before {
-            self.machines[ix.index()].epoch_first_seen = Some(clock.now);
+            self.cluster.machines[ix.index()].epoch_first_seen = Some(clock.now);
             self.start_agent_epoch(ix, before, heartbeat.epoch, clock);
         }
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         machine.epoch = heartbeat.epoch;
         machine.sequence = heartbeat.sequence;
         match heartbeat.reclaim_notice_ms {
@@ -169,11 +169,11 @@
 
     /// The worker's lease had ended: it has forgotten all it was told before.
     fn start_agent_epoch(&mut self, ix: MachineIx, previous: AgentEpoch, current: AgentEpoch, clock: Clock) {
-        self.machines[ix.index()].late_starts.clear();
+        self.cluster.machines[ix.index()].late_starts.clear();
         if previous == AgentEpoch(0) {
             return;
         }
-        log::info!("machine {} starts session {}", self.machines[ix.index()].name, current.0);
+        log::info!("machine {} starts session {}", self.cluster.machines[ix.index()].name, current.0);
         // What was inherited may have been started in this very session, if the one seen before was that of an old report
         // that came late: a report with our token tells.
         let was_sent = |binding: &Binding| {
@@ -186,10 +186,10 @@
         let unacknowledged = |binding: &Binding| {
             binding.late_start_possible || matches!(binding.dispatch, DispatchState::SentInResponse { .. })
         };
-        if self.machines[ix.index()].bindings.iter().any(unacknowledged) {
+        if self.cluster.machines[ix.index()].bindings.iter().any(unacknowledged) {
             self.record_unacknowledged_command(ix);
         }
-        while let Some(at) = self.machines[ix.index()].bindings.iter().position(was_sent) {
+        while let Some(at) = self.cluster.machines[ix.index()].bindings.iter().position(was_sent) {
             let binding = self.remove_binding(ix, at, clock);
             self.event_log.record(
                 binding.task.job,
@@ -204,14 +204,14 @@
     }
 
     fn apply_task_status(&mut self, ix: MachineIx, clock: Clock, piece: &TaskStatus) {
-        let known = self.machines[ix.index()]
+        let known = self.cluster.machines[ix.index()]
             .bindings
             .iter()
             .position(|b| b.task == piece.task && b.attempt == piece.attempt);
         match (known, piece.state) {
             (Some(at), TaskPhase::Exited(cause)) => self.handle_task_exit(ix, at, piece, cause, clock),
             (Some(at), state) => {
-                let machine = &mut self.machines[ix.index()];
+                let machine = &mut self.cluster.machines[ix.index()];
                 if !matches!(
                     machine.bindings[at].dispatch,
                     DispatchState::Observed | DispatchState::Inherited
@@ -238,12 +238,12 @@
                         piece.task.task,
                         1,
                     );
-                    if let Some(work) = binding.job.and_then(|job| self.jobs.get_mut(&job)) {
+                    if let Some(work) = binding.job.and_then(|job| self.workload.jobs.get_mut(&job)) {
                         work.first_run.record(clock.wall_ms);
                     }
                     self.start_time_limit(ix, job, piece, clock);
                 }
-                let binding = &mut self.machines[ix.index()].bindings[at];
+                let binding = &mut self.cluster.machines[ix.index()].bindings[at];
                 let fetched = matches!(state, TaskPhase::Running | TaskPhase::WaitingForPeers);
                 if let Some(since) = binding.fetching_since.take_if(|_| fetched) {
                     let job = binding.job;
@@ -258,8 +258,11 @@
 
     /// An image came in: what the machine type really fetches a second.
     fn update_fetch_rate(&mut self, ix: MachineIx, job: Option<JobIx>, ms: u64) {
-        let Some(work) = job.and_then(|job| self.jobs.get(&job)) else { return };
-        let Some(kind) = self.machine_types.get_mut(&self.machines[ix.index()].machine_type) else { return };
+        let Some(work) = job.and_then(|job| self.workload.jobs.get(&job)) else { return };
+        let Some(kind) = self.cluster.machine_types.get_mut(&self.cluster.machines[ix.index()].machine_type)
+        else {
+            return;
+        };
         // Shorter than the reports are apart, it says nothing.
         if ms < MIN_MEASURED_FETCH_MS || work.spec.image_mb == 0 {
             return;
@@ -269,7 +272,7 @@
     }
 
     fn stop_orphan_task(&mut self, ix: MachineIx, status: &TaskStatus, state: TaskPhase) {
-        log::info!("stray {} on {}", status.task, self.machines[ix.index()].name);
+        log::info!("stray {} on {}", status.task, self.cluster.machines[ix.index()].name);
         let binding = Binding {
             task: status.task,
             job: None,
@@ -298,7 +301,7 @@
             heartbeat.tasks.iter().map(|piece| (piece.task, piece.attempt)).collect();
         let receive_path_down = self.detect_dropped_response(ix, heartbeat.sequence);
         let mut at = 0;
-        while let Some(binding) = self.machines[ix.index()].bindings.get_mut(at) {
+        while let Some(binding) = self.cluster.machines[ix.index()].bindings.get_mut(at) {
             if reported.contains(&(binding.task, binding.attempt)) {
                 at += 1;
                 continue;
@@ -338,7 +341,7 @@
         let binding = self.remove_binding(ix, at, clock);
         self.log_exit(ix, &binding, cause);
         if binding.late_start_possible {
-            self.machines[ix.index()].late_starts.insert((binding.task, binding.attempt));
+            self.cluster.machines[ix.index()].late_starts.insert((binding.task, binding.attempt));
         }
         if cause == ExitCause::Done {
             if let Some(job) = binding.job {
@@ -357,7 +360,7 @@
             ExitCause::Unknown => UNKNOWN_EXIT_RETRY_DELAY_MS,
             _ => 0,
         };
-        let work = binding.job.and_then(|job| self.jobs.get(&job));
+        let work = binding.job.and_then(|job| self.workload.jobs.get(&job));
         let default_delay = delay.saturating_mul(work.map_or(1, backoff_factor));
         let delay = retry_delay.flatten().unwrap_or(default_delay);
         self.requeue(&binding, delay, clock);
@@ -365,12 +368,12 @@
     }
 
     fn record_success(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         machine.failed_jobs.clear();
         machine.recent_finishes.retain(|at| clock.now.saturating_since(*at) < 60_000);
         machine.recent_finishes.push(clock.now);
         let Some(job) = binding.job else { return };
-        let Some(work) = self.jobs.get_mut(&job) else {
+        let Some(work) = self.workload.jobs.get_mut(&job) else {
             return;
         };
         let was_on_probation = work.reset_failures();
@@ -396,7 +399,7 @@
     }
 
     fn mark_task_done(&mut self, ix: JobIx, task: TaskId, clock: Clock) {
-        let Some(work) = self.jobs.get_mut(&ix) else {
+        let Some(work) = self.workload.jobs.get_mut(&ix) else {
             return;
         };
         if work.spec.kind == JobKind::Gang {
@@ -419,10 +422,10 @@
         cache: &StoreCache,
         heartbeat: &Heartbeat,
     ) -> Vec<WorkerCommand> {
-        if heartbeat.token != self.token {
+        if heartbeat.token != self.term.token() {
             return Vec::new();
         }
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let is_forgettable = |piece: &&TaskStatus| {
             let TaskPhase::Exited(cause) = piece.state else {
                 return false;
@@ -444,7 +447,7 @@
 
     /// A failed try of a node that is not durable: forgotten by the worker, a new leader would not count it.
     fn has_unpersisted_failure(&self, status: &TaskStatus, cache: &StoreCache) -> bool {
-        let work = cache.find(status.task.job).and_then(|job| self.jobs.get(&job));
+        let work = cache.find(status.task.job).and_then(|job| self.workload.jobs.get(&job));
         let Some((work, node)) = work.and_then(|work| Some((work, work.dag_node.as_ref()?))) else {
             return false;
         };
@@ -467,19 +470,19 @@
             let Some(ix) = cache.find(piece.task.job) else {
                 continue;
             };
-            let Some(work) = self.jobs.get_mut(&ix) else {
+            let Some(work) = self.workload.jobs.get_mut(&ix) else {
                 continue;
             };
             // Counted already: it only waits to be reaped.
             if work.placements.contains_key(&piece.task.task) || work.finished.contains(piece.task.task) {
                 continue;
             }
-            let machine = self.machines_by_name.get(&heartbeat.machine).copied();
+            let machine = self.cluster.machines_by_name.get(&heartbeat.machine).copied();
             if let Some(machine) = machine {
                 self.record_node_task_done(machine, ix, piece);
             }
             self.mark_task_done(ix, piece.task, clock);
-            if self.jobs.get(&ix).is_some_and(|work| work.finished.is_full()) {
+            if self.workload.jobs.get(&ix).is_some_and(|work| work.finished.is_full()) {
                 self.remove_queued_tasks(ix);
             }
         }
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -15,7 +15,7 @@
     pub fn count_overdue_workers(&self, now: Millis) -> (usize, usize) {
         let timeout_ms = self.settings.worker_timings.heartbeat_interval_ms * 9 / 4 + 500;
         let acknowledged =
-            self.machines.iter().filter(|m| m.state == MachineState::Up && m.token_acknowledged);
+            self.cluster.machines.iter().filter(|m| m.state == MachineState::Up && m.token_acknowledged);
         let overdue_flags = acknowledged
             .filter_map(|m| m.last_answered_heartbeat_at)
             .map(|at| now.saturating_since(at) > timeout_ms);
@@ -28,14 +28,14 @@
     pub fn return_silent_spot_machines(&mut self, clock: Clock) {
         let heartbeat_ms = self.settings.worker_timings.heartbeat_interval_ms;
         let (mut up, mut overdue) = (0, Vec::new());
-        for (at, machine) in self.machines.iter().enumerate() {
+        for (at, machine) in self.cluster.machines.iter().enumerate() {
             if machine.state != MachineState::Up || machine.returning {
                 continue;
             }
             up += 1;
             let since = machine
                 .last_answered_heartbeat_at
-                .unwrap_or(self.acquired_at.saturating_add(LEADER_DISCOVERY_MS));
+                .unwrap_or(self.term.acquired_at().saturating_add(LEADER_DISCOVERY_MS));
             if clock.now.saturating_since(since) > 4 * heartbeat_ms + 2_000 {
                 overdue.push(MachineIx(at as u32));
             }
@@ -45,8 +45,8 @@
             return;
         }
         for ix in overdue {
-            let empty_at = self.certainly_empty_at(&self.machines[ix.index()]);
-            let machine = &self.machines[ix.index()];
+            let empty_at = self.certainly_empty_at(&self.cluster.machines[ix.index()]);
+            let machine = &self.cluster.machines[ix.index()];
             let sooner = empty_at.saturating_since(clock.now) > MIN_TIME_SAVED_MS;
             if machine.spot && sooner && !machine.bindings.is_empty() {
                 log::info!("machine {} goes back: a spot machine that is silent", machine.name);
@@ -68,7 +68,7 @@
             // An earlier leader, or our own first answers, may have kept it alive. Nothing of ours was sent there, and what
             // an earlier leader sent was for a session that it knew: a deaf machine's later ones do not count.
             _ => last_lease_start
-                .map_or(self.recovery_until, |heard| lease_end(heard).max(self.recovery_until)),
+                .map_or(self.term.recovery_until(), |heard| lease_end(heard).max(self.term.recovery_until())),
         }
     }
 
@@ -77,7 +77,7 @@
     /// alive has run out after a lease, so that only our own answers would keep us waiting for its tasks.
     pub(super) fn check_unacknowledged_timeout(&mut self, ix: MachineIx, clock: Clock) -> bool {
         let lease = self.settings.worker_timings.lease_duration_ms;
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         if machine.token_acknowledged {
             return false;
         }
@@ -89,17 +89,17 @@
 
     /// The machine reports and shows nothing of what it was told with the answer before. True: it is taken for deaf.
     pub(super) fn detect_dropped_response(&mut self, ix: MachineIx, sequence: u64) -> bool {
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         let response_lost = |binding: &Binding| matches!(binding.dispatch, DispatchState::SentInResponse { sequence: told } if told < sequence);
         if machine.bindings.iter().any(response_lost) {
             self.record_unacknowledged_command(ix);
         }
-        self.machines[ix.index()].receive_path_down()
+        self.cluster.machines[ix.index()].receive_path_down()
     }
 
     /// What was sent to it has not arrived, or is not known to have.
     pub(super) fn record_unacknowledged_command(&mut self, ix: MachineIx) {
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         let was_down = machine.receive_path_down();
         machine.unacknowledged_starts += 1;
         if machine.receive_path_down() && !was_down {
@@ -107,22 +107,22 @@
             log::info!(event = "machine_deaf", machine = name; "machine {name} reports but hears nothing");
             self.refresh_placement_index(ix);
             self.requeue_machine_queues(ix);
-            self.pending_announcements.insert(ix);
+            self.cluster.pending_announcements.insert(ix);
         }
     }
 
     /// Machines whose worker's lease has certainly run out: nothing is on them.
     pub fn expire_machine_leases(&mut self, clock: Clock) {
-        for at in 0..self.machines.len() {
+        for at in 0..self.cluster.machines.len() {
             let ix = MachineIx(at as u32);
-            let machine = &self.machines[at];
+            let machine = &self.cluster.machines[at];
             if machine.state != MachineState::Up || clock.now < self.certainly_empty_at(machine) {
                 continue;
             }
             let (name, tasks) = (machine.name.as_str(), machine.bindings.len());
             log::info!(event = "machine_lost", machine = name, tasks; "machine {name} lost with {tasks} tasks");
             self.counters.machines_lost += 1;
-            let machine = &mut self.machines[at];
+            let machine = &mut self.cluster.machines[at];
             machine.state = MachineState::Unreachable;
             machine.hold = None;
             machine.unacknowledged_since = None;
--- a/src/coordination/leader/machines/provisioner.rs
+++ b/src/coordination/leader/machines/provisioner.rs
@@ -8,7 +8,7 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::leader::machines::capacity_plan::{MIN_BILLED_MS, MachineSet};
 use crate::coordination::leader::machines::offer_backoff::OfferBackoff;
-use crate::coordination::leader::{JobState, Leader, Machine, MachineState};
+use crate::coordination::leader::{JobState, Leader, Machine, MachineIdentity, MachineState};
 use crate::coordination::token_bucket::TokenBucket;
 use crate::coordination::{Action, Clock, OutboundId};
 use crate::ids::{FencingToken, MachineIx, MachineTypeIx, Millis, ZoneIx};
@@ -229,7 +229,7 @@
             return;
         }
         let due = self.provisioner.to_release.iter().take(MAX_SCALE_IN_BATCH);
-        let machines: Vec<String> = due.map(|ix| self.machines[ix.index()].name.clone()).collect();
+        let machines: Vec<String> = due.map(|ix| self.cluster.machines[ix.index()].name.clone()).collect();
         if machines.is_empty() || !self.provisioner.rate_budget.try_take(clock.now, 1) {
             return;
         }
@@ -310,14 +310,22 @@
     fn reconcile_listed_machine(&mut self, clock: Clock, listed: &CloudMachine, cache: &mut StoreCache) {
         let machine_type = cache.names.machine_types.intern(&listed.machine_type);
         let zone = cache.names.zones.intern(&listed.zone);
-        let known = self.machines_by_name.contains_key(&listed.name);
+        let known = self.cluster.machines_by_name.contains_key(&listed.name);
         if !known && listed.state == CloudMachineState::Failed {
             return;
         }
-        let ix =
-            self.register_machine(&listed.name, &listed.endpoint, machine_type, zone, listed.spot, clock);
+        let ix = self.register_machine(
+            MachineIdentity {
+                name: &listed.name,
+                endpoint: &listed.endpoint,
+                machine_type,
+                zone,
+                spot: listed.spot,
+            },
+            clock,
+        );
         let provisioned_at = clock.now.saturating_sub(listed.age_ms);
-        let machine = &mut self.machines[ix.index()];
+        let machine = &mut self.cluster.machines[ix.index()];
         machine.created_at = machine.created_at.min(provisioned_at);
         machine.cloud_running |= listed.state == CloudMachineState::Running;
         if machine.endpoint.is_empty() {
@@ -342,12 +350,12 @@
             return;
         }
         for name in machines {
-            let Some(ix) = self.machines_by_name.get(name).copied() else {
+            let Some(ix) = self.cluster.machines_by_name.get(name).copied() else {
                 continue;
             };
-            self.machines[ix.index()].state = MachineState::Gone;
+            self.cluster.machines[ix.index()].state = MachineState::Gone;
             self.provisioner.to_release.remove(&ix);
-            let segment = self.machines[ix.index()].return_log_segment.take();
+            let segment = self.cluster.machines[ix.index()].return_log_segment.take();
             self.assignment_log.remove_return(ix, segment);
             self.refresh_placement_index(ix);
             self.remove_all_bindings(ix, clock);
@@ -372,9 +380,17 @@
                 }
                 log::info!("rented {} for {name}", machines.join(" "));
                 for machine in &machines {
-                    let ix =
-                        self.register_machine(machine, "", offer.machine_type, offer.zone, offer.spot, clock);
-                    self.machines[ix.index()].created_at = sent_at;
+                    let ix = self.register_machine(
+                        MachineIdentity {
+                            name: machine,
+                            endpoint: "",
+                            machine_type: offer.machine_type,
+                            zone: offer.zone,
+                            spot: offer.spot,
+                        },
+                        clock,
+                    );
+                    self.cluster.machines[ix.index()].created_at = sent_at;
                 }
             }
             CloudReply::NoCapacity => {
@@ -433,14 +449,14 @@
     /// Machines that nobody needs, that never came up or that went silent are returned.
     fn scale_in(&mut self, clock: Clock) {
         // What is cheap may wait longer for the next job.
-        let prices = self.machine_types.values().flat_map(|kind| {
+        let prices = self.cluster.machine_types.values().flat_map(|kind| {
             let per_cpu = |price: f64| price / kind.capacity.cpu.max(1) as f64;
             [Some(kind.price), kind.spot_price].into_iter().flatten().map(per_cpu)
         });
         let cheapest = prices.fold(f64::MAX, f64::min);
-        for at in 0..self.machines.len() {
+        for at in 0..self.cluster.machines.len() {
             let ix = MachineIx(at as u32);
-            let machine = &self.machines[at];
+            let machine = &self.cluster.machines[at];
             if machine.returning || machine.state == MachineState::Gone || !machine.bindings.is_empty() {
                 continue;
             }
@@ -472,10 +488,10 @@
     /// It should have reported long ago. One that was up before this node led may still be looking for it: without that
     /// time a new leader gave back 147 idle machines within a second, and rented them anew.
     pub fn is_boot_overdue(&self, machine: &Machine, clock: Clock) -> bool {
-        let boot = self.machine_types.get(&machine.machine_type).map_or(60_000, |kind| kind.boot_ms);
+        let boot = self.cluster.machine_types.get(&machine.machine_type).map_or(60_000, |kind| kind.boot_ms);
         let overdue = clock.now.saturating_since(machine.created_at) > boot * BOOT_TIMEOUT_FACTOR + 10_000;
-        let seeking_leader =
-            machine.cloud_running && clock.now < self.acquired_at.saturating_add(IDLE_LEADER_DISCOVERY_MS);
+        let seeking_leader = machine.cloud_running
+            && clock.now < self.term.acquired_at().saturating_add(IDLE_LEADER_DISCOVERY_MS);
         overdue && !seeking_leader
     }
 
@@ -487,7 +503,7 @@
     ) -> Option<InstanceOffer> {
         let pending = self.provisioner.pending_requests();
         let mut best: Option<(f64, InstanceOffer)> = None;
-        for (kind_ix, kind) in &self.machine_types {
+        for (kind_ix, kind) in &self.cluster.machine_types {
             let slots = work.spec.task_resources.max_count_in(&kind.capacity).min(1_000_000);
             if slots == 0 || !work.spec.allows_machine_type(*kind_ix) {
                 continue;
--- a/src/coordination/leader/operator_views.rs
+++ b/src/coordination/leader/operator_views.rs
@@ -12,8 +12,9 @@
 impl Leader {
     /// Tasks of a job that are not done, from behind `after` on, and where the next page begins.
     pub fn task_rows(&self, ix: JobIx, after: Option<u32>, limit: usize) -> (Vec<TaskSummary>, Option<u32>) {
-        let Some(work) = self.jobs.get(&ix) else { return (Vec::new(), None) };
+        let Some(work) = self.workload.jobs.get(&ix) else { return (Vec::new(), None) };
         let delayed: Vec<u32> = self
+            .workload
             .retry_queue
             .values()
             .flatten()
@@ -52,7 +53,7 @@
             task,
             state: binding.map_or(TaskStateView::Recorded, task_state_word),
             attempt: binding.map(|binding| binding.attempt.0),
-            machines: places.iter().map(|ix| self.machines[ix.index()].name.clone()).collect(),
+            machines: places.iter().map(|ix| self.cluster.machines[ix.index()].name.clone()).collect(),
         }
     }
 
@@ -64,16 +65,16 @@
             kind: noted.event,
             first_task: (noted.task_count > 0).then_some(noted.first_task),
             tasks: noted.task_count,
-            machine: noted.machine.map(|ix| self.machines[ix.index()].name.clone()),
+            machine: noted.machine.map(|ix| self.cluster.machines[ix.index()].name.clone()),
         };
         (ring.events.iter().map(row).collect(), ring.truncated)
     }
 
     pub fn leader_status(&self, registry: &NameRegistry) -> LeaderStatus {
         let mut status = LeaderStatus {
-            queued_backlog: self.backlog.len() as u64,
-            gangs_waiting: self.waiting_gangs.len() as u64,
-            tasks_placed: self.placed_task_counts.values().map(|count| u64::from(*count)).sum(),
+            queued_backlog: self.placement.backlog.len() as u64,
+            gangs_waiting: self.placement.waiting_gangs.len() as u64,
+            tasks_placed: self.workload.placed_task_counts.values().map(|count| u64::from(*count)).sum(),
             tasks_bound: self.counters.tasks_bound,
             steals: self.counters.steals,
             stolen_tasks: self.counters.stolen_tasks,
@@ -84,7 +85,7 @@
             log_segments: self.assignment_log.segment_count() as u64,
             ..LeaderStatus::default()
         };
-        for machine in &self.machines {
+        for machine in &self.cluster.machines {
             match machine.state {
                 MachineState::Booting => status.machines_booting += 1,
                 MachineState::Unreachable => status.machines_unreachable += 1,
@@ -103,12 +104,12 @@
     }
 
     fn team_statuses(&self, registry: &NameRegistry) -> Vec<TeamStatus> {
-        let teams: BTreeMap<_, _> = self.team_settings.iter().collect();
+        let teams: BTreeMap<_, _> = self.quotas.team_settings.iter().collect();
         let figures = teams.into_iter().map(|(ix, team)| {
             let limit = team.effective_limit().cpu;
             TeamStatus {
                 team: registry.teams.name_or_unknown(ix.index()).into(),
-                used_cpus: from_milli(self.usage.get(ix).map_or(0, |used| used.cpu)),
+                used_cpus: from_milli(self.quotas.usage.get(ix).map_or(0, |used| used.cpu)),
                 guaranteed_cpus: from_milli(team.guaranteed.cpu),
                 limit_cpus: (limit < u64::MAX).then(|| from_milli(limit)),
             }
--- a/src/coordination/leader/placement/best_effort.rs
+++ b/src/coordination/leader/placement/best_effort.rs
@@ -24,8 +24,8 @@
         let has_waiter = info.slo_wall_ms.is_some() || info.node.is_some() || info.is_all_or_nothing();
         !has_waiter
             && self.tunables.overload.headroom
-            && !self.slo_classes.is_empty()
-            && !self.slo_classes.contains(&info.class)
+            && !self.slos.slo_classes.is_empty()
+            && !self.slos.slo_classes.contains(&info.class)
     }
 
     /// Tasks of the job that may start beside the idle-time work there; any number if it is none.
@@ -33,20 +33,21 @@
         if !self.is_best_effort(&work.spec) {
             return u64::MAX;
         }
-        self.headroom.allowed().saturating_sub(self.best_effort_cpu) / work.spec.task_resources.cpu.max(1)
+        self.placement.headroom.allowed().saturating_sub(self.placement.best_effort_cpu)
+            / work.spec.task_resources.cpu.max(1)
     }
 
     /// What work with aims asks for now, of all there is. Where all of it may stop idle-time work, none has to be kept free:
     /// what is lent comes back (`claims`).
     pub fn update_headroom(&mut self, clock: Clock) {
         let capacity = self.fleet_cpu();
-        let works = self.jobs.values().filter(|work| work.probation.is_none());
+        let works = self.workload.jobs.values().filter(|work| work.probation.is_none());
         let (best_effort, with_objectives): (Vec<&JobState>, Vec<&JobState>) =
             works.partition(|work| self.is_best_effort(&work.spec));
         let urgency = best_effort.iter().map(|work| work.spec.urgency).min();
         let can_preempt = |work: &&JobState| {
             let guaranteed =
-                self.team_settings.get(&work.spec.team).is_some_and(|team| team.guaranteed.cpu > 0);
+                self.quotas.team_settings.get(&work.spec.team).is_some_and(|team| team.guaranteed.cpu > 0);
             guaranteed || urgency.is_some_and(|idle| work.spec.urgency < idle)
         };
         let requested_cpu = |work: &&JobState| {
@@ -57,10 +58,10 @@
         } else {
             with_objectives.iter().map(requested_cpu).fold(0, u64::saturating_add)
         };
-        let before = self.headroom.allowed();
-        self.headroom.record_demand(clock.now.0, demand, capacity);
-        if self.headroom.allowed() > before {
-            self.placement_index.wake_quota_blocked();
+        let before = self.placement.headroom.allowed();
+        self.placement.headroom.record_demand(clock.now.0, demand, capacity);
+        if self.placement.headroom.allowed() > before {
+            self.cluster.placement_index.wake_quota_blocked();
         }
     }
 }
--- a/src/coordination/leader/placement/dispatch.rs
+++ b/src/coordination/leader/placement/dispatch.rs
@@ -47,7 +47,7 @@
 impl Leader {
     /// What keeps a task of this job off this machine, room and quota aside.
     pub fn machine_blocker(&self, ix: MachineIx, work: &JobState) -> Option<PlacementBlocker> {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         if !machine.is_schedulable() {
             Some(PlacementBlocker::Unavailable)
         } else if !work.spec.allows(machine.machine_type, machine.zone, machine.spot) {
@@ -93,7 +93,7 @@
 
     /// The zone rules, judged against every place where a task of the job may still be.
     pub fn zone_rules_allow(&self, ix: MachineIx, work: &JobState) -> bool {
-        let zone = self.machines[ix.index()].zone;
+        let zone = self.cluster.machines[ix.index()].zone;
         // After a takeover there may be records of two zones, of which one is stale: neither is allowed until one is empty.
         if work.spec.single_zone && work.tasks_per_zone.keys().any(|other| *other != zone) {
             return false;
@@ -104,7 +104,8 @@
 
     /// Time to fetch the image over the expected run time.
     pub fn fetch_to_run_ratio(&self, work: &JobState) -> f64 {
-        let rates = self.machine_types.iter().filter(|(kind, _)| work.spec.allows_machine_type(**kind));
+        let rates =
+            self.cluster.machine_types.iter().filter(|(kind, _)| work.spec.allows_machine_type(**kind));
         let rate = rates.map(|(_, kind)| kind.fetch_mb_per_s).fold(0.0, f64::max);
         let rate = if rate > 0.0 { rate } else { self.tunables.fetch_gb_per_s * 1000.0 };
         // Output that a node reads is data to be fetched like its image.
@@ -116,7 +117,7 @@
     /// The t split: cheap to move joins a shared queue, dear to move the shortest
     /// dedicated queue of a machine that has the image, else a shared one.
     pub fn enqueue(&mut self, job: JobIx, tasks: &[u32]) {
-        let Some(work) = self.jobs.get(&job) else {
+        let Some(work) = self.workload.jobs.get(&job) else {
             return;
         };
         let expensive_to_move = self.fetch_to_run_ratio(work) > self.tunables.t;
@@ -128,57 +129,58 @@
             self.enqueue_dedicated(job, tasks, holders);
         }
         // Idle thieves gave up until tasks arrive (source): some for each task come back.
-        self.placement_index.resume_paused(2 * count + 2);
+        self.cluster.placement_index.resume_paused(2 * count + 2);
     }
 
     fn image_holders(&self, work: &JobState) -> Vec<MachineIx> {
-        let holders = self.image_holders.get(&work.spec.image);
+        let holders = self.cluster.image_holders.get(&work.spec.image);
         let input_holders = self.output_holders(work);
         let input_only_holders =
             input_holders.iter().filter(|ix| holders.is_none_or(|holders| !holders.contains(ix)));
-        let eligible =
-            |ix: &&MachineIx| self.placement_index.accepts_queued(**ix) && self.is_eligible(**ix, work);
+        let eligible = |ix: &&MachineIx| {
+            self.cluster.placement_index.accepts_queued(**ix) && self.is_eligible(**ix, work)
+        };
         holders.into_iter().flatten().chain(input_only_holders).filter(eligible).copied().collect()
     }
 
     /// Each task joins the dedicated queue that is the shortest then.
     fn enqueue_dedicated(&mut self, job: JobIx, tasks: &[u32], holders: Vec<MachineIx>) {
-        let Some(rank) = self.jobs.get(&job).map(|work| work.queue_order) else { return };
+        let Some(rank) = self.workload.jobs.get(&job).map(|work| work.queue_order) else { return };
         self.counters.machines_examined += holders.len() as u64;
         self.counters.queued_dedicated += tasks.len() as u64;
         self.log_queued(job, tasks, JobEventKind::QueuedDedicated);
-        let length = |ix: &MachineIx| self.machines[ix.index()].dedicated_queue.len();
+        let length = |ix: &MachineIx| self.cluster.machines[ix.index()].dedicated_queue.len();
         let mut shortest: BTreeSet<(usize, MachineIx)> = holders.iter().map(|ix| (length(ix), *ix)).collect();
         for task in tasks {
             let Some((length, ix)) = shortest.pop_first() else { return };
-            self.machines[ix.index()].dedicated_queue.push(rank, *task);
+            self.cluster.machines[ix.index()].dedicated_queue.push(rank, *task);
             shortest.insert((length + 1, ix));
-            self.placement_index.mark_dedicated_nonempty(ix);
-            self.placement_index.mark_to_fill(ix);
+            self.cluster.placement_index.mark_dedicated_nonempty(ix);
+            self.cluster.placement_index.mark_to_fill(ix);
         }
     }
 
     /// Tasks join the shared queue of the best of a random sample, as many at once as it
     /// has room for.
     fn enqueue_shared(&mut self, job: JobIx, tasks: &[u32]) {
-        let Some(rank) = self.jobs.get(&job).map(|work| work.queue_order) else { return };
+        let Some(rank) = self.workload.jobs.get(&job).map(|work| work.queue_order) else { return };
         self.counters.queued_shared += tasks.len() as u64;
         self.log_queued(job, tasks, JobEventKind::QueuedShared);
-        let even_share = tasks.len().div_ceil(self.placement_index.queue_eligible().len().max(1));
+        let even_share = tasks.len().div_ceil(self.cluster.placement_index.queue_eligible().len().max(1));
         let mut remaining = tasks;
         while !remaining.is_empty() {
             let Some((ix, room)) = self.best_machine_in_samples(job) else {
                 self.log_queued(job, remaining, JobEventKind::QueuedBacklog);
                 for task in remaining {
-                    self.backlog.push(rank, *task);
+                    self.placement.backlog.push(rank, *task);
                 }
                 return;
             };
             let (now, later) = remaining.split_at(remaining.len().min(room.max(even_share)));
             for task in now {
-                self.machines[ix.index()].shared_queue.push(rank, *task);
+                self.cluster.machines[ix.index()].shared_queue.push(rank, *task);
             }
-            self.placement_index.mark_to_fill(ix);
+            self.cluster.placement_index.mark_to_fill(ix);
             remaining = later;
         }
     }
@@ -186,8 +188,8 @@
     /// A random sample of the machines that take queued tasks. However large it is, it takes
     /// one number of the leader's own generator.
     fn sample_machines(&mut self) -> Vec<MachineIx> {
-        let mut rng = SmallRng::seed_from_u64(self.rng.next_u64());
-        let sample = self.placement_index.sample_queue_eligible(&mut rng);
+        let mut rng = SmallRng::seed_from_u64(self.placement.rng.next_u64());
+        let sample = self.cluster.placement_index.sample_queue_eligible(&mut rng);
         self.counters.machines_examined += sample.len() as u64;
         sample
     }
@@ -203,8 +205,8 @@
             }
         }
         // Few machines suit it: look at all before it is said that none does.
-        self.counters.machines_examined += self.placement_index.queue_eligible().len() as u64;
-        self.best_machine_of(job, self.placement_index.queue_eligible().iter().copied())
+        self.counters.machines_examined += self.cluster.placement_index.queue_eligible().len() as u64;
+        self.best_machine_of(job, self.cluster.placement_index.queue_eligible().iter().copied())
     }
 
     fn best_machine_of(
@@ -212,12 +214,13 @@
         job: JobIx,
         sample: impl Iterator<Item = MachineIx>,
     ) -> Option<(MachineIx, usize)> {
-        let work = self.jobs.get(&job)?;
+        let work = self.workload.jobs.get(&job)?;
         let input_holders = self.output_holders(work);
-        let rated =
-            sample.chain(input_holders.iter().copied().filter(|ix| self.placement_index.accepts_queued(*ix)));
+        let rated = sample.chain(
+            input_holders.iter().copied().filter(|ix| self.cluster.placement_index.accepts_queued(*ix)),
+        );
         let rated = rated.filter(|ix| self.is_eligible(*ix, work)).map(|ix| {
-            let machine = &self.machines[ix.index()];
+            let machine = &self.cluster.machines[ix.index()];
             let queued = machine.shared_queue.len() as u64;
             let free = if machine.hold.is_some() {
                 0
@@ -242,12 +245,12 @@
     pub fn place_tasks(&mut self, clock: Clock) {
         self.requeue_delayed(clock);
         self.release_expired_holds(clock);
-        if std::mem::take(&mut self.placement_index.recheck_backlog) {
+        if std::mem::take(&mut self.cluster.placement_index.recheck_backlog) {
             self.enqueue_backlog();
         }
-        if !self.waiting_gangs.is_empty() {
+        if !self.placement.waiting_gangs.is_empty() {
             // Gangs come first, so nothing is filled before they have had a look.
-            if clock.now < self.gang_search_not_before {
+            if clock.now < self.placement.gang_search_not_before {
                 return;
             }
             let interval_ms = if self.pressure > PressureLevel::Calm {
@@ -255,13 +258,13 @@
             } else {
                 GANG_INTERVAL_MS
             };
-            self.gang_search_not_before = clock.now.saturating_add(interval_ms);
+            self.placement.gang_search_not_before = clock.now.saturating_add(interval_ms);
             self.place_gangs(clock);
-        } else if !self.reserved_machines.is_empty() {
+        } else if !self.placement.reserved_machines.is_empty() {
             self.reserve_scarce_machines(&GangDemandByType::default());
         }
-        let mut order = self.placement_index.take_machines_to_fill(clock.now);
-        order.retain(|ix| self.machines[ix.index()].hold.is_none());
+        let mut order = self.cluster.placement_index.take_machines_to_fill(clock.now);
+        order.retain(|ix| self.cluster.machines[ix.index()].hold.is_none());
         // Cheap machines help themselves first, so that dear ones run empty.
         order.sort_by(|a, b| self.price_per_cpu(*a).total_cmp(&self.price_per_cpu(*b)));
         for ix in order {
@@ -278,23 +281,23 @@
         self.retry_after_exclusion(clock);
         self.queue_probation_tasks(clock);
         self.enforce_time_limits(clock);
-        let waiting = |ix: &MachineIx| !self.machines[ix.index()].shared_queue.is_empty();
-        if self.placement_index.queue_eligible().iter().any(waiting) {
-            self.placement_index.resume_paused(THIEVES_WOKEN_PER_SWEEP);
+        let waiting = |ix: &MachineIx| !self.cluster.machines[ix.index()].shared_queue.is_empty();
+        if self.cluster.placement_index.queue_eligible().iter().any(waiting) {
+            self.cluster.placement_index.resume_paused(THIEVES_WOKEN_PER_SWEEP);
         }
     }
 
     /// Tasks that no machine could take, once one may.
     fn enqueue_backlog(&mut self) {
-        for rank in self.backlog.ranks().copied().collect::<Vec<Rank>>() {
-            let Some(work) = self.jobs.get(&rank.job) else {
+        for rank in self.placement.backlog.ranks().copied().collect::<Vec<Rank>>() {
+            let Some(work) = self.workload.jobs.get(&rank.job) else {
                 continue;
             };
-            if !self.placement_index.queue_eligible().iter().any(|ix| self.is_eligible(*ix, work)) {
+            if !self.cluster.placement_index.queue_eligible().iter().any(|ix| self.is_eligible(*ix, work)) {
                 continue;
             }
             let mut tasks = Vec::new();
-            while let Some(task) = self.backlog.pop(rank) {
+            while let Some(task) = self.placement.backlog.pop(rank) {
                 tasks.push(task);
             }
             self.enqueue(rank.job, &tasks);
@@ -307,7 +310,7 @@
         loop {
             // Dedicated first (source): those tasks wait for this machine alone.
             while self.bind_next_task(ix, true) || self.bind_next_task(ix, false) {}
-            let machine = &self.machines[ix.index()];
+            let machine = &self.cluster.machines[ix.index()];
             let may_steal = clock.now >= machine.steal_not_before && steals < MAX_STEALS_PER_PASS;
             if !may_steal || machine.free().cpu == 0 || !self.has_nothing_to_start(ix) {
                 return;
@@ -322,7 +325,7 @@
     /// Its shared queue is empty, or limits of teams and the like keep all in it from starting: without the latter,
     /// machines stood free beside queues full of work, because a guest's tasks that had to wait lay in their own.
     fn has_nothing_to_start(&self, ix: MachineIx) -> bool {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let limited =
             || matches!(self.first_startable(&machine.shared_queue, ix, &machine.free()), (None, true));
         machine.shared_queue.is_empty() || limited()
@@ -330,7 +333,7 @@
 
     /// May a task of this job start now with this much room? None: but for its team's limit.
     fn may_start(&self, ix: MachineIx, free: &Resources, job: JobIx) -> Option<bool> {
-        let Some(work) = self.jobs.get(&job) else { return Some(false) };
+        let Some(work) = self.workload.jobs.get(&job) else { return Some(false) };
         match self.placement_blocker(ix, free, work) {
             None if self.yields_to_preemptor(job, work) => None,
             None => Some(true),
@@ -343,14 +346,14 @@
 
     /// When the job's turn comes: `policy` has the order.
     pub fn queue_order(&self, rank: &Rank) -> QueueOrder {
-        QueueOrder::new(rank, self.priority_inputs.get(rank.job))
+        QueueOrder::new(rank, self.placement.priority_inputs.get(rank.job))
     }
 
     /// Starts the first task of a queue that may start now. Instead of its own shared task
     /// a machine takes one whose turn is earlier, if it finds one in a sample.
     fn bind_next_task(&mut self, ix: MachineIx, dedicated: bool) -> bool {
-        let machine = &self.machines[ix.index()];
-        if machine.bindings.len() >= self.max_tasks_per_record {
+        let machine = &self.cluster.machines[ix.index()];
+        if machine.bindings.len() >= self.placement.max_tasks_per_record {
             return false;
         }
         let queue = if dedicated { &machine.dedicated_queue } else { &machine.shared_queue };
@@ -358,18 +361,18 @@
         let (first, limited) = self.first_startable(queue, ix, &free);
         let Some(first_order) = first else {
             if limited {
-                self.placement_index.add_quota_blocked(ix);
+                self.cluster.placement_index.add_quota_blocked(ix);
             }
             return false;
         };
         let earlier_task = if dedicated { None } else { self.find_earlier_task(ix, &free, first_order) };
         let (from, rank) = earlier_task.unwrap_or((ix, first_order.rank));
-        let machine = &mut self.machines[from.index()];
+        let machine = &mut self.cluster.machines[from.index()];
         let queue = if dedicated { &mut machine.dedicated_queue } else { &mut machine.shared_queue };
         let Some(task) = queue.pop(rank) else {
             return false;
         };
-        let attempt = self.next_attempt();
+        let attempt = self.term.next_attempt();
         self.bind(ix, rank.job, task, attempt);
         true
     }
@@ -381,7 +384,9 @@
         let mut first_order: Option<QueueOrder> = None;
         for rank in queue.ranks() {
             // Long queues are not gone through to their ends: what comes later in rank cannot come before this one.
-            if first_order.is_some_and(|first| first.precedes_all_from(rank, self.priority_inputs.present)) {
+            if first_order
+                .is_some_and(|first| first.precedes_all_from(rank, self.placement.priority_inputs.present))
+            {
                 break;
             }
             let order = self.queue_order(rank);
@@ -410,8 +415,8 @@
         // While some jobs are late the first in rank need not be the first in turn.
         let first = |queue: &Queue| {
             let rank = queue.first()?;
-            let all =
-                self.priority_inputs.present.past_slo || self.priority_inputs.present.below_minimum_share;
+            let all = self.placement.priority_inputs.present.past_slo
+                || self.placement.priority_inputs.present.below_minimum_share;
             if all {
                 queue.ranks().map(|rank| self.queue_order(rank)).min()
             } else {
@@ -419,8 +424,8 @@
             }
         };
         let earlier_than_own = |other: MachineIx| {
-            let theirs =
-                first(&self.machines[other.index()].shared_queue).filter(|theirs| *theirs < own_order)?;
+            let theirs = first(&self.cluster.machines[other.index()].shared_queue)
+                .filter(|theirs| *theirs < own_order)?;
             (self.may_start(ix, free, theirs.rank.job) == Some(true)).then_some((theirs, other))
         };
         let best = sample.into_iter().filter(|other| *other != ix).filter_map(earlier_than_own).min()?;
@@ -430,7 +435,7 @@
 
     /// The task belongs to the machine; it is started once its record is durable.
     pub fn bind(&mut self, ix: MachineIx, job: JobIx, task: u32, attempt: Attempt) {
-        let Some(work) = self.jobs.get(&job) else {
+        let Some(work) = self.workload.jobs.get(&job) else {
             return;
         };
         let info = work.spec.clone();
@@ -456,7 +461,7 @@
             lease_renewal_cutoff: None,
         };
         let start = TaskPlacement { machine: ix, task: binding.task, attempt };
-        if let Some(trial) = self.jobs.get_mut(&job).and_then(|work| work.probation.as_mut()) {
+        if let Some(trial) = self.workload.jobs.get_mut(&job).and_then(|work| work.probation.as_mut()) {
             trial.queued = false;
         }
         self.record_start(job);
@@ -470,19 +475,21 @@
     /// queues, as many as the square root of all (source).
     fn steal(&mut self, thief: MachineIx, clock: Clock) -> bool {
         let sample = self.sample_machines();
-        let free = self.machines[thief.index()].free();
+        let free = self.cluster.machines[thief.index()].free();
         let can_start = |job: JobIx| self.may_start(thief, &free, job) == Some(true);
         let longest = sample
             .into_iter()
             .filter(|ix| *ix != thief)
-            .map(|ix| (self.machines[ix.index()].shared_queue.count_where(can_start), ix))
+            .map(|ix| (self.cluster.machines[ix.index()].shared_queue.count_where(can_start), ix))
             .max_by_key(|(count, _)| *count);
         let taken = match longest {
             Some((count, victim)) if count > 0 => {
-                let ranks = self.machines[victim.index()].shared_queue.ranks();
+                let ranks = self.cluster.machines[victim.index()].shared_queue.ranks();
                 let jobs: HashSet<JobIx> = ranks.map(|rank| rank.job).filter(|job| can_start(*job)).collect();
                 let half = count.div_ceil(2);
-                self.machines[victim.index()].shared_queue.take_from_back(half, |job| jobs.contains(&job))
+                self.cluster.machines[victim.index()]
+                    .shared_queue
+                    .take_from_back(half, |job| jobs.contains(&job))
             }
             _ => Vec::new(),
         };
@@ -493,17 +500,17 @@
     fn after_steal(&mut self, thief: MachineIx, taken: &[(Rank, u32)], clock: Clock) {
         let bound = self.tunables.max_steal_backoff_s * 1000.0;
         let first = self.tunables.steal_backoff_ms;
-        let machine = &mut self.machines[thief.index()];
+        let machine = &mut self.cluster.machines[thief.index()];
         if taken.is_empty() {
             let wait = machine.steal_backoff_ms;
             if wait * 2.0 > bound {
                 machine.steal_backoff_ms = first;
                 machine.steal_not_before = clock.now;
-                self.placement_index.pause(thief);
+                self.cluster.placement_index.pause(thief);
             } else {
                 machine.steal_backoff_ms = wait * 2.0;
                 machine.steal_not_before = clock.now.saturating_add(wait.ceil() as u64);
-                self.placement_index.back_off_until(machine.steal_not_before, thief);
+                self.cluster.placement_index.back_off_until(machine.steal_not_before, thief);
             }
             return;
         }
@@ -519,11 +526,11 @@
     /// A dedicated queue that would take longer than tt gives the share above tt away.
     fn spill(&mut self, clock: Clock) {
         let tt = self.tunables.tt_s;
-        for ix in self.placement_index.dedicated_nonempty() {
+        for ix in self.cluster.placement_index.dedicated_nonempty() {
             self.counters.machines_examined += 1;
-            let waiting = self.machines[ix.index()].dedicated_queue.len();
+            let waiting = self.cluster.machines[ix.index()].dedicated_queue.len();
             if waiting == 0 {
-                self.placement_index.unmark_dedicated_nonempty(ix);
+                self.cluster.placement_index.unmark_dedicated_nonempty(ix);
                 continue;
             }
             let run_time = waiting as f64 / self.throughput(ix, clock);
@@ -532,7 +539,7 @@
             }
             let share = (run_time - tt) / run_time;
             let count = (share * waiting as f64).floor() as usize;
-            let machine = &mut self.machines[ix.index()];
+            let machine = &mut self.cluster.machines[ix.index()];
             let moved = machine.dedicated_queue.take_from_back(count, |_| true);
             let count = moved.len();
             for (rank, task) in &moved {
@@ -540,21 +547,21 @@
             }
             self.log_moved(&moved, JobEventKind::Spilled, ix);
             self.counters.spilled_tasks += count as u64;
-            self.placement_index.mark_to_fill(ix);
-            self.placement_index.resume_paused(2 * count);
+            self.cluster.placement_index.mark_to_fill(ix);
+            self.cluster.placement_index.resume_paused(2 * count);
         }
     }
 
     /// Tasks a second: those finished in the last minute; before any, what its room promises.
     fn throughput(&self, ix: MachineIx, clock: Clock) -> f64 {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let recent =
             machine.recent_finishes.iter().filter(|at| clock.now.saturating_since(**at) < 60_000).count();
         let up = clock.now.saturating_since(machine.created_at).clamp(1000, 60_000) as f64 / 1000.0;
         if recent > 0 {
             return recent as f64 / up;
         }
-        let first = machine.dedicated_queue.first().and_then(|rank| self.jobs.get(&rank.job));
+        let first = machine.dedicated_queue.first().and_then(|rank| self.workload.jobs.get(&rank.job));
         let estimated = first.map_or(0.0, |work| {
             let slots = work.spec.task_resources.max_count_in(&machine.capacity).min(1000) as f64;
             slots * 1000.0 / work.expected_run_ms().max(1) as f64
--- a/src/coordination/leader/placement/gang_search.rs
+++ b/src/coordination/leader/placement/gang_search.rs
@@ -140,7 +140,7 @@
         method: PlacementMethod,
         clock: Clock,
     ) -> Option<GangPlacement> {
-        let work = self.jobs.get(&job)?;
+        let work = self.workload.jobs.get(&job)?;
         let placement_in = |zone| self.find_partial_placement(job, work, count, zone, method, clock);
         let all = self
             .gang_zones(work)
@@ -156,7 +156,7 @@
             return vec![None];
         }
         let mut zones: Vec<ZoneIx> =
-            self.machine_types.values().flat_map(|kind| kind.zones.clone()).collect();
+            self.cluster.machine_types.values().flat_map(|kind| kind.zones.clone()).collect();
         zones.sort();
         zones.dedup();
         zones.into_iter().map(Some).collect()
@@ -188,10 +188,10 @@
         clock: Clock,
     ) -> Vec<Candidate> {
         let mut candidates: Vec<Candidate> = Vec::new();
-        for ix in self.placement_index.open_matching(|kind, there| {
+        for ix in self.cluster.placement_index.open_matching(|kind, there| {
             zone.is_none_or(|zone| zone == there) && self.fits_machine_type(work, kind)
         }) {
-            let machine = &self.machines[ix.index()];
+            let machine = &self.cluster.machines[ix.index()];
             if !self.can_hold(machine, job, method)
                 || (method == PlacementMethod::Free && !work.spec.task_resources.fits_in(&machine.free()))
             {
@@ -205,7 +205,8 @@
                 PlacementMethod::Preempt => self.room_after_preemption(ix, work, policy, clock),
                 PlacementMethod::Drain => self.room_after_drain(ix, work, clock),
             };
-            let slots = work.spec.task_resources.max_count_in(&room).min(self.max_tasks_per_record as u64);
+            let slots =
+                work.spec.task_resources.max_count_in(&room).min(self.placement.max_tasks_per_record as u64);
             if slots > 0 {
                 candidates.push((cost + self.image_fetch_ms(ix, work), slots, ix, claims));
             }
@@ -234,7 +235,7 @@
             if !claims.iter().all(|claim| claim.reclaim_from(&mut remaining)) {
                 continue;
             }
-            let used = in_zone.entry(self.machines[ix.index()].zone).or_default();
+            let used = in_zone.entry(self.cluster.machines[ix.index()].zone).or_default();
             let take = slots.min(u64::from(cap.saturating_sub(*used))).min((count - chosen.len()) as u64);
             *used += take as u32;
             if take > 0 {
@@ -248,17 +249,23 @@
 
     /// How often room has grown on machines of the types that its tasks fit.
     pub fn room_generation(&self, work: &JobState) -> u64 {
-        self.placement_index.capacity_growth_count(|kind| self.fits_machine_type(work, kind))
+        self.cluster.placement_index.capacity_growth_count(|kind| self.fits_machine_type(work, kind))
     }
 
     /// The types that its tasks fit.
     pub fn machine_types_for(&self, work: &JobState) -> Vec<MachineTypeIx> {
-        self.machine_types.keys().copied().filter(|kind| self.fits_machine_type(work, *kind)).collect()
+        self.cluster
+            .machine_types
+            .keys()
+            .copied()
+            .filter(|kind| self.fits_machine_type(work, *kind))
+            .collect()
     }
 
     pub fn fits_machine_type(&self, work: &JobState, machine_type: MachineTypeIx) -> bool {
         work.spec.allows_machine_type(machine_type)
             && self
+                .cluster
                 .machine_types
                 .get(&machine_type)
                 .is_none_or(|kind| work.spec.task_resources.fits_in(&kind.capacity))
@@ -272,11 +279,12 @@
     }
 
     fn image_fetch_ms(&self, ix: MachineIx, work: &JobState) -> u64 {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         if machine.has_image(work.spec.image) {
             return 0;
         }
-        let rate = self.machine_types.get(&machine.machine_type).map_or(100.0, |kind| kind.fetch_mb_per_s);
+        let rate =
+            self.cluster.machine_types.get(&machine.machine_type).map_or(100.0, |kind| kind.fetch_mb_per_s);
         (work.spec.image_mb as f64 / rate.max(1.0) * 1000.0) as u64
     }
 
@@ -288,7 +296,7 @@
         work: &JobState,
         clock: Clock,
     ) -> (Resources, u64, Vec<BorrowedClaim>) {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let mut room = machine.free();
         let left = |binding: &Binding| self.remaining_cpu_ms(binding, clock) * 1000 / binding.need.cpu.max(1);
         let mut remaining_times: Vec<(u64, Resources)> =
@@ -316,7 +324,7 @@
         policy: &PreemptionPolicy,
         clock: Clock,
     ) -> (Resources, u64, Vec<BorrowedClaim>) {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         let mut room = machine.free();
         let (mut wait, mut lost_work) = (0, 0);
         let mut victims: Vec<(PreemptionCost, Resources)> = Vec::new();
@@ -364,7 +372,7 @@
         policy: &PreemptionPolicy,
         clock: Clock,
     ) -> Option<PreemptionCost> {
-        let victim = self.jobs.get(&binding.job?)?;
+        let victim = self.workload.jobs.get(&binding.job?)?;
         let info = &victim.spec;
         // A gang stops as a whole, and what it has fetched and gathered is lost too: without
         // this, gangs that borrow were stopped again and again before they ran at all.
--- a/src/coordination/leader/placement/gangs.rs
+++ b/src/coordination/leader/placement/gangs.rs
@@ -37,16 +37,16 @@
         self.recount_stopping();
         let ranks = self.gang_order();
         let holders: HashSet<JobIx> =
-            self.held_machines.iter().filter_map(|ix| self.holding_job(*ix)).collect();
+            self.placement.held_machines.iter().filter_map(|ix| self.holding_job(*ix)).collect();
         let mut gang_demand = GangDemandByType::default();
         for rank in ranks {
-            let Some(work) = self.jobs.get(&rank.job) else {
-                self.waiting_gangs.remove(&rank);
+            let Some(work) = self.workload.jobs.get(&rank.job) else {
+                self.placement.waiting_gangs.remove(&rank);
                 continue;
             };
             let tasks = unplaced_tasks(work);
             if tasks.is_empty() {
-                self.waiting_gangs.remove(&rank);
+                self.placement.waiting_gangs.remove(&rank);
                 continue;
             }
             // A gang's old attempt must be gone before the next is placed.
@@ -58,14 +58,14 @@
             }
             let is_holding = holders.contains(&rank.job);
             let known_failure = !is_holding
-                && self.gang_search_cache.is_known_failure(
+                && self.placement.gang_search_cache.is_known_failure(
                     work,
                     tasks.len(),
                     self.room_generation(work),
                     clock.now,
                 );
             if (known_failure || !self.place_gang(rank, &tasks, is_holding, clock))
-                && let Some(work) = self.jobs.get(&rank.job)
+                && let Some(work) = self.workload.jobs.get(&rank.job)
             {
                 self.record_gang_demand(work, tasks.len(), &mut gang_demand);
             }
@@ -74,7 +74,7 @@
     }
 
     fn holding_job(&self, ix: MachineIx) -> Option<JobIx> {
-        self.machines[ix.index()].hold.map(|hold| hold.job)
+        self.cluster.machines[ix.index()].hold.map(|hold| hold.job)
     }
 
     /// False if it can only wait for others' tasks to end.
@@ -83,7 +83,7 @@
         // Room that is free may be dearer than room to be made: an image has to be fetched.
         self.counters.gang_searches += 2;
         let free = self.find_gang_placement(rank.job, count, PlacementMethod::Free, clock);
-        if free.is_none() && self.jobs.get(&rank.job).is_some_and(JobState::is_at_fault) {
+        if free.is_none() && self.workload.jobs.get(&rank.job).is_some_and(JobState::is_at_fault) {
             // It has failed wherever it was tried: nobody is stopped and no machine held for it.
             return true;
         }
@@ -105,9 +105,14 @@
                 match self.find_gang_placement(rank.job, count, PlacementMethod::Drain, clock) {
                     Some((_, machines)) => self.make_room(rank, &machines, PlacementMethod::Drain, clock),
                     None => {
-                        let Some(work) = self.jobs.get(&rank.job) else { return true };
+                        let Some(work) = self.workload.jobs.get(&rank.job) else { return true };
                         let room_generation = self.room_generation(work);
-                        self.gang_search_cache.record_failure(work, count, room_generation, clock.now);
+                        self.placement.gang_search_cache.record_failure(
+                            work,
+                            count,
+                            room_generation,
+                            clock.now,
+                        );
                     }
                 }
             }
@@ -116,24 +121,26 @@
     }
 
     fn start_gang(&mut self, rank: Rank, tasks: &[u32], machines: &[MachineIx]) {
-        let attempt = self.next_attempt();
+        let attempt = self.term.next_attempt();
         for (task, ix) in tasks.iter().zip(machines) {
             self.bind(*ix, rank.job, *task, attempt);
         }
         self.release_holds_of(rank.job);
-        self.waiting_gangs.remove(&rank);
+        self.placement.waiting_gangs.remove(&rank);
     }
 
     /// Holds machines for a gang, and stops tasks on them if that is the way.
     fn make_room(&mut self, rank: Rank, machines: &[MachineIx], method: PlacementMethod, clock: Clock) {
         // Held already; but stopping tasks after all is better than waiting for their ends.
         let already_held = |ix: &MachineIx| {
-            self.machines[ix.index()].hold.is_some_and(|hold| hold.job == rank.job && hold.method <= method)
+            self.cluster.machines[ix.index()]
+                .hold
+                .is_some_and(|hold| hold.job == rank.job && hold.method <= method)
         };
-        if self.held_machines.iter().any(already_held) {
+        if self.placement.held_machines.iter().any(already_held) {
             return;
         }
-        let Some(work) = self.jobs.get(&rank.job) else {
+        let Some(work) = self.workload.jobs.get(&rank.job) else {
             return;
         };
         let need = work.spec.task_resources;
@@ -144,21 +151,22 @@
         }
         for (ix, tasks) in tasks_per_machine {
             // Held first, so that what is dropped from it does not queue up there again.
-            let previous_hold = self.machines[ix.index()].hold.replace(Hold { job: rank.job, until, method });
+            let previous_hold =
+                self.cluster.machines[ix.index()].hold.replace(Hold { job: rank.job, until, method });
             if method == PlacementMethod::Preempt
                 && !self.preempt_for_gang(ix, &need.saturating_mul(tasks), rank.job, clock)
             {
-                self.machines[ix.index()].hold = previous_hold;
+                self.cluster.machines[ix.index()].hold = previous_hold;
                 continue;
             }
-            self.held_machines.insert(ix);
+            self.placement.held_machines.insert(ix);
         }
     }
 
     /// Stops tasks until there is so much room. False if it cannot be had: nothing is stopped for less.
     fn preempt_for_gang(&mut self, ix: MachineIx, need: &Resources, job: JobIx, clock: Clock) -> bool {
-        let Some(work) = self.jobs.get(&job) else { return false };
-        let machine = &self.machines[ix.index()];
+        let Some(work) = self.workload.jobs.get(&job) else { return false };
+        let machine = &self.cluster.machines[ix.index()];
         let mut room = machine.free();
         let mut policy = self.preemption_policy(work, clock);
         let mut victims: Vec<(PreemptionCost, usize)> = Vec::new();
@@ -193,10 +201,10 @@
 
     /// Stops one task; one that saves gets the time for it. A gang stops as a whole.
     pub fn stop_task(&mut self, ix: MachineIx, at: usize, reason: JobEventKind) {
-        let Some(job) = self.machines[ix.index()].bindings[at].job else {
+        let Some(job) = self.cluster.machines[ix.index()].bindings[at].job else {
             return;
         };
-        let Some(work) = self.jobs.get(&job) else {
+        let Some(work) = self.workload.jobs.get(&job) else {
             return;
         };
         let grace = if work.spec.checkpoint_interval_ms > 0 {
@@ -204,33 +212,33 @@
         } else {
             0
         };
-        let task = self.machines[ix.index()].bindings[at].task;
+        let task = self.cluster.machines[ix.index()].bindings[at].task;
         self.event_log.record(task.job, reason, Some(ix), task.task, 1);
         let (need, team) = (work.spec.task_resources, work.spec.team);
         if work.spec.kind != JobKind::Gang {
-            self.machines[ix.index()].bindings[at].stop_grace_ms.get_or_insert(grace);
-            self.stopping_usage.entry(team).or_default().add(&need);
-            self.pending_announcements.insert(ix);
-            self.placement_index.record_capacity_growth(ix);
+            self.cluster.machines[ix.index()].bindings[at].stop_grace_ms.get_or_insert(grace);
+            self.quotas.stopping_usage.entry(team).or_default().add(&need);
+            self.cluster.pending_announcements.insert(ix);
+            self.cluster.placement_index.record_capacity_growth(ix);
             return;
         }
         let machines: Vec<MachineIx> = work.placements.values().flatten().map(|(ix, _)| *ix).collect();
         for ix in machines {
-            for binding in &mut self.machines[ix.index()].bindings {
+            for binding in &mut self.cluster.machines[ix.index()].bindings {
                 if binding.job == Some(job) && binding.stop_grace_ms.is_none() {
                     binding.stop_grace_ms = Some(grace);
-                    self.stopping_usage.entry(team).or_default().add(&need);
+                    self.quotas.stopping_usage.entry(team).or_default().add(&need);
                 }
             }
-            self.pending_announcements.insert(ix);
-            self.placement_index.record_capacity_growth(ix);
+            self.cluster.pending_announcements.insert(ix);
+            self.cluster.placement_index.record_capacity_growth(ix);
         }
     }
 
     /// A member left a gang that is not done: the others are of no use any more.
     pub fn on_gang_member_lost(&mut self, lost: &Binding) {
         let Some(job) = lost.job else { return };
-        let Some(work) = self.jobs.get(&job) else {
+        let Some(work) = self.workload.jobs.get(&job) else {
             return;
         };
         if work.spec.kind != JobKind::Gang || work.finished.is_full() {
@@ -238,12 +246,12 @@
         }
         let machines: Vec<MachineIx> = work.placements.values().flatten().map(|(ix, _)| *ix).collect();
         for ix in machines {
-            for binding in &mut self.machines[ix.index()].bindings {
+            for binding in &mut self.cluster.machines[ix.index()].bindings {
                 if binding.job == Some(job) && binding.stop_grace_ms.is_none() {
                     binding.stop_grace_ms = Some(0);
                 }
             }
-            self.pending_announcements.insert(ix);
+            self.cluster.pending_announcements.insert(ix);
         }
     }
 
@@ -256,22 +264,22 @@
     }
 
     fn release_holds_where(&mut self, is_over: impl Fn(Hold) -> bool) {
-        let held: Vec<MachineIx> = self.held_machines.iter().copied().collect();
+        let held: Vec<MachineIx> = self.placement.held_machines.iter().copied().collect();
         for ix in held {
-            let machine = &mut self.machines[ix.index()];
+            let machine = &mut self.cluster.machines[ix.index()];
             if machine.hold.is_none_or(&is_over) {
                 machine.hold = None;
-                self.held_machines.remove(&ix);
-                self.placement_index.mark_to_fill(ix);
+                self.placement.held_machines.remove(&ix);
+                self.cluster.placement_index.mark_to_fill(ix);
             }
         }
     }
 
     /// The machine is taken back soon: what can be saved is saved.
     pub fn on_interruption_notice(&mut self, ix: MachineIx, notice_ms: u64) {
-        for at in 0..self.machines[ix.index()].bindings.len() {
-            let binding = &self.machines[ix.index()].bindings[at];
-            let can_save = binding.job.and_then(|job| self.jobs.get(&job)).is_some_and(|work| {
+        for at in 0..self.cluster.machines[ix.index()].bindings.len() {
+            let binding = &self.cluster.machines[ix.index()].bindings[at];
+            let can_save = binding.job.and_then(|job| self.workload.jobs.get(&job)).is_some_and(|work| {
                 work.spec.checkpoint_interval_ms > 0
                     && work.spec.checkpoint_save_ms + SAVE_GRACE_MS <= notice_ms
             });
--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -9,4 +9,5 @@
 pub mod preemption;
 pub mod queues;
 pub mod reserved_machines;
+pub mod state;
 pub mod team_quota;
--- a/src/coordination/leader/placement/preemption.rs
+++ b/src/coordination/leader/placement/preemption.rs
@@ -47,16 +47,17 @@
     pub fn preempt_for_waiting_arrays(&mut self, clock: Clock) {
         self.recount_stopping();
         let mut jobs: Vec<JobIx> = self
+            .workload
             .jobs
             .iter()
             .filter(|(_, work)| is_long_waiting_array(work, clock))
             .map(|(ix, _)| *ix)
             .collect();
-        jobs.sort_by_key(|ix| self.jobs.get(ix).map(|work| self.queue_order(&work.queue_order)));
+        jobs.sort_by_key(|ix| self.workload.jobs.get(ix).map(|work| self.queue_order(&work.queue_order)));
         let mut becoming_free = self.cpu_becoming_free();
         let mut preemptions_left = MAX_PREEMPTIONS_PER_PASS;
         let mut jobs_tried = 0;
-        self.preemption_state = None;
+        self.placement.preemption_state = None;
         for ix in jobs {
             let Some((need, stops, tasks)) = self.array_preemption_request(ix) else { continue };
             let wanted = need.saturating_mul(tasks);
@@ -72,29 +73,29 @@
             jobs_tried += 1;
             let stopped = self.preempt_for_array(ix, need * tasks_lacking, stops, preemptions_left, clock);
             preemptions_left -= stopped;
-            if let Some(work) = self.jobs.get(&ix).filter(|_| stopped > 0) {
-                let guaranteed = self.priority_inputs.get(ix).guaranteed;
+            if let Some(work) = self.workload.jobs.get(&ix).filter(|_| stopped > 0) {
+                let guaranteed = self.placement.priority_inputs.get(ix).guaranteed;
                 let preemptor = PreemptorPriority { urgency: work.spec.urgency, guaranteed };
-                self.preemption_state =
-                    Some(self.preemption_state.map_or(preemptor, |other| other.lowest(preemptor)));
+                self.placement.preemption_state =
+                    Some(self.placement.preemption_state.map_or(preemptor, |other| other.lowest(preemptor)));
             }
         }
     }
 
     /// Room is being made for more urgent work: what was stopped for it does not begin there again.
     pub fn yields_to_preemptor(&self, job: JobIx, work: &JobState) -> bool {
-        let inputs = self.priority_inputs.get(job);
+        let inputs = self.placement.priority_inputs.get(job);
         let yields = |claimed: PreemptorPriority| {
             work.spec.urgency > claimed.urgency || (claimed.guaranteed && !inputs.guaranteed)
         };
-        self.preemption_state.is_some_and(yields)
+        self.placement.preemption_state.is_some_and(yields)
             && !work.spec.is_all_or_nothing()
             && !inputs.below_minimum_share
     }
 
     /// CPUs of a task, whom the job may stop, and for how many of its tasks.
     fn array_preemption_request(&self, ix: JobIx) -> Option<(u64, PreemptionPolicy, u64)> {
-        let work = self.jobs.get(&ix)?;
+        let work = self.workload.jobs.get(&ix)?;
         let need = work.spec.task_resources;
         let max_tasks = work.waiting_tasks().min(MAX_PREEMPTIONS_PER_PASS as u64);
         let covered = |tasks: &u64| self.within_guarantee(work.spec.team, &need.saturating_mul(*tasks));
@@ -108,7 +109,8 @@
 
     /// CPUs that are free for queued tasks, or are being freed.
     fn cpu_becoming_free(&self) -> u64 {
-        let free = self.placement_index.queue_eligible().iter().map(|ix| &self.machines[ix.index()]);
+        let free =
+            self.cluster.placement_index.queue_eligible().iter().map(|ix| &self.cluster.machines[ix.index()]);
         let free = free.filter(|machine| machine.hold.is_none()).map(|machine| machine.free().cpu);
         free.sum::<u64>() + self.total_stopping().cpu
     }
@@ -130,7 +132,7 @@
                 break;
             }
             if policy.reclaim(&loss) {
-                freed += self.machines[machine.index()].bindings[at].need.cpu;
+                freed += self.cluster.machines[machine.index()].bindings[at].need.cpu;
                 stopped += 1;
                 self.stop_task(machine, at, JobEventKind::StoppedForPreemption);
                 self.counters.preempted_tasks += 1;
@@ -140,16 +142,17 @@
     }
 
     fn preemption_victims(&self, ix: JobIx, policy: &PreemptionPolicy, clock: Clock) -> Vec<Victim> {
-        let Some(work) = self.jobs.get(&ix) else { return Vec::new() };
+        let Some(work) = self.workload.jobs.get(&ix) else { return Vec::new() };
         let mut victims = Vec::new();
         for machine in self
+            .cluster
             .placement_index
             .queue_eligible()
             .iter()
             .copied()
             .filter(|machine| self.is_eligible(*machine, work))
         {
-            for (at, binding) in self.machines[machine.index()].bindings.iter().enumerate() {
+            for (at, binding) in self.cluster.machines[machine.index()].bindings.iter().enumerate() {
                 if let Some(loss) = self.preemption_cost_if_worthwhile(binding, policy, clock) {
                     victims.push((loss.lost_work / binding.need.cpu.max(1), machine, at, loss));
                 }
@@ -165,7 +168,7 @@
         policy: &PreemptionPolicy,
         clock: Clock,
     ) -> Option<PreemptionCost> {
-        let info = &self.jobs.get(&binding.job?)?.spec;
+        let info = &self.workload.jobs.get(&binding.job?)?.spec;
         if binding.stop_grace_ms.is_some() || info.is_all_or_nothing() {
             return None;
         }
--- a/src/coordination/leader/placement/reserved_machines.rs
+++ b/src/coordination/leader/placement/reserved_machines.rs
@@ -44,8 +44,8 @@
         for (kind, waiting) in demand.iter().filter(|(kind, _)| self.has_other_machine_types(**kind, demand))
         {
             let mut usable: Vec<(bool, u64, MachineIx)> = Vec::new();
-            for ix in self.placement_index.open_matching(|other, _| other == *kind) {
-                let machine = &self.machines[ix.index()];
+            for ix in self.cluster.placement_index.open_matching(|other, _| other == *kind) {
+                let machine = &self.cluster.machines[ix.index()];
                 let (gangs, queued) = self.usage_by_gangs(ix);
                 if waiting.need.fits_in(&machine.capacity.saturating_sub(&gangs)) {
                     usable.push((!machine.reserved, queued, ix));
@@ -55,7 +55,8 @@
             let limit = if self.has_queued_work_only_for(demand) { usable.len() / 2 } else { usable.len() };
             reserved.extend(usable.into_iter().take((waiting.tasks as usize).min(limit)).map(|(.., ix)| ix));
         }
-        let released: Vec<MachineIx> = self.reserved_machines.difference(&reserved).copied().collect();
+        let released: Vec<MachineIx> =
+            self.placement.reserved_machines.difference(&reserved).copied().collect();
         for ix in released {
             self.set_reserved(ix, false);
         }
@@ -65,26 +66,26 @@
     }
 
     fn set_reserved(&mut self, ix: MachineIx, reserved: bool) {
-        if self.machines[ix.index()].reserved == reserved {
+        if self.cluster.machines[ix.index()].reserved == reserved {
             return;
         }
-        self.machines[ix.index()].reserved = reserved;
+        self.cluster.machines[ix.index()].reserved = reserved;
         self.refresh_placement_index(ix);
         if reserved {
-            self.reserved_machines.insert(ix);
+            self.placement.reserved_machines.insert(ix);
             self.requeue_machine_queues(ix);
         } else {
-            self.reserved_machines.remove(&ix);
+            self.placement.reserved_machines.remove(&ix);
         }
     }
 
     /// What gangs and services use on a machine, and how many CPUs (in thousandths) other tasks.
     fn usage_by_gangs(&self, ix: MachineIx) -> (Resources, u64) {
         let (mut gangs, mut others) = (Resources::default(), 0);
-        for binding in &self.machines[ix.index()].bindings {
+        for binding in &self.cluster.machines[ix.index()].bindings {
             if binding
                 .job
-                .and_then(|job| self.jobs.get(&job))
+                .and_then(|job| self.workload.jobs.get(&job))
                 .is_some_and(|work| work.spec.is_all_or_nothing())
             {
                 gangs.add(&binding.need);
@@ -97,7 +98,8 @@
 
     /// Are there machines of types that no gang waits for?
     fn has_other_machine_types(&self, kind: MachineTypeIx, demand: &GangDemandByType) -> bool {
-        self.placement_index
+        self.cluster
+            .placement_index
             .open_matching(|other, _| other != kind && !demand.contains_key(&other))
             .next()
             .is_some()
@@ -107,7 +109,8 @@
     fn has_queued_work_only_for(&self, demand: &GangDemandByType) -> bool {
         let fits_elsewhere =
             |work: &JobState| self.machine_types_for(work).iter().any(|kind| !demand.contains_key(kind));
-        self.jobs
+        self.workload
+            .jobs
             .values()
             .any(|work| !work.spec.is_all_or_nothing() && work.has_waiting_tasks() && !fits_elsewhere(work))
     }
--- a/src/coordination/leader/placement/team_quota.rs
+++ b/src/coordination/leader/placement/team_quota.rs
@@ -5,7 +5,8 @@
 use olivelatch_admission::borrowed::{BorrowedCapacity, QuotaAmount};
 
 use crate::bookkeeping::store_cache::StoreCache;
-use crate::coordination::leader::{GangSearchCache, JobState, Leader};
+use crate::coordination::leader::placement::gang_search::GangSearchCache;
+use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{JobIx, MachineIx, Millis, Resources, TeamIx};
 
 impl Leader {
@@ -22,7 +23,7 @@
             };
             let team = cache.names.teams.intern(&platform.name);
             let limit = effective.effective_limit();
-            let before = self.team_settings.insert(team, effective);
+            let before = self.quotas.team_settings.insert(team, effective);
             raised |= before.is_some_and(|before| before.effective_limit().cpu < limit.cpu);
         }
         if raised {
@@ -32,44 +33,45 @@
 
     /// Tasks that a limit kept from starting may start now, wherever there is room.
     fn retry_all_placements(&mut self) {
-        for at in 0..self.machines.len() {
-            self.placement_index.mark_to_fill(MachineIx(at as u32));
+        for at in 0..self.cluster.machines.len() {
+            self.cluster.placement_index.mark_to_fill(MachineIx(at as u32));
         }
-        self.placement_index.recheck_backlog = true;
-        self.gang_search_not_before = Millis::default();
-        self.gang_search_cache = GangSearchCache::default();
+        self.cluster.placement_index.recheck_backlog = true;
+        self.placement.gang_search_not_before = Millis::default();
+        self.placement.gang_search_cache = GangSearchCache::default();
     }
 
     /// Which jobs fit into their teams' guarantees together with what is left of the teams'
     /// earlier ones: they need not wait for other teams, or for their own team's later jobs.
     pub fn update_guaranteed_jobs(&mut self) {
-        let mut jobs: Vec<(JobIx, &JobState)> = self.jobs.iter().map(|(ix, work)| (*ix, work)).collect();
+        let mut jobs: Vec<(JobIx, &JobState)> =
+            self.workload.jobs.iter().map(|(ix, work)| (*ix, work)).collect();
         jobs.sort_by_key(|(_, work)| work.spec.accepted_revision);
         let mut taken: HashMap<TeamIx, Resources> = HashMap::new();
         let mut any_guaranteed = false;
         for (ix, work) in jobs {
             // What fails wherever it is tried takes nothing of its team's guarantee from good work.
             if work.probation.is_some() {
-                self.priority_inputs.get_mut(ix).guaranteed = false;
+                self.placement.priority_inputs.get_mut(ix).guaranteed = false;
                 continue;
             }
-            let Some(team) = self.team_settings.get(&work.spec.team) else { continue };
+            let Some(team) = self.quotas.team_settings.get(&work.spec.team) else { continue };
             let team_total = taken.entry(work.spec.team).or_default();
             team_total.add(&work.spec.task_resources.saturating_mul(u64::from(work.unfinished_tasks())));
             let guaranteed = team_total.cpu <= team.guaranteed.cpu && team_total.gpu <= team.guaranteed.gpu;
-            self.priority_inputs.get_mut(ix).guaranteed = guaranteed;
+            self.placement.priority_inputs.get_mut(ix).guaranteed = guaranteed;
             any_guaranteed |= guaranteed;
         }
-        self.priority_inputs.present.guaranteed = any_guaranteed;
+        self.placement.priority_inputs.present.guaranteed = any_guaranteed;
     }
 
     fn team_usage(&self, team: TeamIx) -> Resources {
-        self.usage.get(&team).copied().unwrap_or_default()
+        self.quotas.usage.get(&team).copied().unwrap_or_default()
     }
 
     /// Has the team room for that much more?
     pub fn within_quota(&self, team: TeamIx, need: &Resources) -> bool {
-        let Some(settings) = self.team_settings.get(&team) else {
+        let Some(settings) = self.quotas.team_settings.get(&team) else {
             return false;
         };
         let mut used = self.team_usage(team);
@@ -79,7 +81,7 @@
 
     /// Would the team still be within what it is guaranteed?
     pub fn within_guarantee(&self, team: TeamIx, need: &Resources) -> bool {
-        let Some(settings) = self.team_settings.get(&team) else { return false };
+        let Some(settings) = self.quotas.team_settings.get(&team) else { return false };
         let used = self.team_usage(team);
         used.cpu + need.cpu <= settings.guaranteed.cpu && used.gpu + need.gpu <= settings.guaranteed.gpu
     }
@@ -88,8 +90,8 @@
     pub fn borrowed_by_others(&self, team: TeamIx) -> BorrowedCapacity<TeamIx, JobIx> {
         let room = |amount: &Resources| QuotaAmount { cpu: amount.cpu, gpu: amount.gpu };
         let mut borrowed = BorrowedCapacity::default();
-        for (other, settings) in self.team_settings.iter().filter(|(other, _)| **other != team) {
-            let stopping = self.stopping_usage.get(other).copied().unwrap_or_default();
+        for (other, settings) in self.quotas.team_settings.iter().filter(|(other, _)| **other != team) {
+            let stopping = self.quotas.stopping_usage.get(other).copied().unwrap_or_default();
             borrowed.add_team(
                 *other,
                 room(&self.team_usage(*other)),
@@ -103,18 +105,22 @@
     /// What of all teams' use has been told to stop, when that was last counted.
     pub fn total_stopping(&self) -> Resources {
         let mut all = Resources::default();
-        self.stopping_usage.values().for_each(|amount| all.add(amount));
+        self.quotas.stopping_usage.values().for_each(|amount| all.add(amount));
         all
     }
 
     /// What of each team's use has been told to stop, counted anew.
     pub fn recount_stopping(&mut self) {
-        self.stopping_usage.clear();
-        let stopping =
-            self.machines.iter().flat_map(|machine| &machine.bindings).filter(|b| b.stop_grace_ms.is_some());
+        self.quotas.stopping_usage.clear();
+        let stopping = self
+            .cluster
+            .machines
+            .iter()
+            .flat_map(|machine| &machine.bindings)
+            .filter(|b| b.stop_grace_ms.is_some());
         for binding in stopping {
             if let Some(team) = binding.team {
-                self.stopping_usage.entry(team).or_default().add(&binding.need);
+                self.quotas.stopping_usage.entry(team).or_default().add(&binding.need);
             }
         }
     }
--- a/src/coordination/leader/records/assignment_log.rs
+++ b/src/coordination/leader/records/assignment_log.rs
@@ -283,9 +283,8 @@
             return None;
         }
         let max_bytes = (self.settings.kv_limits.max_value_kb * 1024.0) as usize;
-        let name = self.assignment_log.next_free_name(self.token, cache);
-        let mut record =
-            AssignmentLogRecord::new(Attempt(self.token.0 << crate::coordination::leader::ATTEMPT_BITS));
+        let name = self.assignment_log.next_free_name(self.term.token(), cache);
+        let mut record = AssignmentLogRecord::new(self.term.attempt_base());
         let mut contents = SegmentContents { name: name.clone(), ..SegmentContents::default() };
         self.append_machines(cache, &mut record, &mut contents, max_bytes);
         self.append_finished(&mut record, &mut contents, max_bytes);
@@ -325,7 +324,7 @@
         contents: &mut SegmentContents,
         max_bytes: usize,
     ) {
-        let machine = &self.machines[ix.index()];
+        let machine = &self.cluster.machines[ix.index()];
         record.add_machine(&MachineDescriptor {
             name: machine.name.clone(),
             endpoint: machine.endpoint.clone(),
@@ -368,7 +367,7 @@
 
     /// It is durable that the machine goes back: it may be returned.
     pub(super) fn mark_return_persisted(&mut self, ix: MachineIx, segment: SegmentId) {
-        let previous = self.machines[ix.index()].return_log_segment.replace(segment);
+        let previous = self.cluster.machines[ix.index()].return_log_segment.replace(segment);
         self.assignment_log.add_return(segment, ix, previous);
         self.provisioner.to_release.insert(ix);
     }
@@ -378,7 +377,7 @@
         self.assignment_log.next_name_suffix += 1;
         let segment = self.assignment_log.add_segment(RecordKey::AssignmentLog(told.name));
         for start in told.starts {
-            let machine = &mut self.machines[start.machine.index()];
+            let machine = &mut self.cluster.machines[start.machine.index()];
             let same_attempt = |b: &&mut crate::coordination::leader::Binding| {
                 b.task == start.task && b.attempt == start.attempt
             };
@@ -386,12 +385,12 @@
             let previous = binding.log_segment.replace(segment);
             if binding.dispatch == DispatchState::Planned {
                 binding.dispatch = DispatchState::Recorded;
-                self.pending_announcements.insert(start.machine);
+                self.cluster.pending_announcements.insert(start.machine);
             }
             self.assignment_log.add_start(segment, start, previous);
         }
         for ix in told.returns {
-            if self.machines[ix.index()].state != MachineState::Gone {
+            if self.cluster.machines[ix.index()].state != MachineState::Gone {
                 self.mark_return_persisted(ix, segment);
             }
         }
--- a/src/coordination/leader/records/dag_records.rs
+++ b/src/coordination/leader/records/dag_records.rs
@@ -18,7 +18,7 @@
         while !batch.is_full()
             && let Some((job, block)) = self.writer.retries_due.pop_first()
         {
-            let work = batch.cache.find(job).and_then(|ix| self.jobs.get(&ix));
+            let work = batch.cache.find(job).and_then(|ix| self.workload.jobs.get(&ix));
             let Some(node) = work.and_then(|work| work.dag_node.as_ref()) else { continue };
             let tasks = block * RETRY_BLOCK_TASKS..(block + 1) * RETRY_BLOCK_TASKS;
             let tasks = node.retries.range(tasks).map(|(task, tries)| (*task, tries.clone())).collect();
--- a/src/coordination/leader/records/recovery.rs
+++ b/src/coordination/leader/records/recovery.rs
@@ -5,7 +5,7 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::records::assignment_log::{SegmentId, TaskPlacement};
-use crate::coordination::leader::{Binding, DispatchState, JobState, Leader, MachineState};
+use crate::coordination::leader::{Binding, DispatchState, JobState, Leader, MachineIdentity, MachineState};
 use crate::ids::{Attempt, JobId, JobIx, MachineIx, TaskId};
 
 /// A part of an earlier leader's log: its key, its machines, blocks with tasks that finished.
@@ -69,8 +69,17 @@
         let place = &recorded.machine;
         let kind = cache.names.machine_types.intern(&place.machine_type);
         let zone = cache.names.zones.intern(&place.zone);
-        let ix = self.register_machine(&place.name, &place.endpoint, kind, zone, place.spot, clock);
-        let machine = &mut self.machines[ix.index()];
+        let ix = self.register_machine(
+            MachineIdentity {
+                name: &place.name,
+                endpoint: &place.endpoint,
+                machine_type: kind,
+                zone,
+                spot: place.spot,
+            },
+            clock,
+        );
+        let machine = &mut self.cluster.machines[ix.index()];
         machine.state = MachineState::Up;
         if recorded.returning {
             machine.returning = true;
@@ -80,7 +89,7 @@
             self.recover_binding(ix, segment, task, attempt, cache, clock);
         }
         // Hearing the new token early ends the old leader's say at once.
-        self.pending_announcements.insert(ix);
+        self.cluster.pending_announcements.insert(ix);
     }
 
     fn recover_binding(
@@ -94,7 +103,7 @@
     ) {
         let start = TaskPlacement { machine: ix, task, attempt };
         let same_attempt = |b: &&mut Binding| b.task == task && b.attempt == attempt;
-        if let Some(binding) = self.machines[ix.index()].bindings.iter_mut().find(same_attempt) {
+        if let Some(binding) = self.cluster.machines[ix.index()].bindings.iter_mut().find(same_attempt) {
             // Told again by a later part.
             let previous = binding.log_segment.replace(segment);
             self.assignment_log.add_start(segment, start, previous);
@@ -133,13 +142,13 @@
             self.track_job(ix, cache, clock);
         }
         // Places of inherited tasks, so that none is started twice.
-        for index in 0..self.machines.len() {
+        for index in 0..self.cluster.machines.len() {
             let ix = MachineIx(index as u32);
-            let zone = self.machines[index].zone;
+            let zone = self.cluster.machines[index].zone;
             let image_of = |work: &JobState| (work.spec.image, work.spec.image_mb);
             let mut images = Vec::new();
-            for binding in &self.machines[index].bindings {
-                if let Some(work) = binding.job.and_then(|job| self.jobs.get_mut(&job)) {
+            for binding in &self.cluster.machines[index].bindings {
+                if let Some(work) = binding.job.and_then(|job| self.workload.jobs.get_mut(&job)) {
                     work.placements.entry(binding.task.task).or_default().push((ix, binding.attempt));
                     *work.tasks_per_zone.entry(zone).or_default() += 1;
                     images.push(image_of(work));
@@ -151,7 +160,7 @@
         }
         // Nodes that are done are not among the jobs any more, but their failures may still be told.
         cache.dag_runs.terminal_jobs_with_retry_states(cache).for_each(|id| self.writer.queue_cleanup(id));
-        let jobs: Vec<JobIx> = self.jobs.keys().copied().collect();
+        let jobs: Vec<JobIx> = self.workload.jobs.keys().copied().collect();
         self.enqueue_jobs(jobs);
     }
 }
--- a/src/coordination/leader/records/store_writer.rs
+++ b/src/coordination/leader/records/store_writer.rs
@@ -157,7 +157,8 @@
         if max_mutations == 0 {
             return;
         }
-        let leader_precondition = Precondition { key: LEADER_KEY.into(), revision: Revision(self.token.0) };
+        let leader_precondition =
+            Precondition { key: LEADER_KEY.into(), revision: Revision(self.term.token().0) };
         let mut batch = WriteBatch {
             cache,
             with_details: self.tunables.operators.enabled,
@@ -208,7 +209,7 @@
             if batch.is_full() {
                 return;
             }
-            let first_run_of = |ix| self.jobs.get(&ix).and_then(|work| work.first_run.wall_ms());
+            let first_run_of = |ix| self.workload.jobs.get(&ix).and_then(|work| work.first_run.wall_ms());
             let ix = batch.cache.find(*id);
             let first_run = ix.and_then(first_run_of);
             let detail = if batch.with_details { batch.cache.terminal_detail(*id, first_run) } else { None };
@@ -266,7 +267,7 @@
     }
 
     fn plan_finished_block(&mut self, id: JobId, block: u32, batch: &mut WriteBatch<'_>) {
-        let work = batch.cache.find(id).and_then(|ix| self.jobs.get(&ix));
+        let work = batch.cache.find(id).and_then(|ix| self.workload.jobs.get(&ix));
         let Some(work) = work.filter(|work| !work.finishing) else {
             // The end of the job says it all, once it is durable.
             if batch.cache.terminal_state(id).is_some() || batch.cache.find(id).is_none() {
@@ -285,7 +286,8 @@
     /// The records of ended jobs go once no task of theirs is anywhere.
     fn plan_cleanup(&mut self, batch: &mut WriteBatch<'_>) {
         for id in self.writer.cleanup_due.clone() {
-            if batch.cache.terminal_state(id).is_none() || self.placed_task_counts.contains_key(&id) {
+            if batch.cache.terminal_state(id).is_none() || self.workload.placed_task_counts.contains_key(&id)
+            {
                 continue;
             }
             let blocks = batch.cache.find_job(id).map_or(0, |job| BitSet::block_of(job.spec.tasks - 1) + 1);
@@ -394,7 +396,7 @@
             WriteEffect::NodeStopped(id, ix) => {
                 self.writer.terminal_due.remove(&id);
                 // What never was ready is nowhere: no machine has to be looked at.
-                if ix.is_some() || self.placed_task_counts.contains_key(&id) {
+                if ix.is_some() || self.workload.placed_task_counts.contains_key(&id) {
                     self.assignment_log.remove_finished(id, None);
                     self.cancel_job(id, ix, clock.wall_ms, clock);
                 }
--- a/tests/simulation/waiting.rs
+++ b/tests/simulation/waiting.rs
@@ -47,7 +47,7 @@
             return;
         };
         let mut could_start = Vec::new();
-        for work in leader.jobs.values().filter(|work| work.waiting_tasks() > 0 && !work.finishing) {
+        for work in leader.workload.jobs.values().filter(|work| work.waiting_tasks() > 0 && !work.finishing) {
             let id = work.spec.id.to_string();
             // What fails wherever it is tried waits for longer and longer.
             let fails = work.probation.is_some() || work.retried_exclusions > 0;
