--- /dev/null
+++ b/src/coordination/leader/job_tracking.rs
@@ -0,0 +1,115 @@
+//! Jobs come to the leader from the records and leave it once they are finished everywhere.
+
+use super::placement::policy::Rank;
+use super::{JobState, Leader};
+use crate::bookkeeping::jobs::JobSpec;
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::coordination::Clock;
+use crate::ids::{JobId, JobIx, Millis};
+
+/// Jobs without a deadline or objective come after those with an objective of a few minutes.
+pub(super) const DEFAULT_SLO_MS: u64 = 600_000;
+/// The size of a job lets jobs pass that were accepted at most so much later.
+const MAX_SIZE_PENALTY_MS: u64 = 120_000;
+/// The size of a job is compared with this part of the cluster (one in so many CPUs).
+const SIZE_PENALTY_CLUSTER_PART: u64 = 4;
+
+impl Leader {
+    /// Takes in a job of the cache. Its ready tasks are queued by [`Leader::enqueue_jobs`].
+    pub fn track_job(&mut self, ix: JobIx, cache: &StoreCache, _clock: Clock) {
+        let Some(job) = cache.job(ix) else { return };
+        if job.terminal.is_some() {
+            self.writer.queue_cleanup(job.spec.id);
+            return;
+        }
+        let spec = &job.spec;
+        log_tracked(spec);
+        let slo_ms = self.completion_slo_ms(spec);
+        let size_penalty_ms = self.size_penalty_ms(spec);
+        if !self.workload.jobs.contains_key(&ix) {
+            self.event_log.record_new_job(spec.id);
+        }
+        self.workload.jobs.entry(ix).or_insert_with(|| {
+            let queue_order = Rank::new(ix, spec, slo_ms, size_penalty_ms);
+            JobState::new(job, queue_order, self.event_log.initial_first_run())
+        });
+        self.init_node_state(ix, cache);
+    }
+
+    /// Within what time after acceptance the job should complete: its deadline or its class's first objective.
+    fn completion_slo_ms(&self, spec: &JobSpec) -> u64 {
+        let deadline = spec.slo_wall_ms.map(|deadline| deadline.saturating_sub(spec.accepted_wall_ms));
+        let objective = self.slos.completion_slos.get(&spec.class).and_then(|slos| slos.first().copied());
+        deadline.into_iter().chain(objective).min().unwrap_or(DEFAULT_SLO_MS)
+    }
+
+    /// How long a quarter of the schedulable machines would be busy with the whole job.
+    fn size_penalty_ms(&self, spec: &JobSpec) -> u64 {
+        let machines = self.cluster.placement_index.open().iter();
+        let cpu: u64 = machines.map(|ix| self.cluster.machines[ix.index()].capacity.cpu).sum();
+        let tasks = u64::from(spec.tasks);
+        let cpu_ms = spec.task_resources.cpu.saturating_mul(tasks).saturating_mul(spec.estimated_run_ms);
+        (cpu_ms / (cpu / SIZE_PENALTY_CLUSTER_PART).max(1)).min(MAX_SIZE_PENALTY_MS)
+    }
+
+    /// Queues every task of new jobs that is neither finished nor placed.
+    pub fn enqueue_jobs(&mut self, jobs: impl IntoIterator<Item = JobIx>) {
+        jobs.into_iter().for_each(|ix| self.enqueue_waiting_tasks(ix));
+        self.update_guaranteed_jobs();
+    }
+
+    /// Forgets a finished job once none of its tasks may be on a machine.
+    pub fn remove_finished_job(&mut self, id: JobId, ix: Option<JobIx>) {
+        if !self.workload.placed_task_counts.contains_key(&id)
+            && let Some(ix) = ix
+        {
+            self.workload.jobs.remove(&ix);
+        }
+    }
+
+    fn enqueue_waiting_tasks(&mut self, ix: JobIx) {
+        let Some(job) = self.workload.jobs.get(&ix) else { return };
+        if job.finished.is_full() {
+            self.finish_job(ix);
+            return;
+        }
+        if job.finishing {
+            return;
+        }
+        if job.spec.is_all_or_nothing() {
+            self.placement.waiting_gangs.insert(job.queue_order);
+            self.placement.gang_search_not_before = Millis::default();
+        } else {
+            let missing = job.finished.iter_missing();
+            let tasks: Vec<u32> = missing.filter(|task| !job.placements.contains_key(task)).collect();
+            self.enqueue(ix, &tasks);
+        }
+    }
+
+    /// All tasks of the job have finished: its terminal record is queued for writing, once.
+    pub fn finish_job(&mut self, ix: JobIx) {
+        let Some(job) = self.workload.jobs.get(&ix).filter(|job| !job.finishing) else { return };
+        let id = job.spec.id;
+        match self.success_record(job) {
+            Some(record) => self.writer.queue_node_terminal(id, record),
+            None => self.writer.queue_job_success(id),
+        }
+        if let Some(job) = self.workload.jobs.get_mut(&ix) {
+            job.finishing = true;
+        }
+    }
+}
+
+fn log_tracked(spec: &JobSpec) {
+    log::debug!(
+        "job {}: {:?} of {} tasks, {} mCPU, {} MB image, {} ms, team {}, class {}",
+        spec.id,
+        spec.kind,
+        spec.tasks,
+        spec.task_resources.cpu,
+        spec.image_mb,
+        spec.estimated_run_ms,
+        spec.team.0,
+        spec.class.0
+    );
+}
--- a/src/coordination/leader/machine.rs
+++ b/src/coordination/leader/machine.rs
@@ -1,136 +1,108 @@
-//! A machine as its leader knows it, and the tasks that may be on it.
+//! A machine as the leader knows it.
+//!
+//! Heartbeats, the cloud's list and the records say what it is; placement decides what it gets.
 
 use std::collections::{BTreeSet, HashSet};
 
+use super::binding::Binding;
 use super::placement::gangs;
 use super::placement::queues::Queue;
 use super::records::assignment_log::SegmentId;
-use crate::ids::{
-    AgentEpoch, Attempt, ImageIx, JobId, JobIx, MachineTypeIx, Millis, PoolIx, Resources, TaskId, TeamIx,
-    ZoneIx,
-};
-use crate::protocol::workers::TaskPhase;
+use crate::ids::{AgentEpoch, Attempt, ImageIx, JobId, MachineTypeIx, Millis, Resources, TaskId, ZoneIx};
 
-/// Once may be a lost packet, or our own standstill.
+/// Task starts in a row that a machine must not have received before its receive path counts as down. One may be a lost
+/// packet, or a pause of this controller.
 const RECEIVE_PATH_DOWN_STARTS: u32 = 2;
 
-/// How far the run command of a task has come.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DispatchState {
-    /// Not yet in the machine's record: must not be sent.
-    Planned,
-    /// In the record, not sent (or certainly not carried out).
-    Recorded,
-    /// Sent with the response to this report.
-    SentInResponse { sequence: u64 },
-    /// Sent straight to the worker, outcome open.
-    SentDirect,
-    /// The worker has shown it.
-    Observed,
-    /// From another leader's record: may be there or not.
-    Inherited,
-}
-
-/// A task that may be on a machine.
-#[derive(Debug, Clone)]
-pub struct Binding {
-    pub task: TaskId,
-    /// None once the job has ended.
-    pub job: Option<JobIx>,
-    pub attempt: Attempt,
-    pub need: Resources,
-    pub team: Option<TeamIx>,
-    pub pool: Option<PoolIx>,
-    /// Nobody waits for it: it may use only so much of the fleet.
-    pub best_effort: bool,
-    /// It had run longer than its node allows when it was told to stop.
-    pub timed_out: bool,
-    pub dispatch: DispatchState,
-    /// The part of the log that tells of it.
-    pub log_segment: Option<SegmentId>,
-    pub reported_state: Option<TaskPhase>,
-    /// A direct command without an answer may still arrive.
-    pub late_start_possible: bool,
-    pub fetching_since: Option<Millis>,
-    pub running_since: Option<Millis>,
-    /// Stop it, with this grace.
-    pub stop_grace_ms: Option<u64>,
-    pub stop_sent_at: Option<Millis>,
-    /// For a withdrawn job: when its worker must no longer be kept alive.
-    pub lease_renewal_cutoff: Option<Millis>,
-}
-
+/// Whether a machine runs, as far as the leader can know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, not yet heard of.
+    /// Requested from the cloud; no heartbeat yet.
     Booting,
+    /// Its agent sends heartbeats, or its lease may still be valid.
     Up,
-    /// Its worker's lease has run out; it may come back with a new session.
+    /// Its agent's lease has expired, so no task is on it. It may come back with a new epoch.
     Unreachable,
-    /// Returned or taken: nothing is on it.
+    /// Returned or reclaimed: nothing is on it.
     Gone,
 }
 
+/// A machine with its agent, its queues and the tasks that may be on it.
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
+    /// Where its agent listens, `ip:port`.
     pub endpoint: String,
     pub machine_type: MachineTypeIx,
     pub zone: ZoneIx,
     pub spot: bool,
     pub state: MachineState,
-    /// The cloud lists it as running: its worker may only not have found this leader yet.
+    /// The cloud lists it as running: its agent may only not have found this leader yet.
     pub cloud_running: bool,
-    /// When it was rented, as far as known.
+    /// When it was requested from the cloud, as far as known.
     pub created_at: Millis,
+    /// The newest epoch and, in it, the newest heartbeat sequence number that were seen in any message.
     pub epoch: AgentEpoch,
-    /// When its session was first seen: the session's lease began no later.
+    /// When `epoch` was first seen: the lease of that epoch began no later.
     pub epoch_first_seen: Option<Millis>,
     pub sequence: u64,
-    /// Session and number of the newest report that came as such.
+    /// Epoch and sequence number of the newest heartbeat that came as a request, not in the response to a direct command.
     pub last_heartbeat_id: (AgentEpoch, u64),
-    /// It has shown our token: no other leader's command can reach it any more.
+    /// It has acknowledged the fencing token of this term: it rejects commands of earlier leaders.
     pub token_acknowledged: bool,
-    /// When it first showed our token in an answer to `/orders`, if that came before a report.
+    /// When it first acknowledged the token in the response to a direct command, if that came before a heartbeat.
     pub token_first_acknowledged: Option<Millis>,
-    /// When the last report that was answered came in.
+    /// When the last heartbeat that was answered was received.
     pub last_answered_heartbeat_at: Option<Millis>,
-    /// Since when it reports without ever having heard an answer of ours, or our token.
+    /// Since when its heartbeats arrive without any sign that it received a response of this term.
     pub unacknowledged_since: Option<Millis>,
-    /// Answers and commands with starts that it has not heard, one after the other.
+    /// Task starts in a row that it did not receive.
     pub unacknowledged_starts: u32,
+    /// When the cloud reclaims it, by its notice.
     pub reclaim_notice_until: Option<Millis>,
+    /// It is being returned to the cloud.
     pub returning: bool,
-    /// The part of the log that tells that it goes back.
+    /// The log segment that records its return.
     pub return_log_segment: Option<SegmentId>,
+    /// Tasks that may be on it.
     pub bindings: Vec<Binding>,
+    /// Sum of the bindings' resources.
     pub used: Resources,
     pub capacity: Resources,
+    /// Tasks that other machines may steal (DAWS, section 2.2.2).
     pub shared_queue: Queue,
+    /// Tasks bound to it by their image or input (DAWS, section 2.2.2).
     pub dedicated_queue: Queue,
+    /// Wait after the next failed steal, in milliseconds; doubles with each (DAWS, section 2.2.1).
     pub steal_backoff_ms: f64,
     pub steal_not_before: Millis,
+    /// Kept free for a gang or a preempting job.
     pub hold: Option<gangs::Hold>,
-    /// Images it should have, most recently used last, with their size.
+    /// Images it should have, most recently used last, with their size in MB.
     pub images: Vec<(ImageIx, u64)>,
+    /// A direct command to it is unanswered.
     pub direct_send_in_flight: bool,
     pub direct_send_not_before: Millis,
+    /// Exited attempts whose direct start may still arrive: they are not removed from the agent in this epoch.
     pub late_starts: HashSet<(TaskId, Attempt)>,
     pub idle_since: Millis,
+    /// Jobs that failed on it since a task last succeeded there.
     pub failed_jobs: BTreeSet<JobId>,
+    /// Different jobs failed on it: it gets no tasks and is replaced.
     pub quarantined: bool,
-    /// Runs finished here, and the sum of how much longer than their jobs' mean they took.
+    /// Runs finished on it, and the sum of the ratios of their run times to their jobs' means.
     pub run_time_ratio: (u32, f64),
+    /// Its runs take far longer than elsewhere: it gets no tasks and is replaced.
     pub slow: bool,
-    /// Not needed: takes no queued tasks, so that it runs empty.
+    /// Not needed by the capacity plan: takes no queued tasks, so that it runs empty.
     pub cordoned: bool,
-    /// Gangs wait for machines like it: takes no queued tasks either.
+    /// Gangs wait for machines of its type: takes no queued tasks.
     pub reserved: bool,
     /// Times of the tasks it finished within the last minute.
     pub recent_finishes: Vec<Millis>,
 }
 
-/// What tells a machine from others: by its heartbeats, the cloud's list or the records.
+/// What a heartbeat, the cloud's list or a record says of a machine that may be new.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineIdentity<'a> {
     pub name: &'a str,
@@ -142,7 +114,7 @@
 }
 
 impl Machine {
-    /// A machine that has been rented and not been heard from.
+    /// A machine of which no heartbeat has been received.
     pub fn new(
         identity: MachineIdentity<'_>,
         capacity: Resources,
@@ -193,11 +165,12 @@
         }
     }
 
+    /// Capacity that no binding uses.
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.used)
     }
 
-    /// It may get more tasks.
+    /// Whether it may get more tasks.
     pub fn is_schedulable(&self) -> bool {
         self.state == MachineState::Up
             && self.token_acknowledged
@@ -208,11 +181,12 @@
             && self.reclaim_notice_until.is_none()
     }
 
-    /// Its reports arrive, but what it is told does not: it gets nothing to start until it has heard something.
+    /// Its heartbeats arrive, but responses and commands do not reach it: it gets no task until one has been received.
     pub fn receive_path_down(&self) -> bool {
         self.unacknowledged_starts >= RECEIVE_PATH_DOWN_STARTS
     }
 
+    /// Whether its cache should hold the image.
     pub fn has_image(&self, image: ImageIx) -> bool {
         self.images.iter().any(|(held, _)| *held == image)
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -7,6 +7,7 @@
 //! clock: events and the time come in, actions go out. All of it is rebuilt from the records at failover, except what is
 //! only evidence (measured rates, failures of jobs and machines).
 
+mod binding;
 pub mod cancellation;
 pub mod cluster;
 pub mod counters;
@@ -14,6 +15,7 @@
 pub mod debug_status;
 pub mod event_log;
 pub mod explain;
+mod job_tracking;
 mod machine;
 pub mod machines;
 pub mod operator_views;
@@ -29,18 +31,18 @@
 use olivelatch_admission::pressure::PressureLevel;
 
 use super::Clock;
-use crate::bookkeeping::jobs::JobSpec;
 use crate::bookkeeping::store_cache::StoreCache;
-use crate::ids::{FencingToken, JobId, JobIx, MachineIx, Millis};
+use crate::ids::{FencingToken, MachineIx, Millis};
 use crate::settings::Settings;
 use crate::tunables::Tunables;
+pub use binding::{Binding, DispatchState};
 use cluster::ClusterState;
 pub use cluster::MachineType;
 use counters::Counters;
 use event_log::EventLog;
-pub use machine::{Binding, DispatchState, Machine, MachineIdentity, MachineState};
+use job_tracking::DEFAULT_SLO_MS;
+pub use machine::{Machine, MachineIdentity, MachineState};
 use machines::provisioner::Provisioner;
-use placement::policy::Rank;
 use placement::state::PlacementState;
 use quotas::TeamQuotas;
 use records::assignment_log::AssignmentLog;
@@ -75,12 +77,11 @@
     tunables: Arc<Tunables>,
 }
 
-/// A job that nobody waits for comes after those with an aim of a few minutes.
-const DEFAULT_SLO_MS: u64 = 600_000;
-/// The size of a job puts it behind jobs that came so much later at most.
-const MAX_SIZE_PENALTY_MS: u64 = 120_000;
 impl Leader {
-    /// Rebuilds everything from the records; the mirror holds all of them up to the token.
+    /// A new leader, recovered from the records. `cache` has to hold all of them up to the revision of `token`.
+    ///
+    /// `previous_lease_ms`: how long after its own lease a deposed leader may have answered heartbeats. Workers' leases
+    /// that it renewed last run out `recovery_until`.
     pub fn new(
         token: FencingToken,
         previous_lease_ms: u64,
@@ -121,104 +122,7 @@
         leader
     }
 
-    /// A job that the mirror holds. Its ready tasks are queued by `queue_all`.
-    pub fn track_job(&mut self, ix: JobIx, cache: &StoreCache, _clock: Clock) {
-        let Some(job) = cache.job(ix) else { return };
-        if job.terminal.is_some() {
-            self.writer.queue_cleanup(job.spec.id);
-            return;
-        }
-        let info = &job.spec;
-        log::debug!(
-            "job {}: {:?} of {} tasks, {} mCPU, {} MB image, {} ms, team {}, class {}",
-            info.id,
-            info.kind,
-            info.tasks,
-            info.task_resources.cpu,
-            info.image_mb,
-            info.estimated_run_ms,
-            info.team.0,
-            info.class.0
-        );
-        let due = job.spec.slo_wall_ms.map(|due| due.saturating_sub(job.spec.accepted_wall_ms));
-        let aim = self.slos.completion_slos.get(&job.spec.class).and_then(|aims| aims.first().copied());
-        let aim = due.into_iter().chain(aim).min().unwrap_or(DEFAULT_SLO_MS);
-        let size = self.size_penalty_ms(&job.spec);
-        if !self.workload.jobs.contains_key(&ix) {
-            self.event_log.record_new_job(info.id);
-        }
-        self.workload.jobs.entry(ix).or_insert_with(|| {
-            JobState::new(job, Rank::new(ix, &job.spec, aim, size), self.event_log.initial_first_run())
-        });
-        self.init_node_state(ix, cache);
-    }
-
-    /// How long a quarter of the machines there would be busy with the whole job.
-    fn size_penalty_ms(&self, info: &JobSpec) -> u64 {
-        let open = self
-            .cluster
-            .placement_index
-            .open()
-            .iter()
-            .map(|ix| self.cluster.machines[ix.index()].capacity.cpu)
-            .sum::<u64>();
-        let work = info
-            .task_resources
-            .cpu
-            .saturating_mul(u64::from(info.tasks))
-            .saturating_mul(info.estimated_run_ms);
-        (work / (open / 4).max(1)).min(MAX_SIZE_PENALTY_MS)
-    }
-
-    /// Queues every task of new jobs that is neither finished nor out.
-    pub fn enqueue_jobs(&mut self, jobs: impl IntoIterator<Item = JobIx>) {
-        jobs.into_iter().for_each(|ix| self.enqueue_waiting_tasks(ix));
-        self.update_guaranteed_jobs();
-    }
-
-    /// A job that has ended and of which nothing is anywhere.
-    pub fn remove_finished_job(&mut self, id: JobId, ix: Option<JobIx>) {
-        if !self.workload.placed_task_counts.contains_key(&id)
-            && let Some(ix) = ix
-        {
-            self.workload.jobs.remove(&ix);
-        }
-    }
-
-    fn enqueue_waiting_tasks(&mut self, ix: JobIx) {
-        let Some(work) = self.workload.jobs.get(&ix) else {
-            return;
-        };
-        if work.finished.is_full() {
-            self.finish_job(ix);
-            return;
-        }
-        if work.finishing {
-            return;
-        }
-        if work.spec.is_all_or_nothing() {
-            self.placement.waiting_gangs.insert(work.queue_order);
-            self.placement.gang_search_not_before = Millis::default();
-        } else {
-            let tasks: Vec<u32> =
-                work.finished.iter_missing().filter(|task| !work.placements.contains_key(task)).collect();
-            self.enqueue(ix, &tasks);
-        }
-    }
-
-    pub fn finish_job(&mut self, ix: JobIx) {
-        let Some(work) = self.workload.jobs.get(&ix).filter(|work| !work.finishing) else { return };
-        let (id, node) = (work.spec.id, self.success_record(work));
-        match node {
-            Some(node) => self.writer.queue_node_terminal(id, node),
-            None => self.writer.queue_job_success(id),
-        }
-        if let Some(work) = self.workload.jobs.get_mut(&ix) {
-            work.finishing = true;
-        }
-    }
-
-    /// Something changed that decides whether the machine takes queued tasks.
+    /// Updates the placement index after a change that decides whether the machine takes queued tasks.
     pub fn refresh_placement_index(&mut self, ix: MachineIx) {
         let machine = &self.cluster.machines[ix.index()];
         let queued = !machine.cordoned && !machine.reserved;
@@ -230,7 +134,8 @@
         );
     }
 
-    /// It stops working, or never started: it is returned.
+    /// Begins the return of a machine to the cloud. Its queued tasks move to other queues; the return is sent to the cloud
+    /// once it is recorded.
     pub fn return_machine(&mut self, ix: MachineIx) {
         self.cluster.machines[ix.index()].returning = true;
         self.refresh_placement_index(ix);
--- a/src/coordination/leader/workload.rs
+++ b/src/coordination/leader/workload.rs
@@ -25,30 +25,31 @@
     pub(super) retry_queue: BTreeMap<Millis, Vec<(JobIx, u32)>>,
 }
 
-/// What is known of a job's tasks beyond the durable records.
+/// A job with what is known of its tasks beyond the durable records.
 #[derive(Debug)]
 pub struct JobState {
     pub spec: Arc<JobSpec>,
     pub queue_order: Rank,
-    /// Finished tasks, those included that are not durable yet.
+    /// Finished tasks, including those whose record is not durable yet.
     pub finished: BitSet,
-    /// Where each unfinished task may be: after a takeover that can be several places.
+    /// Where each unfinished task may be; after a failover that can be several machines.
     pub placements: HashMap<u32, Vec<(MachineIx, Attempt)>>,
     pub tasks_per_zone: HashMap<ZoneIx, u32>,
-    /// Run times of finished tasks.
+    /// Finished runs that were observed from start to end, and the sum of their run times.
     pub finished_runs: u32,
     pub total_run_ms: u64,
-    /// Machines on which its tasks failed, since one last succeeded.
+    /// Machines excluded because its tasks failed on them, since one last succeeded.
     pub failed_on: HashSet<MachineIx>,
-    /// Failures on machines that it was allowed back to, since one last succeeded.
+    /// Exclusions that were lifted to retry, since a task last succeeded.
     pub retried_exclusions: usize,
-    /// Not allowed back before.
+    /// Exclusions are not lifted again before.
     pub retry_exclusion_not_before: Millis,
-    /// It fails wherever it is tried.
+    /// Set while it fails on every machine: one task at a time is started.
     pub probation: Option<Probation>,
+    /// Its terminal record is queued or being written.
     pub finishing: bool,
     pub first_run: FirstRun,
-    /// Of a graph's node.
+    /// Set for a node of a DAG run.
     pub dag_node: Option<Box<DagNodeState>>,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Expected run time of a task: the mean of those finished, else the owner's estimate.
+    /// Expected run time of a task: the mean of those finished, else the submitter's estimate, in milliseconds.
     pub fn expected_run_ms(&self) -> u64 {
         if self.finished_runs > 0 {
             self.total_run_ms / u64::from(self.finished_runs)
@@ -82,17 +83,18 @@
         }
     }
 
-    /// Tasks that are neither done nor out. Of a job on trial only one is waited for.
+    /// Tasks that are neither finished nor placed; of a job on probation at most one.
     pub fn waiting_tasks(&self) -> u64 {
         let waiting = u64::from(self.unfinished_tasks()).saturating_sub(self.placements.len() as u64);
         if self.probation.is_some() { waiting.min(1) } else { waiting }
     }
 
-    /// Some of its tasks are neither done nor out, and it is not on trial.
+    /// Whether it has waiting tasks and is not on probation.
     pub fn has_waiting_tasks(&self) -> bool {
         self.probation.is_none() && self.waiting_tasks() > 0
     }
 
+    /// Tasks that have not finished, placed ones included.
     pub fn unfinished_tasks(&self) -> u32 {
         self.spec.tasks - self.finished.count()
     }
