--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 /// What work with aims asked for over a sliding window, and what is left over. Amounts are in the caller's unit. Memory: at
-/// most one entry for each call of [`Headroom::see`] within the window.
+/// most one entry for each call of [`Headroom::record_demand`] within the window.
 #[derive(Debug, Clone)]
 pub struct Headroom {
     window_ms: u64,
