--- a/tests/holds.rs
+++ b/tests/holds.rs
@@ -1,4 +1,4 @@
-//! How long a leader may answer workers without seeing the records: the inequalities of docs/design.md, "Hold", for any settings.
+//! How long a leader may answer workers without seeing the records: the inequalities of docs/design.md, "Serving window", for any settings.
 
 use olivelatch::coordination::leadership::{Leadership, MAX_CACHE_AGE_MS};
 use olivelatch::ids::Millis;
