--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -3,7 +3,7 @@
 //! `Cloud` is the stand-in of the cloud, in memory and without a clock of its own: scenarios use it in virtual time, `Region`
 //! behind sockets. `Region` is one thread around `polling`: it serves the state service (`olivelatch-kv-store`), the cloud,
 //! the workers (`olivelatch-worker`) and the descriptions that users upload, and starts the controllers. Loopback only.
-//! What was answered is on disk before the answer goes out. docs/region.md argues for it.
+//! What was answered is on disk before the answer goes out. docs/local-cluster.md argues for it.
 
 mod cloud;
 mod cluster;
