--- /dev/null
+++ b/src/coordination/config_requests/mod.rs
@@ -0,0 +1,286 @@
+//! Changes of the configuration: decided behind a read barrier, written on the condition that the entry has not changed
+//! since, and watched until no controller can act by an older value (docs/design.md, "Changes of configuration").
+//! Owns the requests that wait, bounded in number and in time. Performs no I/O and reads no clock.
+
+mod rollout;
+mod validation;
+mod views;
+
+use std::collections::VecDeque;
+
+use rollout::ObservedVersions;
+use validation::validate_quota;
+use views::{EntryRenderer, platform_team, unknown_team_text};
+
+use super::controller_state::ControllerState;
+use super::kv_client::{CompletedRequest, KvClient, Purpose};
+use super::kv_mutations::{RATE_LIMITED, apply_own_mutations, put_record, unchanged};
+use super::pending_request::PendingRequest;
+use super::unavailable::Unavailable;
+use super::{Action, Clock, InboundId};
+use crate::bookkeeping::records::RecordKey;
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::ids::{Millis, Revision};
+use crate::protocol::HttpResponse;
+use crate::protocol::config::{
+    ConfigChangeRequest, ConfigKey, ConfigRecord, ConfigRequest, ENTRY_FORMAT_VERSION,
+};
+use crate::protocol::kv::{KvMutation, KvReply, Precondition};
+use crate::protocol::peer::PeerMessage;
+
+/// Clients wait longer: the response has to be under way before.
+const REQUEST_TIMEOUT_MS: u64 = 2_900;
+/// Requests that may wait at the same time.
+const MAX_PENDING: usize = 200;
+/// Between two notices to a leader that has not announced that it has read a change.
+const NOTIFY_RETRY_MS: u64 = 100;
+
+type Pending = PendingRequest<ConfigRequest>;
+
+/// A client that waits until a version of an entry is in force.
+#[derive(Debug)]
+struct Watcher {
+    inbound: InboundId,
+    key: ConfigKey,
+    version: Revision,
+    deadline: Millis,
+}
+
+/// Holds requests about the configuration until they can be answered.
+#[derive(Debug, Default)]
+pub struct ConfigRequestHandler {
+    pending: VecDeque<Pending>,
+    write_in_flight: Option<Pending>,
+    watchers: Vec<Watcher>,
+    versions: ObservedVersions,
+    next_notify_at: Millis,
+}
+
+/// What a request leads to.
+enum Decision {
+    Respond(HttpResponse),
+    Write(Precondition, KvMutation),
+}
+
+/// What became of one pending request.
+enum Progress {
+    Removed,
+    StillPending,
+}
+
+impl ConfigRequestHandler {
+    /// Whether a request waits for a newer read of the store.
+    pub fn needs_read_barrier(&self, cache: &StoreCache) -> bool {
+        !self.pending.is_empty() || self.watchers.iter().any(|watcher| watcher.version > cache.revision)
+    }
+
+    /// Requests that have not been answered.
+    pub fn pending_count(&self) -> usize {
+        self.pending.len() + self.watchers.len() + usize::from(self.write_in_flight.is_some())
+    }
+
+    /// Changes wait to be written: polls must leave them a request of the rate limit.
+    pub fn has_writes_to_send(&self) -> bool {
+        self.pending.iter().any(|pending| is_change(&pending.request))
+    }
+
+    /// An entry has changed at this revision.
+    pub fn record_change(&mut self, revision: Revision, now: Millis) {
+        self.versions.record_change(revision, now);
+    }
+
+    /// The records have been read as a whole.
+    pub fn record_full_read(&mut self, now: Millis) {
+        self.versions.record_full_read(now);
+    }
+
+    /// Receives a request; returns the response if there is one at once.
+    pub fn receive(
+        &mut self,
+        clock: Clock,
+        inbound: InboundId,
+        request: ConfigRequest,
+        kv_client: &KvClient,
+    ) -> Option<HttpResponse> {
+        let is_full = self.pending.len() + self.watchers.len() >= MAX_PENDING;
+        if !kv_client.loaded || is_full {
+            return Some(Unavailable::CannotDecide.into());
+        }
+        if let ConfigRequest::Get { key, min_version: Some(version) } = request {
+            let deadline = clock.now.saturating_add(REQUEST_TIMEOUT_MS);
+            self.watchers.push(Watcher { inbound, key, version: Revision(version), deadline });
+            return None;
+        }
+        if !kv_client.is_reachable(clock.now) {
+            return Some(Unavailable::KvUnreachable.into());
+        }
+        self.pending.push_back(Pending::new(inbound, request, clock.now, REQUEST_TIMEOUT_MS));
+        None
+    }
+
+    /// Decides the requests that the cache is new enough for, writes one change at a time and answers watchers.
+    pub fn process_pending(
+        &mut self,
+        clock: Clock,
+        state: &ControllerState,
+        kv_client: &mut KvClient,
+        out: &mut Vec<Action>,
+    ) {
+        let mut index = 0;
+        while index < self.pending.len() {
+            match self.process_one(index, clock, state, kv_client, out) {
+                Progress::Removed => {}
+                Progress::StillPending => index += 1,
+            }
+        }
+        self.respond_to_watchers(clock, state, out);
+        self.notify_lagging_leader(clock, state, out);
+        self.versions.prune(clock.now);
+    }
+
+    fn process_one(
+        &mut self,
+        index: usize,
+        clock: Clock,
+        state: &ControllerState,
+        kv_client: &mut KvClient,
+        out: &mut Vec<Action>,
+    ) -> Progress {
+        let pending = &self.pending[index];
+        let is_covered = pending.is_covered_by_read(kv_client.fresh_as_of.unwrap_or_default());
+        if !is_covered || (is_change(&pending.request) && self.write_in_flight.is_some()) {
+            return Progress::StillPending;
+        }
+        match self.decide(&pending.request, clock, state) {
+            Decision::Respond(response) => {
+                out.push(Action::respond(pending.inbound, response));
+                self.pending.remove(index);
+            }
+            Decision::Write(precondition, mutation) => {
+                let (preconditions, mutations) = (vec![precondition], vec![mutation]);
+                if kv_client.txn(clock, Purpose::ConfigTxn, preconditions, mutations, out).is_none() {
+                    return Progress::StillPending;
+                }
+                self.write_in_flight = self.pending.remove(index);
+            }
+        }
+        Progress::Removed
+    }
+
+    fn renderer<'a>(&'a self, clock: Clock, state: &'a ControllerState) -> EntryRenderer<'a> {
+        EntryRenderer { versions: &self.versions, clock, state }
+    }
+
+    fn decide(&self, request: &ConfigRequest, clock: Clock, state: &ControllerState) -> Decision {
+        let renderer = self.renderer(clock, state);
+        match request {
+            ConfigRequest::List => Decision::Respond(renderer.list_response()),
+            ConfigRequest::Get { key, .. } => Decision::Respond(renderer.entry_response(key)),
+            ConfigRequest::Set { key, change } => decide_change(key, change, renderer),
+        }
+    }
+
+    /// Handles the store's reply to the write in flight; returns the revision of a change that was applied.
+    pub fn handle_txn_reply(
+        &mut self,
+        clock: Clock,
+        completed: CompletedRequest,
+        cache: &mut StoreCache,
+        out: &mut Vec<Action>,
+    ) -> Option<Revision> {
+        let written = self.write_in_flight.take()?;
+        match completed.reply {
+            KvReply::Committed { revision } => {
+                apply_own_mutations(&completed.request, revision, cache);
+                self.record_change(revision, clock.now);
+                // Decided again at once: the change's id is recorded by now, so the response is the entry as it is.
+                self.pending.push_front(written.awaiting_new_read(Millis::default()));
+                return Some(revision);
+            }
+            // Another controller was first: the change is decided again by what it has written.
+            KvReply::PreconditionFailed { .. } => {
+                self.pending.push_back(written.awaiting_new_read(clock.now));
+            }
+            KvReply::Rejected { status: RATE_LIMITED } => self.pending.push_front(written),
+            // The client repeats the request, and the change's id shows whether it was applied.
+            _ => out.push(Action::respond(written.inbound, Unavailable::WriteOutcomeUnknown)),
+        }
+        None
+    }
+
+    /// Refuses requests past their deadline.
+    pub fn expire(&mut self, clock: Clock, out: &mut Vec<Action>) {
+        self.pending.retain(|pending| pending.retain_unless(pending.is_expired(clock.now), out));
+    }
+
+    fn respond_to_watchers(&mut self, clock: Clock, state: &ControllerState, out: &mut Vec<Action>) {
+        for watcher in std::mem::take(&mut self.watchers) {
+            let is_effective = self.versions.blocker(&watcher.key, watcher.version, clock, state).is_none();
+            if is_effective || watcher.deadline <= clock.now {
+                let response = self.renderer(clock, state).entry_response_at(&watcher.key, watcher.version);
+                out.push(Action::respond(watcher.inbound, response));
+            } else {
+                self.watchers.push(watcher);
+            }
+        }
+    }
+
+    /// Sends a notice to the leader if a watcher waits for it and it has not announced that it has read the change.
+    fn notify_lagging_leader(&mut self, clock: Clock, state: &ControllerState, out: &mut Vec<Action>) {
+        let Some(newest) = self.watchers.iter().map(|watcher| watcher.version).max() else { return };
+        if clock.now < self.next_notify_at {
+            return;
+        }
+        let Some(leader) = state.known_leader() else { return };
+        if leader == state.settings.controller || state.watermarks.has_read(leader, newest) {
+            return;
+        }
+        self.next_notify_at = clock.now.saturating_add(NOTIFY_RETRY_MS);
+        let message = PeerMessage::RevisionNotice { revision: newest.0 };
+        out.push(Action::SendPeerMessage { controller: leader.into(), message });
+    }
+}
+
+fn is_change(request: &ConfigRequest) -> bool {
+    matches!(request, ConfigRequest::Set { .. })
+}
+
+/// Decides a change by the entry as the cache holds it.
+fn decide_change(key: &ConfigKey, change: &ConfigChangeRequest, renderer: EntryRenderer<'_>) -> Decision {
+    let state = renderer.state;
+    let Some(platform) = platform_team(key, &state.settings) else {
+        return reject(422, &unknown_team_text(key));
+    };
+    if let Err(problem) = validate_quota(key, change.quota, platform) {
+        return reject(422, &problem.to_string());
+    }
+    let config = &state.cache.config;
+    if config.get(key).is_some_and(|entry| entry.record.change_id == change.change_id) {
+        // The change was applied before, and the response to it was lost.
+        return Decision::Respond(renderer.entry_response(key));
+    }
+    if config.unrecognized_version(&key.to_string()).is_some() {
+        let text = format!(
+            "{key}: its record is of a later version: change it through a controller of that version"
+        );
+        return reject(409, &text);
+    }
+    let record_key = RecordKey::ConfigEntry(key.to_string());
+    let precondition = unchanged(&state.cache, &record_key);
+    if change.expected_version.is_some_and(|expected| Revision(expected) != precondition.revision) {
+        return Decision::Respond(HttpResponse { status: 409, ..renderer.entry_response(key) });
+    }
+    let record = ConfigRecord {
+        format_version: ENTRY_FORMAT_VERSION,
+        quota: change.quota.into(),
+        changed_by: change.changed_by.clone(),
+        reason: change.reason.clone(),
+        changed_at_ms: renderer.clock.wall_ms,
+        change_id: change.change_id.clone(),
+    };
+    Decision::Write(precondition, put_record(&record_key, &record))
+}
+
+fn reject(status: u16, text: &str) -> Decision {
+    Decision::Respond(HttpResponse::error(status, text))
+}
--- /dev/null
+++ b/src/coordination/controller/isolation.rs
@@ -0,0 +1,35 @@
+//! Whether this controller alone has lost the store, as opposed to an outage for all.
+
+use super::Controller;
+use crate::coordination::Clock;
+use crate::ids::Millis;
+
+/// A controller counts as isolated after this long: at both ends of an outage for all, controllers notice at different
+/// moments, and hear of one another's state with that much delay.
+const ISOLATED_AFTER_MS: u64 = 1_500;
+
+/// Remembers since when only this controller has had trouble with the store.
+#[derive(Debug, Default)]
+pub(super) struct IsolationDetector {
+    isolated_since: Option<Millis>,
+}
+
+impl IsolationDetector {
+    fn observe(&mut self, now: Millis, seems_isolated: bool) {
+        self.isolated_since = self.isolated_since.or(Some(now)).filter(|_| seems_isolated);
+    }
+
+    pub fn is_isolated(&self, now: Millis) -> bool {
+        self.isolated_since.is_some_and(|since| now.saturating_since(since) > ISOLATED_AFTER_MS)
+    }
+}
+
+impl Controller {
+    /// The store does not serve this controller, while it serves another or no other controller can be heard.
+    pub(super) fn detect_isolation(&mut self, clock: Clock) {
+        let is_cut_off = !self.peer_names.is_empty() && !self.peers.has_live_peer(clock.now);
+        let seems_isolated = !self.kv_client.is_reachable(clock.now)
+            && (is_cut_off || self.peers.any_peer_reaches_store(clock.now));
+        self.isolation.observe(clock.now, seems_isolated);
+    }
+}
--- a/src/coordination/controller/job_counters.rs
+++ b/src/coordination/controller/job_counters.rs
@@ -1,24 +1,37 @@
-//! Jobs by class and team, in the log and in the status.
+//! Counts of jobs by team and class, in the log and in the status.
 
 use super::Controller;
 use crate::bookkeeping::job_counters::JobCounters;
+use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
-use crate::ids::{ClassIx, TeamIx};
+use crate::ids::Millis;
 use crate::protocol::operators::JobCountersView;
 
-/// How often accounts that changed are shown in the log.
+/// How often counters that changed are logged.
 const LOG_INTERVAL_MS: u64 = 30_000;
+/// The name of the row of all teams and classes that are not counted on their own.
+const OTHERS: &str = "others";
 
-impl Controller {
-    /// A line for each party whose account changed.
-    pub(super) fn log_job_counters(&mut self, clock: Clock) {
-        if clock.now < self.next_counters_log_at || !self.kv_client.loaded {
+/// Logs counters that have changed since they were last logged.
+#[derive(Debug)]
+pub(super) struct JobCountersLog {
+    next_at: Millis,
+    logged: Vec<JobCounters>,
+}
+
+impl JobCountersLog {
+    pub fn new(now: Millis) -> JobCountersLog {
+        JobCountersLog { next_at: now, logged: Vec::new() }
+    }
+
+    fn log_changes(&mut self, now: Millis, cache: &StoreCache) {
+        if now < self.next_at {
             return;
         }
-        self.next_counters_log_at = clock.now.saturating_add(LOG_INTERVAL_MS);
-        let rows: Vec<JobCounters> = self.cache.job_counters.rows().map(|(_, account)| account).collect();
-        for (view, (row, at)) in self.job_counter_views().iter().zip(rows.iter().zip(0..)) {
-            if self.logged_counters.get(at) != Some(row) {
+        self.next_at = now.saturating_add(LOG_INTERVAL_MS);
+        let counters: Vec<JobCounters> = cache.job_counters.rows().map(|(_, counters)| counters).collect();
+        for (index, view) in job_counter_views(cache).iter().enumerate() {
+            if self.logged.get(index) != counters.get(index) {
                 log::info!(
                     event = "account", team = view.team.as_str(), class = view.class.as_str();
                     "account {}/{}: accepted {}, started {}, done {}, withdrawn {}, told here {}",
@@ -26,27 +39,36 @@
                 );
             }
         }
-        self.logged_counters = rows;
+        self.logged = counters;
     }
+}
 
-    /// What the status tells of each party.
-    pub(super) fn job_counter_views(&self) -> Vec<JobCountersView> {
-        let names = &self.cache.names;
-        let view = |(party, account): (Option<(TeamIx, ClassIx)>, JobCounters)| {
-            let name = party.map(|(team, class)| {
-                (names.teams.name_or_unknown(team.index()), names.classes.name_or_unknown(class.index()))
-            });
-            let (team, class) = name.unwrap_or(("others", "others"));
-            JobCountersView {
-                team: team.into(),
-                class: class.into(),
-                accepted: account.accepted,
-                started: account.started,
-                done: account.done,
-                cancelled: account.cancelled,
-                completions_reported: account.notified,
-            }
-        };
-        self.cache.job_counters.rows().map(view).collect()
+impl Controller {
+    /// Logs a line for each team and class whose counters changed.
+    pub(super) fn log_job_counters(&mut self, clock: Clock) {
+        if self.kv_client.loaded {
+            self.counters_log.log_changes(clock.now, &self.state.cache);
+        }
     }
 }
+
+/// The counters of each team and class, as the status shows them.
+pub(super) fn job_counter_views(cache: &StoreCache) -> Vec<JobCountersView> {
+    let names = &cache.names;
+    let rows = cache.job_counters.rows();
+    rows.map(|(party, counters)| {
+        let (team, class) = party.map_or((OTHERS, OTHERS), |(team, class)| {
+            (names.teams.name_or_unknown(team.index()), names.classes.name_or_unknown(class.index()))
+        });
+        JobCountersView {
+            team: team.into(),
+            class: class.into(),
+            accepted: counters.accepted,
+            started: counters.started,
+            done: counters.done,
+            cancelled: counters.cancelled,
+            completions_reported: counters.notified,
+        }
+    })
+    .collect()
+}
--- /dev/null
+++ b/src/coordination/controller_state.rs
@@ -0,0 +1,82 @@
+//! What a controller knows when it decides a request: the cached records, its settings, how far the other controllers
+//! have read, and the leader's state while this controller leads. Performs no I/O and reads no clock.
+
+use std::sync::Arc;
+
+use super::Clock;
+use super::leader::Leader;
+use super::read_watermarks::ReadWatermarks;
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::ids::JobId;
+use crate::settings::Settings;
+use crate::tunables::Tunables;
+
+/// The state that all request handlers of a controller decide by.
+pub struct ControllerState {
+    pub(super) settings: Arc<Settings>,
+    pub(super) tunables: Arc<Tunables>,
+    pub(super) cache: StoreCache,
+    pub(super) watermarks: ReadWatermarks,
+    /// Present while this controller leads.
+    pub(super) leader: Option<Leader>,
+}
+
+impl ControllerState {
+    pub(super) fn new(settings: Settings, tunables: Tunables, peer_names: &[String]) -> ControllerState {
+        ControllerState {
+            settings: Arc::new(settings),
+            tunables: Arc::new(tunables),
+            cache: StoreCache::default(),
+            watermarks: ReadWatermarks::new(peer_names),
+            leader: None,
+        }
+    }
+
+    pub(super) fn is_leader(&self) -> bool {
+        self.leader.is_some()
+    }
+
+    /// The controller that leads by the cached records.
+    pub(super) fn known_leader(&self) -> Option<&str> {
+        self.cache.leader.as_ref().map(|leader| leader.controller.as_str())
+    }
+
+    /// Whether a job's terminal state may be reported: no controller can report an older state any more.
+    pub(super) fn is_stable(&self, id: JobId, clock: Clock) -> bool {
+        self.watermarks.is_stable(id, clock.now, self.cache.revision, self.cache.leader.as_ref())
+    }
+
+    /// How many tasks of a job run, for display.
+    pub(super) fn running_task_count(&self, id: JobId) -> u32 {
+        match self.leader.as_ref().zip(self.cache.find(id)) {
+            Some((leader, ix)) => leader.jobs.get(&ix).map_or(0, |job| job.placements.len() as u32),
+            None => self.cache.recorded_running_tasks(id),
+        }
+    }
+
+    /// The same for many jobs: a follower scans the assignment log once for all of them.
+    pub(super) fn running_task_counts(&self) -> impl Fn(JobId) -> u32 + '_ {
+        let recorded =
+            if self.is_leader() { Default::default() } else { self.cache.recorded_running_by_job() };
+        move |id| match &self.leader {
+            Some(_) => self.running_task_count(id),
+            None => recorded.get(&id).copied().unwrap_or(0),
+        }
+    }
+
+    /// CPUs of a team's tasks, in thousandths: those in use by the leader's knowledge, or those that the records allow
+    /// to be in use.
+    pub(super) fn team_cpu_usage(&self, team: &str) -> u64 {
+        let Some(team) = self.cache.names.teams.find(team) else { return 0 };
+        if let Some(leader) = &self.leader {
+            return leader.usage.get(&team).map_or(0, |used| used.cpu);
+        }
+        self.cache
+            .live_jobs()
+            .filter(|(_, job)| job.spec.team == team)
+            .map(|(_, job)| {
+                job.spec.task_resources.cpu * u64::from(self.cache.recorded_running_tasks(job.spec.id))
+            })
+            .sum()
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,16 +1,27 @@
-//! Decisions. Events and the time go in, actions come out: no I/O, no clock,
-//! seeded randomness, so that a run in virtual time repeats exactly.
+//! Decisions: events and the time go in, actions come out. Nothing here performs I/O, reads a clock or draws random
+//! numbers from anything but a seed, so that a run in virtual time repeats exactly.
+//!
+//! - [`controller`]: one controller, which dispatches events to the parts below;
+//! - [`user_requests`], [`graph_requests`], [`config_requests`], [`operator_queries`]: clients' requests that wait for
+//!   a read or a write of the store;
+//! - [`kv_client`], [`read_watermarks`]: requests to the store, and how far each controller has read it;
+//! - [`leadership`], [`peers`]: who leads;
+//! - [`leader`]: what only the leader does: placing tasks, commanding workers, scaling the fleet.
 
 pub mod config_requests;
 pub mod controller;
+pub mod controller_state;
 pub mod graph_requests;
 pub mod kv_client;
+pub mod kv_mutations;
 pub mod leader;
 pub mod leadership;
 pub mod operator_queries;
 pub mod peers;
+mod pending_request;
 pub mod read_watermarks;
 pub mod token_bucket;
+pub mod unavailable;
 pub mod user_requests;
 
 use crate::ids::Millis;
@@ -24,37 +35,50 @@
 use crate::protocol::workers::Heartbeat;
 use crate::protocol::{HttpOutcome, HttpRequest, HttpResponse};
 
-/// The two clocks: one that never jumps, and the time of day.
+/// The two clocks at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clock {
+    /// Monotonic time.
     pub now: Millis,
+    /// Time of day, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-/// An HTTP request that waits for its answer.
+/// Identifies an HTTP request from a client or worker that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InboundId(pub u64);
 
-/// A request of ours that waits for its outcome.
+/// Identifies an HTTP request of this controller whose outcome is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OutboundId(pub u64);
 
+/// Something that happened and that a controller reacts to.
 #[derive(Debug)]
 pub enum Event {
+    /// Time has passed.
     Tick,
+    /// A user's request: submit, poll or cancel a job.
     User { inbound: InboundId, request: UserRequest },
+    /// A worker's heartbeat.
     Heartbeat { inbound: InboundId, heartbeat: Heartbeat },
+    /// The outcome of a request to the key-value store.
     Kv { outbound: OutboundId, outcome: HttpOutcome },
+    /// The outcome of a request to the cloud provider.
     Cloud { outbound: OutboundId, outcome: HttpOutcome },
+    /// The outcome of commands that were sent directly to a worker.
     WorkerCommands { outbound: OutboundId, outcome: HttpOutcome },
+    /// A message from another controller.
     Peer { controller: String, message: PeerMessage },
+    /// An operator's query.
     Operator { inbound: InboundId, request: OperatorRequest },
+    /// A change of a graph's run.
     Graph { inbound: InboundId, request: DagRequest },
+    /// A request about the configuration.
     Config { inbound: InboundId, request: ConfigRequest },
 }
 
 impl Event {
-    /// For measurements.
+    /// The label of this kind of event in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Event::Tick => "tick",
@@ -71,11 +95,23 @@
     }
 }
 
+/// Something that the transport does on behalf of a controller.
 #[derive(Debug)]
 pub enum Action {
+    /// Answers an HTTP request.
     Respond { inbound: InboundId, response: HttpResponse },
+    /// Sends a request to the key-value store.
     CallKv { outbound: OutboundId, request: KvRequest, timeout_ms: u64 },
+    /// Sends a request to the cloud provider.
     CallCloud { outbound: OutboundId, request: CloudRequest, timeout_ms: u64 },
+    /// Sends commands directly to a worker, without waiting for its next heartbeat.
     SendWorkerCommands { outbound: OutboundId, endpoint: String, request: HttpRequest, timeout_ms: u64 },
+    /// Sends a message to another controller.
     SendPeerMessage { controller: String, message: PeerMessage },
 }
+
+impl Action {
+    fn respond(inbound: InboundId, response: impl Into<HttpResponse>) -> Action {
+        Action::Respond { inbound, response: response.into() }
+    }
+}
--- a/src/coordination/operator_queries.rs
+++ b/src/coordination/operator_queries.rs
@@ -1,9 +1,10 @@
-//! Operators' questions on their way: those that wait for a read barrier here, and those asked of the leader.
-//! Bounded in number, in time and in what they may cost a second.
+//! Operators' queries that wait: for a read barrier here, or for the leader's response. Bounded in number, in time and in
+//! how many are answered a second. Performs no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
 use super::token_bucket::TokenBucket;
+use super::unavailable::Unavailable;
 use super::{Action, Clock, InboundId};
 use crate::ids::Millis;
 use crate::protocol::HttpResponse;
@@ -11,29 +12,26 @@
 use crate::protocol::peer::PeerMessage;
 use crate::tunables::OperatorTunables;
 
-/// Clients wait longer; the answer must be on its way before.
+/// Clients wait longer: the response has to be under way before.
 const BARRIER_TIMEOUT_MS: u64 = 2_500;
-/// After that a follower answers for itself, or says that the leader did not.
+/// After that a follower answers by the records alone, or reports that the leader does not answer.
 const FORWARD_TIMEOUT_MS: u64 = 1_500;
-/// Questions held at once, here and at the leader.
+/// Queries that may wait here at the same time, and as many at the leader.
 const MAX_PENDING: usize = 200;
-pub const RETRY_AFTER_S: u32 = 1;
 
-/// Who gets the answer.
+/// Who gets the response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Requester {
+    /// A client of this controller.
     Client(InboundId),
-    /// Another controller, whose client asked.
-    Controller {
-        controller: String,
-        query_id: u64,
-    },
+    /// Another controller, which forwarded its client's query.
+    Controller { controller: String, query_id: u64 },
 }
 
 #[derive(Debug)]
-pub struct PendingQuery {
-    pub requester: Requester,
-    pub request: OperatorRequest,
+struct PendingQuery {
+    requester: Requester,
+    request: OperatorRequest,
     received_at: Millis,
     deadline: Millis,
 }
@@ -45,19 +43,39 @@
     deadline: Millis,
 }
 
+/// Requesters of the same query, which get the same response.
+#[derive(Debug)]
+pub struct QueryGroup {
+    /// The query.
+    pub request: OperatorRequest,
+    /// In the order in which their queries were received.
+    pub requesters: Vec<Requester>,
+}
+
+/// Queries that were not answered in time.
+#[derive(Debug)]
+pub struct ExpiredQueries {
+    /// Queries of this controller's clients that the leader did not answer.
+    pub forwarded: Vec<(InboundId, OperatorRequest)>,
+    /// Requesters whose query no read of the store has covered.
+    pub awaiting_barrier: Vec<Requester>,
+}
+
+/// Holds operators' queries until they can be answered.
 #[derive(Debug)]
 pub struct OperatorQueryHandler {
+    /// Whether the operators' interface is enabled.
     pub enabled: bool,
     awaiting_barrier: Vec<PendingQuery>,
     forwarded: BTreeMap<u64, ForwardedQuery>,
     last_query_id: u64,
-    /// Answers that cost a look at every machine or job.
+    /// Limits the responses a second: each may scan all machines or jobs.
     budget: TokenBucket,
 }
 
 impl OperatorQueryHandler {
-    /// Questions are numbered from `first` on, which differs from process to process: the answer to one that a former
-    /// process of this name asked is nobody's.
+    /// Queries are numbered from `first_query_id` on, which differs from process to process: the response to a query that
+    /// a former process of this controller sent must not be taken for that of a new one.
     pub fn new(tunables: &OperatorTunables, first_query_id: u64, now: Millis) -> OperatorQueryHandler {
         OperatorQueryHandler {
             enabled: tunables.enabled,
@@ -68,25 +86,33 @@
         }
     }
 
+    /// Whether a query waits for a newer read of the store.
     pub fn needs_read_barrier(&self) -> bool {
         !self.awaiting_barrier.is_empty()
     }
 
-    /// Waits for a barrier; false if there are too many.
-    pub fn enqueue(&mut self, now: Millis, requester: Requester, request: OperatorRequest) -> bool {
-        let room = self.awaiting_barrier.len() < MAX_PENDING;
-        if room {
-            self.awaiting_barrier.push(PendingQuery {
-                requester,
-                request,
-                received_at: now,
-                deadline: now.saturating_add(BARRIER_TIMEOUT_MS),
-            });
+    /// Makes a query wait for a read barrier.
+    ///
+    /// # Errors
+    /// If too many queries wait.
+    pub fn enqueue(
+        &mut self,
+        now: Millis,
+        requester: Requester,
+        request: OperatorRequest,
+    ) -> Result<(), Unavailable> {
+        if self.awaiting_barrier.len() >= MAX_PENDING {
+            return Err(Unavailable::TooManyQueries);
         }
-        room
+        let deadline = now.saturating_add(BARRIER_TIMEOUT_MS);
+        self.awaiting_barrier.push(PendingQuery { requester, request, received_at: now, deadline });
+        Ok(())
     }
 
-    /// Asks the leader; false if there are too many.
+    /// Forwards a query to the leader.
+    ///
+    /// # Errors
+    /// If too many queries wait for the leader, or if it is not one that is forwarded.
     pub fn forward_to_leader(
         &mut self,
         now: Millis,
@@ -94,73 +120,74 @@
         inbound: InboundId,
         request: OperatorRequest,
         out: &mut Vec<Action>,
-    ) -> bool {
-        let Some(question) = request.to_leader_query().filter(|_| self.forwarded.len() < MAX_PENDING) else {
-            return false;
-        };
+    ) -> Result<(), Unavailable> {
+        let query = request.to_leader_query().filter(|_| self.forwarded.len() < MAX_PENDING);
+        let query = query.ok_or(Unavailable::TooManyQueries)?;
         self.last_query_id = self.last_query_id.wrapping_add(1);
-        self.forwarded.insert(
-            self.last_query_id,
-            ForwardedQuery { inbound, request, deadline: now.saturating_add(FORWARD_TIMEOUT_MS) },
-        );
-        out.push(Action::SendPeerMessage {
-            controller: leader.into(),
-            message: PeerMessage::Query { query_id: self.last_query_id, query: question },
-        });
-        true
+        let query_id = self.last_query_id;
+        let deadline = now.saturating_add(FORWARD_TIMEOUT_MS);
+        self.forwarded.insert(query_id, ForwardedQuery { inbound, request, deadline });
+        let message = PeerMessage::Query { query_id, query };
+        out.push(Action::SendPeerMessage { controller: leader.into(), message });
+        Ok(())
     }
 
-    /// The leader's answer has come: whose it is.
+    /// Takes the query that a response of the leader belongs to.
     pub fn take_forwarded(&mut self, query_id: u64) -> Option<(InboundId, OperatorRequest)> {
-        self.forwarded.remove(&query_id).map(|relayed| (relayed.inbound, relayed.request))
+        self.forwarded.remove(&query_id).map(|query| (query.inbound, query.request))
     }
 
-    /// Questions that a read sent at `sent` answers, equal ones together.
-    pub fn take_ready(&mut self, read_sent_at: Millis) -> Vec<(OperatorRequest, Vec<Requester>)> {
-        let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.awaiting_barrier)
+    /// Takes the queries that a read sent at `read_sent_at` covers, equal ones together.
+    pub fn take_ready(&mut self, read_sent_at: Millis) -> Vec<QueryGroup> {
+        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.awaiting_barrier)
             .into_iter()
-            .partition(|question| question.received_at <= read_sent_at);
-        self.awaiting_barrier = rest;
-        let mut groups: Vec<(OperatorRequest, Vec<Requester>)> = Vec::new();
-        for question in ready {
-            match groups.iter_mut().find(|(request, _)| *request == question.request) {
-                Some((_, askers)) => askers.push(question.requester),
-                None => groups.push((question.request, vec![question.requester])),
+            .partition(|query| query.received_at <= read_sent_at);
+        self.awaiting_barrier = waiting;
+        let mut groups: Vec<QueryGroup> = Vec::new();
+        for PendingQuery { requester, request, .. } in ready {
+            match groups.iter_mut().find(|group| group.request == request) {
+                Some(group) => group.requesters.push(requester),
+                None => groups.push(QueryGroup { request, requesters: vec![requester] }),
             }
         }
         groups
     }
 
-    /// May one more answer be worked out now?
+    /// Takes one response from the budget of this second; false if it is used up.
     pub fn try_take_budget(&mut self, now: Millis) -> bool {
         self.budget.try_take(now, 1)
     }
 
-    /// What the leader did not answer in time, and those that no barrier came for.
-    pub fn take_expired(&mut self, clock: Clock) -> (Vec<(InboundId, OperatorRequest)>, Vec<Requester>) {
-        let unanswered_ids: Vec<u64> =
-            self.forwarded.iter().filter(|(_, r)| r.deadline <= clock.now).map(|(ask, _)| *ask).collect();
-        let unanswered = unanswered_ids.into_iter().filter_map(|ask| self.take_forwarded(ask)).collect();
-        let (expired, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.awaiting_barrier)
+    /// Takes the queries past their deadline.
+    pub fn take_expired(&mut self, clock: Clock) -> ExpiredQueries {
+        let expired_ids: Vec<u64> = self
+            .forwarded
+            .iter()
+            .filter(|(_, query)| query.deadline <= clock.now)
+            .map(|(query_id, _)| *query_id)
+            .collect();
+        let forwarded = expired_ids.into_iter().filter_map(|id| self.take_forwarded(id)).collect();
+        let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.awaiting_barrier)
             .into_iter()
-            .partition(|question| question.deadline <= clock.now);
-        self.awaiting_barrier = rest;
-        (unanswered, expired.into_iter().map(|question| question.requester).collect())
+            .partition(|query| query.deadline <= clock.now);
+        self.awaiting_barrier = waiting;
+        let awaiting_barrier = expired.into_iter().map(|query| query.requester).collect();
+        ExpiredQueries { forwarded, awaiting_barrier }
     }
 }
 
-/// The answer goes to a client, or back over the mesh.
-pub fn send_response(requester: &Requester, response: &HttpResponse, out: &mut Vec<Action>) {
+/// Responds to a client, or to the controller that forwarded its client's query.
+pub fn respond_to(requester: &Requester, response: &HttpResponse, out: &mut Vec<Action>) {
     out.push(match requester {
-        Requester::Client(call) => Action::Respond { inbound: *call, response: response.clone() },
-        Requester::Controller { controller: node, query_id: ask } => {
+        Requester::Client(inbound) => Action::Respond { inbound: *inbound, response: response.clone() },
+        Requester::Controller { controller, query_id } => {
             let message = PeerMessage::QueryResponse {
-                query_id: *ask,
+                query_id: *query_id,
                 status: response.status,
                 retry_after_s: response.retry_after_s,
                 body: response.body.clone(),
             };
-            Action::SendPeerMessage { controller: node.clone(), message }
+            Action::SendPeerMessage { controller: controller.clone(), message }
         }
     });
 }
--- /dev/null
+++ b/src/coordination/user_requests/writes.rs
@@ -0,0 +1,246 @@
+//! Writes that users' requests lead to: jobs to accept and to cancel, batched into one conditional transaction at a
+//! time. A write whose precondition fails is decided again behind a new read.
+
+use super::{Pending, UserRequestHandler};
+use crate::bookkeeping::dag_records::NodeTerminalRecord;
+use crate::bookkeeping::jobs::TerminalState;
+use crate::bookkeeping::records::{
+    GRAPH_ACCEPTANCE_KEY, JobRecord, RecordKey, TerminalDetail, TerminalRecord,
+};
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::coordination::kv_client::{CompletedRequest, KvClient, Purpose};
+use crate::coordination::kv_mutations::{RATE_LIMITED, absent, apply_own_mutations, put_record, unchanged};
+use crate::coordination::read_watermarks::MAX_READ_AGE_MS;
+use crate::coordination::unavailable::Unavailable;
+use crate::coordination::{Action, Clock, InboundId};
+use crate::ids::{JobId, Millis, Revision};
+use crate::protocol::kv::{KvMutation, KvReply, Precondition};
+use crate::protocol::users::{JobManifest, JobStatus, UserRequest, status_response};
+
+/// Estimated size of a transaction's mutations, in bytes: below the store's 64 KiB, with room for its frame.
+const MAX_TXN_BYTES: usize = 48 * 1024;
+
+/// A change of one job's records.
+#[derive(Debug)]
+pub(super) enum JobWrite {
+    Accept { manifest: Box<JobManifest> },
+    Cancel { detail: Option<TerminalDetail>, node: Option<Box<NodeTerminalRecord>> },
+}
+
+/// A write and the request that waits for it.
+#[derive(Debug)]
+pub(super) struct PendingWrite {
+    pub inbound: InboundId,
+    pub job: JobId,
+    pub write: JobWrite,
+    pub deadline: Millis,
+}
+
+impl PendingWrite {
+    fn is_submission_of_node_job(&self, cache: &StoreCache) -> bool {
+        matches!(self.write, JobWrite::Accept { .. }) && cache.dag_runs.is_node_job(self.job)
+    }
+
+    /// The request that led to the write, to be decided by a new read.
+    fn into_request(self, now: Millis) -> Pending {
+        let id = self.job;
+        let request = match self.write {
+            JobWrite::Accept { manifest } => UserRequest::Submit { id, manifest: Ok(manifest) },
+            JobWrite::Cancel { .. } => UserRequest::Cancel { id },
+        };
+        Pending { inbound: self.inbound, request, received_at: now, deadline: self.deadline }
+    }
+
+    fn preconditions(&self) -> Vec<Precondition> {
+        let not_terminal = absent(&RecordKey::Terminal(self.job));
+        match self.write {
+            // The record of a finished job is deleted in time, its terminal record never is.
+            JobWrite::Accept { .. } => vec![absent(&RecordKey::Job(self.job)), not_terminal],
+            JobWrite::Cancel { .. } => vec![not_terminal],
+        }
+    }
+
+    fn mutation(&self, wall_ms: u64) -> KvMutation {
+        match &self.write {
+            JobWrite::Accept { manifest } => {
+                let record = JobRecord { accepted_wall_ms: wall_ms, manifest: (**manifest).clone() };
+                put_record(&RecordKey::Job(self.job), &record)
+            }
+            JobWrite::Cancel { detail, node } => {
+                let record = match node.as_deref() {
+                    Some(node) => TerminalRecord::for_node(node.clone(), wall_ms, detail.clone()),
+                    None => TerminalRecord::new(TerminalState::Cancelled, wall_ms, detail.clone()),
+                };
+                put_record(&RecordKey::Terminal(self.job), &record)
+            }
+        }
+    }
+
+    /// Whether one of the failed preconditions may have been this write's. The store does not always name the keys.
+    fn is_in_conflict(&self, failed_keys: &[String]) -> bool {
+        failed_keys.is_empty()
+            || failed_keys.iter().any(|key| match RecordKey::parse(key) {
+                _ if key == GRAPH_ACCEPTANCE_KEY => true,
+                Some(RecordKey::Job(id) | RecordKey::Terminal(id)) => id == self.job,
+                _ => false,
+            })
+    }
+}
+
+/// An upper estimate of a mutation's size on the wire, in bytes.
+fn mutation_size(mutation: &KvMutation) -> usize {
+    match mutation {
+        KvMutation::Put { key, value, .. } => key.len() * 3 + value.len() + 100,
+        KvMutation::Delete { key } => key.len() * 2 + 60,
+    }
+}
+
+/// The first of the queued writes, as many as fit one transaction.
+#[derive(Default)]
+struct WriteBatch {
+    preconditions: Vec<Precondition>,
+    mutations: Vec<KvMutation>,
+    bytes: usize,
+}
+
+impl WriteBatch {
+    /// Adds a write; false if it has to go into a later transaction.
+    fn try_add(&mut self, write: &PendingWrite, wall_ms: u64) -> bool {
+        let mutation = write.mutation(wall_ms);
+        let size = mutation_size(&mutation);
+        let is_duplicate = self.mutations.iter().any(|other| other.key() == mutation.key());
+        let is_full = !self.mutations.is_empty() && self.bytes + size > MAX_TXN_BYTES;
+        if is_duplicate || is_full {
+            return false;
+        }
+        self.bytes += size;
+        self.preconditions.extend(write.preconditions());
+        self.mutations.push(mutation);
+        true
+    }
+}
+
+/// Whether a committed transaction has changed what the leader works on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TxnResult {
+    Committed,
+    NotCommitted,
+}
+
+impl UserRequestHandler {
+    /// A write is queued and none is in flight: it is sent as soon as the rate limits allow.
+    pub fn has_writes_to_send(&self) -> bool {
+        !self.queued_writes.is_empty() && self.writes_in_flight.is_empty()
+    }
+
+    /// Sends queued writes, one transaction of at most `max_ops` mutations at a time.
+    pub fn send_writes(
+        &mut self,
+        clock: Clock,
+        max_ops: usize,
+        cache: &StoreCache,
+        kv_client: &mut KvClient,
+        out: &mut Vec<Action>,
+    ) {
+        if !self.has_writes_to_send() {
+            return;
+        }
+        self.revalidate_queued(clock, cache);
+        let max_ops = max_ops.min(kv_client.write_bucket.available(clock.now));
+        let WriteBatch { preconditions, mutations, .. } = self.plan_batch(clock, max_ops, cache);
+        let count = mutations.len();
+        if count > 0 && kv_client.txn(clock, Purpose::UserTxn, preconditions, mutations, out).is_some() {
+            self.writes_in_flight = self.queued_writes.drain(..count).collect();
+        }
+    }
+
+    fn plan_batch(&self, clock: Clock, max_ops: usize, cache: &StoreCache) -> WriteBatch {
+        let mut batch = WriteBatch::default();
+        let graph_acceptance = unchanged(cache, &RecordKey::GraphAcceptance);
+        if self.graphs_enabled || graph_acceptance.revision != Revision(0) {
+            batch.preconditions.push(graph_acceptance);
+        }
+        for write in self.queued_writes.iter().take(max_ops) {
+            if !batch.try_add(write, clock.wall_ms) {
+                break;
+            }
+        }
+        batch
+    }
+
+    /// Submissions whose name became a graph node's since they were queued are decided again.
+    fn revalidate_queued(&mut self, clock: Clock, cache: &StoreCache) {
+        if !self.queued_writes.iter().any(|write| write.is_submission_of_node_job(cache)) {
+            return;
+        }
+        let (stale, valid): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queued_writes)
+            .into_iter()
+            .partition(|write| write.is_submission_of_node_job(cache));
+        self.queued_writes = valid;
+        self.awaiting_barrier.extend(stale.into_iter().map(|write| write.into_request(clock.now)));
+    }
+
+    /// Handles the store's reply to the transaction in flight.
+    pub fn handle_txn_reply(
+        &mut self,
+        clock: Clock,
+        completed: CompletedRequest,
+        cache: &mut StoreCache,
+        out: &mut Vec<Action>,
+    ) -> TxnResult {
+        let writes = std::mem::take(&mut self.writes_in_flight);
+        match completed.reply {
+            KvReply::Committed { revision } => {
+                apply_own_mutations(&completed.request, revision, cache);
+                for write in writes {
+                    self.complete_write(clock, write, completed.sent_at, out);
+                }
+                return TxnResult::Committed;
+            }
+            KvReply::PreconditionFailed { failed_keys } => {
+                self.retry_conflicting(clock, writes, &failed_keys);
+            }
+            KvReply::Rejected { status: RATE_LIMITED } => self.queued_writes.extend(writes),
+            // The user repeats the request, which then finds out whether it was stored.
+            _ => out.extend(
+                writes.iter().map(|write| Action::respond(write.inbound, Unavailable::WriteOutcomeUnknown)),
+            ),
+        }
+        TxnResult::NotCommitted
+    }
+
+    fn complete_write(
+        &mut self,
+        clock: Clock,
+        write: PendingWrite,
+        txn_sent_at: Millis,
+        out: &mut Vec<Action>,
+    ) {
+        let PendingWrite { inbound, job: id, .. } = write;
+        match write.write {
+            // By then another controller may have reported the job as finished: "pending" would be a step back.
+            JobWrite::Accept { .. } if clock.now.saturating_since(txn_sent_at) >= MAX_READ_AGE_MS => {
+                out.push(Action::respond(inbound, Unavailable::WriteAcknowledgedLate));
+            }
+            JobWrite::Accept { .. } => {
+                log::info!(event = "accepted", job:% = id; "accepted {id}");
+                out.push(Action::respond(inbound, status_response(201, id, JobStatus::Pending, None)));
+            }
+            JobWrite::Cancel { .. } => {
+                log::info!(event = "withdrawn", job:% = id; "withdrawn {id}");
+                self.awaiting_stability.push(write.into_request(clock.now));
+            }
+        }
+    }
+
+    /// Writes whose keys another controller changed first are decided again; the others stay queued.
+    fn retry_conflicting(&mut self, clock: Clock, writes: Vec<PendingWrite>, failed_keys: &[String]) {
+        for write in writes {
+            if write.is_in_conflict(failed_keys) {
+                self.awaiting_barrier.push(write.into_request(clock.now));
+            } else {
+                self.queued_writes.push(write);
+            }
+        }
+    }
+}
