--- a/src/coordination/leader/dag_runs.rs
+++ b/src/coordination/leader/dag_runs/mod.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::{Binding, JobState, Leader};
-use crate::bookkeeping::dag_records::{MAX_EVIDENCE, NodeTerminalRecord, RETRY_BLOCK_TASKS};
+use crate::bookkeeping::dag_records::{MAX_EVIDENCE, NodeTerminalRecord};
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::ids::{Attempt, DagRunIx, JobId, JobIx, MachineIx, Millis, PoolIx, TaskId};
@@ -157,7 +157,7 @@
         let backoff_ms = retry.delay_after(retries.failures, jitter);
         let id = work.spec.id;
         if verdict != FailureEffect::AlreadyCounted {
-            self.writer.retries_due.insert((id, task / RETRY_BLOCK_TASKS));
+            self.writer.queue_retry_state(id, task);
         }
         if verdict == FailureEffect::Exhausted {
             log::info!(event = "node_failed", job:% = id; "{id} has failed for good");
--- /dev/null
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -0,0 +1,255 @@
+//! The assignment log in the key-value store: which tasks may be on which machines, which machines are being returned,
+//! which tasks have finished.
+//!
+//! Writes per second are the scarcest resource of the store, so one segment holds everything since the segment before,
+//! however many machines that concerns. A segment is deleted once newer records supersede all its entries; compaction
+//! rewrites sparse segments so that the log stays short. [`AssignmentLog`] owns the live segments and the entries that
+//! are not durable yet; both are bounded by the running tasks. It does no I/O: segments are written by the
+//! [store writer](super::store_writer).
+
+mod append;
+mod segment;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::store_writer::WriteBudget;
+use crate::bookkeeping::records::RecordKey;
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::ids::{FencingToken, JobId, MachineIx, Millis, TaskId};
+use segment::LogSegment;
+pub use segment::SegmentId;
+pub(in crate::coordination::leader) use segment::TaskPlacement;
+pub(super) use segment::{FinishedBlock, SegmentContents};
+
+/// Compaction starts above this number of segments, and only with sparse ones. A fixed limit on the number alone would be
+/// wrong: when more tasks run than that many segments can hold, all live entries were rewritten again and again, and starts
+/// waited 17 s.
+const COMPACTION_THRESHOLD: usize = 64;
+/// A segment is sparse when no more than one in this many of its initial entries is live.
+const SPARSE_DIVISOR: usize = 4;
+/// With more segments than this in which only finished tasks are live, their blocks get records of their own.
+const MAX_FINISHED_ONLY_SEGMENTS: usize = 32;
+/// How long finished tasks wait for a segment that is written anyway, in milliseconds.
+const FINISHED_DELAY_MS: u64 = 1_000;
+/// Share of the leader's writes that may be new segments: deleting a segment costs a write as well, and other records need
+/// some.
+const LOG_WRITE_SHARE: f64 = 0.4;
+/// Share of a second's writes that has to be unused for a segment to be written without delay.
+const SPARE_WRITES_SHARE: f64 = 0.6;
+/// Lower bound of the write rate (1/s) in computing the interval between segments.
+const MIN_WRITES_PER_SECOND: f64 = 0.1;
+
+/// The log of one term: its live segments and what the next ones will hold.
+#[derive(Debug, Default)]
+pub(in crate::coordination::leader) struct AssignmentLog {
+    segments: BTreeMap<SegmentId, LogSegment>,
+    /// Segments without live entries.
+    obsolete: BTreeSet<SegmentId>,
+    /// Blocks that need a record of their own before old segments can be deleted.
+    blocks_to_write: BTreeSet<FinishedBlock>,
+    next_segment: u64,
+    next_name_suffix: u64,
+    /// Starts for the next segment, ordered by machine.
+    pending_starts: BTreeSet<TaskPlacement>,
+    pending_returns: BTreeSet<MachineIx>,
+    pending_finished: BTreeSet<TaskId>,
+    pending_finished_since: Option<Millis>,
+    last_write_at: Millis,
+}
+
+impl AssignmentLog {
+    /// A task was bound to a machine. Its run command may be sent once this is durable.
+    pub(in crate::coordination::leader) fn queue_start(&mut self, start: TaskPlacement) {
+        self.pending_starts.insert(start);
+    }
+
+    /// A machine is to be returned to the cloud. It may be released once this is durable.
+    pub(in crate::coordination::leader) fn queue_return(&mut self, machine: MachineIx) {
+        self.pending_returns.insert(machine);
+    }
+
+    pub(in crate::coordination::leader) fn queue_finished(&mut self, task: TaskId, now: Millis) {
+        self.pending_finished.insert(task);
+        self.pending_finished_since.get_or_insert(now);
+    }
+
+    /// The attempt is certainly not on the machine any more. `segment`: where it was last recorded.
+    pub(super) fn remove_start(&mut self, segment: Option<SegmentId>, start: TaskPlacement) {
+        self.pending_starts.remove(&start);
+        self.update_segment(segment, |segment| {
+            segment.starts.remove(&start);
+        });
+    }
+
+    /// The machine is gone, so its return needs no record any more. `segment`: where it was last recorded.
+    pub(in crate::coordination::leader) fn remove_return(
+        &mut self,
+        machine: MachineIx,
+        segment: Option<SegmentId>,
+    ) {
+        self.pending_returns.remove(&machine);
+        self.update_segment(segment, |segment| {
+            segment.returns.remove(&machine);
+        });
+    }
+
+    fn update_segment(&mut self, id: Option<SegmentId>, change: impl FnOnce(&mut LogSegment)) {
+        if let Some((id, segment)) = id.and_then(|id| Some((id, self.segments.get_mut(&id)?))) {
+            change(segment);
+            if !segment.has_live_entries() {
+                self.obsolete.insert(id);
+            }
+        }
+    }
+
+    /// The job has a terminal record: it covers all its finished tasks.
+    pub(super) fn remove_finished_job(&mut self, job: JobId) {
+        self.remove_covered(|covered| covered.job == job);
+        self.pending_finished.retain(|task| task.job != job);
+    }
+
+    /// The block has a record of its own.
+    pub(super) fn remove_finished_block(&mut self, block: FinishedBlock) {
+        self.remove_covered(|covered| *covered == block);
+    }
+
+    fn remove_covered(&mut self, is_covered: impl Fn(&FinishedBlock) -> bool) {
+        for (id, segment) in &mut self.segments {
+            segment.finished.retain(|block| !is_covered(block));
+            if !segment.has_live_entries() {
+                self.obsolete.insert(*id);
+            }
+        }
+        self.blocks_to_write.retain(|block| !is_covered(block));
+    }
+
+    /// Blocks whose record has to be written before old segments can be deleted.
+    pub(super) fn blocks_to_write(&self) -> Vec<FinishedBlock> {
+        self.blocks_to_write.iter().copied().collect()
+    }
+
+    /// At most `limit` segments without live entries: their records can be deleted.
+    pub(super) fn obsolete_segments(&self, limit: usize) -> Vec<(SegmentId, RecordKey)> {
+        let key = |id: &SegmentId| Some((*id, self.segments.get(id)?.key.clone()));
+        self.obsolete.iter().filter_map(key).take(limit).collect()
+    }
+
+    /// The segment's record has been deleted.
+    pub(super) fn remove_segment(&mut self, segment: SegmentId) {
+        self.obsolete.remove(&segment);
+        self.segments.remove(&segment);
+    }
+
+    pub(in crate::coordination::leader) fn segment_count(&self) -> usize {
+        self.segments.len()
+    }
+
+    /// Registers a durable segment. [`finish_segment`](Self::finish_segment) has to follow once its entries are added.
+    pub(super) fn add_segment(&mut self, key: RecordKey) -> SegmentId {
+        let id = SegmentId(self.next_segment);
+        self.next_segment += 1;
+        self.segments.insert(id, LogSegment::new(key));
+        id
+    }
+
+    /// The segment records the start; the entry in an earlier segment is superseded.
+    pub(super) fn add_start(
+        &mut self,
+        segment: SegmentId,
+        start: TaskPlacement,
+        previous: Option<SegmentId>,
+    ) {
+        self.remove_start(previous, start);
+        if let Some(segment) = self.segments.get_mut(&segment) {
+            segment.initial_entries += 1;
+            segment.starts.insert(start);
+        }
+    }
+
+    fn add_return(&mut self, segment: SegmentId, machine: MachineIx, previous: Option<SegmentId>) {
+        self.remove_return(machine, previous);
+        if let Some(segment) = self.segments.get_mut(&segment) {
+            segment.initial_entries += 1;
+            segment.returns.insert(machine);
+        }
+    }
+
+    pub(super) fn add_finished(&mut self, segment: SegmentId, block: FinishedBlock) {
+        if let Some(segment) = self.segments.get_mut(&segment) {
+            segment.finished.insert(block);
+        }
+    }
+
+    /// All entries of the segment have been added: without a live one it is obsolete.
+    pub(super) fn finish_segment(&mut self, segment: SegmentId) {
+        self.update_segment(Some(segment), |_| {});
+    }
+
+    /// Keeps the log short: live entries of sparse segments are queued for a new one, finished tasks that keep many
+    /// segments alive get records of their own.
+    fn compact(&mut self) {
+        let surplus = self.segments.len().saturating_sub(COMPACTION_THRESHOLD);
+        let is_sparse = |segment: &&mut LogSegment| {
+            !segment.rewriting
+                && segment.machine_entries() > 0
+                && segment.machine_entries() * SPARSE_DIVISOR <= segment.initial_entries
+        };
+        for segment in self.segments.values_mut().take(surplus).filter(is_sparse) {
+            segment.rewriting = true;
+            self.pending_starts.extend(segment.starts.iter().copied());
+            self.pending_returns.extend(segment.returns.iter().copied());
+        }
+        let mut finished_only = self
+            .segments
+            .values()
+            .filter(|segment| segment.machine_entries() == 0 && segment.has_live_entries());
+        if self.blocks_to_write.is_empty() && finished_only.clone().count() > MAX_FINISHED_ONLY_SEGMENTS {
+            let oldest = finished_only.next();
+            self.blocks_to_write
+                .extend(oldest.into_iter().flat_map(|segment| segment.finished.iter().copied()));
+        }
+    }
+
+    /// Whether to write the next segment. With writes to spare at once, otherwise at intervals, so that many starts share
+    /// one write.
+    fn is_write_due(&self, now: Millis, budget: WriteBudget) -> bool {
+        let finished_due =
+            self.pending_finished_since.is_some_and(|since| now.saturating_since(since) >= FINISHED_DELAY_MS);
+        if self.pending_starts.is_empty() && self.pending_returns.is_empty() && !finished_due {
+            return false;
+        }
+        let segments_per_second = LOG_WRITE_SHARE * budget.writes_per_second.max(MIN_WRITES_PER_SECOND);
+        let interval_ms = (1000.0 / segments_per_second) as u64;
+        budget.spare_writes as f64 >= budget.writes_per_second * SPARE_WRITES_SHARE
+            || now.saturating_since(self.last_write_at) >= interval_ms
+    }
+
+    /// The name of the next segment. A transaction whose reply was lost may have written a segment of that name: it is
+    /// registered without entries, so that it is deleted, and its contents are written again under another name.
+    fn next_free_name(&mut self, token: FencingToken, cache: &StoreCache) -> String {
+        loop {
+            let name = format!("{}-{}", token.0, self.next_name_suffix);
+            if !cache.assignment_log.contains_key(&name) {
+                return name;
+            }
+            let segment = self.add_segment(RecordKey::AssignmentLog(name));
+            self.finish_segment(segment);
+            self.next_name_suffix += 1;
+        }
+    }
+
+    /// The segment was not written, or not certainly: a later one takes its entries.
+    pub(super) fn requeue_unwritten(&mut self, contents: SegmentContents, now: Millis) {
+        self.pending_starts.extend(contents.starts);
+        self.pending_returns.extend(contents.returns);
+        if !contents.finished.is_empty() {
+            self.pending_finished_since.get_or_insert(now);
+            self.pending_finished.extend(contents.finished);
+        }
+    }
+}
+
+/// Whether finished tasks of the job need a record: its terminal record, if it has one, covers them.
+pub(super) fn needs_finished_record(job: JobId, cache: &StoreCache) -> bool {
+    cache.terminal_state(job).is_none() && cache.find(job).is_some()
+}
--- a/src/coordination/leader/records/mod.rs
+++ b/src/coordination/leader/records/mod.rs
@@ -1,7 +1,10 @@
-//! What a leader writes down and what a new one finds: the log, its writer, tasks bound to machines.
+//! The leader's durable records: the assignment log, the write pipeline, the tasks bound to machines, and recovery of all
+//! of it after a failover.
 
 pub mod assignment_log;
-pub mod bindings;
-pub mod dag_records;
-pub mod recovery;
-pub mod store_writer;
+mod bindings;
+mod dag_records;
+mod image_locality;
+mod recovery;
+mod requeue;
+pub(super) mod store_writer;
--- a/src/coordination/leader/records/recovery.rs
+++ b/src/coordination/leader/records/recovery.rs
@@ -1,55 +1,74 @@
-//! What a new leader takes over from the records of earlier ones.
+//! What a new leader takes over from the records of earlier ones: machines, the tasks that may be on them, and jobs.
+//!
+//! Decides nothing new: a task that may be on a machine is bound to it, so that it is not started a second time. Heartbeats
+//! then show what is really there.
 
+use super::assignment_log::{FinishedBlock, SegmentId, TaskPlacement, needs_finished_record};
+use super::bindings::add_placement;
 use crate::bookkeeping::bit_set::BitSet;
-use crate::bookkeeping::records::{RecordKey, RecordedMachine};
+use crate::bookkeeping::records::{AssignmentLogRecord, RecordKey, RecordedMachine};
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
-use crate::coordination::leader::records::assignment_log::{SegmentId, TaskPlacement};
-use crate::coordination::leader::{Binding, DispatchState, JobState, Leader, MachineIdentity, MachineState};
-use crate::ids::{Attempt, JobId, JobIx, MachineIx, TaskId};
+use crate::coordination::leader::{Binding, DispatchState, Leader, MachineIdentity, MachineState};
+use crate::ids::{Attempt, JobIx, MachineIx, TaskId};
 
-/// A part of an earlier leader's log: its key, its machines, blocks with tasks that finished.
-type RecoveredSegment = (RecordKey, Vec<RecordedMachine>, Vec<(JobId, u32)>);
+/// Grace of a task whose job was cancelled under an earlier leader, in milliseconds.
+const INHERITED_STOP_GRACE_MS: u64 = 0;
 
-impl Leader {
-    /// Parts of the log, oldest first, and what they say. Records of the form before the
-    /// log count as parts of one machine each.
-    pub(crate) fn recover_machines(&mut self, cache: &mut StoreCache, clock: Clock) {
-        let mut segments: Vec<RecoveredSegment> = Vec::new();
-        for (name, record) in &cache.machines {
-            segments.push((
-                RecordKey::LegacyMachine(name.clone()),
-                vec![record.to_recorded(name)],
-                Vec::new(),
-            ));
-        }
-        for (name, record) in &cache.assignment_log {
-            let blocks = record.finished_ranges().flat_map(|(job, first, count)| {
-                let last = first.saturating_add(count.max(1) - 1);
-                (BitSet::block_of(first)..=BitSet::block_of(last)).map(move |block| (job, block))
-            });
-            segments.push((
-                RecordKey::AssignmentLog(name.clone()),
-                record.recorded_machines().collect(),
-                blocks.collect(),
-            ));
+/// A segment of an earlier leader's log, or a machine's record from before the log.
+struct RecoveredSegment {
+    key: RecordKey,
+    machines: Vec<RecordedMachine>,
+    /// Blocks with finished tasks.
+    finished: Vec<FinishedBlock>,
+}
+
+impl RecoveredSegment {
+    fn from_log(name: &str, record: &AssignmentLogRecord) -> RecoveredSegment {
+        let finished = record.finished_ranges().flat_map(|(job, first, count)| {
+            let last = first.saturating_add(count.max(1) - 1);
+            let blocks = BitSet::block_of(first)..=BitSet::block_of(last);
+            blocks.map(move |block| FinishedBlock { job, block })
+        });
+        RecoveredSegment {
+            key: RecordKey::AssignmentLog(name.into()),
+            machines: record.recorded_machines().collect(),
+            finished: finished.collect(),
         }
-        segments.sort_by_key(|(key, ..)| cache.key_revision(&key.encode()));
-        for (key, machines, blocks) in segments {
-            let segment = self.assignment_log.add_segment(key);
-            for (job, block) in blocks {
-                if cache.terminal_state(job).is_none() && cache.find(job).is_some() {
-                    self.assignment_log.add_finished(segment, job, block);
+    }
+}
+
+/// All segments in the store, oldest first.
+fn recovered_segments(cache: &StoreCache) -> Vec<RecoveredSegment> {
+    let legacy_machines = cache.machines.iter().map(|(name, record)| RecoveredSegment {
+        key: RecordKey::LegacyMachine(name.clone()),
+        machines: vec![record.to_recorded(name)],
+        finished: Vec::new(),
+    });
+    let log = cache.assignment_log.iter().map(|(name, record)| RecoveredSegment::from_log(name, record));
+    let mut segments: Vec<RecoveredSegment> = legacy_machines.chain(log).collect();
+    segments.sort_by_key(|segment| cache.key_revision(&segment.key.encode()));
+    segments
+}
+
+impl Leader {
+    /// Takes over the assignment log, oldest segment first, so that newer entries supersede older ones.
+    pub(in crate::coordination::leader) fn recover_machines(&mut self, cache: &mut StoreCache, clock: Clock) {
+        for recovered in recovered_segments(cache) {
+            let segment = self.assignment_log.add_segment(recovered.key);
+            for block in recovered.finished {
+                if needs_finished_record(block.job, cache) {
+                    self.assignment_log.add_finished(segment, block);
                 }
             }
-            for recorded in machines {
-                self.recover_machine(segment, &recorded, cache, clock);
+            for machine in recovered.machines {
+                self.recover_machine(segment, &machine, cache, clock);
             }
             self.assignment_log.finish_segment(segment);
         }
     }
 
-    /// Of a machine whose tasks have all finished nothing needs to be remembered.
+    /// A machine whose tasks have all finished is not taken over, unless it is being returned.
     fn recover_machine(
         &mut self,
         segment: SegmentId,
@@ -58,7 +77,7 @@
         clock: Clock,
     ) {
         let may_still_run = |task: &TaskId| {
-            // A job's record goes only once none of its tasks is anywhere.
+            // A job's record is deleted only once none of its tasks may be on a machine.
             cache.find_job(task.job).is_some_and(|job| !job.finished_tasks.contains(task.task))
         };
         let tasks: Vec<(TaskId, Attempt)> =
@@ -66,61 +85,74 @@
         if tasks.is_empty() && !recorded.returning {
             return;
         }
-        let place = &recorded.machine;
-        let kind = cache.names.machine_types.intern(&place.machine_type);
-        let zone = cache.names.zones.intern(&place.zone);
-        let ix = self.register_machine(
-            MachineIdentity {
-                name: &place.name,
-                endpoint: &place.endpoint,
-                machine_type: kind,
-                zone,
-                spot: place.spot,
-            },
-            clock,
-        );
-        let machine = &mut self.cluster.machines[ix.index()];
-        machine.state = MachineState::Up;
+        let ix = self.register_recorded_machine(recorded, cache, clock);
         if recorded.returning {
-            machine.returning = true;
+            self.cluster.machines[ix.index()].returning = true;
             self.mark_return_persisted(ix, segment);
         }
         for (task, attempt) in tasks {
-            self.recover_binding(ix, segment, task, attempt, cache, clock);
+            self.recover_binding(segment, TaskPlacement { machine: ix, task, attempt }, cache, clock);
         }
-        // Hearing the new token early ends the old leader's say at once.
+        // A worker that learns the new token early rejects commands of the deposed leader from then on.
         self.cluster.pending_announcements.insert(ix);
     }
 
+    fn register_recorded_machine(
+        &mut self,
+        recorded: &RecordedMachine,
+        cache: &mut StoreCache,
+        clock: Clock,
+    ) -> MachineIx {
+        let descriptor = &recorded.machine;
+        let identity = MachineIdentity {
+            name: &descriptor.name,
+            endpoint: &descriptor.endpoint,
+            machine_type: cache.names.machine_types.intern(&descriptor.machine_type),
+            zone: cache.names.zones.intern(&descriptor.zone),
+            spot: descriptor.spot,
+        };
+        let ix = self.register_machine(identity, clock);
+        self.cluster.machines[ix.index()].state = MachineState::Up;
+        ix
+    }
+
     fn recover_binding(
         &mut self,
-        ix: MachineIx,
         segment: SegmentId,
-        task: TaskId,
-        attempt: Attempt,
+        placement: TaskPlacement,
         cache: &StoreCache,
         clock: Clock,
     ) {
-        let start = TaskPlacement { machine: ix, task, attempt };
-        let same_attempt = |b: &&mut Binding| b.task == task && b.attempt == attempt;
-        if let Some(binding) = self.cluster.machines[ix.index()].bindings.iter_mut().find(same_attempt) {
-            // Told again by a later part.
+        if let Some(binding) = self.binding_mut(&placement) {
+            // An earlier segment records it as well.
             let previous = binding.log_segment.replace(segment);
-            self.assignment_log.add_start(segment, start, previous);
+            self.assignment_log.add_start(segment, placement, previous);
             return;
         }
-        let job = cache.find(task.job);
-        let info = job.and_then(|job| cache.job(job));
-        let cancelled_gone_by =
-            info.and_then(|job| job.terminal).map(|(_, at)| self.cancel_deadline(at, clock));
-        let binding = Binding {
-            task,
-            job: job.filter(|_| cancelled_gone_by.is_none()),
-            attempt,
-            need: info.map(|job| job.spec.task_resources).unwrap_or_default(),
-            team: info.map(|job| job.spec.team),
-            pool: info.and_then(|job| job.spec.pool()),
-            best_effort: info.is_some_and(|job| self.is_best_effort(&job.spec)),
+        let binding = self.inherited_binding(segment, &placement, cache, clock);
+        self.add_binding(placement.machine, binding);
+        self.assignment_log.add_start(segment, placement, None);
+    }
+
+    fn inherited_binding(
+        &self,
+        segment: SegmentId,
+        placement: &TaskPlacement,
+        cache: &StoreCache,
+        clock: Clock,
+    ) -> Binding {
+        let ix = cache.find(placement.task.job);
+        let job = ix.and_then(|ix| cache.job(ix));
+        let terminal = job.and_then(|job| job.terminal);
+        let lease_renewal_cutoff = terminal.map(|(_, wall_ms)| self.cancel_deadline(wall_ms, clock));
+        Binding {
+            task: placement.task,
+            job: ix.filter(|_| terminal.is_none()),
+            attempt: placement.attempt,
+            need: job.map(|job| job.spec.task_resources).unwrap_or_default(),
+            team: job.map(|job| job.spec.team),
+            pool: job.and_then(|job| job.spec.pool()),
+            best_effort: job.is_some_and(|job| self.is_best_effort(&job.spec)),
             timed_out: false,
             dispatch: DispatchState::Inherited,
             log_segment: Some(segment),
@@ -128,39 +160,39 @@
             late_start_possible: false,
             fetching_since: None,
             running_since: None,
-            stop_grace_ms: cancelled_gone_by.map(|_| 0),
+            stop_grace_ms: terminal.map(|_| INHERITED_STOP_GRACE_MS),
             stop_sent_at: None,
-            lease_renewal_cutoff: cancelled_gone_by,
-        };
-        self.add_binding(ix, binding);
-        self.assignment_log.add_start(segment, start, None);
+            lease_renewal_cutoff,
+        }
     }
 
-    pub(crate) fn recover_jobs(&mut self, cache: &StoreCache, clock: Clock) {
-        let jobs: Vec<JobIx> = cache.live_jobs().map(|(ix, _)| ix).collect();
-        for ix in jobs {
+    /// Takes over all unfinished jobs and queues their tasks, except those that may be on a machine.
+    pub(in crate::coordination::leader) fn recover_jobs(&mut self, cache: &StoreCache, clock: Clock) {
+        let live_jobs: Vec<JobIx> = cache.live_jobs().map(|(ix, _)| ix).collect();
+        for ix in live_jobs {
             self.track_job(ix, cache, clock);
         }
-        // Places of inherited tasks, so that none is started twice.
         for index in 0..self.cluster.machines.len() {
-            let ix = MachineIx(index as u32);
-            let zone = self.cluster.machines[index].zone;
-            let image_of = |work: &JobState| (work.spec.image, work.spec.image_mb);
-            let mut images = Vec::new();
-            for binding in &self.cluster.machines[index].bindings {
-                if let Some(work) = binding.job.and_then(|job| self.workload.jobs.get_mut(&job)) {
-                    work.placements.entry(binding.task.task).or_default().push((ix, binding.attempt));
-                    *work.tasks_per_zone.entry(zone).or_default() += 1;
-                    images.push(image_of(work));
-                }
-            }
-            for (image, mb) in images {
-                self.record_image_use(ix, image, mb);
-            }
+            self.recover_placements(MachineIx(index as u32));
         }
-        // Nodes that are done are not among the jobs any more, but their failures may still be told.
+        // Finished DAG nodes are not live jobs any more, but their retry states may still be recorded.
         cache.dag_runs.terminal_jobs_with_retry_states(cache).for_each(|id| self.writer.queue_cleanup(id));
         let jobs: Vec<JobIx> = self.workload.jobs.keys().copied().collect();
         self.enqueue_jobs(jobs);
     }
+
+    /// Bindings are recovered before the jobs: what [`add_binding`](Leader::add_binding) notes in a job is made up for.
+    fn recover_placements(&mut self, ix: MachineIx) {
+        let machine = &self.cluster.machines[ix.index()];
+        let mut images = Vec::new();
+        for binding in &machine.bindings {
+            if let Some(state) = binding.job.and_then(|job| self.workload.jobs.get_mut(&job)) {
+                add_placement(state, binding, ix, machine.zone);
+                images.push((state.spec.image, state.spec.image_mb));
+            }
+        }
+        for (image, mb) in images {
+            self.record_image_use(ix, image, mb);
+        }
+    }
 }
--- /dev/null
+++ b/src/coordination/leader/records/requeue.rs
@@ -0,0 +1,70 @@
+//! Tasks that go back to the queues after they have left a machine, at once or after a backoff.
+
+use std::collections::BTreeMap;
+
+use crate::coordination::Clock;
+use crate::coordination::leader::{Binding, JobState, Leader};
+use crate::ids::{JobIx, MachineIx};
+
+impl Leader {
+    /// Queues the binding's task again after `delay_ms`, unless it has finished, is still placed elsewhere, or its job is
+    /// ending.
+    pub(in crate::coordination::leader) fn requeue(
+        &mut self,
+        binding: &Binding,
+        delay_ms: u64,
+        clock: Clock,
+    ) {
+        let Some(ix) = binding.job else { return };
+        let Some(state) = self.workload.jobs.get(&ix) else { return };
+        let task = binding.task.task;
+        // Probation queues its one task itself.
+        if !is_waiting(state, task) || state.probation.is_some() {
+            return;
+        }
+        if state.spec.is_all_or_nothing() || delay_ms > 0 {
+            let due_at = clock.now.saturating_add(delay_ms);
+            self.workload.retry_queue.entry(due_at).or_default().push((ix, task));
+        } else {
+            self.enqueue(ix, &[task]);
+        }
+    }
+
+    /// Queues the tasks whose backoff is over.
+    pub(in crate::coordination::leader) fn requeue_delayed(&mut self, clock: Clock) {
+        while let Some(due) = self.workload.retry_queue.first_entry().filter(|due| *due.key() <= clock.now) {
+            for (ix, task) in due.remove() {
+                self.requeue_due_task(ix, task);
+            }
+        }
+    }
+
+    fn requeue_due_task(&mut self, ix: JobIx, task: u32) {
+        let Some(state) = self.workload.jobs.get(&ix).filter(|state| is_waiting(state, task)) else { return };
+        if state.spec.is_all_or_nothing() {
+            self.placement.waiting_gangs.insert(state.queue_order);
+        } else {
+            self.enqueue(ix, &[task]);
+        }
+    }
+
+    /// Distributes the queues of a machine that takes no more tasks.
+    pub(in crate::coordination::leader) fn requeue_machine_queues(&mut self, ix: MachineIx) {
+        let machine = &mut self.cluster.machines[ix.index()];
+        let mut tasks = machine.shared_queue.drain();
+        tasks.extend(machine.dedicated_queue.drain());
+        let mut by_job: BTreeMap<JobIx, Vec<u32>> = BTreeMap::new();
+        for (rank, task) in tasks {
+            by_job.entry(rank.job).or_default().push(task);
+        }
+        for (job, tasks) in by_job {
+            self.enqueue(job, &tasks);
+        }
+    }
+}
+
+/// Whether the task still has to start. After a failover it may be bound to several machines, because an older record
+/// can list it elsewhere: gone from one of them, it must not start again while it may run on another.
+fn is_waiting(state: &JobState, task: u32) -> bool {
+    !state.finishing && !state.finished.contains(task) && !state.placements.contains_key(&task)
+}
--- /dev/null
+++ b/src/coordination/leader/records/store_writer/mod.rs
@@ -0,0 +1,162 @@
+//! The write pipeline: which records have to be written, in which order, and what may happen once they are durable.
+//!
+//! One transaction is in flight at a time. Each is a compare-and-swap guarded by the leader key, so that a deposed leader
+//! writes nothing, and by the revision of every key it changes. What must not happen before its record is durable (sending
+//! a run command, releasing a machine, removing a job) is a [`WriteEffect`] of the mutation, applied when the transaction has
+//! committed. After a transaction whose outcome is not known nothing is written until the cache shows the outcome.
+//!
+//! [`StoreWriter`] owns the pending writes of the term; they are bounded by the live jobs, runs and machines. It does no
+//! I/O: transactions go out as actions of the [`KvClient`].
+
+mod batch;
+mod effects;
+mod plan;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use crate::bookkeeping::dag_records::{NodeTerminalRecord, RETRY_BLOCK_TASKS};
+use crate::bookkeeping::records::RecordKey;
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::coordination::kv_client::{KvClient, Purpose};
+use crate::coordination::leader::Leader;
+use crate::coordination::{Action, Clock};
+use crate::ids::{JobId, Millis};
+use crate::protocol::cloud::MachineTypeRecord;
+use crate::protocol::kv::KvMutation;
+use batch::{BatchOptions, RetryBlock};
+pub(super) use batch::{WriteBatch, WriteEffect};
+
+/// The term's pending writes, and the transaction in flight.
+#[derive(Debug, Default)]
+pub(in crate::coordination::leader) struct StoreWriter {
+    /// Jobs that ended: succeeded ones, and DAG nodes with their terminal record.
+    terminal_due: BTreeMap<JobId, Option<NodeTerminalRecord>>,
+    /// Blocks of tasks with failures that are not durable.
+    retries_due: BTreeSet<RetryBlock>,
+    /// Ended jobs whose records have to be deleted.
+    cleanup_due: BTreeSet<JobId>,
+    /// Records that nothing waits for: provisioning requests, machine types.
+    other_writes: VecDeque<PendingWrite>,
+    effects_in_flight: Vec<WriteEffect>,
+    txn_in_flight: bool,
+    /// Set after a transaction without a certain outcome: nothing is written before a poll that was sent later has shown
+    /// the outcome.
+    poll_before_write: Option<Millis>,
+}
+
+/// A key and its new value; `None` deletes the key.
+#[derive(Debug, Clone, PartialEq)]
+struct PendingWrite {
+    key: RecordKey,
+    value: Option<String>,
+}
+
+/// What the store's rate limit allows now.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct WriteBudget {
+    /// Mutations that may be sent at once.
+    pub spare_writes: usize,
+    /// Mutations per second in the long run.
+    pub writes_per_second: f64,
+}
+
+impl StoreWriter {
+    pub(in crate::coordination::leader) fn queue_job_success(&mut self, id: JobId) {
+        self.terminal_due.insert(id, None);
+    }
+
+    pub(in crate::coordination::leader) fn queue_node_terminal(
+        &mut self,
+        id: JobId,
+        terminal: NodeTerminalRecord,
+    ) {
+        self.terminal_due.insert(id, Some(terminal));
+    }
+
+    /// A task of a DAG node has a new retry state.
+    pub(in crate::coordination::leader) fn queue_retry_state(&mut self, job: JobId, task: u32) {
+        self.retries_due.insert(RetryBlock { job, block: task / RETRY_BLOCK_TASKS });
+    }
+
+    /// The job has ended: its records can be deleted.
+    pub(in crate::coordination::leader) fn queue_cleanup(&mut self, id: JobId) {
+        self.cleanup_due.insert(id);
+    }
+
+    /// Replaces an earlier pending write of the key. Written and deleted by one transaction, the key's two changes would
+    /// have one revision, and followers would take the first for the newest.
+    pub(in crate::coordination::leader) fn queue_write(&mut self, key: RecordKey, value: Option<String>) {
+        self.other_writes.retain(|pending| pending.key != key);
+        self.other_writes.push_back(PendingWrite { key, value });
+    }
+
+    pub(in crate::coordination::leader) fn queue_machine_type(&mut self, entry: &MachineTypeRecord) {
+        let value = serde_json::to_string(entry).unwrap_or_default();
+        self.queue_write(RecordKey::MachineType(entry.name.clone()), Some(value));
+    }
+
+    /// Whether [`queue_write`](Self::queue_write) holds a write of the key that is not durable.
+    pub(in crate::coordination::leader) fn has_pending_write(&self, key: &RecordKey) -> bool {
+        self.other_writes.iter().any(|pending| pending.key == *key)
+    }
+
+    /// Whether the cache shows what became of the last transaction.
+    fn is_outcome_known(&mut self, cache_fresh_as_of: Option<Millis>) -> bool {
+        if let Some(since) = self.poll_before_write
+            && cache_fresh_as_of.is_none_or(|fresh| fresh <= since)
+        {
+            return false;
+        }
+        self.poll_before_write = None;
+        true
+    }
+}
+
+impl Leader {
+    /// Sends the next transaction, unless one is in flight or the rate limit allows none.
+    pub(in crate::coordination) fn write_records(
+        &mut self,
+        clock: Clock,
+        cache: &StoreCache,
+        kv: &mut KvClient,
+        out: &mut Vec<Action>,
+    ) {
+        if self.writer.txn_in_flight || !self.writer.is_outcome_known(kv.fresh_as_of) {
+            return;
+        }
+        let spare_writes = kv.write_bucket.available(clock.now);
+        let max_mutations = self.settings.kv_limits.max_txn_ops.min(spare_writes);
+        if max_mutations == 0 {
+            return;
+        }
+        let options = BatchOptions { max_mutations, with_details: self.tunables.operators.enabled };
+        let budget = WriteBudget { spare_writes, writes_per_second: kv.write_bucket.rate() };
+        let mut batch = WriteBatch::new(cache, self.term.token(), options);
+        // A full batch is sent like any other: what is left is planned again for the next one.
+        let _ = self.plan_batch(clock, budget, &mut batch);
+        if !batch.mutations.is_empty() {
+            self.send_batch(clock, batch, kv, out);
+        }
+    }
+
+    fn send_batch(&mut self, clock: Clock, batch: WriteBatch<'_>, kv: &mut KvClient, out: &mut Vec<Action>) {
+        let WriteBatch { preconditions, mutations, effects, .. } = batch;
+        let mutation_count = mutations.len() as u64;
+        self.writer.effects_in_flight = effects;
+        if kv.txn(clock, Purpose::LeaderTxn, preconditions, mutations, out).is_some() {
+            self.writer.txn_in_flight = true;
+            self.counters.kv_mutations += mutation_count;
+        } else {
+            self.requeue_unwritten_effects(clock.now);
+        }
+    }
+}
+
+/// The mutation that persists a pending write.
+fn persists(mutation: &KvMutation, pending: &PendingWrite) -> bool {
+    let value = match mutation {
+        KvMutation::Put { value, .. } => Some(value),
+        KvMutation::Delete { .. } => None,
+    };
+    pending.key.encode() == mutation.key() && pending.value.as_ref() == value
+}
