--- /dev/null
+++ b/src/bookkeeping/records/key.rs
@@ -0,0 +1,107 @@
+//! Keys of the records in the key-value store.
+
+use crate::ids::JobId;
+use crate::protocol::graphs::DagRunName;
+
+/// Every key of the cluster starts with this.
+pub const KEY_PREFIX: &str = "olivelatch/";
+/// The key whose holder leads.
+pub const LEADER_KEY: &str = "olivelatch/leader";
+/// The key that every acceptance of graph nodes rewrites.
+pub const GRAPH_ACCEPTANCE_KEY: &str = "olivelatch/graphs";
+
+/// A parsed key.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum RecordKey {
+    /// The leadership.
+    Leader,
+    /// An accepted job.
+    Job(JobId),
+    /// The terminal state of a job.
+    Terminal(JobId),
+    /// The finished tasks of a job in one block.
+    Finished(JobId, u32),
+    /// What may run on one machine, in the format before the assignment log: still read and deleted, never written.
+    LegacyMachine(String),
+    /// A segment of the assignment log.
+    AssignmentLog(String),
+    /// A request for machines of the cloud.
+    ProvisioningRequest(String),
+    /// The description of a machine type.
+    MachineType(String),
+    /// Rewritten by every acceptance of graph nodes, which serializes them.
+    GraphAcceptance,
+    /// An uploaded part of a run's graph.
+    GraphPart(DagRunName, u32),
+    /// The acceptance of a run.
+    DagRun(DagRunName),
+    /// The phase of a run.
+    RunPhase(DagRunName),
+    /// The failures of a job's tasks in one block.
+    RetryState(JobId, u32),
+    /// An entry of the configuration, of any kind.
+    ConfigEntry(String),
+}
+
+impl RecordKey {
+    /// None if the key has no known form.
+    pub fn parse(text: &str) -> Option<RecordKey> {
+        let text = text.strip_prefix(KEY_PREFIX)?;
+        if text == "leader" {
+            return Some(RecordKey::Leader);
+        }
+        if text == "graphs" {
+            return Some(RecordKey::GraphAcceptance);
+        }
+        let (category, name) = text.split_once('/')?;
+        Some(match category {
+            "job" => RecordKey::Job(JobId::parse(name)?),
+            "end" => RecordKey::Terminal(JobId::parse(name)?),
+            "fin" => {
+                let (job, block) = parse_job_block(name)?;
+                RecordKey::Finished(job, block)
+            }
+            "machine" => RecordKey::LegacyMachine(name.into()),
+            "log" => RecordKey::AssignmentLog(name.into()),
+            "booking" => RecordKey::ProvisioningRequest(name.into()),
+            "kind" => RecordKey::MachineType(name.into()),
+            "part" => {
+                let (run, part) = name.split_once('/')?;
+                RecordKey::GraphPart(DagRunName::parse(run)?, part.parse().ok()?)
+            }
+            "graph" => RecordKey::DagRun(DagRunName::parse(name)?),
+            "turn" => RecordKey::RunPhase(DagRunName::parse(name)?),
+            "tries" => {
+                let (job, block) = parse_job_block(name)?;
+                RecordKey::RetryState(job, block)
+            }
+            "config" => RecordKey::ConfigEntry(name.into()),
+            _ => return None,
+        })
+    }
+
+    /// The key as text; [`RecordKey::parse`] reads it back.
+    pub fn encode(&self) -> String {
+        match self {
+            RecordKey::Leader => LEADER_KEY.into(),
+            RecordKey::Job(id) => format!("{KEY_PREFIX}job/{id}"),
+            RecordKey::Terminal(id) => format!("{KEY_PREFIX}end/{id}"),
+            RecordKey::Finished(id, block) => format!("{KEY_PREFIX}fin/{id}/{block}"),
+            RecordKey::LegacyMachine(name) => format!("{KEY_PREFIX}machine/{name}"),
+            RecordKey::AssignmentLog(name) => format!("{KEY_PREFIX}log/{name}"),
+            RecordKey::ProvisioningRequest(name) => format!("{KEY_PREFIX}booking/{name}"),
+            RecordKey::MachineType(name) => format!("{KEY_PREFIX}kind/{name}"),
+            RecordKey::GraphAcceptance => GRAPH_ACCEPTANCE_KEY.into(),
+            RecordKey::GraphPart(run, part) => format!("{KEY_PREFIX}part/{run}/{part}"),
+            RecordKey::DagRun(run) => format!("{KEY_PREFIX}graph/{run}"),
+            RecordKey::RunPhase(run) => format!("{KEY_PREFIX}turn/{run}"),
+            RecordKey::RetryState(job, block) => format!("{KEY_PREFIX}tries/{job}/{block}"),
+            RecordKey::ConfigEntry(name) => format!("{KEY_PREFIX}config/{name}"),
+        }
+    }
+}
+
+fn parse_job_block(name: &str) -> Option<(JobId, u32)> {
+    let (job, block) = name.split_once('/')?;
+    Some((JobId::parse(job)?, block.parse().ok()?))
+}
--- a/src/bookkeeping/tests/store_cache.rs
+++ b/src/bookkeeping/tests/store_cache.rs
@@ -1,17 +1,19 @@
-//! Tests of `mirror`.
+//! Tests of `store_cache`.
 
 use super::*;
+use crate::bookkeeping::records::TerminalRecord;
+use crate::protocol::kv::KvEntry;
 
 #[test]
-fn an_end_is_taken_in_once_and_costs_no_version() {
-    let mut mirror = StoreCache::default();
+fn a_terminal_record_is_applied_once_and_keeps_no_revision() {
+    let mut cache = StoreCache::default();
     let value = serde_json::to_string(&TerminalRecord::new(TerminalState::Cancelled, 7, None)).expect("JSON");
-    for at in 0..1000 {
-        let key = RecordKey::Terminal(JobId(at)).encode();
-        let pair = KvEntry { key, value: Some(value.clone()), revision: Revision(at + 1) };
-        assert_eq!(mirror.apply(&pair), Some(ChangeEvent::Terminal(JobId(at), TerminalState::Cancelled)));
-        assert_eq!(mirror.apply(&pair), None);
-        assert_eq!(mirror.terminal_state(JobId(at)), Some(TerminalState::Cancelled));
+    for job in 0..1000 {
+        let key = RecordKey::Terminal(JobId(job)).encode();
+        let entry = KvEntry { key, value: Some(value.clone()), revision: Revision(job + 1) };
+        assert_eq!(cache.apply(&entry), Some(ChangeEvent::Terminal(JobId(job), TerminalState::Cancelled)));
+        assert_eq!(cache.apply(&entry), None);
+        assert_eq!(cache.terminal_state(JobId(job)), Some(TerminalState::Cancelled));
     }
-    assert!(mirror.key_revisions.is_empty());
+    assert!(cache.key_revisions.is_empty());
 }
