--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,5 @@
-//! What `olivelatchctl` can be told: one definition of each flag, for help and completions alike.
+//! The arguments of `olivelatchctl`: one definition of each flag, for help and completions alike. The `///` texts here are
+//! what `--help` prints, so they stay in the words of the documentation; notes for readers of the code are `//`.
 
 use std::ffi::OsString;
 use std::io;
@@ -386,6 +387,7 @@
     pub rest: Vec<OsString>,
 }
 
+/// Prints the completions for a shell.
 pub fn completions(shell: Shell) {
     clap_complete::generate(shell, &mut Cli::command(), "olivelatchctl", &mut io::stdout());
 }
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -1,5 +1,7 @@
-//! `olivelatchctl config`: what operators change while the service runs.
+//! `olivelatchctl config`: entries that operators change while the service runs. Every change is conditional on the version
+//! that was read, so that two operators do not overwrite each other.
 
+use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
@@ -9,11 +11,12 @@
 use serde_json::json;
 
 use crate::args::{Change, Common, Config};
-use crate::commands::{connect_to, print_value};
-use crate::config_tables as render;
+use crate::connection::connect_to;
 use crate::exit::{CommandError, WAIT_TIMEOUT};
+use crate::output::print_value;
+use crate::render;
 
-pub fn run(common: &Common, command: &Config) -> Result<ExitCode, CommandError> {
+pub(super) fn run(common: &Common, command: &Config) -> Result<ExitCode, CommandError> {
     match command {
         Config::List => {
             let list = connect_to(common, None)?.config_list()?;
@@ -30,17 +33,17 @@
                 return Err(CommandError::Usage("expected --limit-cpus, --guaranteed-cpus or both".into()));
             }
             let mut client = connect_to(common, None)?;
-            let now = client.config_get(entry)?;
+            let current = client.config_get(entry)?;
             let value = TeamQuota {
-                limit_cpus: limit_cpus.or(now.configured.limit_cpus),
-                guaranteed_cpus: guaranteed_cpus.or(now.configured.guaranteed_cpus),
+                limit_cpus: limit_cpus.or(current.configured.limit_cpus),
+                guaranteed_cpus: guaranteed_cpus.or(current.configured.guaranteed_cpus),
             };
-            change_entry(common, &mut client, entry, value, expected.unwrap_or(now.version), change)
+            change_entry(common, &mut client, entry, value, expected.unwrap_or(current.version), change)
         }
         Config::Unset { entry, change } => {
             let mut client = connect_to(common, None)?;
-            let now = client.config_get(entry)?;
-            change_entry(common, &mut client, entry, TeamQuota::default(), now.version, change)
+            let current = client.config_get(entry)?;
+            change_entry(common, &mut client, entry, TeamQuota::default(), current.version, change)
         }
         Config::Diff { file, to } => apply(common, file, to, ApplyMode::DryRun, &Change::default()),
         Config::Apply { file, to, dry_run, change } => {
@@ -50,9 +53,9 @@
 }
 
 fn change_author(change: &Change) -> ChangeAuthor {
-    let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
+    let login_name = || std::env::var("USER").ok().filter(|name| !name.is_empty());
     ChangeAuthor {
-        name: change.by.clone().or_else(user).unwrap_or_else(|| "operator".into()),
+        name: change.by.clone().or_else(login_name).unwrap_or_else(|| "operator".into()),
         reason: change.why.clone().unwrap_or_default(),
     }
 }
@@ -89,20 +92,20 @@
         .map_err(|_| CommandError::Usage(format!("--within: expected seconds, not {}", change.within)))
 }
 
-/// Somebody else has changed the entry since it was looked at.
+/// The entry was changed by someone else after it was read.
 fn conflict_error(entry: &str, body: &[u8]) -> CommandError {
     match serde_json::from_slice::<ConfigEntryView>(body) {
-        Ok(now) => CommandError::Refused(format!(
+        Ok(current) => CommandError::Refused(format!(
             "{entry} was changed meanwhile, by {}: it is at version {} with {}; look again and repeat the change",
-            now.changed_by.as_deref().unwrap_or("nobody known"),
-            now.version,
-            render::team_value_text(now.configured)
+            current.changed_by.as_deref().unwrap_or("nobody known"),
+            current.version,
+            render::team_value_text(current.configured)
         )),
         Err(_) => CommandError::Refused(String::from_utf8_lossy(body).into_owned()),
     }
 }
 
-/// Whether a file is laid down or only compared.
+/// Whether a file is applied or only compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ApplyMode {
     DryRun,
@@ -115,16 +118,19 @@
     result: Result<RegionChanges, CommandError>,
 }
 
-/// What a file does in a region that answers.
+/// The changes of a file in a region.
+#[derive(Default)]
 struct RegionChanges {
     lines: Vec<String>,
+    /// Changes that were not effective in time.
     pending: usize,
 }
 
-/// Lays a file down in each context, or only shows what would change. Each region's outcome is its own.
+/// Applies a file in each context, or only shows what would change. A region that fails does not keep the file from the
+/// others.
 fn apply(
     common: &Common,
-    path: &std::path::Path,
+    path: &Path,
     to: &[String],
     mode: ApplyMode,
     change: &Change,
@@ -134,34 +140,39 @@
         if to.is_empty() { vec![None] } else { to.iter().map(|name| Some(name.as_str())).collect() };
     let mut outcomes = Vec::new();
     for context in contexts {
-        let result =
-            connect_to(common, context).and_then(|mut client| apply_in(&mut client, &file, mode, change));
+        let result = connect_to(common, context)
+            .and_then(|mut client| apply_in_region(&mut client, &file, mode, change));
         outcomes.push(ContextOutcome { context: context.unwrap_or("current").into(), result });
     }
+    Ok(print_outcomes(outcomes))
+}
+
+/// Prints what became of the file in each region; the last failure decides on the exit code.
+fn print_outcomes(outcomes: Vec<ContextOutcome>) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
-    for outcome in outcomes {
-        match outcome.result {
+    for ContextOutcome { context, result } in outcomes {
+        match result {
             Ok(region) => {
-                let what = if region.lines.is_empty() {
+                let changes = if region.lines.is_empty() {
                     "nothing to change".into()
                 } else {
                     region.lines.join("\n")
                 };
-                println!("{}:\n{what}", outcome.context);
+                println!("{context}:\n{changes}");
                 if region.pending > 0 {
                     code = ExitCode::from(WAIT_TIMEOUT);
                 }
             }
-            Err(failure) => {
-                println!("{}: NOT CHANGED, what held there still holds: {failure}", outcome.context);
-                code = failure.exit_code();
+            Err(error) => {
+                println!("{context}: NOT CHANGED, what held there still holds: {error}");
+                code = error.exit_code();
             }
         }
     }
-    Ok(code)
+    code
 }
 
-fn apply_in(
+fn apply_in_region(
     client: &mut Client,
     file: &ConfigFile,
     mode: ApplyMode,
@@ -172,41 +183,45 @@
     if let Some(unknown) = differences.iter().find(|difference| difference.current.is_none()) {
         return Err(CommandError::Refused(format!("{}: the region has no such team", unknown.entry)));
     }
-    let mut region = RegionChanges { lines: Vec::new(), pending: 0 };
+    let mut region = RegionChanges::default();
     let mut stored = Vec::new();
     let start = Instant::now();
     for difference in &differences {
         region.lines.push(difference_line(difference));
-        if mode == ApplyMode::DryRun {
-            continue;
-        }
-        let expected = difference.current.map(|now| now.version);
-        match client.config_set(&difference.entry, difference.wanted, expected, &change_author(change)) {
-            Ok(view) => stored.push(view),
-            Err(ClientError::Refused { status: 409, body, .. }) => {
-                return Err(conflict_error(&difference.entry, &body));
-            }
-            Err(error) => return Err(error.into()),
+        if mode == ApplyMode::Write {
+            stored.push(store_difference(client, difference, change)?);
         }
     }
     if !change.wait {
         return Ok(region);
     }
     let within = wait_timeout(change)?;
-    for one in stored {
-        let view = client.config_wait(&one.key, one.version, within.saturating_sub(start.elapsed()))?;
+    for entry in stored {
+        let view = client.config_wait(&entry.key, entry.version, within.saturating_sub(start.elapsed()))?;
         region.lines.push(render::in_force_text(&view, start.elapsed().as_secs_f64()));
         region.pending += usize::from(!view.is_effective);
     }
     Ok(region)
 }
 
+fn store_difference(
+    client: &mut Client,
+    difference: &ConfigDifference<'_>,
+    change: &Change,
+) -> Result<ConfigEntryView, CommandError> {
+    let expected = difference.current.map(|current| current.version);
+    match client.config_set(&difference.entry, difference.wanted, expected, &change_author(change)) {
+        Err(ClientError::Refused { status: 409, body, .. }) => Err(conflict_error(&difference.entry, &body)),
+        stored => Ok(stored?),
+    }
+}
+
 fn difference_line(difference: &ConfigDifference<'_>) -> String {
-    let now = difference.current.map(|now| now.configured).unwrap_or_default();
+    let current = difference.current.map(|current| current.configured).unwrap_or_default();
     format!(
         "  {}: {} -> {}",
         difference.entry,
-        render::team_value_text(now),
+        render::team_value_text(current),
         render::team_value_text(difference.wanted)
     )
 }
--- /dev/null
+++ b/crates/cli/src/commands/controllers.rs
@@ -0,0 +1,63 @@
+//! Commands on the controllers as such: `top`, and `check`, which also checks job files.
+
+use std::collections::BTreeMap;
+use std::io::IsTerminal;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use anstream::println;
+use olivelatch_client::{Client, ClientError, JobFile};
+use serde_json::json;
+
+use crate::args::Common;
+use crate::connection::controller_statuses;
+use crate::exit::CommandError;
+use crate::output::print_value;
+use crate::render;
+
+const TOP_INTERVAL: Duration = Duration::from_secs(2);
+const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
+
+/// Shows the controllers again and again until the user interrupts it, or once.
+pub(super) fn top(common: &Common, client: &Client, once: bool) -> Result<(), CommandError> {
+    loop {
+        let statuses = controller_statuses(client);
+        let value: BTreeMap<_, _> = statuses.iter().map(|(addr, status)| (addr, status)).collect();
+        if !once && std::io::stdout().is_terminal() {
+            print!("{CLEAR_SCREEN}");
+        }
+        print_value(common, &value, || render::controllers_table(&statuses))?;
+        if once {
+            return Ok(());
+        }
+        std::thread::sleep(TOP_INTERVAL);
+    }
+}
+
+/// Checks the files, then whether any controller responds.
+pub(super) fn check(common: &Common, client: &Client, files: &[PathBuf]) -> Result<(), CommandError> {
+    for file in files {
+        println!("{}", check_file(file)?);
+    }
+    let statuses = controller_statuses(client);
+    let total = statuses.len();
+    let silent = statuses.iter().filter(|(_, status)| status.is_none()).count();
+    let leaders = statuses.iter().filter_map(|(_, status)| status.as_ref()).filter(|status| status.is_leader);
+    let leaders = leaders.count();
+    let value = json!({"controllers": total, "silent": silent, "leaders": leaders});
+    print_value(common, &value, || format!("{total} controllers, {silent} silent, {leaders} leading"))?;
+    if silent == total {
+        let addresses: Vec<String> = statuses.into_iter().map(|(addr, _)| addr).collect();
+        return Err(CommandError::Client(ClientError::NoResponse {
+            seconds: common.deadline,
+            tried: addresses.join(", "),
+        }));
+    }
+    Ok(())
+}
+
+fn check_file(file: &Path) -> Result<String, CommandError> {
+    let jobs = JobFile::load(file)?.prepare()?;
+    let tasks: u64 = jobs.iter().filter_map(|job| job.spec["pieces"].as_u64()).sum();
+    Ok(format!("{}: fine, {} jobs with {tasks} tasks", file.display(), jobs.len()))
+}
--- /dev/null
+++ b/crates/cli/src/commands/demo.rs
@@ -0,0 +1,282 @@
+//! `olivelatchctl demo`: a region, a mixed batch, the leading controller killed in the middle, a table at the end.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+use anstream::println;
+use olivelatch::protocol::operators::ControllerStatus;
+use olivelatch_client::{Client, JobEntry, PreparedJob};
+use olivelatch_local_cluster::LocalCluster;
+use serde_json::Value;
+
+use super::submit::submit_job;
+use super::up;
+use crate::args::{Demo, Up};
+use crate::connection::controller_statuses;
+use crate::exit::CommandError;
+use crate::render;
+
+const REQUEST_DEADLINE: Duration = Duration::from_secs(20);
+const STEP_TIMEOUT: Duration = Duration::from_secs(120);
+const STEP_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Tasks of the largest job.
+const TASKS_RANGE: std::ops::RangeInclusive<u32> = 20..=5_000;
+const LIMITED_JOB: &str = "billing";
+
+fn other_error(text: impl Into<String>) -> CommandError {
+    CommandError::Other(text.into())
+}
+
+fn shell_command(text: &str) -> Vec<String> {
+    ["sh", "-c", text].map(String::from).to_vec()
+}
+
+/// A wide array, a gang, a job held back by its team's limit, and one whose tasks fail the first time.
+fn prepare_batch(folder: &Path, tasks: u32) -> Result<Vec<PreparedJob>, CommandError> {
+    let entries = [
+        ("ingest", wide_array(tasks)),
+        ("balances", gang()),
+        (LIMITED_JOB, limited()),
+        ("flaky", flaky(folder)),
+    ];
+    let prepare = |(index, (name, entry)): (usize, &(&str, JobEntry))| {
+        entry.prepare(name, index as u64).map_err(|error| other_error(error.to_string()))
+    };
+    entries.iter().enumerate().map(prepare).collect()
+}
+
+fn wide_array(tasks: u32) -> JobEntry {
+    JobEntry {
+        tasks,
+        cpus: 0.5,
+        estimated_run_s: 0.3,
+        command: shell_command("sleep 0.3; echo reading $OLIVELATCH_TASK"),
+        ..JobEntry::default()
+    }
+}
+
+fn gang() -> JobEntry {
+    JobEntry {
+        tasks: 3,
+        shape: "gang".into(),
+        urgency: "high".into(),
+        estimated_run_s: 1.0,
+        command: shell_command("sleep 1; echo balanced"),
+        ..JobEntry::default()
+    }
+}
+
+/// More tasks than its team may run at once.
+fn limited() -> JobEntry {
+    JobEntry {
+        tasks: 12,
+        team: "office".into(),
+        urgency: "high".into(),
+        estimated_run_s: 0.5,
+        command: shell_command("sleep 0.5; echo billed"),
+        ..JobEntry::default()
+    }
+}
+
+/// Each task leaves a mark when it first runs, and fails unless it finds one.
+fn flaky(folder: &Path) -> JobEntry {
+    let marks = folder.join("marks").display().to_string();
+    JobEntry {
+        tasks: 6,
+        estimated_run_s: 0.1,
+        env: BTreeMap::from([("MARKS".to_string(), marks)]),
+        command: shell_command(
+            "mkdir -p $MARKS; if mkdir $MARKS/$OLIVELATCH_TASK 2>/dev/null; then echo first try fails; exit 1; fi; echo second try",
+        ),
+        ..JobEntry::default()
+    }
+}
+
+/// Polls a condition until it holds; fails after [`STEP_TIMEOUT`].
+fn wait_until(what: &str, mut holds: impl FnMut() -> Result<bool, CommandError>) -> Result<(), CommandError> {
+    let end = Instant::now() + STEP_TIMEOUT;
+    while !holds()? {
+        if Instant::now() >= end {
+            return Err(other_error(format!("{what}: not within {} s", STEP_TIMEOUT.as_secs())));
+        }
+        std::thread::sleep(STEP_POLL_INTERVAL);
+    }
+    Ok(())
+}
+
+/// A controller that leads.
+struct Leader {
+    /// Its position among the controllers.
+    index: usize,
+    status: ControllerStatus,
+}
+
+fn find_leader(client: &Client) -> Option<Leader> {
+    let statuses = controller_statuses(client).into_iter().enumerate();
+    statuses
+        .filter_map(|(index, (_, status))| Some(Leader { index, status: status? }))
+        .find(|leader| leader.status.is_leader)
+}
+
+/// Runs the demonstration in a region of its own, whose folder is removed afterwards unless it is to be kept.
+pub(super) fn demo(args: &Demo) -> Result<(), CommandError> {
+    let folder = std::env::temp_dir().join(format!("latch-demo-{}", std::process::id()));
+    let region = LocalCluster::open(up::cluster_config(&region_args(&folder))?)?;
+    let context = up::context(region.addresses());
+    let stop_flag = region.stop_flag();
+    let region_thread = std::thread::spawn(move || region.run());
+    let tasks = args.tasks.clamp(*TASKS_RANGE.start(), *TASKS_RANGE.end());
+    let client = Client::new(context, REQUEST_DEADLINE);
+    let shown = Steps { start: Instant::now(), folder: &folder, client, stop_flag: &stop_flag }.run(tasks);
+    stop_flag.store(true, Ordering::Relaxed);
+    let ended = region_thread.join().map_err(|_| other_error("the region stopped by a fault of its own"))?;
+    if args.keep {
+        println!("\nkept in {}", folder.display());
+    } else {
+        // What cannot be removed lies in the system's folder for temporary files.
+        let _ = std::fs::remove_dir_all(&folder);
+    }
+    shown?;
+    Ok(ended?)
+}
+
+fn region_args(folder: &Path) -> Up {
+    Up {
+        state: folder.to_path_buf(),
+        controllers: 3,
+        machines: 4,
+        cpus: 4.0,
+        memory_gb: 8.0,
+        teams: vec!["default=0:0".into(), "office=0:2".into()],
+        tunables: None,
+        controller: None,
+        log_level: "info".into(),
+    }
+}
+
+/// The steps of the demonstration, each printed with the time since the start.
+struct Steps<'a> {
+    start: Instant,
+    folder: &'a Path,
+    client: Client,
+    /// Set when the user interrupts the region.
+    stop_flag: &'a AtomicBool,
+}
+
+impl Steps<'_> {
+    fn run(mut self, tasks: u32) -> Result<(), CommandError> {
+        self.print(&format!(
+            "a region with 3 controllers and up to 4 machines of 4 CPUs, in {}",
+            self.folder.display()
+        ));
+        let leader = self.wait_for_leader()?;
+        self.print(&format!("{} leads; submitting four jobs", leader.status.controller));
+        let jobs = prepare_batch(self.folder, tasks)?;
+        for job in &jobs {
+            submit_job(&mut self.client, job)?;
+        }
+        let limited = jobs.iter().find(|job| job.name == LIMITED_JOB);
+        self.explain_limit(&limited.ok_or_else(|| other_error("no such job"))?.id)?;
+        self.wait_for_a_third(&jobs[0].id, tasks)?;
+        self.kill_leader(&leader)?;
+        self.wait_for_all(&jobs)?;
+        self.print("all done\n");
+        let page = self.client.list_jobs_page("limit=100", None)?;
+        println!("{}", render::jobs_table(&page.jobs));
+        println!("\n{}", summarize_run_log(self.folder)?);
+        Ok(())
+    }
+
+    fn print(&self, step: &str) {
+        println!("{:5.1} s  {step}", self.start.elapsed().as_secs_f64());
+    }
+
+    fn wait_for_leader(&self) -> Result<Leader, CommandError> {
+        wait_until("a leader", || {
+            Ok(find_leader(&self.client).is_some() || self.stop_flag.load(Ordering::Relaxed))
+        })?;
+        find_leader(&self.client).ok_or_else(|| other_error("interrupted"))
+    }
+
+    /// Waits until the team's limit is a reason why the job waits, and prints the explanation.
+    fn explain_limit(&mut self, job: &str) -> Result<(), CommandError> {
+        let mut explanation = None;
+        wait_until("an explanation", || {
+            let latest = self.client.explain(job, None)?;
+            let limited = latest.reasons.iter().any(|reason| render::reason_name(reason) == "team_limit");
+            explanation = limited.then_some(latest);
+            Ok(limited)
+        })?;
+        if let Some(explanation) = explanation {
+            self.print(&format!("why does {LIMITED_JOB} wait?\n{}", render::explanation(&explanation)));
+        }
+        Ok(())
+    }
+
+    fn wait_for_a_third(&mut self, job: &str, tasks: u32) -> Result<(), CommandError> {
+        wait_until("a third of the tasks", || {
+            let done = self.client.job_status(job)?.done.unwrap_or(tasks);
+            Ok(done * 3 >= tasks)
+        })
+    }
+
+    /// Kills the leader, and waits until another controller, or the same one started again, has taken over.
+    fn kill_leader(&mut self, leader: &Leader) -> Result<(), CommandError> {
+        let name = &leader.status.controller;
+        self.client.kill_controller(leader.index)?;
+        let killed_at = Instant::now();
+        self.print(&format!("{name} killed in the middle of it"));
+        let mut successor = None;
+        wait_until("another leader", || {
+            let since_kill_s = killed_at.elapsed().as_secs_f64();
+            let is_new =
+                |status: &ControllerStatus| status.controller != *name || status.uptime_s < since_kill_s;
+            successor = find_leader(&self.client).filter(|leader| is_new(&leader.status));
+            Ok(successor.is_some())
+        })?;
+        if let Some(successor) = successor {
+            let took_s = killed_at.elapsed().as_secs_f64();
+            self.print(&format!("{} leads, {took_s:.1} s later", successor.status.controller));
+        }
+        Ok(())
+    }
+
+    fn wait_for_all(&mut self, jobs: &[PreparedJob]) -> Result<(), CommandError> {
+        wait_until("the end of all jobs", || {
+            let mut all_done = true;
+            for job in jobs {
+                all_done &= self.client.job_status(&job.id)?.status == "done";
+            }
+            Ok(all_done)
+        })
+    }
+}
+
+/// The runs by the workers' own log, which is independent of what the controllers report.
+fn summarize_run_log(folder: &Path) -> Result<String, CommandError> {
+    let text =
+        std::fs::read_to_string(folder.join("runs.jsonl")).map_err(|error| other_error(error.to_string()))?;
+    let (mut starts, mut failed) = (0, 0);
+    let (mut done, mut repeated) = (BTreeSet::new(), 0);
+    for line in text.lines() {
+        let Ok(value) = serde_json::from_str::<Value>(line) else { continue };
+        let task = value["task"].as_str().unwrap_or("").to_string();
+        match value["event"].as_str() {
+            Some("start") => {
+                starts += 1;
+                repeated += u32::from(done.contains(&task));
+            }
+            Some("exit") if value["done"] == true => {
+                done.insert(task);
+            }
+            Some("exit") if value["code"] != 0 => failed += 1,
+            _ => {}
+        }
+    }
+    Ok(format!(
+        "by the workers' own record: {starts} starts, {} tasks done, {failed} failed tries, {repeated} started again after done",
+        done.len()
+    ))
+}
--- /dev/null
+++ b/crates/cli/src/commands/graphs.rs
@@ -0,0 +1,251 @@
+//! `olivelatchctl graph`: runs of graphs.
+
+use std::collections::BTreeMap;
+use std::path::Path;
+use std::process::ExitCode;
+
+use anstream::println;
+use olivelatch::protocol::graphs::{DagNodeState, DagRunDetail, DagRunState, DagRunSummary};
+use olivelatch_client::{Client, ClientError};
+use olivelatch_dag_files::{DagFile, PreparedRun, Rerun, RunView};
+use serde_json::json;
+
+use super::wait::{POLL_INTERVAL, WaitDeadline};
+use crate::args::{Common, Graph};
+use crate::exit::{CommandError, NOT_SUCCESSFUL, WAIT_TIMEOUT};
+use crate::output::{print_value, progress_bar};
+use crate::render;
+
+/// How often a rerun is tried: another client may change the run between our read and our write.
+const MAX_RERUN_ATTEMPTS: usize = 3;
+
+pub(super) fn run(common: &Common, client: &mut Client, command: &Graph) -> Result<ExitCode, CommandError> {
+    let mut run_to_wait_for = None;
+    match command {
+        Graph::Submit { file, run, vars, wait } => {
+            let dag = DagFile::load(file, &parse_vars(vars)?)?;
+            let prepared = dag.prepare(&file.display().to_string(), run.as_deref())?;
+            submit(common, client, &prepared)?;
+            run_to_wait_for = wait.then_some(prepared.run);
+        }
+        Graph::Show { run, dot, svg } => {
+            show(common, &client.run_detail(run)?, PictureFormat::of(*dot, *svg))?;
+        }
+        Graph::List { graph } => list(common, client, graph.as_deref())?,
+        Graph::Cancel { run } => {
+            let state = client.cancel_run(run)?;
+            print_value(common, &json!({"run": run, "state": state}), || format!("{run}  {state}"))?;
+        }
+        Graph::Retry { run, wait } => {
+            rerun(common, client, run, &|detail| Ok(unsuccessful_nodes(detail)))?;
+            run_to_wait_for = wait.then(|| run.clone());
+        }
+        Graph::Clear { run, nodes, wait } => {
+            rerun(common, client, run, &|detail| nodes_by_name(run, detail, nodes))?;
+            run_to_wait_for = wait.then(|| run.clone());
+        }
+        Graph::Wait { run, timeout } => return wait_for_run(common, client, run, *timeout),
+        Graph::Check { files, vars } => {
+            for file in files {
+                println!("{}", check(file, &parse_vars(vars)?)?);
+            }
+        }
+    }
+    match run_to_wait_for {
+        Some(run) => wait_for_run(common, client, &run, None),
+        None => Ok(ExitCode::SUCCESS),
+    }
+}
+
+fn parse_vars(pairs: &[String]) -> Result<BTreeMap<String, String>, CommandError> {
+    let parse = |pair: &String| {
+        let invalid = || CommandError::Usage(format!("--var: expected NAME=VALUE, not {pair:?}"));
+        pair.split_once('=').map(|(name, value)| (name.into(), value.into())).ok_or_else(invalid)
+    };
+    pairs.iter().map(parse).collect()
+}
+
+fn check(file: &Path, vars: &BTreeMap<String, String>) -> Result<String, CommandError> {
+    let path = file.display().to_string();
+    let dag = DagFile::load(file, vars)?;
+    let run = dag.prepare(&path, None)?;
+    Ok(format!(
+        "{path}: fine, graph {} with {} nodes in {} parts",
+        dag.graph,
+        run.header.nodes,
+        run.parts.len()
+    ))
+}
+
+/// Uploads the descriptions first, so that workers know every job of the run; then the parts, and the commit.
+fn submit(common: &Common, client: &mut Client, prepared: &PreparedRun) -> Result<(), CommandError> {
+    // A repeated submission ends here: its jobs got other ids the first time, so the commit would be refused.
+    match client.run_row(&prepared.run) {
+        Ok(row) => return print_run(common, &row),
+        Err(error) if error.status() == Some(404) => {}
+        Err(error) => return Err(error.into()),
+    }
+    let progress = progress_bar(common, prepared.descriptions.len(), "describing");
+    for (job, description) in &prepared.descriptions {
+        client.upload_description(job, description)?;
+        progress.inc(1);
+    }
+    progress.finish_and_clear();
+    let state = client.submit_run(&prepared.run, &prepared.header, &prepared.parts)?;
+    let (run, nodes) = (&prepared.run, prepared.header.nodes);
+    print_value(
+        common,
+        &json!({"run": run, "graph": prepared.header.graph, "state": state, "nodes": nodes}),
+        || format!("{run}  {state}  {nodes} nodes"),
+    )
+}
+
+fn print_run(common: &Common, row: &DagRunSummary) -> Result<(), CommandError> {
+    print_value(common, row, || format!("{}  {}  {} nodes", row.run, row.state.as_str(), row.nodes))
+}
+
+/// How a run is drawn.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PictureFormat {
+    /// Text for people, or JSON with `--json`.
+    Text,
+    /// For graphviz.
+    Dot,
+    Svg,
+}
+
+impl PictureFormat {
+    /// From the flags, which exclude each other.
+    fn of(dot: bool, svg: bool) -> PictureFormat {
+        match (dot, svg) {
+            (true, _) => PictureFormat::Dot,
+            (_, true) => PictureFormat::Svg,
+            _ => PictureFormat::Text,
+        }
+    }
+}
+
+fn show(common: &Common, detail: &DagRunDetail, format: PictureFormat) -> Result<(), CommandError> {
+    let view = RunView::new(detail).map_err(|error| CommandError::Other(error.to_string()))?;
+    let picture = match format {
+        PictureFormat::Text => {
+            return print_value(common, detail, || view.render_text().trim_end().to_string());
+        }
+        PictureFormat::Dot => view.render_dot(),
+        PictureFormat::Svg => view.render_svg(),
+    };
+    // Not through `anstream`: it goes into a file as it is.
+    std::println!("{}", picture.map_err(|error| CommandError::Other(error.to_string()))?.trim_end());
+    Ok(())
+}
+
+fn list(common: &Common, client: &mut Client, graph: Option<&str>) -> Result<(), CommandError> {
+    let (mut rows, mut after) = (Vec::new(), None);
+    loop {
+        let page = client.runs(graph, after.as_deref())?;
+        rows.extend(page.runs);
+        after = page.next;
+        if after.is_none() {
+            break;
+        }
+    }
+    print_value(common, &json!({"runs": rows}), || render::runs_table(&rows))
+}
+
+/// Positions of the nodes that did not succeed.
+fn unsuccessful_nodes(detail: &DagRunDetail) -> Vec<u32> {
+    let unsuccessful = |state: DagNodeState| {
+        matches!(state, DagNodeState::Failed | DagNodeState::UpstreamFailed | DagNodeState::Cancelled)
+    };
+    let nodes = detail.nodes.iter().enumerate().filter(|(_, node)| unsuccessful(node.state));
+    nodes.map(|(index, _)| index as u32).collect()
+}
+
+/// Positions of the named nodes.
+fn nodes_by_name(run: &str, detail: &DagRunDetail, names: &[String]) -> Result<Vec<u32>, CommandError> {
+    let find = |name: &String| {
+        let index = detail.nodes.iter().position(|node| node.name == *name);
+        index
+            .map(|index| index as u32)
+            .ok_or_else(|| CommandError::Usage(format!("{run} has no node {name:?}")))
+    };
+    names.iter().map(find).collect()
+}
+
+/// Runs the selected nodes and all nodes downstream of them again, as new jobs. The selection is made on the run as it is
+/// at each attempt.
+fn rerun(
+    common: &Common,
+    client: &mut Client,
+    run: &str,
+    select_nodes: &dyn Fn(&DagRunDetail) -> Result<Vec<u32>, CommandError>,
+) -> Result<(), CommandError> {
+    for attempts_left in (0..MAX_RERUN_ATTEMPTS).rev() {
+        let detail = client.run_detail(run)?;
+        let nodes = select_nodes(&detail)?;
+        if nodes.is_empty() {
+            return Err(CommandError::Other(format!(
+                "{run}: nothing to be done over, it is {}",
+                detail.summary.state.as_str()
+            )));
+        }
+        let rerun =
+            Rerun::new(&detail.nodes, &nodes).map_err(|error| CommandError::Other(error.to_string()))?;
+        for (old_job, new_job) in &rerun.jobs {
+            let description = client.description(old_job)?;
+            client.upload_description(new_job, &rerun.description(&description, new_job))?;
+        }
+        match client.rerun_nodes(run, detail.summary.next_part, &rerun.parts) {
+            Ok(()) => return print_rerun(common, run, rerun.jobs.len()),
+            Err(ClientError::Refused { status: 409, .. }) if attempts_left > 0 => {}
+            Err(error) => return Err(error.into()),
+        }
+    }
+    Ok(())
+}
+
+fn print_rerun(common: &Common, run: &str, nodes: usize) -> Result<(), CommandError> {
+    print_value(common, &json!({"run": run, "nodes": nodes}), || {
+        format!("{run}  {nodes} {} done over", if nodes == 1 { "node is" } else { "nodes are" })
+    })
+}
+
+/// Polls the run until it is over. `timeout_s`: in seconds.
+fn wait_for_run(
+    common: &Common,
+    client: &mut Client,
+    run: &str,
+    timeout_s: Option<f64>,
+) -> Result<ExitCode, CommandError> {
+    let deadline = WaitDeadline::after(timeout_s);
+    let mut progress = None;
+    loop {
+        match client.run_row(run) {
+            Ok(row) => {
+                let progress = progress.get_or_insert_with(|| progress_bar(common, row.nodes as usize, run));
+                progress.set_position(started_nodes(&row));
+                if row.state.is_terminal() {
+                    progress.finish_and_clear();
+                    print_run(common, &row)?;
+                    let successful = row.state == DagRunState::Success;
+                    return Ok(if successful { ExitCode::SUCCESS } else { ExitCode::from(NOT_SUCCESSFUL) });
+                }
+            }
+            // No controller can answer at the moment, which says nothing of the run.
+            Err(error) if error.is_unavailable() => {}
+            Err(error) => return Err(error.into()),
+        }
+        if deadline.has_passed() {
+            eprintln!("olivelatchctl: not over in time: {run}");
+            return Ok(ExitCode::from(WAIT_TIMEOUT));
+        }
+        std::thread::sleep(POLL_INTERVAL);
+    }
+}
+
+/// Nodes that wait no longer.
+fn started_nodes(row: &DagRunSummary) -> u64 {
+    let waiting = |state: &str| ["waiting", "ready"].contains(&state);
+    let started = row.node_states.iter().filter(|(state, _)| !waiting(state));
+    started.map(|(_, count)| u64::from(*count)).sum()
+}
--- /dev/null
+++ b/crates/cli/src/commands/jobs.rs
@@ -0,0 +1,52 @@
+//! Commands on single jobs: show, explain, cancel, events and logs.
+
+use anstream::println;
+use olivelatch_client::Client;
+use serde_json::json;
+
+use crate::args::Common;
+use crate::exit::CommandError;
+use crate::output::print_value;
+use crate::render;
+
+/// Tasks in one response, as the controllers limit them.
+const MAX_TASKS_SHOWN: usize = 500;
+
+pub(super) fn show(common: &Common, client: &mut Client, id: &str, tasks: usize) -> Result<(), CommandError> {
+    let detail = client.job_detail(id, None, tasks.clamp(1, MAX_TASKS_SHOWN))?;
+    print_value(common, &detail, || render::job_detail(&detail))
+}
+
+pub(super) fn explain(
+    common: &Common,
+    client: &mut Client,
+    id: &str,
+    task: Option<u32>,
+) -> Result<(), CommandError> {
+    let explanation = client.explain(id, task)?;
+    print_value(common, &explanation, || render::explanation(&explanation))
+}
+
+pub(super) fn cancel(common: &Common, client: &mut Client, ids: &[String]) -> Result<(), CommandError> {
+    for id in ids {
+        let job = client.cancel(id)?;
+        print_value(common, &json!({"id": job.uid, "state": job.status}), || {
+            format!("{}  {}", job.uid, job.status)
+        })?;
+    }
+    Ok(())
+}
+
+pub(super) fn events(common: &Common, client: &mut Client, id: &str) -> Result<(), CommandError> {
+    let events = client.events(id)?;
+    print_value(common, &events, || render::events_table(&events))
+}
+
+pub(super) fn logs(client: &Client, id: &str, task: u32) -> Result<(), CommandError> {
+    let logs = client.logs(id, task)?;
+    for attempt in &logs.attempts {
+        let truncated = if attempt.truncated { " (its end)" } else { "" };
+        println!("--- {} attempt {}{truncated}\n{}", logs.task, attempt.attempt, attempt.text.trim_end());
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/cli/src/commands/list.rs
@@ -0,0 +1,69 @@
+//! `olivelatchctl list`: jobs, page by page.
+
+use olivelatch::protocol::operators::JobSummary;
+use olivelatch_client::{Client, ClientError};
+use serde_json::json;
+
+use crate::args::{Common, List};
+use crate::exit::CommandError;
+use crate::output::print_value;
+use crate::render;
+
+const PAGE_SIZE: usize = 200;
+
+/// What was fetched before the last page, the limit or an error.
+struct FetchedJobs {
+    rows: Vec<JobSummary>,
+    more_follow: bool,
+    /// The error that ended the list early.
+    error: Option<ClientError>,
+}
+
+/// Prints the jobs. A list that an error cuts short is printed as far as it goes, and reported as partial.
+pub(super) fn list(common: &Common, client: &mut Client, args: &List) -> Result<(), CommandError> {
+    let FetchedJobs { mut rows, more_follow, error } = fetch_jobs(client, args)?;
+    let truncated = more_follow || rows.len() > args.most;
+    rows.truncate(args.most);
+    let after = rows.last().filter(|_| truncated).map(|row| row.id.clone());
+    let complete = after.is_none() && error.is_none();
+    print_value(common, &json!({"jobs": rows, "complete": complete, "after": after}), || {
+        render::jobs_table(&rows)
+    })?;
+    if let Some(error) = error {
+        return Err(CommandError::Other(format!("the list is partial: {error}")));
+    }
+    if let Some(after) = after.filter(|_| !common.json) {
+        eprintln!("olivelatchctl: more jobs follow: --after {after}");
+    }
+    Ok(())
+}
+
+fn fetch_jobs(client: &mut Client, args: &List) -> Result<FetchedJobs, CommandError> {
+    let query = list_query(args);
+    let (mut rows, mut after) = (Vec::new(), args.after.clone());
+    loop {
+        match client.list_jobs_page(&query, after.as_deref()) {
+            Ok(page) => {
+                rows.extend(page.jobs);
+                after = page.next;
+            }
+            Err(error) if rows.is_empty() => return Err(error.into()),
+            Err(error) => {
+                return Ok(FetchedJobs { rows, more_follow: after.is_some(), error: Some(error) });
+            }
+        }
+        if after.is_none() || rows.len() >= args.most {
+            return Ok(FetchedJobs { rows, more_follow: after.is_some(), error: None });
+        }
+    }
+}
+
+fn list_query(args: &List) -> String {
+    let mut query = format!("limit={}", PAGE_SIZE.min(args.most.max(1)));
+    for (name, value) in [("state", &args.state), ("team", &args.team), ("class", &args.class)] {
+        if let Some(value) = value {
+            query.push_str(&format!("&{name}={value}"));
+        }
+    }
+    query
+}
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/commands/scale.rs
@@ -1,25 +1,24 @@
-//! `olivelatchctl scale`: a control plane of the planned size on this machine.
+//! `olivelatchctl scale`: a control plane of the planned size on this machine, and the processes that a run starts.
 
 use std::process::ExitCode;
 
-use olivelatch_scale_test::{Plan, RunArguments, ScaleError, run as play, serve_kv_store, serve_zone};
+use olivelatch_scale_test::{Plan, RunArguments, ScaleError, serve_kv_store, serve_zone};
 use serde::de::DeserializeOwned;
 
 use crate::args::Scale;
-use crate::exit::CommandError;
+use crate::exit::{CommandError, own_program};
 
-/// What the run hands to a process that it starts.
+/// The JSON that a run passes to a process that it starts.
 fn parse_arguments<T: DeserializeOwned>(text: &str) -> Result<T, CommandError> {
     serde_json::from_str(text)
         .map_err(|error| CommandError::Usage(format!("arguments of a scale run: {error}")))
 }
 
-pub fn run(command: Scale) -> Result<ExitCode, CommandError> {
+pub(super) fn run(command: Scale) -> Result<ExitCode, CommandError> {
     match command {
         Scale::Run { plan, out, log_level } => {
-            let program = std::env::current_exe()
-                .map_err(|error| CommandError::Other(format!("finding olivelatchctl itself: {error}")))?;
-            return Ok(play(&RunArguments { plan, out, program, log_level })?);
+            let program = own_program()?;
+            return Ok(olivelatch_scale_test::run(&RunArguments { plan, out, program, log_level })?);
         }
         Scale::Check { plan } => {
             let checked = Plan::load(&plan).map_err(ScaleError::from)?;
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/commands/up.rs
@@ -1,5 +1,6 @@
-//! `olivelatchctl up`: a region on this machine.
+//! `olivelatchctl up`: a region on this machine, until it is interrupted.
 
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
 use olivelatch::tunables::Tunables;
@@ -9,10 +10,10 @@
 };
 
 use crate::args::Up;
-use crate::exit::CommandError;
+use crate::exit::{CommandError, own_program};
 
-/// What the controllers are told unless a file says otherwise.
-const TUNABLES: &str = "\
+/// The controllers' tunables unless a file is given.
+const DEFAULT_TUNABLES: &str = "\
 leader_life_s = 2
 idle_s        = 300
 
@@ -30,16 +31,25 @@
 }
 ";
 
+/// CPUs of a team's share, at most.
+const MAX_TEAM_CPUS: f64 = 1e6;
+const CONTROLLERS_RANGE: RangeInclusive<usize> = 1..=9;
+const MACHINES_RANGE: RangeInclusive<usize> = 1..=200;
+
 fn usage_error(text: String) -> CommandError {
     CommandError::Usage(text)
 }
 
+/// A team's name, and the CPUs that it is guaranteed and limited to.
 fn parse_team(text: &str) -> Result<(String, f64, f64), CommandError> {
-    let wrong = || usage_error(format!("--team: expected NAME=CPUS:MOST like office=2:4, not {text:?}"));
-    let (name, shares) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(wrong)?;
-    let (guaranteed, most) = shares.split_once(':').ok_or_else(wrong)?;
-    let number = |text: &str| text.parse::<f64>().ok().filter(|n| (0.0..=1e6).contains(n)).ok_or_else(wrong);
-    Ok((name.into(), number(guaranteed)?, number(most)?))
+    let invalid = || usage_error(format!("--team: expected NAME=CPUS:MOST like office=2:4, not {text:?}"));
+    let (name, shares) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(invalid)?;
+    let (guaranteed, limit) = shares.split_once(':').ok_or_else(invalid)?;
+    let number = |text: &str| {
+        let cpus = text.parse::<f64>().ok();
+        cpus.filter(|cpus| (0.0..=MAX_TEAM_CPUS).contains(cpus)).ok_or_else(invalid)
+    };
+    Ok((name.into(), number(guaranteed)?, number(limit)?))
 }
 
 /// The controllers' program: olivelatchctl itself, unless another is named.
@@ -47,29 +57,26 @@
     let tunables = match &args.tunables {
         Some(path) => std::fs::read_to_string(path)
             .map_err(|error| usage_error(format!("{}: {error}", path.display())))?,
-        None => TUNABLES.into(),
-    };
-    let named = args.tunables.as_ref().map_or("tunables".into(), |path| path.display().to_string());
-    Tunables::parse(&named, &tunables).map_err(|error| usage_error(error.to_string()))?;
-    let itself = || {
-        std::env::current_exe()
-            .map_err(|error| CommandError::Other(format!("finding olivelatchctl itself: {error}")))
+        None => DEFAULT_TUNABLES.into(),
     };
+    let source = args.tunables.as_ref().map_or("tunables".into(), |path| path.display().to_string());
+    Tunables::parse(&source, &tunables).map_err(|error| usage_error(error.to_string()))?;
     let (program, arguments) = match &args.controller {
         Some(program) => (program.clone(), vec!["serve".into()]),
-        None => (itself()?, vec!["controller".into(), "serve".into()]),
+        None => (own_program()?, vec!["controller".into(), "serve".into()]),
     };
     Ok(ControllerPlan { program, arguments, tunables, log_level: args.log_level.clone() })
 }
 
-pub fn cluster_config(args: &Up) -> Result<ClusterConfig, CommandError> {
-    if !(1..=9).contains(&args.controllers) || !(1..=200).contains(&args.machines) {
+/// The region that the flags describe, or which of them is wrong.
+pub(super) fn cluster_config(args: &Up) -> Result<ClusterConfig, CommandError> {
+    if !CONTROLLERS_RANGE.contains(&args.controllers) || !MACHINES_RANGE.contains(&args.machines) {
         return Err(usage_error("expected 1 to 9 controllers and 1 to 200 machines".into()));
     }
     if !(args.cpus > 0.0 && args.memory_gb > 0.0) {
         return Err(usage_error("expected CPUs and memory of a machine above 0".into()));
     }
-    let kind = MachineTypeSpec {
+    let machine_type = MachineTypeSpec {
         name: "local".into(),
         cpus: args.cpus,
         memory_gb: args.memory_gb,
@@ -85,28 +92,30 @@
     Ok(ClusterConfig {
         folder,
         controllers: args.controllers,
-        machine_types: vec![kind],
+        machine_types: vec![machine_type],
         teams,
         controller_plan: controller_plan(args)?,
     })
 }
 
-pub fn context(plan: &ClusterAddresses) -> Context {
-    Context { controllers: plan.controllers.clone(), job_store: Some(plan.job_store) }
+/// The context of a region with these addresses.
+pub(super) fn context(addresses: &ClusterAddresses) -> Context {
+    Context { controllers: addresses.controllers.clone(), job_store: Some(addresses.job_store) }
 }
 
-/// Writes the file that clients find the region by.
-pub fn write_contexts(folder: &Path, plan: &ClusterAddresses) -> Result<PathBuf, CommandError> {
+/// Writes the contexts file by which clients find the region.
+fn write_contexts(folder: &Path, addresses: &ClusterAddresses) -> Result<PathBuf, CommandError> {
     let path = folder.join("contexts.hcl");
-    std::fs::write(&path, Contexts::to_hcl("local", &context(plan)))
+    std::fs::write(&path, Contexts::to_hcl("local", &context(addresses)))
         .map_err(|error| CommandError::Other(format!("{}: {error}", path.display())))?;
     Ok(path)
 }
 
-pub fn run_up(args: &Up) -> Result<(), CommandError> {
-    let shape = cluster_config(args)?;
-    let folder = shape.folder.clone();
-    let region = LocalCluster::open(shape)?;
+/// Runs a region until it is interrupted.
+pub(super) fn run_up(args: &Up) -> Result<(), CommandError> {
+    let config = cluster_config(args)?;
+    let folder = config.folder.clone();
+    let region = LocalCluster::open(config)?;
     let contexts = write_contexts(&folder, region.addresses())?;
     println!("region in {}; logs and outputs are there too", folder.display());
     println!("controllers: {}", join_addresses(&region.addresses().controllers));
@@ -126,5 +135,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/up.rs"]
+#[path = "../tests/up.rs"]
 mod tests;
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,5 +1,6 @@
-//! Exit codes, documented in `olivelatchctl --help`.
+//! How a command fails: the error, its text for the user, and the exit codes that `olivelatchctl --help` documents.
 
+use std::path::PathBuf;
 use std::process::ExitCode;
 
 use olivelatch_client::{ClientError, ConfigFileError, ContextsError, JobFileError};
@@ -7,23 +8,25 @@
 use olivelatch_local_cluster::LocalClusterError;
 use olivelatch_scale_test::ScaleError;
 
-/// Something was not found, or the region could not go on.
+/// Something was not found, or another failure.
 const OTHER_FAILURE: u8 = 1;
-/// Wrong arguments or files, as clap has it.
+/// Wrong arguments or files; clap uses the same code.
 const USAGE: u8 = 2;
 const NO_RESPONSE: u8 = 3;
 const REFUSED: u8 = 4;
-/// `wait`: a job was withdrawn, or a run did not go well.
+/// `wait`: a job was cancelled, or a run did not succeed.
 pub const NOT_SUCCESSFUL: u8 = 5;
-/// `wait`: the time was over.
+/// `wait`: the timeout passed first.
 pub const WAIT_TIMEOUT: u8 = 6;
 
+/// Why a command failed. Its `Display` is what the user reads.
 #[derive(Debug)]
 pub enum CommandError {
+    /// Wrong arguments or files.
     Usage(String),
     Client(ClientError),
     LocalCluster(LocalClusterError),
-    /// The request is wrong, or meets a conflict.
+    /// The request is invalid, or conflicts with the present state.
     Refused(String),
     Other(String),
 }
@@ -41,6 +44,7 @@
 }
 
 impl CommandError {
+    /// The exit code of a command that failed so.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Usage(_) => USAGE,
@@ -65,29 +69,18 @@
     }
 }
 
-impl From<ContextsError> for CommandError {
-    fn from(error: ContextsError) -> CommandError {
-        CommandError::Usage(error.to_string())
-    }
-}
-
-impl From<JobFileError> for CommandError {
-    fn from(error: JobFileError) -> CommandError {
-        CommandError::Usage(error.to_string())
-    }
-}
-
-impl From<ConfigFileError> for CommandError {
-    fn from(error: ConfigFileError) -> CommandError {
-        CommandError::Usage(error.to_string())
-    }
+/// Errors in files that the user wrote are usage errors.
+macro_rules! usage_error_from {
+    ($($error:ty),+) => {
+        $(impl From<$error> for CommandError {
+            fn from(error: $error) -> CommandError {
+                CommandError::Usage(error.to_string())
+            }
+        })+
+    };
 }
 
-impl From<DagFileError> for CommandError {
-    fn from(error: DagFileError) -> CommandError {
-        CommandError::Usage(error.to_string())
-    }
-}
+usage_error_from!(ContextsError, JobFileError, ConfigFileError, DagFileError);
 
 impl From<ScaleError> for CommandError {
     fn from(error: ScaleError) -> CommandError {
@@ -103,3 +96,9 @@
         CommandError::Other(error.to_string())
     }
 }
+
+/// The path of this program, which starts itself for the processes of a region or of a scale run.
+pub fn own_program() -> Result<PathBuf, CommandError> {
+    std::env::current_exe()
+        .map_err(|error| CommandError::Other(format!("finding olivelatchctl itself: {error}")))
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,44 +1,29 @@
 //! `olivelatchctl`: the command line of olivelatch.
 //!
-//! A thin assembly: `olivelatch-client` asks, `olivelatch-local-cluster` runs a region on one machine, `olivelatch` is the controller
-//! that it starts. What is here is arguments, tables and words.
+//! A thin assembly: `olivelatch-client` sends the requests, `olivelatch-local-cluster` runs a region on one machine,
+//! `olivelatch` is the controller that it starts. What is here is arguments, output for people and programs, and exit codes.
 
 mod args;
 mod commands;
-mod config;
-mod config_tables;
-mod demo;
+mod connection;
 mod exit;
-mod graphs;
+mod output;
 mod render;
-mod scale;
-mod up;
 
 use std::process::ExitCode;
 
 use clap::Parser;
 
 use args::{Cli, Command};
-use exit::CommandError;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let result = match cli.command {
-        Command::Controller(args) => {
-            return olivelatch::cli::run(std::iter::once("olivelatch".into()).chain(args.rest));
-        }
-        Command::Up(args) => up::run_up(&args).map(|()| ExitCode::SUCCESS),
-        Command::Scale(args) => scale::run(args),
-        Command::Config(command) => config::run(&cli.common, &command),
-        Command::Demo(args) => demo::demo(&args).map(|()| ExitCode::SUCCESS),
-        Command::Completions { shell } => {
-            args::completions(shell);
-            Ok(ExitCode::SUCCESS)
-        }
-        command => commands::run(&cli.common, command),
-    };
-    result.unwrap_or_else(|failure: CommandError| {
-        eprintln!("olivelatchctl: {failure}");
-        failure.exit_code()
+    // The controller has exit codes of its own.
+    if let Command::Controller(args) = cli.command {
+        return olivelatch::cli::run(std::iter::once("olivelatch".into()).chain(args.rest));
+    }
+    commands::run(cli).unwrap_or_else(|error| {
+        eprintln!("olivelatchctl: {error}");
+        error.exit_code()
     })
 }
--- /dev/null
+++ b/crates/cli/src/output.rs
@@ -0,0 +1,36 @@
+//! How commands print: JSON for programs or text for people, and progress bars on a terminal.
+
+use std::io::IsTerminal;
+
+use anstream::println;
+use indicatif::{ProgressBar, ProgressStyle};
+use serde::Serialize;
+
+use crate::args::Common;
+use crate::exit::CommandError;
+
+/// Prints one value: as a line of JSON with `--json`, else as the text, which is only made if it is needed.
+pub fn print_value(
+    common: &Common,
+    value: &impl Serialize,
+    text: impl FnOnce() -> String,
+) -> Result<(), CommandError> {
+    if common.json {
+        println!("{}", serde_json::to_string(value)?);
+    } else {
+        println!("{}", text());
+    }
+    Ok(())
+}
+
+/// A progress bar on standard error; hidden for programs, for a single step and off a terminal.
+pub fn progress_bar(common: &Common, length: usize, label: &str) -> ProgressBar {
+    if common.json || length < 2 || !std::io::stderr().is_terminal() {
+        return ProgressBar::hidden();
+    }
+    let bar = ProgressBar::new(length as u64);
+    if let Ok(style) = ProgressStyle::with_template("{prefix} {wide_bar} {pos}/{len}") {
+        bar.set_style(style);
+    }
+    bar.with_prefix(label.to_string())
+}
--- a/crates/cli/src/config_tables.rs
+++ b/crates/cli/src/render/config.rs
@@ -1,56 +1,65 @@
-//! Entries of the configuration as tables and words.
+//! Entries of the configuration: what is set, what is effective, and what a change still waits for.
 
 use olivelatch::protocol::config::{ConfigEntryView, TeamQuota};
 
-use crate::render::table;
+use super::{new_table, value_or_dash};
 
-fn cpus_text(value: Option<f64>) -> String {
-    value.map_or_else(|| "-".into(), |value| value.to_string())
-}
-
-/// What an entry sets, in words.
+/// The value that an entry sets.
 pub fn team_value_text(value: TeamQuota) -> String {
     match value {
         TeamQuota { limit_cpus: None, guaranteed_cpus: None } => "the platform's settings".into(),
         TeamQuota { limit_cpus, guaranteed_cpus } => {
-            format!("limit {} CPUs, guaranteed {}", cpus_text(limit_cpus), cpus_text(guaranteed_cpus))
+            format!("limit {} CPUs, guaranteed {}", value_or_dash(limit_cpus), value_or_dash(guaranteed_cpus))
         }
     }
 }
 
-/// Whether and since when a change is in force, or whom it waits for.
+/// Whether a change is effective, or which controller it still waits for, and why; `seconds` since the change was sent.
 pub fn in_force_text(view: &ConfigEntryView, seconds: f64) -> String {
     match &view.pending_on {
         None => format!("{} version {}: in force after {seconds:.3} s", view.key, view.version),
-        Some(waits) => format!(
+        Some(pending) => format!(
             "{} version {}: NOT in force after {seconds:.3} s: {} {}, for {:.1} s",
             view.key,
             view.version,
-            waits.controller.as_deref().unwrap_or("nobody known"),
-            waits.cause.description(),
-            waits.since_s
+            pending.controller.as_deref().unwrap_or("nobody known"),
+            pending.cause.description(),
+            pending.since_s
         ),
     }
 }
 
-/// All entries, one a line.
+/// The list of entries, one a line.
 pub fn config_table(entries: &[ConfigEntryView]) -> String {
-    let mut rows =
-        table(&["entry", "version", "limit", "guaranteed", "platform", "used", "above", "in force", "by"]);
+    let mut table = new_table(&[
+        "entry",
+        "version",
+        "limit",
+        "guaranteed",
+        "platform",
+        "used",
+        "above",
+        "in force",
+        "by",
+    ]);
     for entry in entries {
-        rows.add_row(vec![
+        table.add_row(vec![
             entry.key.clone(),
             entry.version.to_string(),
-            cpus_text(entry.effective.limit_cpus),
-            cpus_text(entry.effective.guaranteed_cpus),
-            format!("{}/{}", cpus_text(entry.ceiling.limit_cpus), cpus_text(entry.ceiling.guaranteed_cpus)),
+            value_or_dash(entry.effective.limit_cpus),
+            value_or_dash(entry.effective.guaranteed_cpus),
+            format!(
+                "{}/{}",
+                value_or_dash(entry.ceiling.limit_cpus),
+                value_or_dash(entry.ceiling.guaranteed_cpus)
+            ),
             entry.used_cpus.to_string(),
             entry.cpus_over_limit.to_string(),
             if entry.is_effective { "yes".into() } else { "no".into() },
             entry.changed_by.clone().unwrap_or_default(),
         ]);
     }
-    rows.to_string()
+    table.to_string()
 }
 
 /// One entry, in full.
@@ -59,13 +68,13 @@
         format!("{} version {}: {}", entry.key, entry.version, team_value_text(entry.configured)),
         format!(
             "holds: limit {} CPUs, guaranteed {}",
-            cpus_text(entry.effective.limit_cpus),
-            cpus_text(entry.effective.guaranteed_cpus)
+            value_or_dash(entry.effective.limit_cpus),
+            value_or_dash(entry.effective.guaranteed_cpus)
         ),
         format!(
             "platform allows: limit {} CPUs, guaranteed {}",
-            cpus_text(entry.ceiling.limit_cpus),
-            cpus_text(entry.ceiling.guaranteed_cpus)
+            value_or_dash(entry.ceiling.limit_cpus),
+            value_or_dash(entry.ceiling.guaranteed_cpus)
         ),
         format!("used: {} CPUs, {} above the limit", entry.used_cpus, entry.cpus_over_limit),
     ];
@@ -74,9 +83,9 @@
     }
     match &entry.pending_on {
         None => lines.push("in force".into()),
-        Some(waits) => {
-            let node = waits.controller.as_deref().unwrap_or("nobody known");
-            lines.push(format!("not in force: {node} {}", waits.cause.description()));
+        Some(pending) => {
+            let controller = pending.controller.as_deref().unwrap_or("nobody known");
+            lines.push(format!("not in force: {controller} {}", pending.cause.description()));
         }
     }
     lines.join("\n")
--- a/crates/cli/src/tests/render.rs
+++ b/crates/cli/src/tests/render.rs
@@ -1,10 +1,13 @@
 //! Tests of `render`.
 
-use super::*;
+use olivelatch::protocol::operators::{JobPhase, JobSummary, MachineTypeCapacity, StateReason};
 
-/// The word shown is the word of the interface, for every reason.
+use super::jobs_table;
+use super::reasons::{reason_detail, reason_name, reason_remedy};
+
+/// The name shown is the name on the wire.
 #[test]
-fn reasons_are_shown_by_the_words_of_the_interface() {
+fn reasons_are_shown_by_their_names_on_the_wire() {
     let all = [
         StateReason::Terminal { state: JobPhase::Done },
         StateReason::PersistingResult,
@@ -28,16 +31,15 @@
         StateReason::KvUnreachable { since_s: 1.0 },
         StateReason::NoLeader { unreachable_leader: None },
     ];
-    for one in &all {
-        let wire = serde_json::to_value(one).expect("JSON");
-        let (word, says, change) = reason_texts(one);
-        assert_eq!(wire["reason"], word);
-        assert!(!says.is_empty() && !change.is_empty());
+    for reason in &all {
+        let wire = serde_json::to_value(reason).expect("JSON");
+        assert_eq!(wire["reason"], reason_name(reason));
+        assert!(!reason_detail(reason).is_empty() && !reason_remedy(reason).is_empty());
     }
 }
 
 #[test]
-fn what_is_not_known_is_shown_so() {
+fn unknown_values_are_shown_as_a_question_mark() {
     let row = JobSummary {
         id: "job-000001".into(),
         state: JobPhase::Cancelled,
--- a/crates/cli/src/tests/up.rs
+++ b/crates/cli/src/tests/up.rs
@@ -12,6 +12,6 @@
 
 #[test]
 fn the_default_tunables_are_good() {
-    let tunables = Tunables::parse("default", TUNABLES).expect("good");
+    let tunables = Tunables::parse("default", DEFAULT_TUNABLES).expect("good");
     assert!(tunables.operators.enabled);
 }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -35,6 +35,11 @@
             _ => None,
         }
     }
+
+    /// Whether the same request may succeed later: no controller answered, or the one that did cannot serve it now.
+    pub fn is_unavailable(&self) -> bool {
+        matches!(self, ClientError::NoResponse { .. } | ClientError::Refused { status: 503, .. })
+    }
 }
 
 /// What the controllers say of a submission, a poll or a cancellation.
