--- a/src/coordination/config_requests/views.rs
+++ b/src/coordination/config_requests/views.rs
@@ -12,7 +12,6 @@
 use crate::settings::{Settings, TeamSettings};
 
 /// Renders entries by the state of one moment.
-#[derive(Clone, Copy)]
 pub(super) struct EntryRenderer<'a> {
     pub versions: &'a ObservedVersions,
     pub clock: Clock,
--- a/src/coordination/controller/direct_commands.rs
+++ b/src/coordination/controller/direct_commands.rs
@@ -24,8 +24,8 @@
         let outbound = OutboundId(ID_BASE + self.sent);
         out.push(Action::SendWorkerCommands {
             outbound,
-            endpoint: leader.machines[message.machine.index()].endpoint.clone(),
-            request: commands_request(leader.token, message.epoch, &message.commands),
+            endpoint: leader.cluster.machines[message.machine.index()].endpoint.clone(),
+            request: commands_request(leader.term.token(), message.epoch, &message.commands),
             timeout_ms: TIMEOUT_MS,
         });
         self.in_flight.insert(outbound, message);
--- a/src/coordination/controller/graph_requests.rs
+++ b/src/coordination/controller/graph_requests.rs
@@ -45,7 +45,8 @@
     pub(super) fn enqueue_ready_nodes(&mut self, clock: Clock) {
         let ready = self.state.cache.take_newly_ready();
         let Some(leader) = self.state.leader.as_mut().filter(|_| !ready.is_empty()) else { return };
-        let new_jobs: Vec<_> = ready.into_iter().filter(|ix| !leader.jobs.contains_key(ix)).collect();
+        let new_jobs: Vec<_> =
+            ready.into_iter().filter(|ix| !leader.workload.jobs.contains_key(ix)).collect();
         for ix in &new_jobs {
             leader.track_job(*ix, &self.state.cache, clock);
         }
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -81,8 +81,8 @@
             event = "leads", token = token.0;
             "leads with token {}: {} jobs, {} machines on record",
             token.0,
-            leader.jobs.len(),
-            leader.machines.len()
+            leader.workload.jobs.len(),
+            leader.cluster.machines.len()
         );
         self.state.leader = Some(leader);
         self.leaderships_started += 1;
@@ -98,7 +98,7 @@
     pub(super) fn step_down_if_superseded(&mut self) {
         if let (Some(leader), Some(token)) = (&self.state.leader, self.leadership.token())
             && !self.is_recorded_leader(token)
-            && self.state.cache.revision.0 >= leader.token.0
+            && self.state.cache.revision.0 >= leader.term.token().0
         {
             log::info!("superseded by another leader");
             self.step_down();
@@ -113,7 +113,7 @@
         let Some(leader) = &self.state.leader else { return };
         // Under pressure, heartbeats wait in this controller's own queue: workers are not to blame for their silence.
         let lags_behind = self.pressure.level() > PressureLevel::Calm;
-        let is_settling = clock.now.saturating_since(leader.acquired_at) < LEADER_SETTLE_MS;
+        let is_settling = clock.now.saturating_since(leader.term.acquired_at()) < LEADER_SETTLE_MS;
         if lags_behind || self.peer_names.is_empty() || is_settling {
             return;
         }
--- a/src/coordination/controller/operator_views.rs
+++ b/src/coordination/controller/operator_views.rs
@@ -97,7 +97,7 @@
             (Some(_), Some((leader, ix))) => leader.task_rows(ix, after, limit),
             (Some(_), None) => recorded_task_rows(cache, id, after, limit),
         };
-        if let Some(job) = known_to_leader.and_then(|(leader, ix)| leader.jobs.get(&ix)) {
+        if let Some(job) = known_to_leader.and_then(|(leader, ix)| leader.workload.jobs.get(&ix)) {
             summary.first_start_ms = job.first_run.wall_ms();
         }
         let detail = JobDetail {
--- a/src/coordination/controller/workers.rs
+++ b/src/coordination/controller/workers.rs
@@ -37,7 +37,7 @@
         }
         let Some(leader) = &mut self.state.leader else { return Unavailable::NoLeaderForHeartbeat.into() };
         match leader.handle_heartbeat(&mut self.state.cache, clock, heartbeat, may_act) {
-            HeartbeatReply::Commands(commands) => commands_response(leader.token, &commands),
+            HeartbeatReply::Commands(commands) => commands_response(leader.term.token(), &commands),
             HeartbeatReply::Reject => Unavailable::HeartbeatRejected.into(),
         }
     }
@@ -54,7 +54,8 @@
 
     /// Steps down if a worker has been commanded by a later leader; returns whether it did.
     fn step_down_if_outdated(&mut self, heartbeat: &Heartbeat) -> bool {
-        let is_outdated = self.state.leader.as_ref().is_some_and(|leader| heartbeat.token > leader.token);
+        let is_outdated =
+            self.state.leader.as_ref().is_some_and(|leader| heartbeat.token > leader.term.token());
         if is_outdated {
             log::info!("{} has heard of a later leader", heartbeat.machine);
             self.step_down();
@@ -79,7 +80,7 @@
         }
         let Some(leader) = &mut self.state.leader else { return };
         if let Some(heartbeat) = &heartbeat
-            && leader.machines[message.machine.index()].name == heartbeat.machine
+            && leader.cluster.machines[message.machine.index()].name == heartbeat.machine
         {
             leader.observe_command_response(message.machine, clock, heartbeat);
         }
--- a/src/coordination/controller_state.rs
+++ b/src/coordination/controller_state.rs
@@ -49,7 +49,7 @@
     /// How many tasks of a job run, for display.
     pub(super) fn running_task_count(&self, id: JobId) -> u32 {
         match self.leader.as_ref().zip(self.cache.find(id)) {
-            Some((leader, ix)) => leader.jobs.get(&ix).map_or(0, |job| job.placements.len() as u32),
+            Some((leader, ix)) => leader.workload.jobs.get(&ix).map_or(0, |job| job.placements.len() as u32),
             None => self.cache.recorded_running_tasks(id),
         }
     }
@@ -69,7 +69,7 @@
     pub(super) fn team_cpu_usage(&self, team: &str) -> u64 {
         let Some(team) = self.cache.names.teams.find(team) else { return 0 };
         if let Some(leader) = &self.leader {
-            return leader.usage.get(&team).map_or(0, |used| used.cpu);
+            return leader.quotas.usage.get(&team).map_or(0, |used| used.cpu);
         }
         self.cache
             .live_jobs()
--- a/src/coordination/user_requests/writes.rs
+++ b/src/coordination/user_requests/writes.rs
@@ -120,10 +120,12 @@
     }
 }
 
-/// Whether a committed transaction has changed what the leader works on.
+/// What became of a transaction of users' writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TxnResult {
+    /// The writes are durable and have been applied to the cache.
     Committed,
+    /// They were not applied, or it is not known whether they were.
     NotCommitted,
 }
 
@@ -184,21 +186,21 @@
     pub fn handle_txn_reply(
         &mut self,
         clock: Clock,
-        completed: CompletedRequest,
+        completed: &CompletedRequest,
         cache: &mut StoreCache,
         out: &mut Vec<Action>,
     ) -> TxnResult {
         let writes = std::mem::take(&mut self.writes_in_flight);
-        match completed.reply {
+        match &completed.reply {
             KvReply::Committed { revision } => {
-                apply_own_mutations(&completed.request, revision, cache);
+                apply_own_mutations(&completed.request, *revision, cache);
                 for write in writes {
                     self.complete_write(clock, write, completed.sent_at, out);
                 }
                 return TxnResult::Committed;
             }
             KvReply::PreconditionFailed { failed_keys } => {
-                self.retry_conflicting(clock, writes, &failed_keys);
+                self.retry_conflicting(clock, writes, failed_keys);
             }
             KvReply::Rejected { status: RATE_LIMITED } => self.queued_writes.extend(writes),
             // The user repeats the request, which then finds out whether it was stored.
