--- a/src/coordination/config_requests/validation.rs
+++ b/src/coordination/config_requests/validation.rs
@@ -45,3 +45,7 @@
     }
     Err(QuotaOutOfRange { key: key.to_string(), field, max, value })
 }
+
+#[cfg(test)]
+#[path = "tests/validation.rs"]
+mod tests;
--- a/src/coordination/controller/graph_requests.rs
+++ b/src/coordination/controller/graph_requests.rs
@@ -80,7 +80,7 @@
         HttpResponse::json(200, &detail)
     }
 
-    /// Why a node of a graph is not a job yet. The records tell, on every controller.
+    /// Why a node of a graph is not a job yet, by the records alone: every controller can answer it.
     pub(super) fn waiting_node_reason(&self, id: JobId) -> Option<StateReason> {
         let (run, node) = self.state.cache.dag_runs.current_node(id)?;
         let dag = run.dag.as_ref()?;
--- a/src/coordination/controller/isolation.rs
+++ b/src/coordination/controller/isolation.rs
@@ -5,7 +5,7 @@
 use crate::ids::Millis;
 
 /// A controller counts as isolated after this long: at both ends of an outage for all, controllers notice at different
-/// moments, and hear of one another's state with that much delay.
+/// moments, and receive one another's health status with that much delay.
 const ISOLATED_AFTER_MS: u64 = 1_500;
 
 /// Remembers since when only this controller has had trouble with the store.
@@ -25,7 +25,7 @@
 }
 
 impl Controller {
-    /// The store does not serve this controller, while it serves another or no other controller can be heard.
+    /// The store does not serve this controller, while it serves another one, or no other controller's health status arrives.
     pub(super) fn detect_isolation(&mut self, clock: Clock) {
         let is_cut_off = !self.peer_names.is_empty() && !self.peers.has_live_peer(clock.now);
         let seems_isolated = !self.kv_client.is_reachable(clock.now)
@@ -33,3 +33,7 @@
         self.isolation.observe(clock.now, seems_isolated);
     }
 }
+
+#[cfg(test)]
+#[path = "tests/isolation.rs"]
+mod tests;
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -149,3 +149,7 @@
     let most_are_elsewhere = silent * 7 >= all && misdirected * 10 >= silent * 6;
     silent >= MIN_SILENT_WORKERS && (silent >= all || most_are_elsewhere)
 }
+
+#[cfg(test)]
+#[path = "tests/leadership.rs"]
+mod tests;
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,7 +1,7 @@
 //! One controller: takes events in, keeps its cache of the store fresh, and returns the actions that follow. Owns all
 //! state of a controller's process; performs no I/O and reads no clock.
 //!
-//! Each submodule handles the events of one interface; [`step`] does what is due whatever the events were.
+//! Each submodule handles the events of one interface; `step` does what is due whatever the events were.
 
 mod catalog;
 mod config_requests;
@@ -85,7 +85,7 @@
                 .with_config_format(config_format),
             acquired_leadership: None,
             leaderships_started: 0,
-            user_requests: UserRequestHandler::new(tunables.operators.enabled, tunables.graphs.enabled),
+            user_requests: UserRequestHandler::new(&tunables),
             graph_requests: GraphRequestHandler::default(),
             config_requests: ConfigRequestHandler::default(),
             operator_queries: OperatorQueryHandler::new(&tunables.operators, seed, clock.now),
--- a/src/coordination/controller/operator_queries.rs
+++ b/src/coordination/controller/operator_queries.rs
@@ -57,8 +57,8 @@
         result.err().map(HttpResponse::from)
     }
 
-    /// The controller that knows more about the query than the records do: the leader, unless this controller leads, the
-    /// leader cannot be reached or the job is finished. Terminal states never change, so the records hold all of those.
+    /// The leader, if it holds more about the query than the records do. Not if this controller leads, the leader cannot
+    /// be reached or the job is finished. Terminal states never change, so the records hold all of those.
     fn leader_to_forward_to(&self, clock: Clock, request: &OperatorRequest) -> Option<String> {
         if self.state.is_leader() || request.to_leader_query().is_none() {
             return None;
--- a/src/coordination/controller/watermarks.rs
+++ b/src/coordination/controller/watermarks.rs
@@ -17,8 +17,8 @@
         self.state.watermarks.restart_load(clock.now);
     }
 
-    /// Answers requests whose job's terminal state has become stable, asks the controllers that others wait for to read
-    /// further, and announces how far this one has read.
+    /// Answers requests whose job's terminal state has become stable, notifies controllers that have to read further,
+    /// and announces how far this one has read.
     pub(super) fn process_watermarks(&mut self, clock: Clock, out: &mut Vec<Action>) {
         self.state.watermarks.expire_old(clock.now);
         self.user_requests.respond_when_stable(clock, &self.state, out);
--- a/src/coordination/controller_state.rs
+++ b/src/coordination/controller_state.rs
@@ -1,4 +1,4 @@
-//! What a controller knows when it decides a request: the cached records, its settings, how far the other controllers
+//! What a controller decides requests by: the cached records, its settings, how far the other controllers
 //! have read, and the leader's state while this controller leads. Performs no I/O and reads no clock.
 
 use std::sync::Arc;
--- a/src/coordination/graph_requests/rejection.rs
+++ b/src/coordination/graph_requests/rejection.rs
@@ -67,3 +67,7 @@
         HttpResponse::error(rejection.status(), &rejection.to_string())
     }
 }
+
+#[cfg(test)]
+#[path = "tests/rejection.rs"]
+mod tests;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,26 +2,26 @@
 //! numbers from anything but a seed, so that a run in virtual time repeats exactly.
 //!
 //! - [`controller`]: one controller, which dispatches events to the parts below;
-//! - [`user_requests`], [`graph_requests`], [`config_requests`], [`operator_queries`]: clients' requests that wait for
+//! - [`user_requests`], `graph_requests`, `config_requests`, `operator_queries`: clients' requests that wait for
 //!   a read or a write of the store;
 //! - [`kv_client`], [`read_watermarks`]: requests to the store, and how far each controller has read it;
 //! - [`leadership`], [`peers`]: who leads;
 //! - [`leader`]: what only the leader does: placing tasks, commanding workers, scaling the fleet.
 
-pub mod config_requests;
+mod config_requests;
 pub mod controller;
-pub mod controller_state;
-pub mod graph_requests;
+mod controller_state;
+mod graph_requests;
 pub mod kv_client;
-pub mod kv_mutations;
+mod kv_mutations;
 pub mod leader;
 pub mod leadership;
-pub mod operator_queries;
+mod operator_queries;
 pub mod peers;
 mod pending_request;
 pub mod read_watermarks;
 pub mod token_bucket;
-pub mod unavailable;
+mod unavailable;
 pub mod user_requests;
 
 use crate::ids::Millis;
--- a/src/coordination/unavailable.rs
+++ b/src/coordination/unavailable.rs
@@ -82,3 +82,7 @@
         HttpResponse::retry_later(&reason.to_string(), reason.retry_after_s())
     }
 }
+
+#[cfg(test)]
+#[path = "tests/unavailable.rs"]
+mod tests;
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -18,6 +18,7 @@
 use crate::ids::{JobId, Millis};
 use crate::protocol::HttpResponse;
 use crate::protocol::users::{JobManifest, JobStatus, UserRequest, status_response};
+use crate::tunables::Tunables;
 
 /// Users give up on a poll after 2 s and on other requests after 5 s: the response has to be under way before.
 const POLL_TIMEOUT_MS: u64 = 1500;
@@ -38,7 +39,7 @@
 pub struct UserRequestHandler {
     /// Terminal records carry what the operators' interface shows of finished jobs.
     records_details: bool,
-    /// Runs of graphs may be accepted: submissions must not take a name that a node has got in the meantime.
+    /// Runs of graphs may be accepted: submissions must not take a name that a node of one has taken in the meantime.
     graphs_enabled: bool,
     awaiting_barrier: Vec<Pending>,
     /// About jobs whose terminal state is known here, but another controller might still report an older state.
@@ -50,9 +51,13 @@
 }
 
 impl UserRequestHandler {
-    /// `records_details`: terminal records carry details for operators. `graphs_enabled`: runs of graphs may be accepted.
-    pub fn new(records_details: bool, graphs_enabled: bool) -> UserRequestHandler {
-        UserRequestHandler { records_details, graphs_enabled, ..UserRequestHandler::default() }
+    /// A handler without requests.
+    pub fn new(tunables: &Tunables) -> UserRequestHandler {
+        UserRequestHandler {
+            records_details: tunables.operators.enabled,
+            graphs_enabled: tunables.graphs.enabled,
+            ..UserRequestHandler::default()
+        }
     }
 
     /// Whether a request waits for a newer read of the store.
