--- a/src/coordination/user_requests/writes.rs
+++ b/src/coordination/user_requests/writes.rs
@@ -19,6 +19,9 @@
 
 /// Estimated size of a transaction's mutations, in bytes: below the store's 64 KiB, with room for its frame.
 const MAX_TXN_BYTES: usize = 48 * 1024;
+/// Estimated size of a mutation and its preconditions without their keys and values, in bytes.
+const PUT_OVERHEAD_BYTES: usize = 100;
+const DELETE_OVERHEAD_BYTES: usize = 60;
 
 /// A change of one job's records.
 #[derive(Debug)]
@@ -87,11 +90,11 @@
     }
 }
 
-/// An upper estimate of a mutation's size on the wire, in bytes.
+/// An upper estimate of a mutation's size on the wire with its preconditions, in bytes. Each of those repeats the key.
 fn mutation_size(mutation: &KvMutation) -> usize {
     match mutation {
-        KvMutation::Put { key, value, .. } => key.len() * 3 + value.len() + 100,
-        KvMutation::Delete { key } => key.len() * 2 + 60,
+        KvMutation::Put { key, value, .. } => key.len() * 3 + value.len() + PUT_OVERHEAD_BYTES,
+        KvMutation::Delete { key } => key.len() * 2 + DELETE_OVERHEAD_BYTES,
     }
 }
 
