--- a/src/coordination/config_requests/mod.rs
+++ b/src/coordination/config_requests/mod.rs
@@ -176,7 +176,7 @@
         match request {
             ConfigRequest::List => Decision::Respond(renderer.list_response()),
             ConfigRequest::Get { key, .. } => Decision::Respond(renderer.entry_response(key)),
-            ConfigRequest::Set { key, change } => decide_change(key, change, renderer),
+            ConfigRequest::Set { key, change } => decide_change(key, change, &renderer),
         }
     }
 
@@ -184,18 +184,18 @@
     pub fn handle_txn_reply(
         &mut self,
         clock: Clock,
-        completed: CompletedRequest,
+        completed: &CompletedRequest,
         cache: &mut StoreCache,
         out: &mut Vec<Action>,
     ) -> Option<Revision> {
         let written = self.write_in_flight.take()?;
-        match completed.reply {
+        match &completed.reply {
             KvReply::Committed { revision } => {
-                apply_own_mutations(&completed.request, revision, cache);
-                self.record_change(revision, clock.now);
+                apply_own_mutations(&completed.request, *revision, cache);
+                self.record_change(*revision, clock.now);
                 // Decided again at once: the change's id is recorded by now, so the response is the entry as it is.
                 self.pending.push_front(written.awaiting_new_read(Millis::default()));
-                return Some(revision);
+                return Some(*revision);
             }
             // Another controller was first: the change is decided again by what it has written.
             KvReply::PreconditionFailed { .. } => {
@@ -246,7 +246,7 @@
 }
 
 /// Decides a change by the entry as the cache holds it.
-fn decide_change(key: &ConfigKey, change: &ConfigChangeRequest, renderer: EntryRenderer<'_>) -> Decision {
+fn decide_change(key: &ConfigKey, change: &ConfigChangeRequest, renderer: &EntryRenderer<'_>) -> Decision {
     let state = renderer.state;
     let Some(platform) = platform_team(key, &state.settings) else {
         return reject(422, &unknown_team_text(key));
--- a/src/coordination/controller/config_requests.rs
+++ b/src/coordination/controller/config_requests.rs
@@ -35,7 +35,7 @@
     pub(super) fn handle_config_txn_reply(
         &mut self,
         clock: Clock,
-        completed: CompletedRequest,
+        completed: &CompletedRequest,
         out: &mut Vec<Action>,
     ) {
         let cache = &mut self.state.cache;
--- a/src/coordination/controller/kv_replies.rs
+++ b/src/coordination/controller/kv_replies.rs
@@ -31,12 +31,12 @@
         match completed.purpose {
             Purpose::Page => self.handle_page_reply(clock, completed.reply),
             Purpose::Poll => self.handle_poll_reply(clock, completed, out),
-            Purpose::UserTxn => self.handle_user_txn_reply(clock, completed, out),
+            Purpose::UserTxn => self.handle_user_txn_reply(clock, &completed, out),
             Purpose::GraphTxn => {
-                self.graph_requests.handle_txn_reply(clock, completed, &mut self.state.cache, out);
+                self.graph_requests.handle_txn_reply(clock, &completed, &mut self.state.cache, out);
                 self.notify_leader(self.state.cache.revision, out);
             }
-            Purpose::ConfigTxn => self.handle_config_txn_reply(clock, completed, out),
+            Purpose::ConfigTxn => self.handle_config_txn_reply(clock, &completed, out),
             Purpose::LeaderTxn => self.handle_leader_txn_reply(clock, completed),
             Purpose::Leadership => self.handle_leadership_reply(clock, completed, out),
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn handle_user_txn_reply(&mut self, clock: Clock, completed: CompletedRequest, out: &mut Vec<Action>) {
+    fn handle_user_txn_reply(&mut self, clock: Clock, completed: &CompletedRequest, out: &mut Vec<Action>) {
         let result = self.user_requests.handle_txn_reply(clock, completed, &mut self.state.cache, out);
         if result == TxnResult::Committed {
             self.notify_leader(self.state.cache.revision, out);
--- a/src/coordination/graph_requests/mod.rs
+++ b/src/coordination/graph_requests/mod.rs
@@ -120,14 +120,14 @@
     pub fn handle_txn_reply(
         &mut self,
         clock: Clock,
-        completed: CompletedRequest,
+        completed: &CompletedRequest,
         cache: &mut StoreCache,
         out: &mut Vec<Action>,
     ) {
         let Some(WriteInFlight { pending, response }) = self.write_in_flight.take() else { return };
-        match completed.reply {
+        match &completed.reply {
             KvReply::Committed { revision } => {
-                apply_own_mutations(&completed.request, revision, cache);
+                apply_own_mutations(&completed.request, *revision, cache);
                 match response {
                     Some(response) => out.push(Action::respond(pending.inbound, response)),
                     None => self.pending.push_front(pending),
--- a/src/coordination/operator_queries.rs
+++ b/src/coordination/operator_queries.rs
@@ -25,7 +25,12 @@
     /// A client of this controller.
     Client(InboundId),
     /// Another controller, which forwarded its client's query.
-    Controller { controller: String, query_id: u64 },
+    Controller {
+        /// Its name.
+        controller: String,
+        /// Its number of the query.
+        query_id: u64,
+    },
 }
 
 #[derive(Debug)]
--- a/src/coordination/unavailable.rs
+++ b/src/coordination/unavailable.rs
@@ -14,6 +14,7 @@
 /// Why the client should repeat its request later. The texts are part of the interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unavailable {
+    /// The store is not reachable, the records are not loaded, or too many requests wait.
     #[error("cannot decide now")]
     CannotDecide,
     /// The transaction may or may not have been applied.
@@ -22,21 +23,28 @@
     /// The write is durable, but another controller may already have reported a later state.
     #[error("stored too long ago")]
     WriteAcknowledgedLate,
+    /// The catalog has not been loaded: whether a job could run is not known.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
+    /// The store does not answer.
     #[error("the state service does not answer this controller")]
     KvUnreachable,
+    /// The records have not been read as a whole.
     #[error("the records are being read")]
     CacheLoading,
+    /// No read of the store completed in time.
     #[error("no fresh answer from the state service")]
     ReadBarrierTimeout,
+    /// Too many operators' queries wait.
     #[error("too many questions")]
     TooManyQueries,
+    /// The budget of operators' queries a second is used up.
     #[error("too many questions a second")]
     QueryRateExceeded,
     /// A query forwarded by another controller.
     #[error("does not lead, or too many questions")]
     ForwardedQueryRefused,
+    /// The leader did not answer a forwarded query in time.
     #[error("the leader does not answer")]
     LeaderUnresponsive,
     /// An operator's query that only a leader can answer.
@@ -48,10 +56,13 @@
     /// The leader must not renew the machine's lease.
     #[error("not entitled")]
     HeartbeatRejected,
+    /// A run can be executed again once its cancellation is complete.
     #[error("the run is being cancelled")]
     RunCancelling,
+    /// Too many parts of graphs are stored without a commit.
     #[error("too many parts wait for their commit")]
     UncommittedPartLimit,
+    /// Too many nodes of accepted runs are stored.
     #[error("too many nodes are kept now")]
     NodeLimit,
 }
@@ -71,3 +82,7 @@
         HttpResponse::retry_later(&reason.to_string(), reason.retry_after_s())
     }
 }
+
+#[cfg(test)]
+#[path = "tests/unavailable.rs"]
+mod tests;
--- a/src/coordination/user_requests/writes.rs
+++ b/src/coordination/user_requests/writes.rs
@@ -19,6 +19,9 @@
 
 /// Estimated size of a transaction's mutations, in bytes: below the store's 64 KiB, with room for its frame.
 const MAX_TXN_BYTES: usize = 48 * 1024;
+/// Estimated size of a mutation and its preconditions without their keys and values, in bytes.
+const PUT_OVERHEAD_BYTES: usize = 100;
+const DELETE_OVERHEAD_BYTES: usize = 60;
 
 /// A change of one job's records.
 #[derive(Debug)]
@@ -87,11 +90,11 @@
     }
 }
 
-/// An upper estimate of a mutation's size on the wire, in bytes.
+/// An upper estimate of a mutation's size on the wire with its preconditions, in bytes. Each of those repeats the key.
 fn mutation_size(mutation: &KvMutation) -> usize {
     match mutation {
-        KvMutation::Put { key, value, .. } => key.len() * 3 + value.len() + 100,
-        KvMutation::Delete { key } => key.len() * 2 + 60,
+        KvMutation::Put { key, value, .. } => key.len() * 3 + value.len() + PUT_OVERHEAD_BYTES,
+        KvMutation::Delete { key } => key.len() * 2 + DELETE_OVERHEAD_BYTES,
     }
 }
 
@@ -120,10 +123,12 @@
     }
 }
 
-/// Whether a committed transaction has changed what the leader works on.
+/// What became of a transaction of users' writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TxnResult {
+    /// The writes are durable and have been applied to the cache.
     Committed,
+    /// They were not applied, or it is not known whether they were.
     NotCommitted,
 }
 
@@ -184,21 +189,21 @@
     pub fn handle_txn_reply(
         &mut self,
         clock: Clock,
-        completed: CompletedRequest,
+        completed: &CompletedRequest,
         cache: &mut StoreCache,
         out: &mut Vec<Action>,
     ) -> TxnResult {
         let writes = std::mem::take(&mut self.writes_in_flight);
-        match completed.reply {
+        match &completed.reply {
             KvReply::Committed { revision } => {
-                apply_own_mutations(&completed.request, revision, cache);
+                apply_own_mutations(&completed.request, *revision, cache);
                 for write in writes {
                     self.complete_write(clock, write, completed.sent_at, out);
                 }
                 return TxnResult::Committed;
             }
             KvReply::PreconditionFailed { failed_keys } => {
-                self.retry_conflicting(clock, writes, &failed_keys);
+                self.retry_conflicting(clock, writes, failed_keys);
             }
             KvReply::Rejected { status: RATE_LIMITED } => self.queued_writes.extend(writes),
             // The user repeats the request, which then finds out whether it was stored.
