--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -8,7 +8,6 @@
 use std::collections::HashSet;
 
 use crate::coordination::Clock;
-use crate::coordination::leader::machines::heartbeats::ERROR_RETRY_DELAY_MS;
 use crate::coordination::leader::placement::dispatch::PlacementBlocker;
 use crate::coordination::leader::{Binding, JobState, Leader};
 use crate::ids::{JobId, JobIx, MachineIx, Millis};
@@ -19,6 +18,10 @@
 const QUARANTINE_UNPROVEN_JOBS: usize = 3;
 /// A job that failed on so many machines is at fault itself.
 const JOB_FAULT_MACHINES: usize = 3;
+/// Delay before a task that failed is attempted again, in milliseconds.
+pub(super) const ERROR_RETRY_DELAY_MS: u64 = 1_000;
+/// Repeated failures double the delay at most this often.
+const MAX_BACKOFF_DOUBLINGS: usize = 5;
 
 /// A job at fault: what of it may still be tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,17 +32,17 @@
     pub queued: bool,
 }
 
-/// A job that fails everywhere is tried ever more seldom: so many times the usual wait.
-pub fn backoff_factor(work: &JobState) -> u64 {
-    1 << work.failure_count().saturating_sub(JOB_FAULT_MACHINES - 1).min(5)
-}
-
 impl JobState {
     /// Machines on which it failed, and failed again when they were given back to it.
     pub fn failure_count(&self) -> usize {
         self.failed_on.len() + self.retried_exclusions
     }
 
+    /// How many times the usual delay passes before the next attempt, as the job's failures add up.
+    pub(super) fn failure_backoff_factor(&self) -> u64 {
+        1 << self.failure_count().saturating_sub(JOB_FAULT_MACHINES - 1).min(MAX_BACKOFF_DOUBLINGS)
+    }
+
     /// A task of it has succeeded: what fails after that is the fault of machines.
     fn has_succeeded(&self) -> bool {
         self.finished_runs > 0 || !self.finished.is_empty()
@@ -81,7 +84,7 @@
             work.retried_exclusions += work.failed_on.len();
             work.failed_on.clear();
             work.retry_exclusion_not_before =
-                clock.now.saturating_add(ERROR_RETRY_DELAY_MS * backoff_factor(work));
+                clock.now.saturating_add(ERROR_RETRY_DELAY_MS * work.failure_backoff_factor());
         }
     }
 
@@ -144,7 +147,7 @@
         if work.spec.is_all_or_nothing() || work.dag_node.is_some() || !self.tunables.overload.probation {
             return;
         }
-        let next = clock.now.saturating_add(ERROR_RETRY_DELAY_MS * backoff_factor(work));
+        let next = clock.now.saturating_add(ERROR_RETRY_DELAY_MS * work.failure_backoff_factor());
         if let Some(trial) = &mut work.probation {
             trial.next_attempt_at = next;
             return;
--- a/src/coordination/leader/machines/mod.rs
+++ b/src/coordination/leader/machines/mod.rs
@@ -1,10 +1,12 @@
-//! The machines: what they report and are told, when they count as gone, which are rented.
+//! The machines of the cluster: what they report and are commanded, when they count as lost, which are scaled out and in.
 
 pub mod capacity_plan;
 pub mod commands;
 pub mod faults;
 pub mod heartbeats;
-pub mod liveness;
-pub mod offer_backoff;
+mod liveness;
+mod offer_backoff;
 pub mod placement_index;
 pub mod provisioner;
+mod reconcile;
+mod task_status;
