--- /dev/null
+++ b/src/coordination/leader/machines/capacity_plan/array_demand.rs
@@ -0,0 +1,123 @@
+//! Capacity for job arrays: CPU time until the job should complete, on any machines that fit a task.
+
+use super::CapacityPlan;
+use super::MILLI_PER_CPU;
+use crate::coordination::leader::machines::provisioner::MIN_BILLED_MS;
+use crate::coordination::leader::{JobState, MachineType};
+
+/// The shortest time planned for, however late a job is.
+const MIN_HORIZON_MS: u64 = 10_000;
+/// Machines that one plan may request for a single job.
+const MAX_ADDED_PER_JOB: u32 = 50;
+
+/// Tasks of an array that are not placed yet.
+struct ArrayDemand<'a> {
+    job_state: &'a JobState,
+    run_ms: u64,
+    /// Within this time the last task should start.
+    horizon_ms: u64,
+    unplaced_cpu_ms: u64,
+}
+
+impl<'a> ArrayDemand<'a> {
+    /// `start_deadline_fraction`: the share of the time left within which the last task should start.
+    fn new(
+        job_state: &'a JobState,
+        waiting_tasks: u64,
+        time_left_ms: u64,
+        start_deadline_fraction: f64,
+    ) -> ArrayDemand<'a> {
+        let run_ms = job_state.expected_run_ms().max(1);
+        let start_within_ms = ((time_left_ms as f64 * start_deadline_fraction) as u64).saturating_sub(run_ms);
+        let cpu = job_state.spec.task_resources.cpu.max(1);
+        ArrayDemand {
+            job_state,
+            run_ms,
+            horizon_ms: start_within_ms.max(MIN_HORIZON_MS.max(run_ms / 2)),
+            unplaced_cpu_ms: waiting_tasks * cpu * run_ms / MILLI_PER_CPU,
+        }
+    }
+
+    fn is_met(&self) -> bool {
+        self.unplaced_cpu_ms == 0
+    }
+
+    /// Places as much as possible on what is available, and returns how much that is. Both in CPU milliseconds.
+    fn assign(&mut self, available_cpu_ms: u64) -> u64 {
+        let assigned = self.unplaced_cpu_ms.min(available_cpu_ms);
+        self.unplaced_cpu_ms -= assigned;
+        assigned
+    }
+
+    /// CPU milliseconds of a new machine that are of use. It comes late and is billed for a minimum time: unless there is
+    /// work for that long, present machines are the better choice.
+    fn usable_cpu_ms(&self, machine_type: &MachineType) -> u64 {
+        let billed_ms = self.horizon_ms.max(MIN_BILLED_MS);
+        let usable_ms = billed_ms.saturating_sub(machine_type.boot_ms).max(self.run_ms);
+        (machine_type.capacity.cpu * usable_ms / MILLI_PER_CPU).max(1)
+    }
+}
+
+impl CapacityPlan<'_> {
+    /// Assigns waiting tasks of an array to machines, then to requested ones, and requests what is missing.
+    pub(super) fn assign_array(&mut self, job_state: &JobState, time_left_ms: u64) {
+        for (ix, _) in job_state.placements.values().flatten() {
+            self.needed_machines.insert(*ix);
+        }
+        let waiting = job_state.waiting_tasks().min(self.leader.best_effort_slots(job_state));
+        if waiting == 0 {
+            return;
+        }
+        let fraction = self.leader.tunables.start_deadline_fraction;
+        let mut demand = ArrayDemand::new(job_state, waiting, time_left_ms, fraction);
+        self.assign_array_to_machines(&mut demand);
+        self.assign_array_to_spare_capacity(&mut demand);
+        self.use_pending_requests(job_state, |_, machine_type| {
+            demand.assign(demand.usable_cpu_ms(machine_type)) > 0
+        });
+        self.request_machines_for_array(&mut demand);
+    }
+
+    fn assign_array_to_machines(&mut self, demand: &mut ArrayDemand<'_>) {
+        let spec = &demand.job_state.spec;
+        for planned in &mut self.planned_machines {
+            if demand.is_met() {
+                break;
+            }
+            let machine = &self.leader.cluster.machines[planned.ix.index()];
+            let fits = spec.task_resources.fits_in(&machine.capacity);
+            if !fits || !spec.allows(machine.machine_type, machine.zone, machine.spot) {
+                continue;
+            }
+            let assigned = demand.assign(planned.free_cpu_ms(demand.horizon_ms));
+            if assigned > 0 {
+                planned.reserved_cpu_ms += assigned;
+                self.needed_machines.insert(planned.ix);
+            }
+        }
+    }
+
+    fn assign_array_to_spare_capacity(&mut self, demand: &mut ArrayDemand<'_>) {
+        let spec = &demand.job_state.spec;
+        for (offer, spare_cpu_ms) in &mut self.spare_capacity {
+            if spec.allows(offer.machine_type, offer.zone, offer.spot) {
+                *spare_cpu_ms -= demand.assign(*spare_cpu_ms);
+            }
+        }
+    }
+
+    fn request_machines_for_array(&mut self, demand: &mut ArrayDemand<'_>) {
+        let leader = self.leader;
+        let mut added = 0;
+        while !demand.is_met() && added < MAX_ADDED_PER_JOB {
+            let offer = leader.cheapest_offer(demand.job_state, self.clock, |_| true);
+            let Some(offer) = offer else { return };
+            let Some(machine_type) = leader.cluster.machine_types.get(&offer.machine_type) else { return };
+            let usable_cpu_ms = demand.usable_cpu_ms(machine_type);
+            let spare_cpu_ms = usable_cpu_ms - demand.assign(usable_cpu_ms);
+            *self.spare_capacity.entry(offer).or_default() += spare_cpu_ms;
+            *self.wanted_offers.entry(offer).or_default() += 1;
+            added += 1;
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/machines/capacity_plan/deadlines.rs
@@ -0,0 +1,34 @@
+//! By when jobs should complete: the objectives of their classes and their own deadlines.
+
+use crate::coordination::Clock;
+use crate::coordination::leader::{JobState, Leader};
+
+impl Leader {
+    /// Milliseconds from now within which a job should complete, by its deadline or the objectives of its class.
+    pub fn time_left_ms(&self, job_state: &JobState, clock: Clock) -> u64 {
+        let spec = &job_state.spec;
+        let fallback_ms = (self.tunables.queue_drain_target_s * 1000.0) as u64 + job_state.expected_run_ms();
+        if self.is_past_slo(job_state, clock) {
+            // It is too late for machines to be provisioned as if the objective could still be met.
+            return fallback_ms;
+        }
+        let age_ms = clock.wall_ms.saturating_sub(spec.accepted_wall_ms);
+        let until_deadline = spec.slo_wall_ms.map(|deadline| deadline.saturating_sub(clock.wall_ms));
+        let shortest_slo = self.slos.completion_slos.get(&spec.class).and_then(|slos| slos.first());
+        let until_slo = shortest_slo.map(|slo_ms| slo_ms.saturating_sub(age_ms));
+        until_deadline.into_iter().chain(until_slo).min().unwrap_or(fallback_ms)
+    }
+
+    /// Whether the job can meet no objective any more. Such a job must not delay those that still can.
+    pub fn is_past_slo(&self, job_state: &JobState, clock: Clock) -> bool {
+        let spec = &job_state.spec;
+        let age_ms = clock.wall_ms.saturating_sub(spec.accepted_wall_ms);
+        let past_deadline = spec.slo_wall_ms.is_some_and(|deadline| deadline < clock.wall_ms);
+        past_deadline || self.longest_slo_ms(job_state).is_some_and(|slo_ms| slo_ms < age_ms)
+    }
+
+    /// The longest objective of the job's class, in milliseconds from acceptance to completion.
+    pub fn longest_slo_ms(&self, job_state: &JobState) -> Option<u64> {
+        self.slos.completion_slos.get(&job_state.spec.class)?.last().copied()
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -0,0 +1,74 @@
+//! The machines a capacity plan may use, and the CPU time on them that is already reserved.
+
+use super::MILLI_PER_CPU;
+use crate::coordination::Clock;
+use crate::coordination::leader::{Binding, Leader, Machine, MachineState};
+use crate::ids::MachineIx;
+
+/// A booting machine counts as usable no sooner than this.
+const MIN_BOOT_WAIT_MS: u64 = 5_000;
+/// A running task counts as running at least this much longer.
+const MIN_REMAINING_RUN_MS: u64 = 1_000;
+
+/// A machine of the plan.
+pub(super) struct PlannedMachine {
+    pub(super) ix: MachineIx,
+    price: f64,
+    /// In thousandths.
+    cpu: u64,
+    available_in_ms: u64,
+    /// CPU milliseconds that running tasks and jobs planned so far use.
+    pub(super) reserved_cpu_ms: u64,
+}
+
+impl PlannedMachine {
+    /// CPU milliseconds that are free until the horizon, counted from now.
+    pub(super) fn free_cpu_ms(&self, horizon_ms: u64) -> u64 {
+        let usable_ms = horizon_ms.saturating_sub(self.available_in_ms);
+        (self.cpu * usable_ms / MILLI_PER_CPU).saturating_sub(self.reserved_cpu_ms)
+    }
+}
+
+impl Leader {
+    /// Machines that are up or booting, the cheapest first.
+    pub(super) fn planned_machines(&self, clock: Clock) -> Vec<PlannedMachine> {
+        let mut planned: Vec<PlannedMachine> = self
+            .cluster
+            .machines
+            .iter()
+            .enumerate()
+            .filter_map(|(index, machine)| self.planned_machine(MachineIx(index as u32), machine, clock))
+            .collect();
+        planned.sort_by(|a, b| a.price.total_cmp(&b.price).then(a.ix.cmp(&b.ix)));
+        planned
+    }
+
+    fn planned_machine(&self, ix: MachineIx, machine: &Machine, clock: Clock) -> Option<PlannedMachine> {
+        let available_in_ms = match machine.state {
+            MachineState::Up if machine.is_schedulable() || !machine.token_acknowledged => 0,
+            MachineState::Booting if !machine.returning && !self.is_boot_overdue(machine, clock) => {
+                let machine_type = self.cluster.machine_types.get(&machine.machine_type);
+                let boot_ms = machine_type.map_or(0, |machine_type| machine_type.boot_ms);
+                let elapsed_ms = clock.now.saturating_since(machine.created_at);
+                boot_ms.saturating_sub(elapsed_ms).max(MIN_BOOT_WAIT_MS)
+            }
+            _ => return None,
+        };
+        let running = machine.bindings.iter().map(|binding| self.remaining_cpu_ms(binding, clock));
+        Some(PlannedMachine {
+            ix,
+            price: self.price_per_cpu(ix),
+            cpu: machine.capacity.cpu,
+            available_in_ms,
+            reserved_cpu_ms: running.sum(),
+        })
+    }
+
+    /// CPU milliseconds that a task is expected to need still.
+    pub fn remaining_cpu_ms(&self, binding: &Binding, clock: Clock) -> u64 {
+        let Some(job_state) = binding.job.and_then(|job| self.workload.jobs.get(&job)) else { return 0 };
+        let ran_ms = binding.running_since.map_or(0, |since| clock.now.saturating_since(since));
+        let remaining_ms = job_state.expected_run_ms().saturating_sub(ran_ms).max(MIN_REMAINING_RUN_MS);
+        binding.need.cpu * remaining_ms / MILLI_PER_CPU
+    }
+}
--- a/src/coordination/leader/machines/mod.rs
+++ b/src/coordination/leader/machines/mod.rs
@@ -1,11 +1,11 @@
 //! The machines of the cluster: what they report and are commanded, when they count as lost, which are scaled out and in.
 
-pub mod capacity_plan;
+mod capacity_plan;
 pub mod commands;
 pub mod faults;
 pub mod heartbeats;
 mod liveness;
-mod offer_backoff;
+mod machine_set;
 pub mod placement_index;
 pub mod provisioner;
 mod reconcile;
--- /dev/null
+++ b/src/coordination/leader/machines/provisioner/mod.rs
@@ -0,0 +1,173 @@
+//! The provisioner: scale-out and scale-in requests to the cloud, its catalog and its list of machines.
+//!
+//! Owns the requests in flight, the rate budget for the cloud and the backoff of refused offers. It returns actions and does
+//! no I/O itself. What the cluster needs is decided by the capacity plan.
+
+mod cloud_replies;
+mod offer_backoff;
+mod offers;
+mod requests;
+mod scale_in;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use olivelatch_admission::pressure::PressureLevel;
+
+use crate::bookkeeping::store_cache::StoreCache;
+use crate::coordination::leader::Leader;
+use crate::coordination::leader::machines::machine_set::MachineSet;
+use crate::coordination::token_bucket::TokenBucket;
+use crate::coordination::{Action, Clock, OutboundId};
+use crate::ids::{FencingToken, MachineIx, Millis};
+use crate::protocol::cloud::CloudRequest;
+use offer_backoff::OfferBackoff;
+pub use offers::InstanceOffer;
+pub(super) use offers::MIN_BILLED_MS;
+use requests::{ProvisioningRequest, RequestStage};
+
+/// Time between requests for the catalog.
+const CATALOG_INTERVAL_MS: u64 = 60_000;
+/// Time between capacity plans.
+const PLAN_INTERVAL_MS: u64 = 1_000;
+const CLOUD_TIMEOUT_MS: u64 = 5_000;
+/// Outbound ids of the provisioner carry this bit, those of the key-value client do not.
+const CLOUD_OUTBOUND_BIT: u64 = 1 << 62;
+/// Share of the cloud's rate limit that is used.
+const RATE_LIMIT_SHARE: f64 = 0.9;
+
+/// Requests to the cloud and what they have to achieve.
+#[derive(Debug)]
+pub struct Provisioner {
+    token: FencingToken,
+    rate_budget: TokenBucket,
+    /// Scale-out requests by name; the names are unique over all terms.
+    requests: BTreeMap<String, ProvisioningRequest>,
+    request_counter: u32,
+    /// Requests without a response yet; of a scale-out request also its name.
+    in_flight: HashMap<OutboundId, (CloudRequest, Option<String>)>,
+    last_outbound: u64,
+    offer_backoff: OfferBackoff,
+    list_in_flight: bool,
+    next_list_at: Millis,
+    /// The last machine of the page listed before; none at the start of the list.
+    list_after: Option<String>,
+    release_in_flight: bool,
+    next_release_at: Millis,
+    next_catalog_at: Millis,
+    last_planned_at: Millis,
+    /// Machines that the last capacity plan uses.
+    pub(super) needed_machines: MachineSet,
+    /// Machines whose return is durable and that the cloud has not released yet.
+    pub to_release: BTreeSet<MachineIx>,
+}
+
+impl Provisioner {
+    /// `rps`: requests per second that the cloud allows.
+    pub fn new(rps: f64, token: FencingToken, now: Millis) -> Provisioner {
+        Provisioner {
+            token,
+            rate_budget: TokenBucket::new(rps * RATE_LIMIT_SHARE, now),
+            requests: BTreeMap::new(),
+            request_counter: 0,
+            in_flight: HashMap::new(),
+            last_outbound: CLOUD_OUTBOUND_BIT,
+            offer_backoff: OfferBackoff::default(),
+            list_in_flight: false,
+            next_list_at: Millis::default(),
+            list_after: None,
+            release_in_flight: false,
+            next_release_at: Millis::default(),
+            next_catalog_at: Millis::default(),
+            last_planned_at: Millis::default(),
+            needed_machines: MachineSet::default(),
+            to_release: BTreeSet::new(),
+        }
+    }
+
+    /// Takes over the scale-out requests on record: sent again, they tell which machines they yielded.
+    pub fn recover_requests(&mut self, cache: &mut StoreCache) {
+        for (name, record) in &cache.provisioning_requests {
+            let offer = InstanceOffer {
+                machine_type: cache.names.machine_types.intern(&record.machine_type),
+                zone: cache.names.zones.intern(&record.zone),
+                spot: record.spot,
+            };
+            let request = ProvisioningRequest::new(offer, record.count, RequestStage::Ready);
+            self.requests.insert(name.clone(), request);
+        }
+    }
+
+    /// Offers in backoff after a refusal, and until when.
+    pub fn offers_in_backoff(&self, now: Millis) -> impl Iterator<Item = (InstanceOffer, Millis)> + '_ {
+        self.offer_backoff.active(now)
+    }
+
+    /// Machines requested of each offer, as far as the result is unknown.
+    pub fn pending_requests(&self) -> BTreeMap<InstanceOffer, u32> {
+        let mut pending = BTreeMap::new();
+        for request in self.requests.values().filter(|request| request.is_pending()) {
+            *pending.entry(request.offer).or_default() += request.count;
+        }
+        pending
+    }
+
+    /// Names of the scale-out requests that match, ascending.
+    fn request_names(&self, matches: impl Fn(&ProvisioningRequest) -> bool) -> Vec<String> {
+        let matching = self.requests.iter().filter(|(_, request)| matches(request));
+        matching.map(|(name, _)| name.clone()).collect()
+    }
+
+    fn send_cloud_request(
+        &mut self,
+        request: CloudRequest,
+        request_name: Option<String>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.last_outbound += 1;
+        let outbound = OutboundId(self.last_outbound);
+        actions.push(Action::CallCloud { outbound, request: request.clone(), timeout_ms: CLOUD_TIMEOUT_MS });
+        self.in_flight.insert(outbound, (request, request_name));
+    }
+
+    fn list_machines_if_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if self.list_in_flight || now < self.next_list_at || !self.rate_budget.try_take(now, 1) {
+            return;
+        }
+        self.list_in_flight = true;
+        let after = self.list_after.clone();
+        self.send_cloud_request(CloudRequest::ListMachines { after }, None, actions);
+    }
+
+    fn request_catalog_if_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if now < self.next_catalog_at || !self.rate_budget.try_take(now, 1) {
+            return;
+        }
+        self.next_catalog_at = now.saturating_add(CATALOG_INTERVAL_MS);
+        self.send_cloud_request(CloudRequest::Catalog, None, actions);
+    }
+}
+
+impl Leader {
+    /// Sends the requests to the cloud that are due, and plans capacity when it is time.
+    pub fn run_provisioner(&mut self, clock: Clock, cache: &StoreCache, actions: &mut Vec<Action>) {
+        self.send_provisioning_requests(clock, cache, actions);
+        self.release_machines(clock, actions);
+        self.provisioner.list_machines_if_due(clock.now, actions);
+        self.provisioner.request_catalog_if_due(clock.now, actions);
+        let since_plan_ms = clock.now.saturating_since(self.provisioner.last_planned_at);
+        if since_plan_ms >= plan_interval_ms(self.pressure) {
+            self.provisioner.last_planned_at = clock.now;
+            self.plan_capacity(clock, cache);
+            self.scale_in(clock);
+        }
+    }
+}
+
+/// Planning is the first thing that a leader postpones while it is behind its events.
+fn plan_interval_ms(pressure: PressureLevel) -> u64 {
+    match pressure {
+        PressureLevel::Calm => PLAN_INTERVAL_MS,
+        PressureLevel::Busy => 4 * PLAN_INTERVAL_MS,
+        PressureLevel::Overloaded => 15 * PLAN_INTERVAL_MS,
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/machines/provisioner/offers.rs
@@ -0,0 +1,88 @@
+//! What the cloud offers, what it costs, and which offer suits a job best.
+
+use crate::coordination::Clock;
+use crate::coordination::leader::{JobState, Leader, MachineType};
+use crate::ids::{MachineIx, MachineTypeIx, ZoneIx};
+
+/// A machine is billed for at least this long, in milliseconds.
+pub(in crate::coordination::leader::machines) const MIN_BILLED_MS: u64 = 60_000;
+/// Share by which each machine already requested from an offer raises its cost, so that zones take turns.
+const PENDING_REQUEST_SURCHARGE: f64 = 0.01;
+/// Tasks without any need would fit without limit; more than this many a machine are not told apart.
+const MAX_TASK_SLOTS: u64 = 1_000_000;
+
+/// A sort of machine that the cloud provides on request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct InstanceOffer {
+    /// The machine type.
+    pub machine_type: MachineTypeIx,
+    /// The zone.
+    pub zone: ZoneIx,
+    /// Whether it is a spot (preemptible) instance.
+    pub spot: bool,
+}
+
+impl MachineType {
+    /// The price of an on-demand or a spot instance; none if the type has no spot instances.
+    fn offered_price(&self, spot: bool) -> Option<f64> {
+        if spot { self.spot_price } else { Some(self.price) }
+    }
+
+    /// A price divided by the CPUs of the type (in thousandths).
+    fn per_cpu(&self, price: f64) -> f64 {
+        price / self.capacity.cpu.max(1) as f64
+    }
+
+    /// The lower of the type's prices per CPU.
+    pub(super) fn lowest_price_per_cpu(&self) -> f64 {
+        let prices = [Some(self.price), self.spot_price].into_iter().flatten();
+        prices.map(|price| self.per_cpu(price)).fold(f64::MAX, f64::min)
+    }
+}
+
+impl Leader {
+    /// What a CPU of the machine costs.
+    pub fn price_per_cpu(&self, ix: MachineIx) -> f64 {
+        let machine = &self.cluster.machines[ix.index()];
+        let Some(machine_type) = self.cluster.machine_types.get(&machine.machine_type) else {
+            return f64::MAX;
+        };
+        machine_type.per_cpu(machine_type.offered_price(machine.spot).unwrap_or(machine_type.price))
+    }
+
+    /// The offer with the least cost per task of the job, in the zones that are allowed. Offers in backoff are left out.
+    pub(in crate::coordination::leader::machines) fn cheapest_offer(
+        &self,
+        job_state: &JobState,
+        clock: Clock,
+        zone_allowed: impl Fn(ZoneIx) -> bool,
+    ) -> Option<InstanceOffer> {
+        let spec = &job_state.spec;
+        let pending = self.provisioner.pending_requests();
+        let mut best: Option<(f64, InstanceOffer)> = None;
+        for (type_ix, machine_type) in &self.cluster.machine_types {
+            let mut slots = spec.task_resources.max_count_in(&machine_type.capacity).min(MAX_TASK_SLOTS);
+            if slots == 0 || !spec.allows_machine_type(*type_ix) {
+                continue;
+            }
+            if spec.is_all_or_nothing() {
+                slots = slots.min(u64::from(spec.tasks));
+            }
+            let zones = machine_type.zones.iter().filter(|zone| zone_allowed(**zone));
+            for (zone, spot) in zones.flat_map(|zone| [(*zone, false), (*zone, true)]) {
+                let offer = InstanceOffer { machine_type: *type_ix, zone, spot };
+                let in_backoff = self.provisioner.offer_backoff.is_backing_off(offer, clock.now);
+                if in_backoff || !spec.allows(*type_ix, zone, spot) {
+                    continue;
+                }
+                let Some(price) = machine_type.offered_price(spot) else { continue };
+                let requested = f64::from(pending.get(&offer).copied().unwrap_or(0));
+                let cost = price / slots as f64 * (1.0 + PENDING_REQUEST_SURCHARGE * requested);
+                if best.is_none_or(|(least, _)| cost < least) {
+                    best = Some((cost, offer));
+                }
+            }
+        }
+        best.map(|(_, offer)| offer)
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/machines/provisioner/scale_in.rs
@@ -0,0 +1,146 @@
+//! Scale in: which machines are not worth keeping, and the cloud requests that release them.
+
+use super::offers::MIN_BILLED_MS;
+use crate::coordination::leader::{Leader, Machine, MachineState};
+use crate::coordination::{Action, Clock};
+use crate::ids::MachineIx;
+use crate::protocol::cloud::{CloudReply, CloudRequest, MAX_SCALE_IN_BATCH};
+
+/// Before a scale-in request that failed is sent again.
+const SCALE_IN_RETRY_MS: u64 = 1_000;
+/// How long an empty machine may be unreachable.
+const MAX_UNREACHABLE_MS: u64 = 20_000;
+/// After a failover, idle workers may try every other controller first, each for four seconds, before they find the leader.
+const IDLE_LEADER_DISCOVERY_MS: u64 = 30_000;
+/// A machine that takes this many times its usual boot time, and the margin, never comes up.
+const BOOT_TIMEOUT_FACTOR: u64 = 3;
+const BOOT_TIMEOUT_MARGIN_MS: u64 = 10_000;
+/// Boot time of a machine of unknown type.
+const DEFAULT_BOOT_MS: u64 = 60_000;
+
+/// Why a machine without tasks is returned.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ReturnReason {
+    NeverCameUp,
+    Unreachable,
+    Quarantined,
+    Slow,
+    Idle,
+}
+
+impl ReturnReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            ReturnReason::NeverCameUp => "never came up",
+            ReturnReason::Unreachable => "unreachable",
+            ReturnReason::Quarantined => "quarantined",
+            ReturnReason::Slow => "slow",
+            ReturnReason::Idle => "idle",
+        }
+    }
+}
+
+impl Leader {
+    /// Returns machines without tasks that are not needed, never came up, became unreachable or do not work well.
+    pub(super) fn scale_in(&mut self, clock: Clock) {
+        let lowest_price = self
+            .cluster
+            .machine_types
+            .values()
+            .map(|machine_type| machine_type.lowest_price_per_cpu())
+            .fold(f64::MAX, f64::min);
+        for index in 0..self.cluster.machines.len() {
+            let ix = MachineIx(index as u32);
+            let Some(reason) = self.return_reason(ix, lowest_price, clock) else { continue };
+            let (name, reason) = (self.cluster.machines[index].name.as_str(), reason.as_str());
+            log::info!(event = "scale_in", machine = name, reason; "scale in: machine {name}, {reason}");
+            self.return_machine(ix);
+        }
+    }
+
+    fn return_reason(&self, ix: MachineIx, lowest_price: f64, clock: Clock) -> Option<ReturnReason> {
+        let machine = &self.cluster.machines[ix.index()];
+        if machine.returning || !machine.bindings.is_empty() {
+            return None;
+        }
+        let idle_ms = clock.now.saturating_since(machine.idle_since);
+        match machine.state {
+            MachineState::Booting if self.is_boot_overdue(machine, clock) => Some(ReturnReason::NeverCameUp),
+            MachineState::Unreachable if idle_ms > MAX_UNREACHABLE_MS => Some(ReturnReason::Unreachable),
+            MachineState::Up if machine.quarantined => Some(ReturnReason::Quarantined),
+            MachineState::Up if machine.slow => Some(ReturnReason::Slow),
+            MachineState::Up if self.is_idle(ix, lowest_price, clock) => Some(ReturnReason::Idle),
+            MachineState::Booting | MachineState::Unreachable | MachineState::Up | MachineState::Gone => None,
+        }
+    }
+
+    /// Whether a machine without tasks has not been needed for long enough. The cheaper it is, the longer it may wait for
+    /// the next job.
+    fn is_idle(&self, ix: MachineIx, lowest_price: f64, clock: Clock) -> bool {
+        let machine = &self.cluster.machines[ix.index()];
+        let idle_factor = (lowest_price / self.price_per_cpu(ix)).clamp(0.0, 1.0);
+        let max_idle_ms = (self.tunables.idle_return_s * 1000.0 * idle_factor) as u64;
+        clock.now.saturating_since(machine.idle_since) >= max_idle_ms
+            && clock.now.saturating_since(machine.created_at) >= MIN_BILLED_MS
+            && machine.hold.is_none()
+            && !self.provisioner.needed_machines.contains(ix)
+    }
+
+    /// Whether a booting machine should have sent a heartbeat long ago. One that was up before this term may still be
+    /// looking for the leader: without that allowance a new leader returned 147 idle machines within a second, and
+    /// provisioned them anew.
+    pub(in crate::coordination::leader::machines) fn is_boot_overdue(
+        &self,
+        machine: &Machine,
+        clock: Clock,
+    ) -> bool {
+        let machine_type = self.cluster.machine_types.get(&machine.machine_type);
+        let boot_ms = machine_type.map_or(DEFAULT_BOOT_MS, |machine_type| machine_type.boot_ms);
+        let timeout_ms = boot_ms * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_MS;
+        let overdue = clock.now.saturating_since(machine.created_at) > timeout_ms;
+        let discovery_ends = self.term.acquired_at().saturating_add(IDLE_LEADER_DISCOVERY_MS);
+        let seeking_leader = machine.cloud_running && clock.now < discovery_ends;
+        overdue && !seeking_leader
+    }
+
+    /// Asks the cloud to release machines whose return is durable.
+    pub(super) fn release_machines(&mut self, clock: Clock, actions: &mut Vec<Action>) {
+        let provisioner = &mut self.provisioner;
+        if provisioner.release_in_flight || clock.now < provisioner.next_release_at {
+            return;
+        }
+        let batch = provisioner.to_release.iter().take(MAX_SCALE_IN_BATCH);
+        let machines: Vec<String> = batch.map(|ix| self.cluster.machines[ix.index()].name.clone()).collect();
+        if machines.is_empty() || !provisioner.rate_budget.try_take(clock.now, 1) {
+            return;
+        }
+        provisioner.release_in_flight = true;
+        log::info!("releasing {}", machines.join(" "));
+        provisioner.send_cloud_request(CloudRequest::ScaleIn { machines }, None, actions);
+    }
+
+    pub(super) fn handle_release_reply(&mut self, clock: Clock, machines: &[String], reply: &CloudReply) {
+        self.provisioner.release_in_flight = false;
+        if *reply != CloudReply::ScaledIn {
+            self.provisioner.next_release_at = clock.now.saturating_add(SCALE_IN_RETRY_MS);
+            return;
+        }
+        for name in machines {
+            if let Some(ix) = self.cluster.machines_by_name.get(name).copied() {
+                self.remove_released_machine(ix, clock);
+            }
+        }
+    }
+
+    fn remove_released_machine(&mut self, ix: MachineIx, clock: Clock) {
+        let machine = &mut self.cluster.machines[ix.index()];
+        machine.state = MachineState::Gone;
+        let segment = machine.return_log_segment.take();
+        self.provisioner.to_release.remove(&ix);
+        self.assignment_log.remove_return(ix, segment);
+        self.refresh_placement_index(ix);
+        self.remove_all_bindings(ix, clock);
+        self.requeue_machine_queues(ix);
+        self.forget_images(ix);
+    }
+}
