--- a/src/coordination/kv_client/mod.rs
+++ b/src/coordination/kv_client/mod.rs
@@ -1,18 +1,37 @@
-//! This controller's dealings with the state service: loading the mirror,
-//! keeping it fresh, read barriers, and the shares of the rate limits.
+//! This controller's client of the key-value store: requests in flight, its share of the rate limits, and whether the store
+//! answers. [`cache_refresh`] keeps the cache up to date with it.
+//!
+//! [`KvClient`] does no I/O: requests go out as actions, replies come in as outcomes. Requests in flight are bounded by the
+//! rate limits; each ends with an outcome, a timeout included.
+
+mod cache_refresh;
 
 use std::collections::HashMap;
 
 use super::token_bucket::TokenBucket;
 use super::{Action, Clock, OutboundId};
-use crate::bookkeeping::records::KEY_PREFIX;
-use crate::bookkeeping::store_cache::{ChangeEvent, StoreCache};
-use crate::ids::{Millis, Revision};
+use crate::ids::Millis;
 use crate::protocol::HttpOutcome;
-use crate::protocol::kv::{KvEntry, KvMutation, KvReply, KvRequest, Precondition};
+use crate::protocol::kv::{KvMutation, KvReply, KvRequest, Precondition};
 use crate::settings::KvLimits;
+use cache_refresh::RefreshState;
 
-/// Whom the reply is for.
+/// How long a read or a leadership request may take, in milliseconds.
+pub(super) const POLL_TIMEOUT_MS: u64 = 1200;
+/// How long a transaction may take, in milliseconds.
+const TXN_TIMEOUT_MS: u64 = 1500;
+/// Failures that last shorter than this many milliseconds do not make the store unreachable.
+const UNREACHABLE_AFTER_MS: u64 = 500;
+/// Share of the rate limits that a controller without others uses.
+const SINGLE_CONTROLLER_SHARE: f64 = 0.95;
+/// The leader's share of the rate limits.
+const LEADER_SHARE: f64 = 0.55;
+/// What all followers share of the rate limits.
+const FOLLOWERS_SHARE: f64 = 0.4;
+/// Status of a request beyond the store's rate limit.
+const STATUS_TOO_MANY_REQUESTS: u16 = 429;
+
+/// What a request is for: who gets the reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Purpose {
     Page,
@@ -24,6 +43,15 @@
     Leadership,
 }
 
+impl Purpose {
+    fn timeout_ms(&self) -> u64 {
+        match self {
+            Purpose::Poll | Purpose::Page | Purpose::Leadership => POLL_TIMEOUT_MS,
+            Purpose::UserTxn | Purpose::GraphTxn | Purpose::ConfigTxn | Purpose::LeaderTxn => TXN_TIMEOUT_MS,
+        }
+    }
+}
+
 #[derive(Debug)]
 struct PendingRequest {
     purpose: Purpose,
@@ -31,7 +59,7 @@
     sent_at: Millis,
 }
 
-/// A reply and what it answers.
+/// A reply with the request that it answers.
 #[derive(Debug)]
 pub struct CompletedRequest {
     pub purpose: Purpose,
@@ -40,72 +68,58 @@
     pub sent_at: Millis,
 }
 
-const PAGE_SIZE: u32 = 500;
-pub const POLL_TIMEOUT_MS: u64 = 1200;
-const TXN_TIMEOUT_MS: u64 = 1500;
-/// Trouble that is over by then was none.
-const UNREACHABLE_AFTER_MS: u64 = 500;
-/// Between polls that somebody waits for, and when nobody does.
-const WAITED_POLL_INTERVAL_MS: u64 = 40;
-
+/// The store as this controller uses it.
 #[derive(Debug)]
 pub struct KvClient {
     next_outbound: u64,
     pending: HashMap<OutboundId, PendingRequest>,
-    pub request_bucket: TokenBucket,
-    pub write_bucket: TokenBucket,
+    /// Limits all requests.
+    request_bucket: TokenBucket,
+    /// Limits mutations, on top of the requests that carry them.
+    pub(super) write_bucket: TokenBucket,
     limits: KvLimits,
     controller_count: usize,
-    pub loaded: bool,
-    page_cursor: Option<String>,
-    load_revision: Option<Revision>,
-    poll_in_flight: Option<OutboundId>,
-    page_in_flight: Option<OutboundId>,
-    last_poll_at: Millis,
-    /// When the last poll that was answered went out.
-    pub fresh_as_of: Option<Millis>,
-    /// When any answer last came that was no refusal.
-    pub last_served_at: Option<Millis>,
-    /// When it last refused or kept silent, since it last served.
-    pub failing_since: Option<Millis>,
+    /// The cache holds all records; until then pages are read.
+    pub(super) loaded: bool,
+    /// When the last poll that was answered was sent: the cache shows all changes before.
+    pub(super) fresh_as_of: Option<Millis>,
+    /// Since when the store has refused requests or not answered, if it has not served one since.
+    pub(super) failing_since: Option<Millis>,
+    refresh: RefreshState,
 }
 
 impl KvClient {
-    pub fn new(limits: KvLimits, nodes: usize, now: Millis) -> KvClient {
+    /// A follower's client, with nothing loaded.
+    pub(super) fn new(limits: KvLimits, controller_count: usize, now: Millis) -> KvClient {
         let mut kv = KvClient {
             next_outbound: 0,
             pending: HashMap::new(),
             request_bucket: TokenBucket::new(1.0, now),
             write_bucket: TokenBucket::new(1.0, now),
             limits,
-            controller_count: nodes,
+            controller_count,
             loaded: false,
-            page_cursor: None,
-            load_revision: None,
-            poll_in_flight: None,
-            page_in_flight: None,
-            last_poll_at: Millis::default(),
             fresh_as_of: None,
-            last_served_at: None,
             failing_since: None,
+            refresh: RefreshState::default(),
         };
         kv.set_is_leader(false);
         kv
     }
 
-    /// The leader gets most of the limits, the others share the rest.
-    pub fn set_is_leader(&mut self, is_leader: bool) {
-        let others = self.controller_count.saturating_sub(1).max(1) as f64;
+    /// The leader gets the largest share of the rate limits, the others divide the rest.
+    pub(super) fn set_is_leader(&mut self, is_leader: bool) {
+        let followers = self.controller_count.saturating_sub(1).max(1) as f64;
         let share = match (self.controller_count, is_leader) {
-            (1, _) => 0.95,
-            (_, true) => 0.55,
-            (_, false) => 0.4 / others,
+            (1, _) => SINGLE_CONTROLLER_SHARE,
+            (_, true) => LEADER_SHARE,
+            (_, false) => FOLLOWERS_SHARE / followers,
         };
         self.request_bucket.set_rate(self.limits.rps * share);
         self.write_bucket.set_rate(self.limits.write_rps * share);
     }
 
-    pub fn send(
+    fn send(
         &mut self,
         clock: Clock,
         purpose: Purpose,
@@ -114,18 +128,15 @@
     ) -> OutboundId {
         self.next_outbound += 1;
         let outbound = OutboundId(self.next_outbound);
-        let timeout_ms = match purpose {
-            Purpose::Poll | Purpose::Page | Purpose::Leadership => POLL_TIMEOUT_MS,
-            Purpose::UserTxn | Purpose::GraphTxn | Purpose::ConfigTxn | Purpose::LeaderTxn => TXN_TIMEOUT_MS,
-        };
-        let request_in_flight = PendingRequest { purpose, request: request.clone(), sent_at: clock.now };
-        self.pending.insert(outbound, request_in_flight);
+        let timeout_ms = purpose.timeout_ms();
+        let pending = PendingRequest { purpose, request: request.clone(), sent_at: clock.now };
+        self.pending.insert(outbound, pending);
         out.push(Action::CallKv { outbound, request, timeout_ms });
         outbound
     }
 
-    /// Leadership must not wait behind anything else.
-    pub fn send_leadership_request(
+    /// Sends an election request. It never waits for the rate limit: a lease that is not renewed in time is lost.
+    pub(super) fn send_leadership_request(
         &mut self,
         clock: Clock,
         request: KvRequest,
@@ -135,8 +146,8 @@
         self.send(clock, Purpose::Leadership, request, out)
     }
 
-    /// A transaction within both limits, or None if it has to wait.
-    pub fn txn(
+    /// Sends a transaction, or returns `None` if it has to wait for the rate limits.
+    pub(super) fn txn(
         &mut self,
         clock: Clock,
         purpose: Purpose,
@@ -152,34 +163,25 @@
         Some(self.send(clock, purpose, KvRequest::Transaction { preconditions, mutations }, out))
     }
 
-    pub fn complete_request(
+    /// Pairs an outcome with its request; `None` for one that is not in flight.
+    pub(super) fn complete_request(
         &mut self,
         clock: Clock,
         outbound: OutboundId,
         outcome: &HttpOutcome,
     ) -> Option<CompletedRequest> {
-        let completed = self.pending.remove(&outbound)?;
-        let reply = completed.request.parse_reply(outcome);
+        let PendingRequest { purpose, request, sent_at } = self.pending.remove(&outbound)?;
+        let reply = request.parse_reply(outcome);
         self.record_health(clock, &reply);
-        if self.poll_in_flight == Some(outbound) {
-            self.poll_in_flight = None;
-        }
-        if self.page_in_flight == Some(outbound) {
-            self.page_in_flight = None;
-        }
-        Some(CompletedRequest {
-            purpose: completed.purpose,
-            request: completed.request,
-            reply,
-            sent_at: completed.sent_at,
-        })
+        self.refresh.complete_request(outbound);
+        Some(CompletedRequest { purpose, request, reply, sent_at })
     }
 
     fn record_health(&mut self, clock: Clock, reply: &KvReply) {
         match reply {
             KvReply::Rejected { status } => {
                 self.request_bucket.back_off(clock.now);
-                if *status != 429 {
+                if *status != STATUS_TOO_MANY_REQUESTS {
                     self.failing_since.get_or_insert(clock.now);
                 }
             }
@@ -188,103 +190,14 @@
             }
             _ => {
                 self.request_bucket.reset_backoff();
-                self.last_served_at = Some(clock.now);
                 self.failing_since = None;
             }
         }
     }
 
-    /// True while the service answers this node; false lets users be told at once to come back.
-    /// One refusal or lost answer is a hiccup that those who wait need not hear of.
-    pub fn is_reachable(&self, now: Millis) -> bool {
+    /// Whether the store answers this controller. While it does not, users are told at once to retry later; a single
+    /// refusal or lost reply is not shown to them.
+    pub(super) fn is_reachable(&self, now: Millis) -> bool {
         self.failing_since.is_none_or(|since| now.saturating_since(since) < UNREACHABLE_AFTER_MS)
     }
-
-    /// Reads pages until the mirror is whole, then polls for changes.
-    /// `due_ms` is how long a poll may wait when nobody waits for it. `kept` requests are left for writes: polls of
-    /// users took all there were on a follower, and submissions waited seconds behind them.
-    pub fn refresh_cache(
-        &mut self,
-        clock: Clock,
-        has_waiters: bool,
-        idle_interval_ms: u64,
-        reserved: usize,
-        cache: &StoreCache,
-        out: &mut Vec<Action>,
-    ) {
-        if !self.loaded {
-            if self.page_in_flight.is_none() && self.request_bucket.try_take(clock.now, 1) {
-                let request = KvRequest::ListPage {
-                    prefix: KEY_PREFIX.into(),
-                    after: self.page_cursor.clone(),
-                    limit: PAGE_SIZE,
-                };
-                self.page_in_flight = Some(self.send(clock, Purpose::Page, request, out));
-            }
-            return;
-        }
-        let min_interval_ms = if has_waiters { WAITED_POLL_INTERVAL_MS } else { idle_interval_ms };
-        if self.poll_in_flight.is_some() || clock.now.saturating_since(self.last_poll_at) < min_interval_ms {
-            return;
-        }
-        // Under a limit that small nothing can be left.
-        let kept = reserved.min((self.request_bucket.rate() as usize).saturating_sub(1));
-        if self.request_bucket.available(clock.now) > kept && self.request_bucket.try_take(clock.now, 1) {
-            self.last_poll_at = clock.now;
-            let request = KvRequest::PollChanges { prefix: KEY_PREFIX.into(), after: cache.revision };
-            self.poll_in_flight = Some(self.send(clock, Purpose::Poll, request, out));
-        }
-    }
-
-    /// The next poll need not wait.
-    pub fn poll_now(&mut self) {
-        self.last_poll_at = Millis::default();
-    }
-
-    /// A page of the first reading. True when the mirror is whole.
-    pub fn apply_page(&mut self, reply: KvReply, cache: &mut StoreCache) -> bool {
-        let KvReply::ListPage { entries: pairs, has_more: more, revision } = reply else {
-            return false;
-        };
-        let base = *self.load_revision.get_or_insert(revision);
-        self.page_cursor = pairs.last().map(|pair| pair.key.clone()).or(self.page_cursor.take());
-        for pair in &pairs {
-            cache.apply(pair);
-        }
-        if !more {
-            // Changes after the first page's revision are read once more; older ones change nothing.
-            cache.advance_revision(base);
-            self.loaded = true;
-        }
-        self.loaded
-    }
-
-    /// Changes since the last poll. None: the mirror has to be read anew.
-    pub fn apply_poll(
-        &mut self,
-        sent_at: Millis,
-        reply: KvReply,
-        cache: &mut StoreCache,
-    ) -> Option<Vec<ChangeEvent>> {
-        match reply {
-            KvReply::ChangedEntries { entries: pairs, revision } => {
-                let events = pairs.iter().filter_map(|pair: &KvEntry| cache.apply(pair)).collect();
-                cache.advance_revision(revision);
-                self.fresh_as_of = Some(self.fresh_as_of.unwrap_or_default().max(sent_at));
-                Some(events)
-            }
-            KvReply::Compacted => {
-                self.restart_load();
-                None
-            }
-            _ => Some(Vec::new()),
-        }
-    }
-
-    fn restart_load(&mut self) {
-        self.loaded = false;
-        self.page_cursor = None;
-        self.load_revision = None;
-        self.fresh_as_of = None;
-    }
 }
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -1,4 +1,9 @@
-//! Who leads. The leader's key hangs on a lease; its revision is the token.
+//! Leader election: a controller leads while it holds the leader key, which hangs on a lease of the key-value store. The
+//! revision that created the key is the fencing token.
+//!
+//! [`Leadership`] owns this controller's part in the election: whether it follows, campaigns or leads, and until when its
+//! lease is certainly valid. From that it decides until when workers may be served. It must stay on the safe side of clock
+//! drift: whatever others rely on ends here earlier than there. It does no I/O and reads no clock.
 
 use super::kv_client::{CompletedRequest, KvClient};
 use super::{Action, Clock};
@@ -9,16 +14,26 @@
 use crate::settings::WorkerTimings;
 use crate::tunables::MIN_LEADER_LEASE_S;
 
-/// Taken off every period that others rely on: clocks drift and timers fire late.
+/// Taken off every period that others rely on, in milliseconds: clocks drift and timers fire late.
 pub const SAFETY_MARGIN_MS: u64 = 250;
-/// Steady clocks run apart by up to 0.05%; a little more is assumed.
-pub const MAX_CLOCK_DRIFT: f64 = 0.001;
-/// A leader whose mirror is older starts nothing.
+/// Two steady clocks, each off by up to 0.05%.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
+/// A leader whose cache is older than this many milliseconds starts no tasks.
 pub const MAX_CACHE_AGE_MS: u64 = 2_500;
-/// No leader's lease is shorter.
+/// No controller's settings allow a shorter leader lease.
 const MIN_LEADER_LEASE_MS: u64 = (MIN_LEADER_LEASE_S * 1000.0) as u64;
+/// The lease is renewed whenever this part of its duration has passed.
+const RENEWALS_PER_LEASE: u64 = 4;
+/// How long others leave the campaign to the controller that the last leader preferred.
+const PREFERRED_HEAD_START_MS: u64 = 200;
+/// How long a restarted process leaves the campaign to others: what ended it may end it again.
+const RESTART_COOLDOWN_MS: u64 = 1_000;
+/// How long a controller that stepped down leaves the campaign to others.
+const STEP_DOWN_COOLDOWN_MS: u64 = 5_000;
+/// Between two attempts to become leader.
+const CAMPAIGN_INTERVAL_MS: u64 = 300;
 
-/// What is added to a period that another clock measures.
+/// What has to be added to a period that another clock measures, in milliseconds.
 pub fn clock_slack_ms(period_ms: u64) -> u64 {
     (period_ms as f64 * MAX_CLOCK_DRIFT) as u64 + 4 * SAFETY_MARGIN_MS
 }
@@ -26,27 +41,35 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
     Follower,
+    /// A lease has been requested.
     Granting,
-    Acquiring { lease: LeaseId },
-    Leading { lease: LeaseId, token: FencingToken },
+    /// The leader key is being created on the lease.
+    Acquiring {
+        lease: LeaseId,
+    },
+    Leading {
+        lease: LeaseId,
+        token: FencingToken,
+    },
 }
 
+/// This controller's part in the leader election.
 #[derive(Debug)]
 pub struct Leadership {
     controller: String,
     leader_lease_ms: u64,
-    /// The format of configuration entries that this node acts by, if it does.
+    /// The format of configuration entries that this controller applies, if it does.
     config_format: Option<u32>,
     phase: Phase,
-    /// When the grant or the last renewal that succeeded was sent.
+    /// When the grant, or the last renewal that succeeded, was sent.
     renewal_sent_at: Millis,
     request_in_flight: bool,
     last_request_at: Millis,
-    /// After resigning, others come first.
+    /// Until then others are given the chance to lead.
     cooldown_until: Millis,
-    /// Since when nobody leads, as far as the mirror shows.
+    /// Since when the cache has shown no leader.
     leaderless_since: Option<Millis>,
-    /// This process ended the lead of the process that bore its name before: others come first.
+    /// When this process revoked the lease of an earlier process of the same controller.
     former_lease_revoked_at: Option<Millis>,
 }
 
@@ -59,6 +82,7 @@
 }
 
 impl Leadership {
+    /// A follower. `leader_lease_ms`: duration of the lease that the leader key hangs on.
     pub fn new(controller: &str, leader_lease_ms: u64) -> Leadership {
         Leadership {
             controller: controller.into(),
@@ -74,12 +98,13 @@
         }
     }
 
-    /// As leader this node acts by configuration entries of a format, and says so in its record.
-    pub fn with_config_format(mut self, config_format: Option<u32>) -> Leadership {
+    /// The format of configuration entries that this controller applies as leader; its leader record shows it.
+    pub(super) fn with_config_format(mut self, config_format: Option<u32>) -> Leadership {
         self.config_format = config_format;
         self
     }
 
+    /// The fencing token, while this controller leads.
     pub fn token(&self) -> Option<FencingToken> {
         match self.phase {
             Phase::Leading { token, .. } => Some(token),
@@ -87,54 +112,56 @@
         }
     }
 
-    /// The lease is certainly still ours until then.
+    /// Until then no other controller can have become leader.
     pub fn lease_valid_until(&self) -> Millis {
-        let safe = self.leader_lease_ms as f64 * (1.0 - MAX_CLOCK_DRIFT);
-        self.renewal_sent_at.saturating_add((safe as u64).saturating_sub(SAFETY_MARGIN_MS))
+        let safe_ms = (self.leader_lease_ms as f64 * (1.0 - MAX_CLOCK_DRIFT)) as u64;
+        self.renewal_sent_at.saturating_add(safe_ms.saturating_sub(SAFETY_MARGIN_MS))
     }
 
+    /// Whether this controller certainly leads.
     pub fn has_valid_lease(&self, now: Millis) -> bool {
         self.token().is_some() && now < self.lease_valid_until()
     }
 
-    /// How long a leader may answer workers without having seen what became of the records: what was withdrawn since
-    /// must be gone within `cancel_s`, and a worker that is answered keeps its tasks for `lease_s` more.
+    /// How long a leader may answer workers without having seen what became of the records: a task that was cancelled
+    /// meanwhile must have stopped within the cancel deadline, and a worker that is answered keeps its tasks for a worker
+    /// lease more.
     fn max_unseen_ms(workers: &WorkerTimings) -> u64 {
-        workers
-            .cancel_deadline_ms
-            .saturating_sub(workers.lease_duration_ms + clock_slack_ms(workers.cancel_deadline_ms))
+        let slack_ms = clock_slack_ms(workers.cancel_deadline_ms);
+        workers.cancel_deadline_ms.saturating_sub(workers.lease_duration_ms + slack_ms)
     }
 
-    /// The part of it that lies after a lease of this life.
+    /// The part of [`max_unseen_ms`](Self::max_unseen_ms) after the end of a leader lease of this duration.
     fn serving_after_lease_ms(workers: &WorkerTimings, leader_lease_ms: u64) -> u64 {
         Self::max_unseen_ms(workers).saturating_sub(leader_lease_ms)
     }
 
-    /// How long after the end of its lease a former leader may have answered workers, whatever life its settings gave it.
+    /// How long after the end of its lease a former leader may have answered workers, whatever duration its settings gave
+    /// the lease.
     pub fn max_serving_after_lease_ms(workers: &WorkerTimings) -> u64 {
         Self::serving_after_lease_ms(workers, MIN_LEADER_LEASE_MS)
     }
 
-    /// Workers get no answer from then on. `known`: when the last look at the records that succeeded was sent. What was
-    /// withdrawn before that is known here; whatever is withdrawn later is told later, so that its tasks, kept alive by the
-    /// last answer for `lease_s` more, are gone in time. A renewal shows nothing of that: it only tells how long no other
-    /// node leads, which is what the next leader's wait for silent machines relies on.
-    /// Where the settings leave no room for a hold, a mirror as fresh as starts need has to do.
+    /// From then on workers get no answer. `last_poll_sent_at`: of the last poll that was answered.
+    ///
+    /// What was cancelled before that poll is known here. A task that was cancelled later is stopped later, kept alive by the
+    /// last answer for a worker lease more, and still in time. A renewal shows nothing of cancellations: it only bounds how
+    /// long no other controller leads, which the next leader's wait for silent machines relies on. Where the settings leave
+    /// no room, a cache as fresh as starts need has to do.
     pub fn serves_workers_until(&self, workers: &WorkerTimings, last_poll_sent_at: Option<Millis>) -> Millis {
         let max_unseen_ms = Self::max_unseen_ms(workers).max(MAX_CACHE_AGE_MS);
-        let unseen_until = last_poll_sent_at.map_or(Millis::default(), |at| at.saturating_add(max_unseen_ms));
-        unseen_until.min(
-            self.lease_valid_until()
-                .saturating_add(Self::serving_after_lease_ms(workers, self.leader_lease_ms)),
-        )
+        let unseen_until =
+            last_poll_sent_at.map_or(Millis::default(), |sent_at| sent_at.saturating_add(max_unseen_ms));
+        let after_lease_ms = Self::serving_after_lease_ms(workers, self.leader_lease_ms);
+        unseen_until.min(self.lease_valid_until().saturating_add(after_lease_ms))
     }
 
-    pub fn become_follower(&mut self) {
+    pub(super) fn become_follower(&mut self) {
         self.phase = Phase::Follower;
     }
 
-    /// Gives the lease back, so that another node can lead at once, and rests.
-    pub fn step_down(&mut self, clock: Clock, kv: &mut KvClient, out: &mut Vec<Action>) {
+    /// Revokes the own lease, so that another controller can lead at once, and lets others campaign first.
+    pub(super) fn step_down(&mut self, clock: Clock, kv: &mut KvClient, out: &mut Vec<Action>) {
         if let Phase::Leading { lease, .. } = self.phase {
             kv.send_leadership_request(clock, KvRequest::RevokeLease { lease }, out);
         }
@@ -142,7 +169,8 @@
         self.cooldown_until = clock.now.saturating_add(STEP_DOWN_COOLDOWN_MS);
     }
 
-    pub fn tick(
+    /// Campaigns or renews the lease when that is due. `preferred`: the last leader asked this controller to take over.
+    pub(super) fn tick(
         &mut self,
         clock: Clock,
         preferred: bool,
@@ -159,33 +187,13 @@
             return;
         }
         match self.phase {
-            Phase::Follower => {
-                if self.revoke_former_lease(clock, cache, kv, out) {
-                    return;
-                }
-                let leaderless_ms =
-                    self.leaderless_since.map_or(0, |since| clock.now.saturating_since(since) + 1);
-                let after_restart = self
-                    .former_lease_revoked_at
-                    .is_some_and(|at| clock.now.saturating_since(at) < STEP_DOWN_COOLDOWN_MS);
-                let wait = match (preferred, clock.now < self.cooldown_until) {
-                    (true, _) => 0,
-                    (false, true) => STEP_DOWN_COOLDOWN_MS,
-                    (false, false) if after_restart => RESTART_COOLDOWN_MS,
-                    (false, false) => PREFERRED_HEAD_START_MS,
-                };
-                // Whoever lost has to see the winner first: with many nodes under a low limit,
-                // trying again at once left no requests for looking (four of five nodes, for good).
-                let polled_since_request = kv.fresh_as_of.is_some_and(|fresh| fresh > self.last_request_at);
-                let can_campaign = leaderless_ms > wait && polled_since_request && kv.is_reachable(clock.now);
-                if can_campaign && clock.now.saturating_since(self.last_request_at) >= CAMPAIGN_INTERVAL_MS {
-                    self.phase = Phase::Granting;
-                    self.renewal_sent_at = clock.now;
-                    self.send_request(clock, KvRequest::GrantLease { ttl_ms: self.leader_lease_ms }, kv, out);
-                }
-            }
+            Phase::Follower => match self.former_lease(clock, cache) {
+                Some(lease) => self.revoke_former_lease(lease, clock, kv, out),
+                None => self.campaign(clock, preferred, kv, out),
+            },
             Phase::Leading { lease, .. } => {
-                if clock.now.saturating_since(self.last_request_at) >= self.leader_lease_ms / 4 {
+                let renewal_interval_ms = self.leader_lease_ms / RENEWALS_PER_LEASE;
+                if clock.now.saturating_since(self.last_request_at) >= renewal_interval_ms {
                     self.send_request(clock, KvRequest::RenewLease { lease }, kv, out);
                 }
             }
@@ -193,29 +201,66 @@
         }
     }
 
-    /// The record names this node, but this process does not lead: it is of a former process of that name, or of a try
-    /// whose answer was lost. Nobody acts on it any more, and the lead would stay vacant until its lease ends.
+    /// Requests a lease if nobody leads and it is this controller's turn.
+    fn campaign(&mut self, clock: Clock, preferred: bool, kv: &mut KvClient, out: &mut Vec<Action>) {
+        let leaderless_ms = self.leaderless_since.map_or(0, |since| clock.now.saturating_since(since) + 1);
+        if leaderless_ms > self.campaign_delay_ms(clock.now, preferred)
+            && kv.is_reachable(clock.now)
+            && self.may_request(clock.now, kv)
+        {
+            self.phase = Phase::Granting;
+            self.renewal_sent_at = clock.now;
+            self.send_request(clock, KvRequest::GrantLease { ttl_ms: self.leader_lease_ms }, kv, out);
+        }
+    }
+
+    /// How long nobody must have led before this controller campaigns.
+    fn campaign_delay_ms(&self, now: Millis, preferred: bool) -> u64 {
+        let restarted_recently = self
+            .former_lease_revoked_at
+            .is_some_and(|revoked_at| now.saturating_since(revoked_at) < STEP_DOWN_COOLDOWN_MS);
+        if preferred {
+            0
+        } else if now < self.cooldown_until {
+            STEP_DOWN_COOLDOWN_MS
+        } else if restarted_recently {
+            RESTART_COOLDOWN_MS
+        } else {
+            PREFERRED_HEAD_START_MS
+        }
+    }
+
+    /// Whether enough time has passed since the last request, and a poll has shown its outcome. Who lost a campaign has to
+    /// see the winner first: with many controllers under a low rate limit, repeating the campaign at once left no requests
+    /// for polls (on four of five controllers, permanently).
+    fn may_request(&self, now: Millis, kv: &KvClient) -> bool {
+        let polled_since_request = kv.fresh_as_of.is_some_and(|fresh| fresh > self.last_request_at);
+        polled_since_request && now.saturating_since(self.last_request_at) >= CAMPAIGN_INTERVAL_MS
+    }
+
+    /// The lease of a leader record that names this controller although this process does not lead: it belongs to an
+    /// earlier process, or to a request whose reply was lost. Nobody acts on it any more, and without a revocation nobody
+    /// could lead until it expires.
+    fn former_lease(&self, clock: Clock, cache: &StoreCache) -> Option<LeaseId> {
+        // A lease that this process has revoked itself may still be in the cache.
+        if clock.now < self.cooldown_until {
+            return None;
+        }
+        cache.leader.as_ref().filter(|leader| leader.controller == self.controller)?.lease
+    }
+
     fn revoke_former_lease(
         &mut self,
+        lease: LeaseId,
         clock: Clock,
-        cache: &StoreCache,
         kv: &mut KvClient,
         out: &mut Vec<Action>,
-    ) -> bool {
-        let own_record = cache.leader.as_ref().filter(|seen| seen.controller == self.controller);
-        // What it has given back itself is only not seen to be gone yet.
-        let in_cooldown = clock.now < self.cooldown_until;
-        let Some(lease) = own_record.and_then(|seen| seen.lease).filter(|_| !in_cooldown) else {
-            return false;
-        };
-        // Looked at since the last word was sent: what that one ended is not ended twice.
-        let polled_since_request = kv.fresh_as_of.is_some_and(|fresh| fresh > self.last_request_at);
-        if polled_since_request && clock.now.saturating_since(self.last_request_at) >= CAMPAIGN_INTERVAL_MS {
+    ) {
+        if self.may_request(clock.now, kv) {
             log::info!("ends the lead of a former process of this name");
             self.former_lease_revoked_at = Some(clock.now);
             self.send_request(clock, KvRequest::RevokeLease { lease }, kv, out);
         }
-        true
     }
 
     fn send_request(&mut self, clock: Clock, request: KvRequest, kv: &mut KvClient, out: &mut Vec<Action>) {
@@ -224,7 +269,8 @@
         kv.send_leadership_request(clock, request, out);
     }
 
-    pub fn handle_reply(
+    /// Takes in the reply to an election request.
+    pub(super) fn handle_reply(
         &mut self,
         clock: Clock,
         completed: CompletedRequest,
@@ -235,56 +281,46 @@
         match (self.phase, &completed.request, completed.reply) {
             (Phase::Granting, _, KvReply::LeaseGranted { lease }) => {
                 self.phase = Phase::Acquiring { lease };
-                let record = LeaderRecord {
-                    controller: self.controller.clone(),
-                    lease: Some(lease.0),
-                    config_format: self.config_format,
-                };
-                let request = KvRequest::Transaction {
-                    preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: Revision(0) }],
-                    mutations: vec![KvMutation::Put {
-                        key: LEADER_KEY.into(),
-                        value: serde_json::to_string(&record).unwrap_or_default(),
-                        lease: Some(lease),
-                    }],
-                };
-                self.send_request(clock, request, kv, out);
-                LeadershipChange::Unchanged
+                self.send_request(clock, self.acquire_request(lease), kv, out);
             }
+            (Phase::Granting, _, _) => self.phase = Phase::Follower,
             (Phase::Acquiring { lease }, KvRequest::Transaction { .. }, KvReply::Committed { revision }) => {
                 let token = FencingToken(revision.0);
                 self.phase = Phase::Leading { lease, token };
-                LeadershipChange::Acquired(token)
+                return LeadershipChange::Acquired(token);
             }
             (Phase::Acquiring { lease }, KvRequest::Transaction { .. }, _) => {
-                // Lost, or not certain: end the lease, so that a key that was written after all goes away.
+                // Lost, or not certain: without its lease a key that was created after all disappears.
                 self.phase = Phase::Follower;
                 kv.send_leadership_request(clock, KvRequest::RevokeLease { lease }, out);
                 self.request_in_flight = true;
-                LeadershipChange::Unchanged
             }
             (Phase::Leading { .. }, KvRequest::RenewLease { .. }, KvReply::LeaseUpdated) => {
                 self.renewal_sent_at = self.renewal_sent_at.max(completed.sent_at);
-                LeadershipChange::Unchanged
             }
             (Phase::Leading { .. }, KvRequest::RenewLease { .. }, KvReply::LeaseNotFound) => {
                 self.phase = Phase::Follower;
-                LeadershipChange::Lost
-            }
-            (Phase::Granting, _, _) => {
-                self.phase = Phase::Follower;
-                LeadershipChange::Unchanged
+                return LeadershipChange::Lost;
             }
-            _ => LeadershipChange::Unchanged,
+            _ => {}
         }
+        LeadershipChange::Unchanged
     }
-}
 
-/// The node that the last leader favoured gets this much of a start.
-const PREFERRED_HEAD_START_MS: u64 = 200;
-/// A process that is back at once leaves the lead to others for so long: what ended it may end it again.
-const RESTART_COOLDOWN_MS: u64 = 1_000;
-/// A node that resigned leaves it to others for so long.
-const STEP_DOWN_COOLDOWN_MS: u64 = 5_000;
-/// Between two tries to become leader.
-const CAMPAIGN_INTERVAL_MS: u64 = 300;
+    /// Creates the leader key on the lease, if there is none: of several candidates one succeeds.
+    fn acquire_request(&self, lease: LeaseId) -> KvRequest {
+        let record = LeaderRecord {
+            controller: self.controller.clone(),
+            lease: Some(lease.0),
+            config_format: self.config_format,
+        };
+        KvRequest::Transaction {
+            preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: Revision(0) }],
+            mutations: vec![KvMutation::Put {
+                key: LEADER_KEY.into(),
+                value: serde_json::to_string(&record).unwrap_or_default(),
+                lease: Some(lease),
+            }],
+        }
+    }
+}
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,5 +1,8 @@
-//! What the other controllers say of themselves, and what follows from it:
-//! is a node alone in its trouble, and who is better placed to lead?
+//! Health beacons between the controllers: whether a controller is alone in its trouble, and which one is better placed to
+//! lead.
+//!
+//! [`Peers`] owns the last beacon of each other controller and the workers that reported here although another controller
+//! leads. It does no I/O and reads no clock; memory is bounded by the controllers and by [`MAX_MISDIRECTED`].
 
 use std::collections::HashMap;
 
@@ -7,20 +10,23 @@
 use crate::ids::Millis;
 use crate::protocol::peer::PeerMessage;
 
+/// Between two beacons, in milliseconds.
 const BEACON_INTERVAL_MS: u64 = 1000;
-/// A beat older than that says nothing about now.
+/// A controller whose last beacon is this many milliseconds old does not count as live.
 const PEER_TIMEOUT_MS: u64 = 2_600;
-/// Workers that turned up here within this time count as misdirected.
+/// Workers that reported here within this many milliseconds count as misdirected.
 const MISDIRECTED_WINDOW_MS: u64 = 7_000;
-/// Workers remembered at most.
+/// How many misdirected workers are counted at most.
 const MAX_MISDIRECTED: usize = 4096;
 
+/// The last beacon of another controller.
 #[derive(Debug)]
 struct Peer {
     last_beacon_at: Millis,
     store_reachable: bool,
+    /// Workers that reported to it although another controller leads.
     misdirected: u32,
-    /// Strays of nodes that it hears from: this node may not.
+    /// The same of controllers that it receives beacons from; this controller may not.
     misdirected_elsewhere: u32,
 }
 
@@ -30,20 +36,22 @@
     }
 }
 
+/// The other controllers as their beacons show them.
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: HashMap<String, Peer>,
     misdirected_workers: HashMap<String, Millis>,
     next_beacon_at: Millis,
-    /// The leader asked this node to take over.
-    pub preferred_until: Millis,
+    /// Until then this controller campaigns first: the leader asked it to take over.
+    pub(super) preferred_until: Millis,
 }
 
 impl Peers {
-    pub fn send_beacons(
+    /// Sends a beacon to each of `controllers`, if one is due.
+    pub(super) fn send_beacons(
         &mut self,
         now: Millis,
-        names: &[String],
+        controllers: &[String],
         store_reachable: bool,
         out: &mut Vec<Action>,
     ) {
@@ -51,21 +59,23 @@
             return;
         }
         self.next_beacon_at = now.saturating_add(BEACON_INTERVAL_MS);
-        self.misdirected_workers.retain(|_, at| now.saturating_since(*at) < MISDIRECTED_WINDOW_MS);
+        self.misdirected_workers
+            .retain(|_, reported_at| now.saturating_since(*reported_at) < MISDIRECTED_WINDOW_MS);
         let misdirected = self.misdirected_workers.len() as u32;
-        for node in names {
-            let others = self.live_peers(now).filter(|(name, _)| *name != node);
+        for controller in controllers {
+            let others = self.live_peers(now).filter(|(name, _)| *name != controller);
             let misdirected_elsewhere = others.map(|(_, peer)| peer.misdirected).sum();
             let message = PeerMessage::HealthStatus {
                 kv_reachable: store_reachable,
                 misrouted_workers: misdirected,
                 misrouted_workers_elsewhere: misdirected_elsewhere,
             };
-            out.push(Action::SendPeerMessage { controller: node.clone(), message });
+            out.push(Action::SendPeerMessage { controller: controller.clone(), message });
         }
     }
 
-    pub fn receive_beacon(
+    /// Replaces the controller's last beacon.
+    pub(super) fn receive_beacon(
         &mut self,
         now: Millis,
         controller: &str,
@@ -80,15 +90,15 @@
     }
 
     /// A worker that should report to the leader reported here.
-    pub fn record_misdirected(&mut self, now: Millis, machine: &str) {
+    pub(super) fn record_misdirected(&mut self, now: Millis, machine: &str) {
         if self.misdirected_workers.len() < MAX_MISDIRECTED || self.misdirected_workers.contains_key(machine)
         {
             self.misdirected_workers.insert(machine.into(), now);
         }
     }
 
-    /// This node leads now: workers that report here are not misdirected.
-    pub fn clear_misdirected(&mut self) {
+    /// This controller leads now: workers that report here are not misdirected.
+    pub(super) fn clear_misdirected(&mut self) {
         self.misdirected_workers.clear();
     }
 
@@ -96,24 +106,24 @@
         self.peers.iter().filter(move |(_, peer)| now.saturating_since(peer.last_beacon_at) < PEER_TIMEOUT_MS)
     }
 
-    /// Has this node said something lately?
-    pub fn is_peer_live(&self, now: Millis, controller: &str) -> bool {
+    /// Whether a recent beacon of the controller has come.
+    pub(super) fn is_peer_live(&self, now: Millis, controller: &str) -> bool {
         self.live_peers(now).any(|(name, _)| name == controller)
     }
 
-    /// Has any node said something lately?
-    pub fn has_live_peer(&self, now: Millis) -> bool {
+    /// Whether a recent beacon of any controller has come.
+    pub(super) fn has_live_peer(&self, now: Millis) -> bool {
         self.live_peers(now).next().is_some()
     }
 
-    /// Does another node reach the state service?
-    pub fn any_peer_reaches_store(&self, now: Millis) -> bool {
+    /// Whether another live controller reaches the key-value store.
+    pub(super) fn any_peer_reaches_store(&self, now: Millis) -> bool {
         self.live_peers(now).any(|(_, peer)| peer.store_reachable)
     }
 
-    /// The peer that knows of most workers turning up away from the leader, and of how many.
-    /// Between two zones cut from each other that is the node that hears both.
-    pub fn best_candidate(&self, now: Millis) -> Option<(String, u32)> {
+    /// The live controller that knows of most misdirected workers, and of how many. Between two zones that cannot reach each
+    /// other that is the controller that reaches both.
+    pub(super) fn best_candidate(&self, now: Millis) -> Option<(String, u32)> {
         let candidates = self.live_peers(now).filter(|(_, peer)| peer.store_reachable);
         let best = candidates
             .max_by_key(|(name, peer)| (peer.total_misdirected(), std::cmp::Reverse((*name).clone())));
--- a/src/coordination/token_bucket.rs
+++ b/src/coordination/token_bucket.rs
@@ -1,23 +1,28 @@
-//! How many requests a second may go out.
+//! Rate limit of requests to another service, with backoff when it refuses.
+//!
+//! Decides whether a request may be sent now; sends nothing and reads no clock.
 
 use crate::ids::Millis;
 
-/// A token bucket that holds one second's worth.
+/// Backoff after the first refusal; it doubles with each further one.
+const MIN_BACKOFF_MS: u64 = 100;
+/// The longest backoff.
+const MAX_BACKOFF_MS: u64 = 1000;
+
+/// A token bucket that holds at most the tokens of one second. A new one is half full.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     per_second: f64,
     tokens: f64,
     refilled_at: Millis,
-    /// Nothing before this: the other side asked for less.
+    /// No token is available before: the service refused a request.
     backoff_until: Millis,
     backoff_ms: u64,
 }
 
-const MIN_BACKOFF_MS: u64 = 100;
-const MAX_BACKOFF_MS: u64 = 1000;
-
 impl TokenBucket {
-    pub fn new(per_second: f64, now: Millis) -> TokenBucket {
+    /// `per_second`: tokens gained per second.
+    pub(super) fn new(per_second: f64, now: Millis) -> TokenBucket {
         TokenBucket {
             per_second,
             tokens: per_second.max(1.0) / 2.0,
@@ -27,11 +32,13 @@
         }
     }
 
-    pub fn set_rate(&mut self, per_second: f64) {
+    /// `per_second`: tokens gained per second from the next refill on.
+    pub(super) fn set_rate(&mut self, per_second: f64) {
         self.per_second = per_second;
     }
 
-    pub fn rate(&self) -> f64 {
+    /// Tokens gained per second.
+    pub(super) fn rate(&self) -> f64 {
         self.per_second
     }
 
@@ -41,13 +48,14 @@
         self.refilled_at = now;
     }
 
-    /// How much may be spent at once now.
-    pub fn available(&mut self, now: Millis) -> usize {
+    /// How many tokens can be taken now.
+    pub(super) fn available(&mut self, now: Millis) -> usize {
         self.refill(now);
         if now < self.backoff_until { 0 } else { self.tokens.max(0.0) as usize }
     }
 
-    pub fn try_take(&mut self, now: Millis, amount: usize) -> bool {
+    /// Takes `amount` tokens if that many are available.
+    pub(super) fn try_take(&mut self, now: Millis, amount: usize) -> bool {
         if self.available(now) < amount {
             return false;
         }
@@ -55,19 +63,20 @@
         true
     }
 
-    /// Spends even if nothing is left: for what must not wait.
-    pub fn force_take(&mut self, now: Millis, amount: usize) {
+    /// Takes `amount` tokens even if they are not available, for requests that must not wait: later ones wait longer.
+    pub(super) fn force_take(&mut self, now: Millis, amount: usize) {
         self.refill(now);
         self.tokens -= amount as f64;
     }
 
-    /// The other side refused: wait, longer each time.
-    pub fn back_off(&mut self, now: Millis) {
+    /// The service refused a request: no token is available for a while, longer each time.
+    pub(super) fn back_off(&mut self, now: Millis) {
         self.backoff_until = now.saturating_add(self.backoff_ms);
         self.backoff_ms = (self.backoff_ms * 2).min(MAX_BACKOFF_MS);
     }
 
-    pub fn reset_backoff(&mut self) {
+    /// The service served a request.
+    pub(super) fn reset_backoff(&mut self) {
         self.backoff_ms = MIN_BACKOFF_MS;
     }
 }
