--- /dev/null
+++ b/src/coordination/leader/placement/spill.rs
@@ -0,0 +1,71 @@
+//! Spills (source, 2.2.2, 4): a dedicated queue that would take longer than tt gives the share above tt to its machine's
+//! shared queue, from where other machines may steal it.
+
+use crate::coordination::Clock;
+use crate::coordination::leader::Leader;
+use crate::ids::MachineIx;
+use crate::protocol::operators::JobEventKind;
+
+/// Throughput is taken over the tasks that finished within this time.
+const THROUGHPUT_WINDOW_MS: u64 = 60_000;
+/// A machine counts as having been up for at least this long.
+const MIN_UPTIME_MS: u64 = 1_000;
+/// Bound of the tasks that a machine is expected to run at once.
+const MAX_EXPECTED_SLOTS: u64 = 1_000;
+/// Tasks a second, at least: the divisor of the queue's run time must not be zero.
+const MIN_THROUGHPUT: f64 = 1e-3;
+const MS_PER_S: f64 = 1000.0;
+/// Thieves that resume for each spilled task.
+const THIEVES_RESUMED_PER_TASK: usize = 2;
+
+impl Leader {
+    /// Spills every dedicated queue that is too long.
+    pub(super) fn spill_dedicated_queues(&mut self, clock: Clock) {
+        for ix in self.cluster.placement_index.dedicated_nonempty() {
+            self.counters.machines_examined += 1;
+            if self.cluster.machines[ix.index()].dedicated_queue.is_empty() {
+                self.cluster.placement_index.unmark_dedicated_nonempty(ix);
+                continue;
+            }
+            self.spill_dedicated_queue(ix, clock);
+        }
+    }
+
+    fn spill_dedicated_queue(&mut self, machine_ix: MachineIx, clock: Clock) {
+        let tt = self.tunables.tt_s;
+        let queued = self.cluster.machines[machine_ix.index()].dedicated_queue.len();
+        let run_time_s = queued as f64 / self.throughput(machine_ix, clock);
+        if run_time_s <= tt {
+            return;
+        }
+        let share_above_tt = (run_time_s - tt) / run_time_s;
+        let limit = (share_above_tt * queued as f64).floor() as usize;
+        let machine = &mut self.cluster.machines[machine_ix.index()];
+        let spilled = machine.dedicated_queue.take_from_back(limit, |_| true);
+        for (rank, task) in &spilled {
+            machine.shared_queue.push(*rank, *task);
+        }
+        self.log_moved(&spilled, JobEventKind::Spilled, machine_ix);
+        self.counters.spilled_tasks += spilled.len() as u64;
+        self.cluster.placement_index.mark_to_fill(machine_ix);
+        self.cluster.placement_index.resume_paused(THIEVES_RESUMED_PER_TASK * spilled.len());
+    }
+
+    /// Tasks a second: those finished within the window; before any have, what the machine's size promises.
+    fn throughput(&self, machine_ix: MachineIx, clock: Clock) -> f64 {
+        let machine = &self.cluster.machines[machine_ix.index()];
+        let is_recent = |finished_at| clock.now.saturating_since(finished_at) < THROUGHPUT_WINDOW_MS;
+        let finished = machine.recent_finishes.iter().filter(|at| is_recent(**at)).count();
+        if finished > 0 {
+            let uptime_ms =
+                clock.now.saturating_since(machine.created_at).clamp(MIN_UPTIME_MS, THROUGHPUT_WINDOW_MS);
+            return finished as f64 / (uptime_ms as f64 / MS_PER_S);
+        }
+        let first_job = machine.dedicated_queue.first().and_then(|rank| self.workload.jobs.get(&rank.job));
+        let estimate = first_job.map_or(0.0, |job| {
+            let slots = job.spec.task_resources.max_count_in(&machine.capacity).min(MAX_EXPECTED_SLOTS);
+            slots as f64 * MS_PER_S / job.expected_run_ms().max(1) as f64
+        });
+        estimate.max(MIN_THROUGHPUT)
+    }
+}
