--- a/crates/dag/src/lib.rs
+++ b/crates/dag/src/lib.rs
@@ -1,5 +1,7 @@
-//! Graphs of jobs: what a node waits for, what follows from its end, when it is tried again, how much it holds up.
-//! Pure: events in, changes out, nothing that reads a clock. docs/graphs.md has the design.
+//! Directed acyclic graphs of jobs: when a node is ready, what follows from its outcome, when a failed task is tried
+//! again, and how much work a node holds up.
+//!
+//! Pure: outcomes in, changes out; no I/O and no clock. docs/graphs.md has the design.
 
 pub mod progress;
 pub mod retry;
--- a/crates/dag/src/progress.rs
+++ b/crates/dag/src/progress.rs
@@ -1,5 +1,7 @@
-//! How far a run of a graph is: a pure function of the ends that are durable. Whoever reads the same ends, in whatever
-//! order, knows the same nodes ready; so nothing but ends has to be written, and a takeover repeats nothing.
+//! The progress of a run: a pure function of the outcomes that are durable.
+//!
+//! Whoever applies the same outcomes, in whatever order, finds the same nodes ready. So nothing but outcomes has to be
+//! stored, and a failover repeats nothing.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,13 +11,14 @@
 use crate::topology::{DagTopology, NodeIx};
 use crate::trigger_rule::{NodeOutcome, RuleDecision, TriggerRule, UpstreamCounts};
 
-/// What followed from an end.
+/// What followed from an outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProgressChanges {
     /// Nodes that may run from now on.
     pub ready: Vec<NodeIx>,
 }
 
+/// Which nodes of a run have ended, are ready, or will never run.
 #[derive(Debug, Clone)]
 pub struct DagProgress {
     topology: Arc<DagTopology>,
@@ -23,26 +26,26 @@
     /// The node whose list a mapped node runs over.
     map_sources: Arc<BTreeMap<NodeIx, NodeIx>>,
     upstream_counts: Vec<UpstreamCounts>,
-    /// Lengths of lists that nodes gave.
+    /// Lengths of the lists that nodes produced.
     list_lens: BTreeMap<NodeIx, u32>,
     outcomes: BTreeMap<NodeIx, NodeOutcome>,
     unfinished: RoaringBitmap,
     ready: RoaringBitmap,
-    /// Decided by their rules, not durable yet.
+    /// Outcomes that rules have decided and that are not durable yet.
     pending_outcomes: BTreeMap<NodeIx, NodeOutcome>,
     is_active: bool,
 }
 
 impl DagProgress {
-    /// Nothing has ended; nothing is ready before `activate`.
+    /// A run of which no node has ended. None is ready before [`activate`](Self::activate).
     pub fn new(
         topology: Arc<DagTopology>,
         rules: Arc<[TriggerRule]>,
         map_sources: Arc<BTreeMap<NodeIx, NodeIx>>,
     ) -> DagProgress {
-        let upstream =
+        let initial_counts =
             |node| UpstreamCounts { upstream: topology.in_degree(NodeIx(node)), ..UpstreamCounts::default() };
-        let upstream_counts = (0..topology.len()).map(upstream).collect();
+        let upstream_counts = (0..topology.len()).map(initial_counts).collect();
         let mut unfinished = RoaringBitmap::new();
         unfinished.insert_range(0..topology.len());
         DagProgress {
@@ -59,7 +62,7 @@
         }
     }
 
-    /// The run's turn has come: what waits for nothing is ready, and what ends before then have decided.
+    /// The run may start: evaluates all nodes, by the outcomes recorded so far.
     pub fn activate(&mut self) -> ProgressChanges {
         let mut changes = ProgressChanges::default();
         if !std::mem::replace(&mut self.is_active, true) {
@@ -70,11 +73,8 @@
         changes
     }
 
-    pub fn is_active(&self) -> bool {
-        self.is_active
-    }
-
-    /// A node's end is durable. `list`: the length of the list it gave. Costs the edges behind it.
+    /// A node's outcome is durable; `list_len`: the length of the list it produced. Takes time in proportion to the
+    /// node's downstream edges. A second outcome of a node is ignored.
     pub fn record_outcome(
         &mut self,
         node: NodeIx,
@@ -88,11 +88,11 @@
         self.ready.remove(node.0);
         self.pending_outcomes.remove(&node);
         self.outcomes.insert(node, outcome);
-        if let Some(list) = list_len {
-            self.list_lens.insert(node, list);
+        if let Some(len) = list_len {
+            self.list_lens.insert(node, len);
         }
-        let shape = self.topology.clone();
-        for next in shape.downstream(node) {
+        let topology = self.topology.clone();
+        for next in topology.downstream(node) {
             self.upstream_counts[next.index()].record(outcome);
             if self.is_active {
                 self.evaluate(next, &mut changes);
@@ -102,14 +102,12 @@
     }
 
     fn evaluate(&mut self, node: NodeIx, changes: &mut ProgressChanges) {
-        if !self.unfinished.contains(node.0) || self.ready.contains(node.0) {
+        if !self.is_waiting(node) {
             return;
         }
-        // What is due but not durable is decided anew: a failure that comes after a skip makes another word of it, and
-        // whoever reads the two ends later could not tell in which order they came.
-        match self
-            .decide(node, &self.upstream_counts[node.index()], |from| self.list_lens.get(&from).copied())
-        {
+        // A pending outcome is decided again: a failure after a skip changes it, and who reads the two upstream
+        // outcomes later cannot tell in which order they came.
+        match self.decide(node, &self.upstream_counts[node.index()]) {
             RuleDecision::Wait => {}
             RuleDecision::Run => {
                 self.ready.insert(node.0);
@@ -121,47 +119,45 @@
         }
     }
 
-    /// The rule's word, and for mapped nodes the list's: over an empty list there is nothing to run, and without one
-    /// nobody knows how often.
-    fn decide(
-        &self,
-        node: NodeIx,
-        counts: &UpstreamCounts,
-        list: impl Fn(NodeIx) -> Option<u32>,
-    ) -> RuleDecision {
-        let verdict = self.rules[node.index()].decide(counts);
-        match (verdict, self.map_sources.get(&node)) {
-            (RuleDecision::Run, Some(from)) => match list(*from) {
-                Some(0) => RuleDecision::End(NodeOutcome::Skipped),
-                Some(_) => RuleDecision::Run,
-                None => RuleDecision::End(NodeOutcome::UpstreamFailed),
-            },
-            (verdict, _) => verdict,
+    /// The node has neither ended nor become ready.
+    fn is_waiting(&self, node: NodeIx) -> bool {
+        self.unfinished.contains(node.0) && !self.ready.contains(node.0)
+    }
+
+    /// The decision of a node's rule. A mapped node also needs its list: over an empty one there is nothing to run,
+    /// and without one the number of tasks is unknown.
+    fn decide(&self, node: NodeIx, counts: &UpstreamCounts) -> RuleDecision {
+        let decision = self.rules[node.index()].decide(counts);
+        let Some(source) = self.map_sources.get(&node).filter(|_| decision == RuleDecision::Run) else {
+            return decision;
+        };
+        match self.list_lens.get(source) {
+            Some(0) => RuleDecision::End(NodeOutcome::Skipped),
+            Some(_) => RuleDecision::Run,
+            None => RuleDecision::End(NodeOutcome::UpstreamFailed),
         }
     }
 
-    /// Ends to be written now, at most so many, each decided by ends that are durable and by those before it here:
-    /// written in this order by one transaction they are all true, or none is written.
-    pub fn outcomes_to_write(&self, most: usize) -> Vec<(NodeIx, NodeOutcome)> {
+    /// Outcomes to be written now, at most `limit`. Each follows from durable outcomes and from those before it in the
+    /// list: written in this order by one transaction, either all of them hold or none is written.
+    pub fn outcomes_to_write(&self, limit: usize) -> Vec<(NodeIx, NodeOutcome)> {
         let mut written = Vec::new();
         let mut counts: BTreeMap<NodeIx, UpstreamCounts> = BTreeMap::new();
-        let mut known: RoaringBitmap = self.pending_outcomes.keys().map(|node| node.0).collect();
+        let mut queued: RoaringBitmap = self.pending_outcomes.keys().map(|node| node.0).collect();
         let mut queue: VecDeque<(NodeIx, NodeOutcome)> =
-            self.pending_outcomes.iter().map(|(node, end)| (*node, *end)).collect();
-        while written.len() < most
+            self.pending_outcomes.iter().map(|(node, outcome)| (*node, *outcome)).collect();
+        while written.len() < limit
             && let Some((node, outcome)) = queue.pop_front()
         {
             written.push((node, outcome));
             for next in self.topology.downstream(node) {
-                let counted = counts.entry(next).or_insert(self.upstream_counts[next.index()]);
-                counted.record(outcome);
-                let waits = self.unfinished.contains(next.0) && !self.ready.contains(next.0);
-                if !waits || known.contains(next.0) {
+                let next_counts = counts.entry(next).or_insert(self.upstream_counts[next.index()]);
+                next_counts.record(outcome);
+                if !self.is_waiting(next) || queued.contains(next.0) {
                     continue;
                 }
-                let list = |from| self.list_lens.get(&from).copied();
-                if let RuleDecision::End(outcome) = self.decide(next, counted, list) {
-                    known.insert(next.0);
+                if let RuleDecision::End(outcome) = self.decide(next, next_counts) {
+                    queued.insert(next.0);
                     queue.push_back((next, outcome));
                 }
             }
@@ -169,15 +165,17 @@
         written
     }
 
+    /// Have rules decided outcomes that are not durable yet?
     pub fn has_outcomes_to_write(&self) -> bool {
         !self.pending_outcomes.is_empty()
     }
 
+    /// The graph.
     pub fn topology(&self) -> &Arc<DagTopology> {
         &self.topology
     }
 
-    /// Nodes without an end.
+    /// Nodes without an outcome.
     pub fn unfinished(&self) -> &RoaringBitmap {
         &self.unfinished
     }
@@ -187,10 +185,12 @@
         &self.ready
     }
 
+    /// How a node ended.
     pub fn outcome(&self, node: NodeIx) -> Option<NodeOutcome> {
         self.outcomes.get(&node).copied()
     }
 
+    /// The trigger rule of a node.
     pub fn rule(&self, node: NodeIx) -> TriggerRule {
         self.rules[node.index()]
     }
@@ -200,24 +200,25 @@
         self.list_lens.get(self.map_sources.get(&node)?).copied()
     }
 
+    /// All nodes have ended.
     pub fn is_finished(&self) -> bool {
         self.unfinished.is_empty()
     }
 
-    /// Did the run go well? By its last nodes, as in Airflow: each has succeeded or was skipped.
+    /// Did the run succeed? Judged by its leaves, as in Airflow: none of them failed.
     pub fn is_successful(&self) -> bool {
-        let bad =
+        let failed_leaf =
             |(node, outcome): (&NodeIx, &NodeOutcome)| self.topology.is_leaf(*node) && outcome.is_failure();
-        self.is_finished() && !self.outcomes.iter().any(bad)
+        self.is_finished() && !self.outcomes.iter().any(failed_leaf)
     }
 
     /// How many nodes ended in each way.
     pub fn outcome_counts(&self) -> BTreeMap<NodeOutcome, u32> {
-        let mut tally = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for outcome in self.outcomes.values() {
-            *tally.entry(*outcome).or_default() += 1;
+            *counts.entry(*outcome).or_default() += 1;
         }
-        tally
+        counts
     }
 }
 
--- a/crates/dag/src/tests/progress.rs
+++ b/crates/dag/src/tests/progress.rs
@@ -3,32 +3,32 @@
 use super::*;
 
 fn progress(nodes: u32, edges: &[(u32, u32)], rules: &[(u32, TriggerRule)]) -> DagProgress {
-    let shape = Arc::new(DagTopology::new(nodes, edges).expect("no cycle"));
+    let topology = Arc::new(DagTopology::new(nodes, edges).expect("no cycle"));
     let mut all = vec![TriggerRule::AllSuccess; nodes as usize];
     rules.iter().for_each(|(node, rule)| all[*node as usize] = *rule);
-    DagProgress::new(shape, all.into(), Arc::default())
+    DagProgress::new(topology, all.into(), Arc::default())
 }
 
 fn ready(changes: ProgressChanges) -> Vec<u32> {
     changes.ready.into_iter().map(|node| node.0).collect()
 }
 
-/// A rule that holds after the first failure makes its node ready once, however many fail after it.
+/// A rule that is met by the first failure makes its node ready once, however many fail after it.
 #[test]
 fn one_failed_fires_once() {
     let mut run = progress(3, &[(0, 2), (1, 2)], &[(2, TriggerRule::OneFailed)]);
     assert_eq!(ready(run.activate()), [0, 1]);
     assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Failed, None)), [2]);
     assert_eq!(ready(run.record_outcome(NodeIx(1), NodeOutcome::Failed, None)), []);
-    assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Failed, None)), [], "an end counts once");
+    assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Failed, None)), [], "an outcome counts once");
     run.record_outcome(NodeIx(2), NodeOutcome::Success, None);
-    assert!(run.is_finished() && run.is_successful(), "its last node went well");
+    assert!(run.is_finished() && run.is_successful(), "its leaf succeeded");
 }
 
-/// What cannot run any more is told to the end of the graph by one transaction, as far as it has room.
+/// All nodes that can no longer run get their outcome in one transaction, as far as it has room.
 #[test]
-fn a_failure_is_told_all_the_way_down() {
-    let edges: Vec<(u32, u32)> = (0..99).map(|at| (at, at + 1)).collect();
+fn a_failure_propagates_to_the_leaves() {
+    let edges: Vec<(u32, u32)> = (0..99).map(|node| (node, node + 1)).collect();
     let mut run = progress(100, &edges, &[]);
     run.activate();
     run.record_outcome(NodeIx(0), NodeOutcome::Failed, None);
@@ -43,21 +43,21 @@
     assert!(run.is_finished() && !run.is_successful());
 }
 
-/// Ready counts the edges touched: a fan-in of many is looked at once each.
+/// A mapped node runs over its list; it is skipped if that is empty, and fails with its source if there is none.
 #[test]
 fn mapped_nodes_run_over_their_lists() {
-    let shape = Arc::new(DagTopology::new(4, &[(0, 1), (0, 2), (0, 3)]).expect("no cycle"));
+    let topology = Arc::new(DagTopology::new(4, &[(0, 1), (0, 2), (0, 3)]).expect("no cycle"));
     let mapped = Arc::new(BTreeMap::from([(NodeIx(1), NodeIx(0)), (NodeIx(2), NodeIx(0))]));
-    for (list, one, other) in [
+    for (list_len, expected_ready, expected_outcome) in [
         (Some(5_000), vec![1, 2, 3], None),
         (Some(0), vec![3], Some(NodeOutcome::Skipped)),
         (None, vec![3], Some(NodeOutcome::UpstreamFailed)),
     ] {
         let mut run =
-            DagProgress::new(shape.clone(), vec![TriggerRule::AllSuccess; 4].into(), mapped.clone());
+            DagProgress::new(topology.clone(), vec![TriggerRule::AllSuccess; 4].into(), mapped.clone());
         run.activate();
-        assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Success, list)), one);
-        assert_eq!(run.map_len(NodeIx(1)), list);
-        assert_eq!(run.outcomes_to_write(9).first().map(|(_, outcome)| *outcome), other);
+        assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Success, list_len)), expected_ready);
+        assert_eq!(run.map_len(NodeIx(1)), list_len);
+        assert_eq!(run.outcomes_to_write(9).first().map(|(_, outcome)| *outcome), expected_outcome);
     }
 }
--- a/crates/dag/src/tests/topology.rs
+++ b/crates/dag/src/tests/topology.rs
@@ -1,9 +1,9 @@
-//! Tests of `shape`.
+//! Tests of `topology`.
 
 use super::*;
 
 #[test]
-fn cycles_are_named_and_other_mistakes_too() {
+fn cycles_and_other_errors_are_reported() {
     let cycle = DagTopology::new(5, &[(0, 1), (1, 2), (2, 3), (3, 1), (3, 4)]);
     let Err(TopologyError::Cycle(nodes)) = cycle else { panic!("{cycle:?}") };
     let mut sorted = nodes.clone();
@@ -21,11 +21,11 @@
 #[test]
 fn paths_layers_and_closures() {
     // 0 -> 1 -> 3, 0 -> 2 -> 3, 4 alone.
-    let shape = DagTopology::new(5, &[(0, 1), (0, 2), (1, 3), (2, 3)]).expect("no cycle");
+    let topology = DagTopology::new(5, &[(0, 1), (0, 2), (1, 3), (2, 3)]).expect("no cycle");
     let weights = [1, 10, 20, 5, 7];
-    assert_eq!(shape.downstream_path_weights(|node| weights[node.index()]), [25, 5, 5, 0, 0]);
-    assert_eq!(shape.layers(), [0, 1, 1, 2, 0]);
-    let closure: Vec<u32> = shape.downstream_closure([NodeIx(2)]).into_iter().map(|node| node.0).collect();
+    assert_eq!(topology.downstream_path_weights(|node| weights[node.index()]), [25, 5, 5, 0, 0]);
+    assert_eq!(topology.layers(), [0, 1, 1, 2, 0]);
+    let closure: Vec<u32> = topology.downstream_closure([NodeIx(2)]).into_iter().map(|node| node.0).collect();
     assert_eq!(closure, [2, 3]);
-    assert!(shape.is_leaf(NodeIx(3)) && shape.is_leaf(NodeIx(4)) && !shape.is_leaf(NodeIx(0)));
+    assert!(topology.is_leaf(NodeIx(3)) && topology.is_leaf(NodeIx(4)) && !topology.is_leaf(NodeIx(0)));
 }
--- a/crates/dag/src/tests/trigger_rule.rs
+++ b/crates/dag/src/tests/trigger_rule.rs
@@ -1,14 +1,14 @@
-//! Tests of `rule`.
+//! Tests of `trigger_rule`.
 
 use super::*;
 
-/// The whole table for two upstream nodes: successes, failures, skips so far, and what each rule says.
+/// The whole table for two upstream nodes: successes, failures, skips so far, and what each rule decides.
 #[test]
-fn the_table_of_rules() {
+fn every_rule_decides_as_in_the_table() {
     use NodeOutcome::{Skipped, UpstreamFailed};
     use RuleDecision::{End, Run, Wait};
     let (up, skip) = (End(UpstreamFailed), End(Skipped));
-    // In the order of `Rule::ALL`.
+    // In the order of `TriggerRule::ALL`.
     let table = [
         ((0, 0, 0), [Wait, Wait, Wait, Wait, Wait, Wait, Wait]),
         ((1, 0, 0), [Wait, skip, Wait, Run, Wait, Wait, Wait]),
@@ -27,7 +27,7 @@
         assert_eq!(found, expected, "{counts:?}");
     }
     for rule in TriggerRule::ALL {
-        assert_eq!(rule.decide(&UpstreamCounts::default()), Run, "what waits for nothing runs");
+        assert_eq!(rule.decide(&UpstreamCounts::default()), Run, "a node without upstream nodes runs");
         assert_eq!(TriggerRule::parse(rule.as_str()), Some(rule));
     }
 }
--- a/crates/dag/src/trigger_rule.rs
+++ b/crates/dag/src/trigger_rule.rs
@@ -1,4 +1,4 @@
-//! Trigger rules, in Airflow's words: what the ends of a node's upstream nodes mean for it.
+//! Trigger rules, with Airflow's names: what the outcomes of a node's upstream nodes mean for it.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeOutcome {
+    /// All its tasks finished.
     Success,
-    /// Its tries were used up.
+    /// A task had no attempts left.
     Failed,
-    /// It cannot run any more, since something before it failed.
+    /// It cannot run, since an upstream node failed.
     UpstreamFailed,
-    /// It need not run: its rule did not call for it.
+    /// Its rule did not call for it.
     Skipped,
-    /// Somebody cancelled it, or its run.
+    /// A user cancelled it or its run.
     Cancelled,
 }
 
@@ -29,7 +30,7 @@
         }
     }
 
-    /// What rules call failed: whatever should have run to success and did not.
+    /// What rules count as failed: every node that should have succeeded and did not.
     pub fn is_failure(self) -> bool {
         matches!(self, NodeOutcome::Failed | NodeOutcome::UpstreamFailed | NodeOutcome::Cancelled)
     }
@@ -39,17 +40,25 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TriggerRule {
+    /// All upstream nodes succeeded.
     #[default]
     AllSuccess,
+    /// All upstream nodes failed.
     AllFailed,
+    /// All upstream nodes ended, in whatever way.
     AllDone,
+    /// One upstream node succeeded; the others need not have ended.
     OneSuccess,
+    /// One upstream node failed; the others need not have ended.
     OneFailed,
+    /// All upstream nodes succeeded or were skipped.
     NoneFailed,
+    /// All upstream nodes succeeded or were skipped, and at least one succeeded.
     NoneFailedMinOneSuccess,
 }
 
 impl TriggerRule {
+    /// All rules, for parsing and lists.
     pub const ALL: [TriggerRule; 7] = [
         TriggerRule::AllSuccess,
         TriggerRule::AllFailed,
@@ -60,6 +69,7 @@
         TriggerRule::NoneFailedMinOneSuccess,
     ];
 
+    /// As clients and records write it.
     pub fn as_str(self) -> &'static str {
         match self {
             TriggerRule::AllSuccess => "all_success",
@@ -72,21 +82,27 @@
         }
     }
 
-    pub fn parse(word: &str) -> Option<TriggerRule> {
-        TriggerRule::ALL.into_iter().find(|rule| rule.as_str() == word)
+    /// The rule that [`as_str`](Self::as_str) writes so.
+    pub fn parse(name: &str) -> Option<TriggerRule> {
+        TriggerRule::ALL.into_iter().find(|rule| rule.as_str() == name)
     }
 }
 
-/// Ends of a node's upstream nodes so far.
+/// Outcomes of a node's upstream nodes so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct UpstreamCounts {
+    /// How many upstream nodes there are.
     pub upstream: u32,
+    /// How many succeeded.
     pub success: u32,
+    /// How many failed, in the sense of [`NodeOutcome::is_failure`].
     pub failed: u32,
+    /// How many were skipped.
     pub skipped: u32,
 }
 
 impl UpstreamCounts {
+    /// Counts an outcome.
     pub fn record(&mut self, outcome: NodeOutcome) {
         match outcome {
             NodeOutcome::Success => self.success += 1,
@@ -95,22 +111,25 @@
         }
     }
 
+    /// All upstream nodes have ended.
     pub fn is_complete(&self) -> bool {
         self.success + self.failed + self.skipped >= self.upstream
     }
 }
 
-/// What a rule says of a node.
+/// What a rule decides for a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RuleDecision {
+    /// It depends on outcomes that are not known yet.
     Wait,
+    /// It may run.
     Run,
-    /// It will never run.
+    /// It never runs: its outcome is known.
     End(NodeOutcome),
 }
 
 impl TriggerRule {
-    /// Once it is `Run` or `End`, further ends leave it so; only which `End` may still change, from skipped to
+    /// Once this is `Run` or `End`, further outcomes leave it so; only which `End` may still change, from skipped to
     /// failed.
     pub fn decide(self, counts: &UpstreamCounts) -> RuleDecision {
         use NodeOutcome::{Skipped, UpstreamFailed};
@@ -118,21 +137,21 @@
         if counts.upstream == 0 {
             return Run;
         }
-        let ended = counts.is_complete();
+        let is_complete = counts.is_complete();
         match self {
             TriggerRule::AllSuccess if counts.failed > 0 => End(UpstreamFailed),
             TriggerRule::AllSuccess if counts.skipped > 0 => End(Skipped),
             TriggerRule::AllFailed if counts.success + counts.skipped > 0 => End(Skipped),
             TriggerRule::OneSuccess if counts.success > 0 => Run,
-            TriggerRule::OneSuccess if ended && counts.failed > 0 => End(UpstreamFailed),
-            TriggerRule::OneSuccess if ended => End(Skipped),
+            TriggerRule::OneSuccess if is_complete && counts.failed > 0 => End(UpstreamFailed),
+            TriggerRule::OneSuccess if is_complete => End(Skipped),
             TriggerRule::OneFailed if counts.failed > 0 => Run,
-            TriggerRule::OneFailed if ended => End(Skipped),
+            TriggerRule::OneFailed if is_complete => End(Skipped),
             TriggerRule::NoneFailed | TriggerRule::NoneFailedMinOneSuccess if counts.failed > 0 => {
                 End(UpstreamFailed)
             }
-            TriggerRule::NoneFailedMinOneSuccess if ended && counts.success == 0 => End(Skipped),
-            _ if ended => Run,
+            TriggerRule::NoneFailedMinOneSuccess if is_complete && counts.success == 0 => End(Skipped),
+            _ if is_complete => Run,
             _ => Wait,
         }
     }
