--- a/src/bookkeeping/config.rs
+++ b/src/bookkeeping/config.rs
@@ -1,4 +1,7 @@
-//! Entries of the configuration as the records have them. Entries that are not understood are kept beside the others.
+//! Entries of the configuration, as the records have them.
+//!
+//! An entry of a format or a kind that this version does not know has no effect and is never overwritten; its name is
+//! kept so that operators can be shown it. What a value does to a team's settings is decided here as well.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +9,12 @@
 use crate::protocol::config::{ConfigKey, ConfigRecord, ENTRY_FORMAT_VERSION, TeamQuota};
 use crate::settings::TeamSettings;
 
-/// An entry that is understood.
+/// An entry that this version understands.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigEntry {
+    /// Its content.
     pub record: ConfigRecord,
+    /// Revision of its key.
     pub version: Revision,
 }
 
@@ -17,24 +22,24 @@
 #[derive(Debug, Default)]
 pub struct ConfigEntries {
     entries: BTreeMap<ConfigKey, ConfigEntry>,
-    /// Entries of a later format, or of a sort that is not known here: name and version.
+    /// Revisions of entries of a later format or of an unknown kind, by name.
     unrecognized: BTreeMap<String, Revision>,
 }
 
 impl ConfigEntries {
-    /// Takes an entry in as it was written. Later formats are kept by name only.
+    /// Takes in an entry as it was written; of one that is not understood only the name is kept.
     pub fn put(&mut self, name: &str, value: &str, version: Revision) {
         let record = serde_json::from_str::<ConfigRecord>(value)
             .ok()
             .filter(|record| record.format_version == ENTRY_FORMAT_VERSION);
         match (ConfigKey::parse(name).ok(), record) {
-            (Some(entry), Some(record)) => {
+            (Some(key), Some(record)) => {
                 self.unrecognized.remove(name);
-                self.entries.insert(entry, ConfigEntry { record, version });
+                self.entries.insert(key, ConfigEntry { record, version });
             }
-            (known, _) => {
-                if let Some(known) = known {
-                    self.entries.remove(&known);
+            (key, _) => {
+                if let Some(key) = key {
+                    self.entries.remove(&key);
                 }
                 log::error!(
                     "configuration: {name} is of a later version and not understood; it is left as it is"
@@ -44,28 +49,30 @@
         }
     }
 
+    /// The entry was deleted.
     pub fn remove(&mut self, name: &str) {
         self.unrecognized.remove(name);
-        if let Ok(entry) = ConfigKey::parse(name) {
-            self.entries.remove(&entry);
+        if let Ok(key) = ConfigKey::parse(name) {
+            self.entries.remove(&key);
         }
     }
 
-    pub fn get(&self, entry: &ConfigKey) -> Option<&ConfigEntry> {
-        self.entries.get(entry)
+    /// An entry, if it exists and is understood.
+    pub fn get(&self, key: &ConfigKey) -> Option<&ConfigEntry> {
+        self.entries.get(key)
     }
 
-    /// The version of an entry that is there and not understood.
+    /// The revision of an entry that exists and is not understood.
     pub fn unrecognized_version(&self, name: &str) -> Option<Revision> {
         self.unrecognized.get(name).copied()
     }
 
-    /// Names of entries that are not understood.
+    /// Names and revisions of the entries that are not understood.
     pub fn unrecognized_names(&self) -> impl Iterator<Item = (&str, Revision)> {
         self.unrecognized.iter().map(|(name, version)| (name.as_str(), *version))
     }
 
-    /// A team as it holds: the platform's settings, lowered by what is set. They stay the ceiling.
+    /// The settings in force for a team: those of the platform, lowered by the team's entry if there is one.
     pub fn effective_team(&self, platform: &TeamSettings) -> TeamSettings {
         match self.entries.get(&ConfigKey::Team(platform.name.clone())) {
             Some(entry) => apply_team_value(platform, entry.record.quota.into()),
@@ -74,11 +81,11 @@
     }
 }
 
-/// The platform's settings of a team with a value laid over them; never more than they allow.
-pub fn apply_team_value(platform: &TeamSettings, value: TeamQuota) -> TeamSettings {
-    let limit = value.limit_cpus.map(to_milli_floor).map(|cpu| cpu.min(platform.effective_limit().cpu));
+/// The platform's settings of a team with a quota applied, which can only lower them.
+pub fn apply_team_value(platform: &TeamSettings, quota: TeamQuota) -> TeamSettings {
+    let limit = quota.limit_cpus.map(to_milli_floor).map(|cpu| cpu.min(platform.effective_limit().cpu));
     let mut guaranteed = platform.guaranteed;
-    if let Some(cpus) = value.guaranteed_cpus {
+    if let Some(cpus) = quota.guaranteed_cpus {
         guaranteed.cpu = guaranteed.cpu.min(to_milli_floor(cpus));
     }
     guaranteed.cpu = guaranteed.cpu.min(limit.unwrap_or(u64::MAX));
--- a/src/bookkeeping/job_counters.rs
+++ b/src/bookkeeping/job_counters.rs
@@ -1,32 +1,36 @@
-//! How many jobs of each class of each team were accepted, begun, done and told, by the records.
+//! Counters of jobs by team and class: accepted, started, done, cancelled, notified.
 //!
-//! Every controller counts the same, from what it reads of the records; only `told` is its own: users that it answered
-//! with `done`. A process that starts counts the jobs that still have a record, and what ends from then on: what was over
-//! and cleared before is not known to it, as an end does not tell whose it was. Memory: one entry a party, bounded.
+//! Every controller counts the same from the records; only `notified` is its own. A process that starts counts the jobs
+//! that still have a record, and what ends from then on: earlier jobs are unknown to it, as a terminal record need not
+//! name the team. Memory is bounded by [`MAX_TEAM_CLASSES`] entries.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{ClassIx, TeamIx};
 
-/// Parties counted apart; classes are named by users, so that there may be any number.
+/// Pairs of team and class that are counted apart. Users name the classes, so that there may be any number.
 const MAX_TEAM_CLASSES: usize = 256;
 
-/// A class of a team, by its place in the accounts. The last one stands for all beyond the bound.
+/// A pair of team and class, by its row. The last row is shared by all pairs beyond the bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TeamClassIx(u16);
 
-/// Jobs of one party.
+/// Counters of one pair of team and class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct JobCounters {
+    /// Jobs accepted.
     pub accepted: u64,
-    /// At least one task was, or may have been, on a machine.
+    /// Jobs of which at least one task ran or may have run.
     pub started: u64,
+    /// Jobs whose tasks all finished.
     pub done: u64,
+    /// Jobs cancelled.
     pub cancelled: u64,
-    /// Users that this controller told of the end with `done`, once a job.
+    /// Jobs whose user received `done` from this controller.
     pub notified: u64,
 }
 
+/// The counters of all pairs.
 #[derive(Debug, Default)]
 pub struct JobCounterTable {
     indices: BTreeMap<(TeamIx, ClassIx), TeamClassIx>,
@@ -34,6 +38,7 @@
 }
 
 impl JobCounterTable {
+    /// The row of a pair, which is added if the bound allows it.
     pub fn team_class(&mut self, team: TeamIx, class: ClassIx) -> TeamClassIx {
         let next = self.rows.len();
         *self.indices.entry((team, class)).or_insert_with(|| {
@@ -44,12 +49,12 @@
         })
     }
 
-    /// The account of a party; None for one of other accounts.
+    /// The counters of a row; None if it is a row of another table.
     pub fn counters_mut(&mut self, team_class: TeamClassIx) -> Option<&mut JobCounters> {
-        self.rows.get_mut(usize::from(team_class.0)).map(|(_, account)| account)
+        self.rows.get_mut(usize::from(team_class.0)).map(|(_, counters)| counters)
     }
 
-    /// Team and class with their accounts; neither of all beyond the bound.
+    /// All rows: team and class, which the shared row does not have, and the counters.
     pub fn rows(&self) -> impl Iterator<Item = (Option<(TeamIx, ClassIx)>, JobCounters)> + '_ {
         self.rows.iter().copied()
     }
--- a/src/bookkeeping/job_listing.rs
+++ b/src/bookkeeping/job_listing.rs
@@ -1,14 +1,14 @@
-//! Pages of jobs for operators, from the mirror: a page costs the same however many jobs there were.
+//! Pages of jobs for operators, from the store cache. A page costs the same however many jobs there are.
 
 use super::jobs::{Job, TerminalState};
-use super::store_cache::StoreCache;
-use crate::ids::{JobId, from_milli};
+use super::store_cache::{StoreCache, TerminalJobSummary};
+use crate::ids::{ClassIx, JobId, TeamIx, from_milli};
 use crate::protocol::operators::{JobPhase, JobSpecView, JobSummary, ListQuery, StateFilter};
 
-/// Jobs looked at for one page. With a filter that takes few, pages come short and say where to go on.
+/// Jobs scanned for one page. With a selective filter, pages come short and say where the next one begins.
 const MAX_SCANNED_JOBS: usize = 4_000;
 
-/// Tells how many tasks of a job run, for display.
+/// How many tasks of a job are running, for display.
 pub type RunningTaskCount<'a> = &'a dyn Fn(JobId) -> u32;
 
 /// The rows of a page, and the id after which the next one begins.
@@ -19,8 +19,8 @@
 ) -> (Vec<JobSummary>, Option<JobId>) {
     let mut rows = Vec::new();
     let mut last = None;
-    for (looked_at, id) in cache.job_ids_after(query.after).enumerate() {
-        if rows.len() >= query.limit || looked_at >= MAX_SCANNED_JOBS {
+    for (scanned, id) in cache.job_ids_after(query.after).enumerate() {
+        if rows.len() >= query.limit || scanned >= MAX_SCANNED_JOBS {
             return (rows, last);
         }
         last = Some(id);
@@ -34,24 +34,24 @@
     (rows, None)
 }
 
-/// Cheap enough for every job looked at: is it over or not?
+/// A cheap check of every scanned job, before its row is built: can its phase match?
 fn may_match(cache: &StoreCache, query: &ListQuery, id: JobId) -> bool {
-    let wants = |state| query.state.is_none_or(|filter: StateFilter| filter.matches(state));
+    let is_wanted = |phase| query.state.is_none_or(|filter: StateFilter| filter.matches(phase));
     match cache.terminal_state(id) {
-        Some(end) => wants(job_state(end)),
-        None => wants(JobPhase::Pending) || wants(JobPhase::Running),
+        Some(state) => is_wanted(terminal_phase(state)),
+        None => is_wanted(JobPhase::Pending) || is_wanted(JobPhase::Running),
     }
 }
 
 fn matches(query: &ListQuery, row: &JobSummary) -> bool {
-    let is = |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
-    is(&query.team, &row.team)
-        && is(&query.class, &row.class)
+    let is_wanted = |filter: &Option<String>, value: &Option<String>| filter.is_none() || filter == value;
+    is_wanted(&query.team, &row.team)
+        && is_wanted(&query.class, &row.class)
         && query.state.is_none_or(|filter| filter.matches(row.state))
 }
 
-fn job_state(end: TerminalState) -> JobPhase {
-    match end {
+fn terminal_phase(state: TerminalState) -> JobPhase {
+    match state {
         TerminalState::Done => JobPhase::Done,
         TerminalState::Cancelled => JobPhase::Cancelled,
     }
@@ -60,82 +60,122 @@
 /// A job as a list shows it; None if there is no such job.
 pub fn job_row(cache: &StoreCache, id: JobId, running: RunningTaskCount<'_>) -> Option<JobSummary> {
     let job = cache.find_job(id);
-    if let Some((end, at, detail)) = cache.terminal_summary(id) {
-        let info = job.map(|job| &job.spec);
-        let team = info.map(|info| info.team).or(detail.map(|detail| detail.team));
-        let class = info.map(|info| info.class).or(detail.map(|detail| detail.class));
-        let tasks = info.map(|info| info.tasks).or(detail.map(|detail| detail.tasks));
-        return Some(JobSummary {
-            id: id.to_string(),
-            state: job_state(end),
-            team: team.map(|team| cache.names.teams.name_or_unknown(team.index()).into()),
-            class: class.map(|class| cache.names.classes.name_or_unknown(class.index()).into()),
-            tasks,
-            // How far a withdrawn job came is not kept.
-            done: tasks.filter(|_| end == TerminalState::Done),
-            running: Some(0).filter(|_| end == TerminalState::Done),
-            accepted_ms: info.map(|i| i.accepted_wall_ms).or(detail.map(|detail| detail.accepted_wall_ms)),
-            first_start_ms: detail.and_then(|detail| detail.first_start_wall_ms),
-            finished_ms: Some(at),
-        });
+    if let Some((state, ended_wall_ms, summary)) = cache.terminal_summary(id) {
+        // While its records are still being deleted the job itself has the data, afterwards its terminal record.
+        let summary = job
+            .map(|job| TerminalJobSummary {
+                first_start_wall_ms: summary.and_then(|summary| summary.first_start_wall_ms),
+                ..live_summary(job)
+            })
+            .or(summary);
+        return Some(ended_row(cache, id, state, ended_wall_ms, summary));
     }
-    let Some(job) = job else { return waiting_node_row(cache, id) };
-    let runs = running(id);
-    Some(JobSummary {
+    match job {
+        Some(job) => Some(live_row(cache, job, running(id))),
+        None => waiting_node_row(cache, id),
+    }
+}
+
+fn live_summary(job: &Job) -> TerminalJobSummary {
+    TerminalJobSummary {
+        team: job.spec.team,
+        class: job.spec.class,
+        tasks: job.spec.tasks,
+        accepted_wall_ms: job.spec.accepted_wall_ms,
+        first_start_wall_ms: None,
+    }
+}
+
+fn team_name(cache: &StoreCache, team: TeamIx) -> String {
+    cache.names.teams.name_or_unknown(team.index()).into()
+}
+
+fn class_name(cache: &StoreCache, class: ClassIx) -> String {
+    cache.names.classes.name_or_unknown(class.index()).into()
+}
+
+fn ended_row(
+    cache: &StoreCache,
+    id: JobId,
+    state: TerminalState,
+    ended_wall_ms: u64,
+    summary: Option<TerminalJobSummary>,
+) -> JobSummary {
+    let tasks = summary.map(|summary| summary.tasks);
+    // How far a cancelled job came is not kept.
+    let is_done = state == TerminalState::Done;
+    JobSummary {
         id: id.to_string(),
-        state: if runs > 0 { JobPhase::Running } else { JobPhase::Pending },
-        team: Some(cache.names.teams.name_or_unknown(job.spec.team.index()).into()),
-        class: Some(cache.names.classes.name_or_unknown(job.spec.class.index()).into()),
+        state: terminal_phase(state),
+        team: summary.map(|summary| team_name(cache, summary.team)),
+        class: summary.map(|summary| class_name(cache, summary.class)),
+        tasks,
+        done: tasks.filter(|_| is_done),
+        running: is_done.then_some(0),
+        accepted_ms: summary.map(|summary| summary.accepted_wall_ms),
+        first_start_ms: summary.and_then(|summary| summary.first_start_wall_ms),
+        finished_ms: Some(ended_wall_ms),
+    }
+}
+
+fn live_row(cache: &StoreCache, job: &Job, running: u32) -> JobSummary {
+    JobSummary {
+        id: job.spec.id.to_string(),
+        state: if running > 0 { JobPhase::Running } else { JobPhase::Pending },
+        team: Some(team_name(cache, job.spec.team)),
+        class: Some(class_name(cache, job.spec.class)),
         tasks: Some(job.spec.tasks),
         done: Some(job.finished_tasks.count()),
-        running: Some(runs),
+        running: Some(running),
         accepted_ms: Some(job.spec.accepted_wall_ms),
         first_start_ms: None,
         finished_ms: None,
-    })
+    }
 }
 
-/// A node of a graph that is no job yet.
+/// A node of a graph that is not a job yet.
 fn waiting_node_row(cache: &StoreCache, id: JobId) -> Option<JobSummary> {
     let (run, node) = cache.dag_runs.current_node(id)?;
-    let spec = &run.dag.as_ref()?.template(node).manifest;
+    let dag = run.dag.as_ref()?;
+    let manifest = &dag.template(node).manifest;
     Some(JobSummary {
         id: id.to_string(),
         state: JobPhase::Pending,
-        team: Some(spec.team.clone()),
-        class: Some(spec.job_class.clone()),
-        tasks: run.dag.as_ref()?.node(node).map_source.is_none().then_some(spec.tasks),
+        team: Some(manifest.team.clone()),
+        class: Some(manifest.job_class.clone()),
+        // A mapped node has as many tasks as its list has elements, which is not known yet.
+        tasks: dag.node(node).map_source.is_none().then_some(manifest.tasks),
         done: Some(0),
         running: Some(0),
-        accepted_ms: run.accepted.as_ref().map(|(at, ..)| *at),
+        accepted_ms: run.accepted.as_ref().map(|(accepted_wall_ms, ..)| *accepted_wall_ms),
         first_start_ms: None,
         finished_ms: None,
     })
 }
 
-/// A job's specification with its names.
+/// A job's specification, with names in place of indices and in the units of the protocol.
 pub fn spec_view(cache: &StoreCache, job: &Job) -> JobSpecView {
-    let info = &job.spec;
+    let spec = &job.spec;
     let names = &cache.names;
-    let kinds = info.machine_types.as_ref();
+    let machine_types = spec.machine_types.as_ref().map(|allowed| {
+        allowed.iter().map(|ix| names.machine_types.name_or_unknown(ix.index()).into()).collect()
+    });
     JobSpecView {
-        kind: info.kind,
-        priority_class: info.urgency,
-        cpus: from_milli(info.task_resources.cpu),
-        gpus: from_milli(info.task_resources.gpu),
-        memory_gb: from_milli(info.task_resources.mem),
-        machine_types: kinds.map(|kinds| {
-            kinds.iter().map(|kind| names.machine_types.name_or_unknown(kind.index()).into()).collect()
-        }),
-        zone: info.zone.map(|zone| names.zones.name_or_unknown(zone.index()).into()),
-        same_zone: info.single_zone,
-        spread: info.spread,
-        spot_allowed: info.allows_spot,
-        image: names.images.name_or_unknown(info.image.index()).into(),
-        image_gb: from_milli(info.image_mb),
-        estimated_run_s: from_milli(info.estimated_run_ms),
-        checkpoint_interval_s: from_milli(info.checkpoint_interval_ms),
-        deadline_ms: info.slo_wall_ms,
+        kind: spec.kind,
+        priority_class: spec.urgency,
+        cpus: from_milli(spec.task_resources.cpu),
+        gpus: from_milli(spec.task_resources.gpu),
+        memory_gb: from_milli(spec.task_resources.mem),
+        machine_types,
+        zone: spec.zone.map(|zone| names.zones.name_or_unknown(zone.index()).into()),
+        same_zone: spec.single_zone,
+        spread: spec.spread,
+        spot_allowed: spec.allows_spot,
+        image: names.images.name_or_unknown(spec.image.index()).into(),
+        image_gb: from_milli(spec.image_mb),
+        estimated_run_s: from_milli(spec.estimated_run_ms),
+        checkpoint_interval_s: from_milli(spec.checkpoint_interval_ms),
+        deadline_ms: spec.slo_wall_ms,
     }
 }
 
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,4 +1,7 @@
-//! What is remembered: jobs, machines, and the durable records behind them.
+//! What a controller remembers: jobs, machines, graph runs and configuration, and the durable records behind them.
+//!
+//! The layer does no I/O and reads no clock: wall-clock times come from records. [`records`] and [`dag_records`] are the
+//! formats, [`store_cache`] the state derived from them, [`job_listing`] and [`run_listing`] what operators see of it.
 
 pub mod bit_set;
 pub mod config;
--- a/src/bookkeeping/run_listing.rs
+++ b/src/bookkeeping/run_listing.rs
@@ -1,24 +1,30 @@
-//! Runs and their nodes for operators, from the mirror.
+//! Pages of graph runs and of their nodes for operators, from the store cache.
 
 use std::collections::BTreeMap;
 
 use olivelatch_dag::{NodeIx, NodeOutcome};
 
-use super::dag::{Dag, downstream_path_s};
+use super::dag::Dag;
 use super::dag_records::RunPhase;
 use super::dag_runs::DagRun;
 use super::job_listing::RunningTaskCount;
 use super::store_cache::StoreCache;
+use crate::ids::JobId;
 use crate::protocol::graphs::{
     DagNodeState, DagNodeView, DagRunDetail, DagRunQuery, DagRunState, DagRunSummary, FailedAttempt,
 };
 
-/// Runs looked at for one page.
+/// Runs scanned for one page.
 const MAX_SCANNED_RUNS: usize = 2_000;
-/// Failures shown of a node that still runs.
+/// Failures shown of a node that has not ended.
 const MAX_LIVE_FAILURES_SHOWN: usize = 10;
 
-pub fn run_state(run: &DagRun) -> DagRunState {
+// Estimates for the JSON of a node in a page, without its name.
+const NODE_BYTES: usize = 300;
+const UPSTREAM_RANGE_BYTES: usize = 16;
+const FAILED_ATTEMPT_BYTES: usize = 120;
+
+fn run_state(run: &DagRun) -> DagRunState {
     match run.phase_record.phase {
         RunPhase::Ended if run.phase_record.cancelled => DagRunState::Cancelled,
         RunPhase::Ended if run.phase_record.succeeded == Some(true) => DagRunState::Success,
@@ -29,31 +35,34 @@
     }
 }
 
-pub fn run_row(run: &DagRun) -> DagRunSummary {
-    let (accepted, graph, nodes) = run
-        .accepted
-        .as_ref()
-        .map_or((0, String::new(), 0), |(at, header, _)| (*at, header.graph.clone(), header.nodes));
-    let mut states = BTreeMap::new();
-    if let Some(flow) = &run.dag {
-        for (outcome, count) in flow.progress.outcome_counts() {
-            states.insert(outcome.as_str().to_string(), count);
-        }
-        let ready = flow.progress.ready().len() as u32;
-        let waiting = flow.progress.unfinished().len() as u32 - ready;
-        for (word, count) in [(DagNodeState::Ready, ready), (DagNodeState::Waiting, waiting)] {
-            if count > 0 {
-                states.insert(word.as_str().to_string(), count);
-            }
+/// How many nodes are in each state, by its name; states without nodes are left out.
+fn node_state_counts(dag: &Dag) -> BTreeMap<String, u32> {
+    let outcomes = dag.progress.outcome_counts().into_iter();
+    let mut counts: BTreeMap<String, u32> =
+        outcomes.map(|(outcome, count)| (outcome.as_str().to_string(), count)).collect();
+    let ready = dag.progress.ready().len() as u32;
+    let waiting = dag.progress.unfinished().len() as u32 - ready;
+    for (state, count) in [(DagNodeState::Ready, ready), (DagNodeState::Waiting, waiting)] {
+        if count > 0 {
+            counts.insert(state.as_str().to_string(), count);
         }
     }
+    counts
+}
+
+/// A run as a list shows it.
+pub fn run_row(run: &DagRun) -> DagRunSummary {
+    let (accepted_ms, graph, nodes) = match &run.accepted {
+        Some((accepted_wall_ms, header, _)) => (*accepted_wall_ms, header.graph.clone(), header.nodes),
+        None => (0, String::new(), 0),
+    };
     DagRunSummary {
         run: run.name.to_string(),
         graph,
         state: run_state(run),
         nodes,
-        node_states: states,
-        accepted_ms: accepted,
+        node_states: run.dag.as_ref().map(|dag| node_state_counts(dag)).unwrap_or_default(),
+        accepted_ms,
         finished_ms: run.is_ended().then_some(run.phase_record.since_wall_ms),
         next_part: run.next_rerun_part(),
     }
@@ -61,22 +70,22 @@
 
 /// The rows of a page, and the run after which the next one begins.
 pub fn run_page(cache: &StoreCache, query: &DagRunQuery) -> (Vec<DagRunSummary>, Option<String>) {
+    let is_wanted = |graph: &String| query.graph.as_ref().is_none_or(|filter| filter == graph);
     let mut rows = Vec::new();
     let mut last = None;
-    for (looked_at, run) in cache.dag_runs.runs_after(query.after.as_ref()).enumerate() {
-        if rows.len() >= query.limit || looked_at >= MAX_SCANNED_RUNS {
+    for (scanned, run) in cache.dag_runs.runs_after(query.after.as_ref()).enumerate() {
+        if rows.len() >= query.limit || scanned >= MAX_SCANNED_RUNS {
             return (rows, last);
         }
         last = Some(run.name.to_string());
-        let wanted = |graph: &String| query.graph.as_ref().is_none_or(|wanted| wanted == graph);
-        if run.dag.is_some() && run.accepted.as_ref().is_some_and(|(_, header, _)| wanted(&header.graph)) {
+        if run.dag.is_some() && run.accepted.as_ref().is_some_and(|(_, header, _)| is_wanted(&header.graph)) {
             rows.push(run_row(run));
         }
     }
     (rows, None)
 }
 
-/// A page of a run's nodes. `most_bytes`: about as long as it may get.
+/// A page of a run's nodes: those after node `after` if it is given, at most `limit`, and about `max_bytes` of JSON.
 pub fn run_detail(
     cache: &StoreCache,
     run: &DagRun,
@@ -85,83 +94,109 @@
     max_bytes: usize,
     running: RunningTaskCount<'_>,
 ) -> DagRunDetail {
-    let first = after.map_or(0, |after| after.saturating_add(1));
+    let first_node = after.map_or(0, |after| after.saturating_add(1));
+    let node_count = run.dag.as_ref().map_or(0, |dag| dag.nodes.len() as u32);
     let mut nodes = Vec::new();
     let mut bytes = 0;
-    let all = run.dag.as_ref().map_or(0, |flow| flow.nodes.len() as u32);
-    if let Some(flow) = &run.dag {
-        for node in first..all {
+    if let Some(dag) = &run.dag {
+        for node in first_node..node_count {
             if nodes.len() >= limit || bytes > max_bytes {
                 break;
             }
-            let view = node_view(cache, run, flow, NodeIx(node), running);
-            bytes += 300 + view.name.len() + view.upstream.len() * 16 + view.failed_attempts.len() * 120;
+            let view = node_view(cache, run, dag, NodeIx(node), running);
+            bytes += estimated_bytes(&view);
             nodes.push(view);
         }
     }
-    let shown = first + nodes.len() as u32;
+    let end = first_node + nodes.len() as u32;
     DagRunDetail {
         controller: String::new(),
         summary: run_row(run),
-        first_node: first,
-        next: (shown < all && shown > first).then(|| shown - 1),
+        first_node,
+        next: (end < node_count && end > first_node).then(|| end - 1),
         nodes,
     }
 }
 
+fn estimated_bytes(view: &DagNodeView) -> usize {
+    NODE_BYTES
+        + view.name.len()
+        + view.upstream.len() * UPSTREAM_RANGE_BYTES
+        + view.failed_attempts.len() * FAILED_ATTEMPT_BYTES
+}
+
 fn node_view(
     cache: &StoreCache,
     run: &DagRun,
-    flow: &Dag,
-    node: NodeIx,
+    dag: &Dag,
+    ix: NodeIx,
     running: RunningTaskCount<'_>,
 ) -> DagNodeView {
-    let known = flow.node(node);
-    let job = cache.find_job(known.job);
-    let outcome = flow.progress.outcome(node);
-    let runs = if outcome.is_none() { running(known.job) } else { 0 };
-    let end = cache.dag_runs.terminal_of(known.job);
-    let tries = cache.dag_runs.retry_states_of(known.job);
-    let mapped = flow.progress.map_len(node);
-    let tasks = if known.map_source.is_some() { mapped } else { Some(flow.template(node).manifest.tasks) };
-    let live = tries.into_iter().flatten().flat_map(|(task, tries)| {
-        tries.evidence.iter().map(|failure| FailedAttempt { task: *task, failure: failure.clone() })
-    });
-    let evidence = match end {
-        Some(end) => end.evidence.clone(),
-        None => live.take(MAX_LIVE_FAILURES_SHOWN).collect(),
+    let node = dag.node(ix);
+    let manifest = &dag.template(ix).manifest;
+    let outcome = dag.progress.outcome(ix);
+    let running_tasks = if outcome.is_none() { running(node.job) } else { 0 };
+    let terminal = cache.dag_runs.terminal_of(node.job);
+    let tasks = match node.map_source {
+        Some(_) => dag.progress.map_len(ix),
+        None => Some(manifest.tasks),
     };
     DagNodeView {
-        name: known.name.to_string(),
-        job: known.job.to_string(),
+        name: node.name.to_string(),
+        job: node.job.to_string(),
         state: match outcome {
-            Some(outcome) => node_state(outcome),
-            None if runs > 0 => DagNodeState::Running,
-            None if !flow.progress.ready().contains(node.0) || run.phase_record.cancelled => {
-                DagNodeState::Waiting
-            }
-            None if tries.is_some() => DagNodeState::UpForRetry,
-            None => DagNodeState::Ready,
+            Some(outcome) => ended_node_state(outcome),
+            None => live_node_state(cache, run, dag, ix, running_tasks),
         },
-        trigger_rule: flow.progress.rule(node),
-        upstream: known.upstream_ranges.to_vec(),
-        mapped_from: known.map_source.map(|map| map.0),
+        trigger_rule: dag.progress.rule(ix),
+        upstream: node.upstream_ranges.to_vec(),
+        mapped_from: node.map_source.map(|source| source.0),
         tasks,
         done: match outcome {
             Some(NodeOutcome::Success) => tasks.unwrap_or(0),
-            _ => job.map_or(0, |job| job.finished_tasks.count()),
+            _ => cache.find_job(node.job).map_or(0, |job| job.finished_tasks.count()),
+        },
+        running: running_tasks,
+        estimated_run_s: manifest.estimated_run_s,
+        downstream_path_s: dag.downstream_path_s(ix),
+        published_attempt: terminal.and_then(|terminal| terminal.attempt),
+        output_list_len: terminal.and_then(|terminal| terminal.list_len),
+        finished_ms: cache.terminal_summary(node.job).map(|(_, ended_wall_ms, _)| ended_wall_ms),
+        failed_attempts: match terminal {
+            Some(terminal) => terminal.evidence.clone(),
+            None => live_failures(cache, node.job),
         },
-        running: runs,
-        estimated_run_s: flow.template(node).manifest.estimated_run_s,
-        downstream_path_s: downstream_path_s(flow, node),
-        published_attempt: end.and_then(|end| end.attempt),
-        output_list_len: end.and_then(|end| end.list_len),
-        finished_ms: cache.terminal_summary(known.job).map(|(_, at, _)| at),
-        failed_attempts: evidence,
     }
 }
 
-fn node_state(outcome: NodeOutcome) -> DagNodeState {
+/// The failures on record of a node that has not ended.
+fn live_failures(cache: &StoreCache, job: JobId) -> Vec<FailedAttempt> {
+    let by_task = cache.dag_runs.retry_states_of(job).into_iter().flatten();
+    let failures = by_task.flat_map(|(task, state)| {
+        state.evidence.iter().map(|failure| FailedAttempt { task: *task, failure: failure.clone() })
+    });
+    failures.take(MAX_LIVE_FAILURES_SHOWN).collect()
+}
+
+fn live_node_state(
+    cache: &StoreCache,
+    run: &DagRun,
+    dag: &Dag,
+    ix: NodeIx,
+    running_tasks: u32,
+) -> DagNodeState {
+    if running_tasks > 0 {
+        DagNodeState::Running
+    } else if !dag.progress.ready().contains(ix.0) || run.phase_record.cancelled {
+        DagNodeState::Waiting
+    } else if cache.dag_runs.retry_states_of(dag.node(ix).job).is_some() {
+        DagNodeState::UpForRetry
+    } else {
+        DagNodeState::Ready
+    }
+}
+
+fn ended_node_state(outcome: NodeOutcome) -> DagNodeState {
     match outcome {
         NodeOutcome::Success => DagNodeState::Success,
         NodeOutcome::Failed => DagNodeState::Failed,
--- a/src/bookkeeping/tests/bit_set.rs
+++ b/src/bookkeeping/tests/bit_set.rs
@@ -1,12 +1,12 @@
-//! Tests of `bits`.
+//! Tests of `bit_set`.
 
 use super::*;
 
 #[test]
-fn blocks_come_back_as_they_were_written() {
+fn encoded_blocks_round_trip() {
     let mut bits = BitSet::new(5000);
-    for at in [0, 3, 2047, 2048, 4095, 4096, 4999] {
-        assert!(bits.insert(at));
+    for number in [0, 3, 2047, 2048, 4095, 4096, 4999] {
+        assert!(bits.insert(number));
     }
     assert!(!bits.insert(4999) && !bits.insert(5000));
     let mut copy = BitSet::new(5000);
--- a/src/bookkeeping/tests/dag.rs
+++ b/src/bookkeeping/tests/dag.rs
@@ -1,6 +1,7 @@
-//! Tests of `flow`.
+//! Tests of `dag`.
 
 use super::*;
+use crate::protocol::graphs::DagNodeRecord;
 
 fn part(nodes: &[(&str, u64, Option<u32>)], edges: &[(u32, u32, u32)]) -> GraphPart {
     let spec = serde_json::json!({"uid": "", "jobclass": "c", "owner": "o", "shape": "array", "urgency": "low",
@@ -17,40 +18,40 @@
     GraphPart { templates: vec![template], nodes, edges: edges.to_vec(), reruns: Vec::new() }
 }
 
-fn problem(nodes: &[(&str, u64, Option<u32>)], edges: &[(u32, u32, u32)]) -> String {
-    Dag::from_parts([part(nodes, edges)].iter()).map(|_| ()).expect_err("a problem")
+fn error_text(nodes: &[(&str, u64, Option<u32>)], edges: &[(u32, u32, u32)]) -> String {
+    Dag::from_parts([part(nodes, edges)].iter()).map(|_| ()).expect_err("an error")
 }
 
 #[test]
-fn mistakes_are_named() {
+fn errors_name_what_is_wrong() {
     let abc = [("a", 1, None), ("b", 2, None), ("c", 3, None)];
-    let circle = problem(&abc, &[(1, 0, 1), (2, 1, 1), (0, 2, 1)]);
-    assert!(circle.contains("circle: ") && circle.matches(" -> ").count() == 3, "{circle}");
-    assert!(problem(&[("a", 1, None), ("a", 2, None)], &[]).contains("two nodes are called a"));
-    assert!(problem(&[("a", 1, None), ("b", 1, None)], &[]).contains("another node has the job"));
-    assert!(problem(&[("a b", 1, None)], &[]).contains("without spaces"));
+    let cycle = error_text(&abc, &[(1, 0, 1), (2, 1, 1), (0, 2, 1)]);
+    assert!(cycle.contains("circle: ") && cycle.matches(" -> ").count() == 3, "{cycle}");
+    assert!(error_text(&[("a", 1, None), ("a", 2, None)], &[]).contains("two nodes are called a"));
+    assert!(error_text(&[("a", 1, None), ("b", 1, None)], &[]).contains("another node has the job"));
+    assert!(error_text(&[("a b", 1, None)], &[]).contains("without spaces"));
     assert!(
-        problem(&abc, &[(2, 1, 2)]).contains("not all there")
-            || problem(&abc, &[(2, 1, 2)]).contains("circle")
+        error_text(&abc, &[(2, 1, 2)]).contains("not all there")
+            || error_text(&abc, &[(2, 1, 2)]).contains("circle")
     );
-    assert!(problem(&abc, &[(2, 0, 9)]).contains("not all there"));
-    assert!(problem(&abc, &[(2, 0, 1), (2, 0, 2)]).contains("c comes after a twice"));
-    assert!(problem(&[("a", 1, None), ("b", 2, Some(0))], &[]).contains("does not come after"));
-    assert!(problem(&[("a", 1_000_000_000_000_000_000, None)], &[]).contains("no number of a job"));
+    assert!(error_text(&abc, &[(2, 0, 9)]).contains("not all there"));
+    assert!(error_text(&abc, &[(2, 0, 1), (2, 0, 2)]).contains("c comes after a twice"));
+    assert!(error_text(&[("a", 1, None), ("b", 2, Some(0))], &[]).contains("does not come after"));
+    assert!(error_text(&[("a", 1_000_000_000_000_000_000, None)], &[]).contains("no number of a job"));
 }
 
-/// What is done over takes all behind it along: half of a chain anew would mix two versions.
+/// A rerun covers all downstream nodes: half of a chain run anew would mix two versions of the data.
 #[test]
-fn doing_over_takes_all_behind_along() {
-    let flow = Dag::from_parts(
+fn a_rerun_covers_all_downstream_nodes() {
+    let dag = Dag::from_parts(
         [part(&[("a", 1, None), ("b", 2, None), ("c", 3, None)], &[(1, 0, 1), (2, 1, 1)])].iter(),
     );
-    let flow = flow.expect("a graph");
-    assert_eq!(flow.downstream_path_ms, [4000, 2000, 0]);
-    let new = flow.rerun_jobs(&[(1, 2, 50)]).expect("two nodes");
-    assert_eq!(new.values().copied().collect::<Vec<_>>(), [JobId(50), JobId(51)]);
-    assert!(flow.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").contains("c comes after"));
+    let dag = dag.expect("a graph");
+    assert_eq!(dag.downstream_path_ms, [4000, 2000, 0]);
+    let jobs = dag.rerun_jobs(&[(1, 2, 50)]).expect("two nodes");
+    assert_eq!(jobs.values().copied().collect::<Vec<_>>(), [JobId(50), JobId(51)]);
+    assert!(dag.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").contains("c comes after"));
     for wrong in [&[(1, 9, 50)][..], &[], &[(1, 2, 50), (2, 1, 60)], &[(1, 1, 50), (2, 1, 50)]] {
-        assert!(flow.rerun_jobs(wrong).is_err(), "{wrong:?}");
+        assert!(dag.rerun_jobs(wrong).is_err(), "{wrong:?}");
     }
 }
--- a/src/bookkeeping/tests/dag_records.rs
+++ b/src/bookkeeping/tests/dag_records.rs
@@ -1,21 +1,21 @@
-//! Tests of `graph_records`.
+//! Tests of `dag_records`.
 
 use super::*;
 use olivelatch_dag::{Failure, RetryPolicy};
 
-/// Names of machines are short; with such as long as this one a block still fits the smallest value allowed.
+/// Machine names are short; even with names as long as these a block fits the smallest value that settings allow.
 #[test]
 fn a_block_of_failures_fits_a_value() {
     let mut record = RetryStateRecord::default();
     for task in 0..RETRY_BLOCK_TASKS {
-        let tries = record.by_task.entry(99_990 + task).or_default();
+        let state = record.by_task.entry(99_990 + task).or_default();
         for attempt in 0..9 {
             let failure = Failure {
                 attempt: u64::MAX - 9 + attempt,
                 machine: "m".repeat(60),
                 cause: "time limit".into(),
             };
-            tries.record_failure(failure, &RetryPolicy { max_attempts: 100, ..RetryPolicy::default() });
+            state.record_failure(failure, &RetryPolicy { max_attempts: 100, ..RetryPolicy::default() });
         }
     }
     let text = serde_json::to_string(&record).expect("JSON");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_header_and_a_sweep_are_told_apart() {
+fn an_acceptance_and_an_expired_upload_parse_as_what_they_are() {
     let header = DagRunHeader { graph: "nightly".into(), parts: 2, nodes: 9, max_active_runs: 1 };
     for record in [DagRunRecord::Accepted { at: 5, header }, DagRunRecord::UploadExpired { swept: 7 }] {
         let text = serde_json::to_string(&record).expect("JSON");
--- a/src/bookkeeping/tests/job_listing.rs
+++ b/src/bookkeeping/tests/job_listing.rs
@@ -1,4 +1,4 @@
-//! Tests of `listing`.
+//! Tests of `job_listing`.
 
 use super::*;
 use crate::bookkeeping::records::{RecordKey, TerminalDetail, TerminalRecord};
@@ -6,9 +6,9 @@
 use crate::protocol::kv::KvEntry;
 
 fn cache_with_terminals(count: u64) -> StoreCache {
-    let mut mirror = StoreCache::default();
-    for at in 0..count {
-        let team = if at % 1000 == 999 { "rare" } else { "core" };
+    let mut cache = StoreCache::default();
+    for job in 0..count {
+        let team = if job % 1000 == 999 { "rare" } else { "core" };
         let detail = TerminalDetail {
             team: team.into(),
             class: "work".into(),
@@ -18,16 +18,16 @@
         };
         let record = TerminalRecord::new(TerminalState::Done, 7, Some(detail));
         let value = serde_json::to_string(&record).ok();
-        mirror.apply(&KvEntry {
-            key: RecordKey::Terminal(JobId(at)).encode(),
+        cache.apply(&KvEntry {
+            key: RecordKey::Terminal(JobId(job)).encode(),
             value,
-            revision: Revision(at + 1),
+            revision: Revision(job + 1),
         });
     }
-    mirror
+    cache
 }
 
-fn walk(cache: &StoreCache, query: &ListQuery) -> (Vec<String>, usize) {
+fn list_all(cache: &StoreCache, query: &ListQuery) -> (Vec<String>, usize) {
     let (mut seen, mut pages, mut query) = (Vec::new(), 0, query.clone());
     loop {
         let (rows, next) = job_page(cache, &query, &|_| 0);
@@ -40,17 +40,17 @@
     }
 }
 
-/// Whatever the filter takes, the pages together list each job once, and none looks at more than its share.
+/// Whatever the filter selects, the pages together list each matching job once, and none scans more than its bound.
 #[test]
 fn pages_list_each_job_once_at_a_bounded_cost() {
-    let mirror = cache_with_terminals(10_000);
+    let cache = cache_with_terminals(10_000);
     let all = ListQuery { limit: 300, ..ListQuery::default() };
-    let (seen, pages) = walk(&mirror, &all);
+    let (seen, pages) = list_all(&cache, &all);
     assert_eq!((seen.len(), pages), (10_000, 34));
     assert!(seen.is_sorted());
     let rare = ListQuery { limit: 300, team: Some("rare".into()), ..ListQuery::default() };
-    let (seen, pages) = walk(&mirror, &rare);
+    let (seen, pages) = list_all(&cache, &rare);
     assert_eq!((seen.len(), pages), (10, 3));
     let live = ListQuery { limit: 300, state: Some(StateFilter::Active), ..ListQuery::default() };
-    assert_eq!(walk(&mirror, &live).0.len(), 0);
+    assert_eq!(list_all(&cache, &live).0.len(), 0);
 }
