--- a/crates/kv-store/src/limits.rs
+++ b/crates/kv-store/src/limits.rs
@@ -1,16 +1,20 @@
-//! Requests and changes a second, with bursts of one second's worth.
+//! Rate limits with bursts of one second's worth, and limits of size.
 
-/// What the service allows; nothing is limited by default.
+/// What the store allows. By default rates are not limited.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
+    /// Requests a second.
     pub requests_per_s: f64,
+    /// Changed keys a second.
     pub changes_per_s: f64,
+    /// Length of a value as JSON.
     pub max_value_bytes: usize,
+    /// Changes in one transaction.
     pub max_txn_changes: usize,
 }
 
 impl Default for Limits {
-    fn default() -> Self {
+    fn default() -> Limits {
         Limits {
             requests_per_s: f64::INFINITY,
             changes_per_s: f64::INFINITY,
@@ -20,22 +24,22 @@
     }
 }
 
-/// A bucket that refills with time.
+/// A token bucket: it holds one second's worth and refills with time.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct TokenBucket {
+pub(crate) struct TokenBucket {
     used_tokens: f64,
     refilled_at_ms: u64,
 }
 
 impl TokenBucket {
-    /// Takes so much if it is there now.
-    pub fn try_take(&mut self, now_ms: u64, per_s: f64, amount: f64) -> bool {
+    /// Takes `amount` tokens if the bucket has them now. An infinite rate is no limit.
+    pub(crate) fn try_take(&mut self, now_ms: u64, per_s: f64, amount: f64) -> bool {
         if per_s.is_infinite() {
             return true;
         }
-        let passed = now_ms.saturating_sub(self.refilled_at_ms) as f64 / 1000.0;
+        let elapsed_s = now_ms.saturating_sub(self.refilled_at_ms) as f64 / 1000.0;
         self.refilled_at_ms = self.refilled_at_ms.max(now_ms);
-        self.used_tokens = (self.used_tokens - passed * per_s).max(0.0);
+        self.used_tokens = (self.used_tokens - elapsed_s * per_s).max(0.0);
         let fits = self.used_tokens + amount <= per_s;
         if fits {
             self.used_tokens += amount;
--- a/crates/kv-store/src/store_file.rs
+++ b/crates/kv-store/src/store_file.rs
@@ -1,4 +1,6 @@
-//! The file behind the service: what was committed is there after any end of the process.
+//! The file behind the store: what was committed survives any end of the process.
+//!
+//! One transaction of the database for each commit; docs/store.md has the format.
 
 use std::path::Path;
 
@@ -9,26 +11,51 @@
 
 use crate::engine::Delta;
 
+/// Why the file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
+    /// It cannot be opened.
     #[error("{file}: {error}")]
-    Open { file: String, error: Box<redb::DatabaseError> },
+    Open {
+        /// Its path.
+        file: String,
+        /// The cause.
+        error: Box<redb::DatabaseError>,
+    },
+    /// The database failed.
     #[error("the state file: {0}")]
     Redb(#[from] Box<redb::Error>),
+    /// A value is not the JSON that was written.
     #[error("the state file: the value of {key} is not what was written: {error}")]
-    Value { key: String, error: serde_json::Error },
+    Value {
+        /// Its key.
+        key: String,
+        /// The cause.
+        error: serde_json::Error,
+    },
+    /// It has a format of another version.
     #[error("{file}: written by version {found} of the format, this program reads {FORMAT_VERSION}")]
-    Format { file: String, found: u64 },
+    Format {
+        /// Its path.
+        file: String,
+        /// The version found.
+        found: u64,
+    },
 }
 
 const FORMAT_VERSION: u64 = 1;
 const KEYS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("keys");
 const LEASES: TableDefinition<'_, u64, u64> = TableDefinition::new("leases");
 const NUMBERS: TableDefinition<'_, &str, u64> = TableDefinition::new("numbers");
-/// What the region keeps beside: descriptions, results, the cloud.
+/// What a local cluster keeps beside the keys: descriptions, results, the cloud.
 const AUXILIARY: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("beside");
 
-/// A key's value as it lies in the file.
+// Names in the table of numbers.
+const FORMAT_NAME: &str = "format";
+const NEXT_LEASE_NAME: &str = "next_lease";
+const REVISION_NAME: &str = "revision";
+
+/// A key's value in the file.
 #[derive(Serialize, Deserialize)]
 struct StoredEntry {
     value: Value,
@@ -37,13 +64,16 @@
     lease: Option<u64>,
 }
 
-/// One thing kept beside the service's own: a name, and bytes or its removal.
+/// A record that is kept beside the keys and committed with them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AuxiliaryRecord {
+    /// Unique name.
     pub name: String,
+    /// Content; None deletes the record.
     pub bytes: Option<Vec<u8>>,
 }
 
+/// The open file.
 pub struct StoreFile {
     database: Database,
 }
@@ -54,6 +84,9 @@
 
 impl StoreFile {
     /// Opens or creates the file, and reads all that was committed.
+    ///
+    /// # Errors
+    /// The file cannot be opened or read, is damaged, or has a format of another version.
     pub fn open(path: &Path) -> Result<(StoreFile, Vec<Delta>, Vec<AuxiliaryRecord>), StoreError> {
         let file = path.display().to_string();
         let open = |error| StoreError::Open { file: file.clone(), error: Box::new(error) };
@@ -61,11 +94,11 @@
         let store = StoreFile { database };
         store.create_tables(&file)?;
         let deltas = store.read_deltas()?;
-        let beside = store.read_auxiliary()?;
-        Ok((store, deltas, beside))
+        let auxiliary = store.read_auxiliary()?;
+        Ok((store, deltas, auxiliary))
     }
 
-    /// Creates the tables; a format of another version is refused.
+    /// Creates the tables if the file is new; refuses a format of another version.
     fn create_tables(&self, file: &str) -> Result<(), StoreError> {
         let txn = self.database.begin_write().map_err(redb_error)?;
         {
@@ -73,11 +106,11 @@
             txn.open_table(LEASES).map_err(redb_error)?;
             txn.open_table(AUXILIARY).map_err(redb_error)?;
             let mut numbers = txn.open_table(NUMBERS).map_err(redb_error)?;
-            let found = numbers.get("format").map_err(redb_error)?.map(|found| found.value());
+            let found = numbers.get(FORMAT_NAME).map_err(redb_error)?.map(|found| found.value());
             match found {
                 Some(FORMAT_VERSION) => {}
                 Some(found) => return Err(StoreError::Format { file: file.into(), found }),
-                None => drop(numbers.insert("format", FORMAT_VERSION).map_err(redb_error)?),
+                None => drop(numbers.insert(FORMAT_NAME, FORMAT_VERSION).map_err(redb_error)?),
             }
         }
         txn.commit().map_err(redb_error)
@@ -87,22 +120,22 @@
         let txn = self.database.begin_read().map_err(redb_error)?;
         let mut deltas = Vec::new();
         let numbers = txn.open_table(NUMBERS).map_err(redb_error)?;
-        if let Some(next) = numbers.get("next_lease").map_err(redb_error)? {
-            // Ended leases are not kept; their numbers must not come again.
+        if let Some(next) = numbers.get(NEXT_LEASE_NAME).map_err(redb_error)? {
+            // Removed leases are not kept, but their numbers must not be granted again.
             deltas.push(Delta::RemoveLease { lease: next.value() });
         }
         for row in txn.open_table(LEASES).map_err(redb_error)?.iter().map_err(redb_error)? {
-            let (lease, life) = row.map_err(redb_error)?;
-            deltas.push(Delta::GrantLease { lease: lease.value(), life_ms: life.value() });
+            let (lease, ttl) = row.map_err(redb_error)?;
+            deltas.push(Delta::GrantLease { lease: lease.value(), life_ms: ttl.value() });
         }
         for row in txn.open_table(KEYS).map_err(redb_error)?.iter().map_err(redb_error)? {
             let (key, bytes) = row.map_err(redb_error)?;
             let key = key.value().to_string();
-            let kept: StoredEntry = serde_json::from_slice(bytes.value())
+            let entry: StoredEntry = serde_json::from_slice(bytes.value())
                 .map_err(|error| StoreError::Value { key: key.clone(), error })?;
-            deltas.push(Delta::Put { key, value: kept.value, stamp: kept.revision, lease: kept.lease });
+            deltas.push(Delta::Put { key, value: entry.value, stamp: entry.revision, lease: entry.lease });
         }
-        if let Some(revision) = numbers.get("revision").map_err(redb_error)? {
+        if let Some(revision) = numbers.get(REVISION_NAME).map_err(redb_error)? {
             deltas.push(Delta::Revision(revision.value()));
         }
         Ok(deltas)
@@ -118,7 +151,10 @@
         rows.collect()
     }
 
-    /// All of it or nothing, on disk when this returns. Nothing that follows from it may be said before.
+    /// Writes all of it or nothing; it is on disk when this returns. No response that depends on it may be sent before.
+    ///
+    /// # Errors
+    /// The database cannot be written; nothing of the commit is durable then.
     pub fn commit(&self, deltas: &[Delta], auxiliary: &[AuxiliaryRecord]) -> Result<(), StoreError> {
         if deltas.is_empty() && auxiliary.is_empty() {
             return Ok(());
@@ -137,16 +173,16 @@
     for delta in deltas {
         match delta {
             Delta::Put { key, value, stamp, lease } => {
-                let kept = StoredEntry { value: value.clone(), revision: *stamp, lease: *lease };
-                let bytes = serde_json::to_vec(&kept)
+                let entry = StoredEntry { value: value.clone(), revision: *stamp, lease: *lease };
+                let bytes = serde_json::to_vec(&entry)
                     .map_err(|error| StoreError::Value { key: key.clone(), error })?;
                 keys.insert(key.as_str(), bytes.as_slice()).map_err(redb_error)?;
             }
             Delta::Delete { key } => drop(keys.remove(key.as_str()).map_err(redb_error)?),
-            Delta::Revision(revision) => drop(numbers.insert("revision", revision).map_err(redb_error)?),
+            Delta::Revision(revision) => drop(numbers.insert(REVISION_NAME, revision).map_err(redb_error)?),
             Delta::GrantLease { lease, life_ms } => {
                 leases.insert(lease, life_ms).map_err(redb_error)?;
-                numbers.insert("next_lease", lease).map_err(redb_error)?;
+                numbers.insert(NEXT_LEASE_NAME, lease).map_err(redb_error)?;
             }
             Delta::RemoveLease { lease } => drop(leases.remove(lease).map_err(redb_error)?),
         }
@@ -154,12 +190,12 @@
     Ok(())
 }
 
-fn write_auxiliary(txn: &WriteTransaction, beside: &[AuxiliaryRecord]) -> Result<(), StoreError> {
+fn write_auxiliary(txn: &WriteTransaction, records: &[AuxiliaryRecord]) -> Result<(), StoreError> {
     let mut table = txn.open_table(AUXILIARY).map_err(redb_error)?;
-    for saved in beside {
-        match &saved.bytes {
-            Some(bytes) => drop(table.insert(saved.name.as_str(), bytes.as_slice()).map_err(redb_error)?),
-            None => drop(table.remove(saved.name.as_str()).map_err(redb_error)?),
+    for record in records {
+        match &record.bytes {
+            Some(bytes) => drop(table.insert(record.name.as_str(), bytes.as_slice()).map_err(redb_error)?),
+            None => drop(table.remove(record.name.as_str()).map_err(redb_error)?),
         }
     }
     Ok(())
--- a/crates/kv-store/src/tests/engine.rs
+++ b/crates/kv-store/src/tests/engine.rs
@@ -1,41 +1,45 @@
-//! Tests of `engine`.
+//! Tests of `engine`, through its requests.
 
 use super::*;
+use crate::change_log::MAX_KEPT_CHANGES;
+use crate::requests::JsonResponse;
 
-fn txn(engine: &mut KvEngine, body: Value) -> JsonResponse {
+fn txn(engine: &mut KvEngine, body: &Value) -> JsonResponse {
     engine.handle_request("POST", "/txn", body.to_string().as_bytes(), 0)
 }
 
 fn put(engine: &mut KvEngine, key: &str, stamp: u64, value: u64) -> JsonResponse {
-    txn(engine, json!({"guards": [{"key": key, "stamp": stamp}], "then": [{"write": key, "value": value}]}))
+    let body = json!({"guards": [{"key": key, "stamp": stamp}], "then": [{"write": key, "value": value}]});
+    txn(engine, &body)
 }
 
-/// A condition that does not hold changes nothing; every change of one transaction has one revision.
+/// A failed precondition changes nothing; all changes of one transaction have one revision.
 #[test]
-fn transactions_are_whole() {
+fn transactions_are_atomic() {
     let mut engine = KvEngine::default();
     assert_eq!(put(&mut engine, "a", 0, 1).1["ledger_rev"], 1);
     assert_eq!(put(&mut engine, "a", 0, 2), (409, json!({"failed": ["a"], "ledger_rev": 1})));
     let both =
         json!({"guards": [{"key": "a", "stamp": 1}], "then": [{"write": "b", "value": 1}, {"drop": "a"}]});
-    assert_eq!(txn(&mut engine, both).1["ledger_rev"], 2);
+    assert_eq!(txn(&mut engine, &both).1["ledger_rev"], 2);
     let (_, changes) = engine.handle_request("GET", "/changes?after=1", b"", 0);
     let stamps: Vec<_> = changes["events"].as_array().expect("events").iter().map(|e| &e["stamp"]).collect();
     assert_eq!(stamps, [&json!(2), &json!(2)]);
-    assert_eq!(txn(&mut engine, json!({"guards": []})).1["ledger_rev"], 2, "it only compares");
+    assert_eq!(txn(&mut engine, &json!({"guards": []})).1["ledger_rev"], 2, "it only compares");
     for wrong in [
         json!([]),
         json!({"then": [{"write": "a b", "value": 1}]}),
         json!({"then": [{}]}),
         json!({"guards": 1}),
     ] {
-        assert_eq!(txn(&mut engine, wrong).0, 400);
+        assert_eq!(txn(&mut engine, &wrong).0, 400);
     }
 }
 
-/// A lease takes its keys with it, never early; a write with an ended one is refused whatever the conditions.
+/// An expired lease deletes its keys, never early; a write with an expired lease is refused whatever the
+/// preconditions.
 #[test]
-fn leases_end_in_time_and_take_their_keys() {
+fn leases_expire_in_time_with_their_keys() {
     let mut engine = KvEngine::default();
     let grant = |engine: &mut KvEngine, now| {
         engine.handle_request("POST", "/grants", b"{\"life_ms\":1000}", now).1["permit"].clone()
@@ -52,13 +56,13 @@
     assert_eq!(engine.handle_request("POST", "/grants", b"{\"life_ms\":1}", 0).0, 400);
 }
 
-/// Who asks for changes that are not kept any more is told so, and never gets a part of a revision.
+/// A poll for changes that are no longer kept fails, and no poll gets a part of a revision.
 #[test]
-fn old_changes_are_gone_whole() {
+fn old_changes_are_compacted_by_whole_revisions() {
     let mut engine = KvEngine::default();
-    for at in 0..MAX_KEPT_CHANGES as u64 {
-        let pair = json!({"then": [{"write": "a", "value": at}, {"write": "b", "value": at}]});
-        assert_eq!(txn(&mut engine, pair).0, 200);
+    for value in 0..MAX_KEPT_CHANGES as u64 {
+        let pair = json!({"then": [{"write": "a", "value": value}, {"write": "b", "value": value}]});
+        assert_eq!(txn(&mut engine, &pair).0, 200);
     }
     let half = MAX_KEPT_CHANGES as u64 / 2;
     assert_eq!(engine.handle_request("GET", &format!("/changes?after={}", half - 1), b"", 0).0, 410);
@@ -68,7 +72,7 @@
 }
 
 #[test]
-fn pages_go_on_behind_their_last_key_and_limits_refuse() {
+fn pages_continue_after_their_last_key_and_limits_refuse() {
     let mut engine = KvEngine::default();
     for key in ["a/1", "a/2", "a/3", "b/1"] {
         put(&mut engine, key, 0, 1);
