--- a/crates/worker/src/gangs.rs
+++ b/crates/worker/src/gangs.rs
@@ -1,89 +1,122 @@
-//! Tasks of a gang start together, complete together and go together.
+//! Gangs: their tasks start together, complete together and stop together.
+//!
+//! A gang is one attempt of a job whose tasks run on several machines; the workers of a cluster are coordinated in one
+//! place. No I/O, no clock.
 
 use std::collections::BTreeMap;
 
-use crate::core::{AttemptPhase, Worker};
+use crate::attempt::{AttemptPhase, cause};
 use crate::description::JobDescriptions;
+use crate::worker::Worker;
 
-/// How long a gang may gather, and how soon its tasks notice that one is gone.
+/// Time limits of gangs.
 #[derive(Debug, Clone, Copy)]
 pub struct GangTimes {
+    /// How long members wait for the others to come together.
     pub gather_timeout_ms: u64,
+    /// How soon members notice that another one is lost.
     pub peer_loss_timeout_ms: u64,
 }
 
-/// The members of one attempt: worker and place in its list.
+/// A gang: its job and the number of the attempt.
+type GangKey = (String, u64);
+
+/// Where a member is.
+#[derive(Clone, Copy)]
+struct MemberPosition {
+    worker: usize,
+    attempt: usize,
+}
+
+/// The members of a gang by the phases that matter.
 #[derive(Default)]
 struct GangMembers {
-    gathering: Vec<(usize, usize)>,
-    running: Vec<(usize, usize)>,
-    complete: Vec<(usize, usize)>,
-    ended_count: usize,
+    gathering: Vec<MemberPosition>,
+    running: Vec<MemberPosition>,
+    complete: Vec<MemberPosition>,
     fetching_count: usize,
+    /// When the first member began to wait.
     gathering_since: u64,
 }
 
 impl GangMembers {
+    fn add(&mut self, position: MemberPosition, phase: &AttemptPhase) {
+        match phase {
+            AttemptPhase::FetchingImage { .. } => self.fetching_count += 1,
+            AttemptPhase::WaitingForGang { since } => {
+                self.gathering_since =
+                    if self.gathering.is_empty() { *since } else { self.gathering_since.min(*since) };
+                self.gathering.push(position);
+            }
+            AttemptPhase::Running { .. } | AttemptPhase::Checkpointing { .. } => self.running.push(position),
+            AttemptPhase::WaitingForGangExit => self.complete.push(position),
+            AttemptPhase::Stopping { .. } | AttemptPhase::Ended { .. } => {}
+        }
+    }
+
     fn present_count(&self) -> usize {
         self.gathering.len() + self.running.len() + self.complete.len() + self.fetching_count
     }
+
+    fn has_run(&self) -> bool {
+        !self.running.is_empty() || !self.complete.is_empty()
+    }
 }
 
-fn gang_members(workers: &[Worker], jobs: &JobDescriptions) -> BTreeMap<(String, u64), GangMembers> {
-    let mut gangs: BTreeMap<(String, u64), GangMembers> = BTreeMap::new();
-    for (at, worker) in workers.iter().enumerate() {
-        for (place, piece) in worker.attempts.iter().enumerate() {
-            if !jobs.get(piece.job_name()).is_some_and(|job| job.gang) {
-                continue;
-            }
-            let gang = gangs.entry((piece.job_name().to_string(), piece.attempt)).or_default();
-            match piece.phase {
-                AttemptPhase::FetchingImage { .. } => gang.fetching_count += 1,
-                AttemptPhase::WaitingForGang { since } => {
-                    gang.gathering_since =
-                        if gang.gathering.is_empty() { since } else { gang.gathering_since.min(since) };
-                    gang.gathering.push((at, place));
-                }
-                AttemptPhase::Running { .. } | AttemptPhase::Checkpointing { .. } => {
-                    gang.running.push((at, place))
-                }
-                AttemptPhase::WaitingForGangExit => gang.complete.push((at, place)),
-                AttemptPhase::Stopping { .. } | AttemptPhase::Ended { .. } => gang.ended_count += 1,
+fn find_gangs(workers: &[Worker], jobs: &JobDescriptions) -> BTreeMap<GangKey, GangMembers> {
+    let mut gangs: BTreeMap<GangKey, GangMembers> = BTreeMap::new();
+    for (worker_index, worker) in workers.iter().enumerate() {
+        for (attempt_index, attempt) in worker.attempts.iter().enumerate() {
+            let job = attempt.job_name();
+            if jobs.get(job).is_some_and(|job| job.gang) {
+                let position = MemberPosition { worker: worker_index, attempt: attempt_index };
+                let gang = gangs.entry((job.to_string(), attempt.attempt)).or_default();
+                gang.add(position, &attempt.phase);
             }
         }
     }
     gangs
 }
 
-/// Looks at all machines of a region together. `since_ms` tells since when an attempt has been without a member.
+/// Moves the gangs on all machines of a cluster along. `incomplete_since` is the caller's state between calls: since
+/// when a gang that ran has missed a member.
 pub fn coordinate_gangs(
     workers: &mut [Worker],
     now: u64,
     times: GangTimes,
     jobs: &JobDescriptions,
-    incomplete_since: &mut BTreeMap<(String, u64), u64>,
+    incomplete_since: &mut BTreeMap<GangKey, u64>,
 ) {
-    let gangs = gang_members(workers, jobs);
+    let gangs = find_gangs(workers, jobs);
     incomplete_since.retain(|key, _| gangs.contains_key(key));
     for (key, gang) in gangs {
         let Some(tasks) = jobs.get(&key.0).map(|job| job.tasks as usize) else { continue };
         if gang.gathering.len() == tasks {
-            gang.gathering.iter().for_each(|(at, place)| workers[*at].start_running(*place, now, jobs));
+            for member in &gang.gathering {
+                workers[member.worker].start_running(member.attempt, now, jobs);
+            }
         } else if gang.complete.len() == tasks {
-            gang.complete.iter().for_each(|(at, place)| workers[*at].complete_attempt(*place));
+            for member in &gang.complete {
+                workers[member.worker].complete_attempt(member.attempt);
+            }
         } else if !gang.gathering.is_empty() && now >= gang.gathering_since + times.gather_timeout_ms {
-            gang.gathering.iter().for_each(|(at, place)| workers[*at].stop_peer(*place, "incomplete"));
+            stop_members(workers, &gang.gathering, cause::INCOMPLETE);
         }
-        // Only a gang that ran misses its members; one that gathers waits for a replacement.
-        let ran = !gang.running.is_empty() || !gang.complete.is_empty();
-        if ran && gang.present_count() < tasks {
+        // Only a gang that has run misses its members; one that gathers waits for a replacement.
+        if gang.has_run() && gang.present_count() < tasks {
             let since = *incomplete_since.entry(key).or_insert(now);
             if now >= since + times.peer_loss_timeout_ms {
-                let rest = gang.running.iter().chain(&gang.complete);
-                rest.for_each(|(at, place)| workers[*at].stop_peer(*place, "peers"));
+                stop_members(workers, &gang.running, cause::PEERS);
+                stop_members(workers, &gang.complete, cause::PEERS);
             }
         } else {
             incomplete_since.remove(&key);
         }
     }
 }
+
+fn stop_members(workers: &mut [Worker], members: &[MemberPosition], cause: &'static str) {
+    for member in members {
+        workers[member.worker].stop_peer(member.attempt, cause);
+    }
+}
--- a/crates/worker/src/tests/worker.rs
+++ b/crates/worker/src/tests/worker.rs
@@ -1,4 +1,6 @@
-//! Tests of `core`.
+//! Tests of `worker` and its commands.
+
+use serde_json::{Value, json};
 
 use super::*;
 use crate::description::ProcessCommand;
@@ -19,7 +21,7 @@
 
 fn jobs() -> JobDescriptions {
     let command = ProcessCommand { command: vec!["true".into()], ..ProcessCommand::default() };
-    let one = JobDescription {
+    let plain = JobDescription {
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.0,
@@ -33,25 +35,25 @@
         inputs: BTreeMap::new(),
         map_source: None,
     };
-    let saving = JobDescription { can_checkpoint: true, checkpoint_save_ms: 500, ..one.clone() };
-    JobDescriptions::from([("job-000001".into(), one), ("job-000002".into(), saving)])
+    let checkpointing = JobDescription { can_checkpoint: true, checkpoint_save_ms: 500, ..plain.clone() };
+    JobDescriptions::from([("job-000001".into(), plain), ("job-000002".into(), checkpointing)])
 }
 
-fn orders(token: u64, orders: Value) -> Value {
-    json!({"baton": token, "orders": orders})
+fn response(token: u64, commands: &Value) -> Value {
+    json!({"baton": token, "orders": commands})
 }
 
 fn run(task: &str) -> Value {
     json!([{"verb": "run", "piece": task, "try": 1}])
 }
 
-/// Lower tokens are not obeyed; a lease that ends kills what runs and forgets it.
+/// Lower tokens are refused; when the lease expires, all attempts are killed and forgotten.
 #[test]
-fn tokens_rise_and_leases_end() {
+fn lower_tokens_are_refused_and_lease_expiry_kills() {
     let jobs = jobs();
     let mut worker = Worker::new(machine(), 0);
-    assert!(worker.apply_heartbeat_response(&orders(5, run("job-000001/0")), 0, 0, &jobs));
-    assert!(!worker.apply_heartbeat_response(&orders(4, run("job-000001/1")), 0, 0, &jobs));
+    assert!(worker.apply_heartbeat_response(&response(5, &run("job-000001/0")), 0, 0, &jobs));
+    assert!(!worker.apply_heartbeat_response(&response(4, &run("job-000001/1")), 0, 0, &jobs));
     assert!(!worker.apply_heartbeat_response(&json!({"orders": run("job-000001/1")}), 0, 0, &jobs));
     worker.advance(10, 1000, &jobs);
     assert_eq!(
@@ -66,42 +68,49 @@
         worker.take_process_actions(),
         [ProcessAction::Kill { task: "job-000001/0".into(), attempt: 1 }]
     );
-    assert!(!worker.process_exited("job-000001/0", 1, true, None, &jobs), "what was forgotten is not done");
+    assert!(!worker.process_exited("job-000001/0", 1, true, None, &jobs), "a forgotten attempt is not done");
     let body = json!({"baton": 5, "shift": 1, "orders": run("job-000001/0")}).to_string();
     assert_eq!(worker.handle_direct_command(body.as_bytes(), 1002, &jobs).0, 409);
 }
 
-/// A process that was told to stop is reported as running until it is gone; what it saved is known by its exit.
+/// A stopped attempt is reported as running until its process has exited; the exit tells whether it saved a checkpoint.
 #[test]
-fn stops_are_over_when_the_process_is() {
+fn a_stopped_attempt_ends_with_its_process() {
     let jobs = jobs();
     let mut worker = Worker::new(machine(), 0);
-    let both = json!([{"verb": "run", "piece": "job-000001/0", "try": 1}, {"verb": "run", "piece": "job-000002/0", "try": 1},
+    let commands = json!([{"verb": "run", "piece": "job-000001/0", "try": 1}, {"verb": "run", "piece": "job-000002/0", "try": 1},
             {"verb": "run", "piece": "job-000001/1", "try": 1}, {"verb": "run", "piece": "job-000009/1", "try": 1}]);
-    worker.apply_heartbeat_response(&orders(5, both), 0, 0, &jobs);
+    worker.apply_heartbeat_response(&response(5, &commands), 0, 0, &jobs);
     worker.advance(10, 1000, &jobs);
     assert_eq!(
         [&worker.attempts[2].phase, &worker.attempts[3].phase],
-        [&ended_phase("full"), &ended_phase("unknown")]
+        [&AttemptPhase::ended("full"), &AttemptPhase::ended("unknown")]
     );
     worker.take_process_actions();
-    let halts = json!([{"verb": "halt", "piece": "job-000001/0", "try": 1, "wind_down_s": 0.0},
+    let stops = json!([{"verb": "halt", "piece": "job-000001/0", "try": 1, "wind_down_s": 0.0},
             {"verb": "halt", "piece": "job-000002/0", "try": 1, "wind_down_s": 2.0}]);
-    worker.apply_heartbeat_response(&orders(5, halts), 20, 20, &jobs);
+    worker.apply_heartbeat_response(&response(5, &stops), 20, 20, &jobs);
     assert_eq!(worker.take_process_actions().len(), 2);
-    let report = worker.heartbeat(30);
-    assert_eq!([&report["pieces"][0]["status"], &report["pieces"][1]["status"]], ["running", "flushing"]);
+    let heartbeat = worker.heartbeat(30);
+    assert_eq!(
+        [&heartbeat["pieces"][0]["status"], &heartbeat["pieces"][1]["status"]],
+        ["running", "flushing"]
+    );
     worker.process_exited("job-000001/0", 1, true, None, &jobs);
     worker.process_exited("job-000002/0", 1, true, None, &jobs);
-    assert_eq!(worker.attempts[0].phase, ended_phase("halted"), "an exit with 0 after a stop is no result");
+    assert_eq!(
+        worker.attempts[0].phase,
+        AttemptPhase::ended("halted"),
+        "an exit with status 0 after a stop is no result"
+    );
     assert_eq!(worker.attempts[1].phase, AttemptPhase::Ended { cause: "halted", checkpoint_kept: true });
     let again = json!([{"verb": "reap", "piece": "job-000001/0", "try": 1}, {"verb": "run", "piece": "job-000001/0", "try": 1}]);
-    worker.apply_heartbeat_response(&orders(5, again), 30, 30, &jobs);
+    worker.apply_heartbeat_response(&response(5, &again), 30, 30, &jobs);
     worker.advance(40, 1000, &jobs);
     assert!(worker.process_exited("job-000001/0", 1, true, None, &jobs));
-    // Its result is kept: started once more, it ends without running.
+    // Its result is kept: started again, it ends without running.
     worker.apply_heartbeat_response(
-        &orders(5, json!([{"verb": "run", "piece": "job-000001/0", "try": 2}])),
+        &response(5, &json!([{"verb": "run", "piece": "job-000001/0", "try": 2}])),
         50,
         50,
         &jobs,
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -1,146 +1,79 @@
-//! One machine's tasks, by the rules of sessions, tokens and leases. Times are milliseconds of a steady clock.
+//! The attempts on one machine, by the rules of epochs, fencing tokens and leases. Times are milliseconds of a
+//! monotonic clock.
 
 use std::collections::BTreeMap;
 
-use serde_json::{Value, json};
-
+use crate::attempt::{AttemptPhase, TaskAttempt, TaskResult, cause, job_of_task};
 use crate::description::{JobDescription, JobDescriptions, TaskWork};
-
-/// The machine a worker is on.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Machine {
-    pub name: String,
-    pub endpoint: String,
-    pub machine_type: String,
-    pub zone: String,
-    pub spot: bool,
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory_gb: f64,
-    pub image_fetch_gb_per_s: f64,
-}
-
-#[derive(Debug, Clone, PartialEq)]
-pub enum AttemptPhase {
-    FetchingImage {
-        until: u64,
-    },
-    WaitingForGang {
-        since: u64,
-    },
-    /// None: until its process exits.
-    Running {
-        until: Option<u64>,
-    },
-    /// A gang's process has exited well and waits for the others.
-    WaitingForGangExit,
-    Checkpointing {
-        until: Option<u64>,
-    },
-    /// Told to stop: its process has not exited yet, and how it will count.
-    Stopping {
-        cause: &'static str,
-    },
-    Ended {
-        cause: &'static str,
-        checkpoint_kept: bool,
-    },
-}
-
-/// The result of a task that is done.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
-pub struct TaskResult {
-    /// The attempt whose output counts; 0 where that was not kept.
-    pub attempt: u64,
-    /// The length of the list it gave.
-    #[serde(default)]
-    #[serde(rename = "gave")]
-    pub list_len: Option<u32>,
-}
-
-#[derive(Debug, Clone)]
-pub struct TaskAttempt {
-    pub task: String,
-    pub attempt: u64,
-    pub phase: AttemptPhase,
-    /// When it has its image, it is on the machine.
-    pub has_image: bool,
-}
-
-impl TaskAttempt {
-    pub fn job_name(&self) -> &str {
-        self.task.split('/').next().unwrap_or("")
-    }
-
-    pub fn is_ended(&self) -> bool {
-        matches!(self.phase, AttemptPhase::Ended { .. })
-    }
-
-    /// It works, or a process of its may still be there.
-    pub fn is_live(&self) -> bool {
-        matches!(
-            self.phase,
-            AttemptPhase::Running { .. }
-                | AttemptPhase::WaitingForGangExit
-                | AttemptPhase::Checkpointing { .. }
-                | AttemptPhase::Stopping { .. }
-        )
-    }
-}
+use crate::machine::Machine;
 
 /// What the machine has to do with processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProcessAction {
+    /// Start the task's command.
     Start {
+        /// The task.
         task: String,
+        /// Its attempt.
         attempt: u64,
     },
-    /// Politely, and hard after the grace.
+    /// Terminate it, and kill it if it has not exited after the grace period.
     Stop {
+        /// The task.
         task: String,
+        /// Its attempt.
         attempt: u64,
+        /// The grace period.
         grace_ms: u64,
     },
-    /// At once.
+    /// Kill it at once.
     Kill {
+        /// The task.
         task: String,
+        /// Its attempt.
         attempt: u64,
     },
 }
 
-/// A process that is told to stop and saves nothing gets this long.
+/// Grace period of a process that is stopped without a checkpoint.
 const STOP_GRACE_MS: u64 = 1_000;
 
+/// One machine's worker.
 #[derive(Debug)]
 pub struct Worker {
+    /// Its machine.
     pub machine: Machine,
+    /// Rises when its lease expires: all attempts of earlier epochs are gone.
     pub epoch: u64,
-    /// Rises with every report and every answer to a command.
+    /// Rises with every heartbeat and every response to a command, within the epoch.
     pub sequence: u64,
+    /// The highest fencing token seen; commands with lower ones are refused.
     pub token: u64,
+    /// When the cloud takes the machine back, if it has given notice.
     pub termination_at: Option<u64>,
+    /// Attempts that have not been forgotten, in the order in which they were started.
     pub attempts: Vec<TaskAttempt>,
+    /// Images that need not be fetched again.
     pub cached_images: Vec<String>,
-    /// When the last report that was answered went out.
+    /// When the last heartbeat that got a response was sent: the lease counts from then.
     pub last_answered_heartbeat_sent_at: u64,
+    /// For tests: every task fails as soon as it has its image.
     pub fails_tasks: bool,
-    /// Its tasks take so many times as long.
+    /// For tests: simulated work takes this many times as long.
     pub slowdown_factor: u64,
-    /// Tasks that got their image since the last look: the moment rules are judged.
+    /// Tasks that got their image since the caller last emptied the list, for checks of invariants.
     pub started_tasks: Vec<String>,
+    /// A heartbeat should go out before its regular time.
     pub has_unreported_change: bool,
-    /// Tasks that completed here: started again, they end at once, and the first result counts.
+    /// Results of tasks that finished here. Started again, such a task ends at once, and its first result counts.
     results: BTreeMap<String, TaskResult>,
-    /// Lists that members of gangs gave before the others were through.
+    /// Lengths of lists of gang members that finished before the others.
     gang_list_lens: BTreeMap<String, u32>,
     process_actions: Vec<ProcessAction>,
 }
 
-fn ended_phase(cause: &'static str) -> AttemptPhase {
-    AttemptPhase::Ended { cause, checkpoint_kept: false }
-}
-
 impl Worker {
+    /// A worker without tasks, whose lease starts now.
     pub fn new(machine: Machine, now: u64) -> Worker {
         Worker {
             machine,
@@ -161,252 +94,211 @@
         }
     }
 
+    /// What is to be done with processes since the last call, in order.
     pub fn take_process_actions(&mut self) -> Vec<ProcessAction> {
         std::mem::take(&mut self.process_actions)
     }
 
-    /// A result that outlived an earlier machine.
+    /// Adds a result from before a restart.
     pub fn restore_result(&mut self, task: &str, result: TaskResult) {
-        self.results.entry(task.into()).or_insert(result);
+        self.keep_result(task, result);
     }
 
-    /// The result of a task that is done.
+    /// The result of a finished task.
     pub fn result(&self, task: &str) -> Option<TaskResult> {
         self.results.get(task).copied()
     }
 
-    pub fn heartbeat(&mut self, now: u64) -> Value {
-        self.sequence += 1;
-        let pieces: Vec<Value> =
-            self.attempts.iter().map(|piece| attempt_json(piece, self.results.get(&piece.task))).collect();
-        let notice = self.termination_at.map(|until| until.saturating_sub(now) as f64 / 1000.0);
-        let machine = &self.machine;
-        json!({"box": machine.name, "endpoint": machine.endpoint, "boxkind": machine.machine_type, "hall": machine.zone,
-            "loaners": machine.spot, "shift": self.epoch, "tick": self.sequence, "baton": self.token,
-            "warning_s": notice, "pieces": pieces})
-    }
-
-    /// The answer to a report sent at `sent`. False: it is dropped, and does not renew the lease.
-    pub fn apply_heartbeat_response(
-        &mut self,
-        body: &Value,
-        sent: u64,
-        now: u64,
-        jobs: &JobDescriptions,
-    ) -> bool {
-        let token = body["baton"].as_u64().unwrap_or(0);
-        if token < self.token || token == 0 {
-            return false;
-        }
-        self.has_unreported_change |= token > self.token;
-        self.token = token;
-        self.last_answered_heartbeat_sent_at = sent;
-        self.execute_commands(&body["orders"], now, jobs);
-        true
-    }
-
-    /// A command straight from a controller.
-    pub fn handle_direct_command(&mut self, body: &[u8], now: u64, jobs: &JobDescriptions) -> (u16, Value) {
-        let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let (Some(token), Some(session)) = (body["baton"].as_u64(), body["shift"].as_u64()) else {
-            return (400, json!({}));
-        };
-        if token < self.token || session != self.epoch {
-            return (409, self.heartbeat(now));
-        }
-        self.has_unreported_change |= token > self.token;
-        self.token = token;
-        self.execute_commands(&body["orders"], now, jobs);
-        (200, self.heartbeat(now))
+    /// The first result of a task counts.
+    fn keep_result(&mut self, task: &str, result: TaskResult) {
+        self.results.entry(task.into()).or_insert(result);
     }
 
-    fn execute_commands(&mut self, commands: &Value, now: u64, jobs: &JobDescriptions) {
-        for order in commands.as_array().unwrap_or(&Vec::new()) {
-            let task = order["piece"].as_str().unwrap_or("").to_string();
-            let attempt = order["try"].as_u64().unwrap_or(0);
-            match order["verb"].as_str() {
-                Some("run") => self.start_attempt(task, attempt, now, jobs),
-                Some("halt") => {
-                    let grace = order["wind_down_s"].as_f64().unwrap_or(0.0) * 1000.0;
-                    self.stop_attempt(&task, attempt, grace as u64, now, jobs);
-                }
-                Some("reap") => {
-                    self.attempts.retain(|p| !(p.task == task && p.attempt == attempt && p.is_ended()));
-                }
-                _ => {}
-            }
-            self.has_unreported_change = true;
-        }
+    /// The position of an attempt that has not ended.
+    fn find_active(&self, task: &str, attempt: u64) -> Option<usize> {
+        let is_wanted =
+            |known: &TaskAttempt| known.task == task && known.attempt == attempt && !known.is_ended();
+        self.attempts.iter().position(is_wanted)
     }
 
     fn has_capacity_for(&self, job: &JobDescription, jobs: &JobDescriptions) -> bool {
-        let (mut cpus, mut gpus, mut memory) = (job.cpus, job.gpus, job.memory_gb);
-        for piece in self.attempts.iter().filter(|piece| !piece.is_ended()) {
-            if let Some(other) = jobs.get(piece.job_name()) {
-                cpus += other.cpus;
-                gpus += other.gpus;
-                memory += other.memory_gb;
-            }
-        }
-        let machine = &self.machine;
-        let fits = |used: f64, there: f64| used <= there + 1e-9;
-        fits(cpus, machine.cpus) && fits(gpus, machine.gpus) && fits(memory, machine.memory_gb)
+        let active = self.attempts.iter().filter(|attempt| !attempt.is_ended());
+        let used = active.filter_map(|attempt| jobs.get(attempt.job_name()));
+        self.machine.fits(std::iter::once(job).chain(used))
     }
 
-    fn start_attempt(&mut self, task: String, attempt: u64, now: u64, jobs: &JobDescriptions) {
-        if self.attempts.iter().any(|piece| piece.task == task && piece.attempt == attempt) {
+    /// A controller wants the attempt to run. One that is known already is left as it is: commands are repeated.
+    pub(crate) fn start_attempt(&mut self, task: String, attempt: u64, now: u64, jobs: &JobDescriptions) {
+        if self.attempts.iter().any(|known| known.task == task && known.attempt == attempt) {
             return;
         }
-        let name = task.split('/').next().unwrap_or("").to_string();
-        let busy = self.attempts.iter().any(|piece| piece.task == task && !piece.is_ended());
-        let phase = match jobs.get(&name) {
-            None => ended_phase("unknown"),
-            Some(_) if busy => ended_phase("busy"),
-            Some(job) if !self.has_capacity_for(job, jobs) => ended_phase("full"),
+        let is_busy = self.attempts.iter().any(|known| known.task == task && !known.is_ended());
+        let phase = match jobs.get(job_of_task(&task)) {
+            None => AttemptPhase::ended(cause::UNKNOWN),
+            Some(_) if is_busy => AttemptPhase::ended(cause::BUSY),
+            Some(job) if !self.has_capacity_for(job, jobs) => AttemptPhase::ended(cause::FULL),
             Some(job) if self.cached_images.contains(&job.image) => {
                 AttemptPhase::FetchingImage { until: now }
             }
             Some(job) => {
-                let fetch_ms = job.image_gb / self.machine.image_fetch_gb_per_s.max(1e-6) * 1000.0;
-                AttemptPhase::FetchingImage { until: now + fetch_ms as u64 }
+                AttemptPhase::FetchingImage { until: now + self.machine.image_fetch_ms(job.image_gb) }
             }
         };
         self.attempts.push(TaskAttempt { task, attempt, phase, has_image: false });
     }
 
-    fn stop_attempt(&mut self, task: &str, attempt: u64, grace_ms: u64, now: u64, jobs: &JobDescriptions) {
-        let ours = |piece: &TaskAttempt| piece.task == task && piece.attempt == attempt && !piece.is_ended();
-        let Some(at) = self.attempts.iter().position(ours) else { return };
-        let Some(job) = jobs.get(self.attempts[at].job_name()) else { return };
-        let process = matches!(job.work, TaskWork::Process(_)) && self.attempts[at].is_live();
-        let saves = job.can_checkpoint && grace_ms >= job.checkpoint_save_ms;
-        let until = (!process).then_some(now + job.checkpoint_save_ms);
-        let piece = &mut self.attempts[at];
-        piece.phase = match &piece.phase {
-            AttemptPhase::Running { .. } if saves => AttemptPhase::Checkpointing { until },
+    /// A controller wants the attempt to stop. It saves a checkpoint if it can do so within the grace period.
+    pub(crate) fn stop_attempt(
+        &mut self,
+        task: &str,
+        attempt: u64,
+        grace_ms: u64,
+        now: u64,
+        jobs: &JobDescriptions,
+    ) {
+        let Some(index) = self.find_active(task, attempt) else { return };
+        let stopped = &mut self.attempts[index];
+        let Some(job) = jobs.get(stopped.job_name()) else { return };
+        let has_process = matches!(job.work, TaskWork::Process(_)) && stopped.is_live();
+        let saves_checkpoint = job.can_checkpoint && grace_ms >= job.checkpoint_save_ms;
+        stopped.phase = match &stopped.phase {
+            AttemptPhase::Running { .. } if saves_checkpoint => {
+                let until = (!has_process).then_some(now + job.checkpoint_save_ms);
+                AttemptPhase::Checkpointing { until }
+            }
             AttemptPhase::Checkpointing { until } if grace_ms > 0 => {
                 AttemptPhase::Checkpointing { until: *until }
             }
             AttemptPhase::Stopping { cause } => AttemptPhase::Stopping { cause },
-            _ if process => AttemptPhase::Stopping { cause: "halted" },
-            _ => ended_phase("halted"),
+            _ if has_process => AttemptPhase::Stopping { cause: cause::HALTED },
+            _ => AttemptPhase::ended(cause::HALTED),
         };
-        if process {
-            let grace_ms = if matches!(piece.phase, AttemptPhase::Checkpointing { .. }) {
-                grace_ms
-            } else {
-                STOP_GRACE_MS
-            };
+        if has_process {
+            let is_saving = matches!(stopped.phase, AttemptPhase::Checkpointing { .. });
+            let grace_ms = if is_saving { grace_ms } else { STOP_GRACE_MS };
             self.process_actions.push(ProcessAction::Stop { task: task.into(), attempt, grace_ms });
         }
     }
 
-    /// Time passes on the machine. Gangs need `coordinate` as well.
+    /// Drops an attempt that has ended.
+    pub(crate) fn forget_attempt(&mut self, task: &str, attempt: u64) {
+        self.attempts.retain(|known| !(known.task == task && known.attempt == attempt && known.is_ended()));
+    }
+
+    /// Applies the passing of time. Gangs need [`coordinate_gangs`](crate::coordinate_gangs) as well.
     pub fn advance(&mut self, now: u64, lease_ms: u64, jobs: &JobDescriptions) {
         if now > self.last_answered_heartbeat_sent_at + lease_ms {
             self.begin_epoch(now);
         }
-        for at in 0..self.attempts.len() {
-            let before = self.attempts[at].phase.clone();
+        for index in 0..self.attempts.len() {
+            let before = self.attempts[index].phase.clone();
             match before {
                 AttemptPhase::FetchingImage { until } if until <= now => {
-                    self.finish_image_fetch(at, now, jobs)
+                    self.finish_image_fetch(index, now, jobs);
                 }
                 AttemptPhase::Running { until: Some(until) } if until <= now => {
-                    let piece = &mut self.attempts[at];
-                    let gave = match jobs.get(piece.job_name()).map(|job| &job.work) {
-                        Some(TaskWork::Simulated { list_len: gives, .. }) => *gives,
-                        _ => None,
-                    };
-                    let made = TaskResult { attempt: piece.attempt, list_len: gave };
-                    piece.phase = ended_phase("done");
-                    self.results.entry(piece.task.clone()).or_insert(made);
+                    self.finish_simulated_work(index, jobs);
                 }
                 AttemptPhase::Checkpointing { until: Some(until) } if until <= now => {
-                    self.attempts[at].phase = AttemptPhase::Ended { cause: "halted", checkpoint_kept: true };
+                    self.attempts[index].phase =
+                        AttemptPhase::Ended { cause: cause::HALTED, checkpoint_kept: true };
                 }
                 _ => {}
             }
-            self.has_unreported_change |= self.attempts[at].phase != before;
+            self.has_unreported_change |= self.attempts[index].phase != before;
         }
     }
 
-    /// The lease has ended: all tasks are killed and forgotten.
+    /// The lease has expired: all attempts are killed and forgotten.
     fn begin_epoch(&mut self, now: u64) {
         self.epoch += 1;
         self.sequence = 0;
         self.last_answered_heartbeat_sent_at = now;
-        for piece in self.attempts.drain(..).filter(TaskAttempt::is_live) {
-            self.process_actions.push(ProcessAction::Kill { task: piece.task, attempt: piece.attempt });
+        for attempt in self.attempts.drain(..).filter(TaskAttempt::is_live) {
+            self.process_actions.push(ProcessAction::Kill { task: attempt.task, attempt: attempt.attempt });
         }
         self.has_unreported_change = true;
     }
 
-    fn finish_image_fetch(&mut self, at: usize, now: u64, jobs: &JobDescriptions) {
-        let Some(job) = jobs.get(self.attempts[at].job_name()) else { return };
-        let piece = &mut self.attempts[at];
-        piece.has_image = true;
-        self.started_tasks.push(piece.task.clone());
+    fn finish_image_fetch(&mut self, index: usize, now: u64, jobs: &JobDescriptions) {
+        let attempt = &mut self.attempts[index];
+        let Some(job) = jobs.get(attempt.job_name()) else { return };
+        attempt.has_image = true;
+        self.started_tasks.push(attempt.task.clone());
         if !self.cached_images.contains(&job.image) {
             self.cached_images.push(job.image.clone());
         }
-        if self.results.contains_key(&piece.task) {
-            piece.phase = ended_phase("done");
+        if self.results.contains_key(&attempt.task) {
+            attempt.phase = AttemptPhase::ended(cause::DONE);
         } else if self.fails_tasks || matches!(job.work, TaskWork::Simulated { fails: true, .. }) {
-            piece.phase = ended_phase("error");
+            attempt.phase = AttemptPhase::ended(cause::ERROR);
         } else if job.gang {
-            piece.phase = AttemptPhase::WaitingForGang { since: now };
+            attempt.phase = AttemptPhase::WaitingForGang { since: now };
         } else {
-            self.start_running(at, now, jobs);
+            self.start_running(index, now, jobs);
         }
     }
 
-    /// The task runs from now on.
-    pub(crate) fn start_running(&mut self, at: usize, now: u64, jobs: &JobDescriptions) {
-        let piece = &mut self.attempts[at];
-        let until = match jobs.get(piece.job_name()).map(|job| &job.work) {
+    fn finish_simulated_work(&mut self, index: usize, jobs: &JobDescriptions) {
+        let attempt = &mut self.attempts[index];
+        let list_len = match jobs.get(attempt.job_name()).map(|job| &job.work) {
+            Some(TaskWork::Simulated { list_len, .. }) => *list_len,
+            _ => None,
+        };
+        attempt.phase = AttemptPhase::ended(cause::DONE);
+        let (task, result) = (attempt.task.clone(), TaskResult { attempt: attempt.attempt, list_len });
+        self.keep_result(&task, result);
+    }
+
+    /// The attempt runs from now on.
+    pub(crate) fn start_running(&mut self, index: usize, now: u64, jobs: &JobDescriptions) {
+        let attempt = &mut self.attempts[index];
+        let until = match jobs.get(attempt.job_name()).map(|job| &job.work) {
             Some(TaskWork::Simulated { run_ms, .. }) => {
                 Some(now + run_ms.saturating_mul(self.slowdown_factor))
             }
             _ => None,
         };
-        piece.phase = AttemptPhase::Running { until };
+        attempt.phase = AttemptPhase::Running { until };
         if until.is_none() {
-            self.process_actions
-                .push(ProcessAction::Start { task: piece.task.clone(), attempt: piece.attempt });
+            let (task, attempt) = (attempt.task.clone(), attempt.attempt);
+            self.process_actions.push(ProcessAction::Start { task, attempt });
         }
         self.has_unreported_change = true;
     }
 
-    /// A task that its gang does not need any more.
-    pub(crate) fn stop_peer(&mut self, at: usize, cause: &'static str) {
-        let piece = &mut self.attempts[at];
-        if matches!(piece.phase, AttemptPhase::Stopping { .. } | AttemptPhase::Ended { .. }) {
+    /// Stops an attempt whose gang cannot go on.
+    pub(crate) fn stop_peer(&mut self, index: usize, cause: &'static str) {
+        let attempt = &mut self.attempts[index];
+        if matches!(attempt.phase, AttemptPhase::Stopping { .. } | AttemptPhase::Ended { .. }) {
             return;
         }
-        let process = matches!(
-            piece.phase,
+        let has_process = matches!(
+            attempt.phase,
             AttemptPhase::Running { until: None } | AttemptPhase::Checkpointing { until: None }
         );
-        piece.phase = if process { AttemptPhase::Stopping { cause } } else { ended_phase(cause) };
-        if process {
-            let (task, attempt) = (piece.task.clone(), piece.attempt);
+        if has_process {
+            attempt.phase = AttemptPhase::Stopping { cause };
+            let (task, attempt) = (attempt.task.clone(), attempt.attempt);
             self.process_actions.push(ProcessAction::Stop { task, attempt, grace_ms: STOP_GRACE_MS });
+        } else {
+            attempt.phase = AttemptPhase::ended(cause);
         }
         self.has_unreported_change = true;
     }
 
-    /// All members of the gang have exited well.
-    pub(crate) fn complete_attempt(&mut self, at: usize) {
-        let piece = &mut self.attempts[at];
-        let made = TaskResult { attempt: piece.attempt, list_len: self.gang_list_lens.remove(&piece.task) };
-        piece.phase = ended_phase("done");
-        self.results.entry(piece.task.clone()).or_insert(made);
+    /// All members of the attempt's gang have succeeded.
+    pub(crate) fn complete_attempt(&mut self, index: usize) {
+        let attempt = &mut self.attempts[index];
+        attempt.phase = AttemptPhase::ended(cause::DONE);
+        let (task, attempt) = (attempt.task.clone(), attempt.attempt);
+        let list_len = self.gang_list_lens.remove(&task);
+        self.keep_result(&task, TaskResult { attempt, list_len });
         self.has_unreported_change = true;
     }
 
-    /// The task's process has exited; `well`: with 0; `gave`: the length of the list it left. True: the task is done,
-    /// and its result counts from now on.
+    /// The task's process has exited; `success`: with status 0; `list_len`: the length of the list that it left. True:
+    /// the task is done, and its result counts from now on.
     pub fn process_exited(
         &mut self,
         task: &str,
@@ -415,52 +307,30 @@
         list_len: Option<u32>,
         jobs: &JobDescriptions,
     ) -> bool {
-        let ours = |piece: &TaskAttempt| piece.task == task && piece.attempt == attempt && !piece.is_ended();
-        let Some(at) = self.attempts.iter().position(ours) else { return false };
-        let gang = jobs.get(self.attempts[at].job_name()).is_some_and(|job| job.gang);
-        self.attempts[at].phase = match &self.attempts[at].phase {
+        let Some(index) = self.find_active(task, attempt) else { return false };
+        let exited = &mut self.attempts[index];
+        let is_gang = jobs.get(exited.job_name()).is_some_and(|job| job.gang);
+        exited.phase = match &exited.phase {
             AttemptPhase::Checkpointing { .. } => {
-                AttemptPhase::Ended { cause: "halted", checkpoint_kept: success }
+                AttemptPhase::Ended { cause: cause::HALTED, checkpoint_kept: success }
             }
-            AttemptPhase::Stopping { cause } => ended_phase(cause),
-            _ if success && gang => AttemptPhase::WaitingForGangExit,
-            _ if success => ended_phase("done"),
-            _ => ended_phase("error"),
+            AttemptPhase::Stopping { cause } => AttemptPhase::ended(cause),
+            _ if success && is_gang => AttemptPhase::WaitingForGangExit,
+            _ if success => AttemptPhase::ended(cause::DONE),
+            _ => AttemptPhase::ended(cause::ERROR),
         };
         self.has_unreported_change = true;
-        let done = self.attempts[at].phase == ended_phase("done");
-        if done {
-            self.results.entry(task.into()).or_insert(TaskResult { attempt, list_len });
-        } else if let Some(gave) =
-            list_len.filter(|_| self.attempts[at].phase == AttemptPhase::WaitingForGangExit)
-        {
-            self.gang_list_lens.insert(task.into(), gave);
-        }
-        done
-    }
-}
-
-/// `made` and `gave` are more than the protocol asks for: whoever does not know them ignores them.
-fn attempt_json(attempt: &TaskAttempt, result: Option<&TaskResult>) -> Value {
-    let (status, cause, kept) = match &attempt.phase {
-        AttemptPhase::FetchingImage { .. } => ("fetching", None, false),
-        AttemptPhase::WaitingForGang { .. } => ("gathering", None, false),
-        AttemptPhase::Running { .. } | AttemptPhase::WaitingForGangExit | AttemptPhase::Stopping { .. } => {
-            ("running", None, false)
-        }
-        AttemptPhase::Checkpointing { .. } => ("flushing", None, false),
-        AttemptPhase::Ended { cause, checkpoint_kept: kept } => ("ended", Some(*cause), *kept),
-    };
-    let mut told = json!({"piece": attempt.task, "try": attempt.attempt, "status": status, "cause": cause, "kept": kept});
-    if let Some(made) = result.filter(|made| cause == Some("done") && made.attempt > 0) {
-        told["made"] = json!(made.attempt);
-        if let Some(gave) = made.list_len {
-            told["gave"] = json!(gave);
+        let is_done = exited.phase == AttemptPhase::ended(cause::DONE);
+        let waits_for_gang = exited.phase == AttemptPhase::WaitingForGangExit;
+        if is_done {
+            self.keep_result(task, TaskResult { attempt, list_len });
+        } else if let Some(len) = list_len.filter(|_| waits_for_gang) {
+            self.gang_list_lens.insert(task.into(), len);
         }
+        is_done
     }
-    told
 }
 
 #[cfg(test)]
-#[path = "tests/core.rs"]
+#[path = "tests/worker.rs"]
 mod tests;
