--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,18 +1,33 @@
-//! The cloud that rents machines.
+//! The cloud that provisions machines: requests and replies, and their HTTP form.
+//!
+//! Parses and serializes only. The replies keep apart what was certainly not carried out ([`CloudReply::Rejected`]) from
+//! what may have been ([`CloudReply::Unknown`]).
 
 use serde::{Deserialize, Serialize};
 
 use super::{HttpOutcome, HttpRequest};
 
+/// Most machines of one page of the list.
+const LIST_PAGE_SIZE: u32 = 500;
+/// Most machines that one request returns.
+pub const MAX_SCALE_IN_BATCH: usize = 100;
+/// Most machines that one request provisions.
+pub const MAX_SCALE_OUT_COUNT: u32 = 50;
+
+/// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
+    /// The machine types on offer.
     Catalog,
+    /// Provision machines; a repeated `request_id` is the same request.
     ScaleOut { request_id: String, machine_type: String, zone: String, spot: bool, count: u32 },
+    /// Return machines.
     ScaleIn { machines: Vec<String> },
+    /// The machines provisioned now, those behind `after`.
     ListMachines { after: Option<String> },
 }
 
-/// A machine type as the cloud publishes it; also what is kept durably of it.
+/// A machine type as the cloud publishes it and as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeRecord {
     pub name: String,
@@ -21,20 +36,25 @@
     #[serde(default, rename = "accelerators")]
     pub gpus: f64,
     pub memory_gb: f64,
+    /// Local disk for images, in GB.
     #[serde(default, rename = "local_gb")]
     pub image_cache_gb: f64,
+    /// Rate at which images are fetched, in GB per second; 0 if it is not published.
     #[serde(default, rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
     #[serde(default)]
     pub price: f64,
+    /// Price as a spot instance; null if there are none.
     #[serde(default, rename = "low_price")]
     pub spot_price: Option<f64>,
+    /// Usual seconds from the request to the first heartbeat.
     #[serde(default, rename = "ready_s")]
     pub boot_s: f64,
     #[serde(default, rename = "halls")]
     pub zones: Vec<String>,
 }
 
+/// The state of a machine by the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudMachineState {
     Booting,
@@ -42,20 +62,25 @@
     Failed,
 }
 
+/// A machine of the cloud's list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudMachine {
     pub name: String,
+    /// Address of its worker; empty while it is not known.
     pub endpoint: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub state: CloudMachineState,
+    /// Milliseconds since it was provisioned.
     pub age_ms: u64,
 }
 
+/// A reply of the cloud, or what is known without one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     Catalog(Vec<MachineTypeRecord>),
+    /// Names of the machines provisioned.
     ScaledOut(Vec<String>),
     NoCapacity,
     ScaledIn,
@@ -63,7 +88,7 @@
         machines: Vec<CloudMachine>,
         has_more: bool,
     },
-    /// Not carried out (429, outage, or malformed).
+    /// Not carried out: rate limit, outage or malformed request.
     Rejected {
         status: u16,
     },
@@ -73,66 +98,73 @@
 
 #[derive(Deserialize)]
 struct CatalogWire {
-    boxkinds: Vec<MachineTypeRecord>,
+    #[serde(rename = "boxkinds")]
+    machine_types: Vec<MachineTypeRecord>,
 }
 
 #[derive(Serialize)]
 struct ScaleOutWire<'a> {
-    booking: &'a str,
-    boxkind: &'a str,
-    hall: &'a str,
-    loaners: bool,
-    how_many: u32,
+    #[serde(rename = "booking")]
+    request_id: &'a str,
+    #[serde(rename = "boxkind")]
+    machine_type: &'a str,
+    #[serde(rename = "hall")]
+    zone: &'a str,
+    #[serde(rename = "loaners")]
+    spot: bool,
+    #[serde(rename = "how_many")]
+    count: u32,
 }
 
 #[derive(Serialize, Deserialize)]
 struct MachineNamesWire {
-    boxes: Vec<String>,
+    #[serde(rename = "boxes")]
+    machines: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct CloudMachineWire {
-    uid: String,
+    #[serde(rename = "uid")]
+    name: String,
     #[serde(default)]
     endpoint: Option<String>,
-    boxkind: String,
-    hall: String,
-    loaners: bool,
-    status: String,
-    #[serde(default)]
-    held_s: f64,
+    #[serde(rename = "boxkind")]
+    machine_type: String,
+    #[serde(rename = "hall")]
+    zone: String,
+    #[serde(rename = "loaners")]
+    spot: bool,
+    #[serde(rename = "status")]
+    state: String,
+    #[serde(default, rename = "held_s")]
+    age_s: f64,
 }
 
 #[derive(Deserialize)]
 struct MachineListWire {
-    boxes: Vec<CloudMachineWire>,
-    #[serde(default)]
-    has_next: bool,
+    #[serde(rename = "boxes")]
+    machines: Vec<CloudMachineWire>,
+    #[serde(default, rename = "has_next")]
+    has_more: bool,
 }
 
-/// How many machines one page of the list holds, and how many names one release takes.
-const LIST_PAGE_SIZE: u32 = 500;
-pub const MAX_SCALE_IN_BATCH: usize = 100;
-pub const MAX_SCALE_OUT_COUNT: u32 = 50;
-
 impl CloudRequest {
+    /// The HTTP form of the request. A count above [`MAX_SCALE_OUT_COUNT`] is lowered to it.
     pub fn to_http_request(&self) -> HttpRequest {
         match self {
             CloudRequest::Catalog => HttpRequest::get("/catalog".into()),
-            CloudRequest::ScaleOut { request_id: booking, machine_type: kind, zone, spot, count } => {
-                HttpRequest::post(
-                    "/hosts",
-                    &ScaleOutWire {
-                        booking,
-                        boxkind: kind,
-                        hall: zone,
-                        loaners: *spot,
-                        how_many: (*count).min(MAX_SCALE_OUT_COUNT),
-                    },
-                )
-            }
+            CloudRequest::ScaleOut { request_id, machine_type, zone, spot, count } => HttpRequest::post(
+                "/hosts",
+                &ScaleOutWire {
+                    request_id,
+                    machine_type,
+                    zone,
+                    spot: *spot,
+                    count: (*count).min(MAX_SCALE_OUT_COUNT),
+                },
+            ),
             CloudRequest::ScaleIn { machines } => {
-                HttpRequest::post("/hosts/release", &MachineNamesWire { boxes: machines.clone() })
+                HttpRequest::post("/hosts/release", &MachineNamesWire { machines: machines.clone() })
             }
             CloudRequest::ListMachines { after } => {
                 let after = after.as_ref().map_or(String::new(), |name| format!("after={name}&"));
@@ -141,6 +173,7 @@
         }
     }
 
+    /// The reply that an HTTP outcome of this request stands for.
     pub fn parse_reply(&self, outcome: &HttpOutcome) -> CloudReply {
         match outcome {
             HttpOutcome::NotSent => CloudReply::Rejected { status: 503 },
@@ -148,9 +181,7 @@
             HttpOutcome::Response { status: 200, body } => {
                 self.parse_success(body).unwrap_or(CloudReply::Unknown)
             }
-            HttpOutcome::Response { status: 503, body }
-                if String::from_utf8_lossy(body).contains("no capacity") =>
-            {
+            HttpOutcome::Response { status: 503, body } if names_lack_of_capacity(body) => {
                 CloudReply::NoCapacity
             }
             HttpOutcome::Response { status, .. } => CloudReply::Rejected { status: *status },
@@ -160,35 +191,40 @@
     fn parse_success(&self, body: &[u8]) -> Option<CloudReply> {
         Some(match self {
             CloudRequest::Catalog => {
-                CloudReply::Catalog(serde_json::from_slice::<CatalogWire>(body).ok()?.boxkinds)
+                CloudReply::Catalog(serde_json::from_slice::<CatalogWire>(body).ok()?.machine_types)
             }
             CloudRequest::ScaleOut { .. } => {
-                CloudReply::ScaledOut(serde_json::from_slice::<MachineNamesWire>(body).ok()?.boxes)
+                CloudReply::ScaledOut(serde_json::from_slice::<MachineNamesWire>(body).ok()?.machines)
             }
             CloudRequest::ScaleIn { .. } => CloudReply::ScaledIn,
             CloudRequest::ListMachines { .. } => {
                 let wire: MachineListWire = serde_json::from_slice(body).ok()?;
                 CloudReply::MachineList {
-                    has_more: wire.has_next,
-                    machines: wire.boxes.into_iter().map(parse_machine).collect(),
+                    has_more: wire.has_more,
+                    machines: wire.machines.into_iter().map(parse_machine).collect(),
                 }
             }
         })
     }
 }
 
+/// An outage and a lack of capacity share a status; only the text tells them apart.
+fn names_lack_of_capacity(body: &[u8]) -> bool {
+    String::from_utf8_lossy(body).contains("no capacity")
+}
+
 fn parse_machine(wire: CloudMachineWire) -> CloudMachine {
     CloudMachine {
-        state: match wire.status.as_str() {
+        state: match wire.state.as_str() {
             "running" => CloudMachineState::Running,
             "failed" => CloudMachineState::Failed,
             _ => CloudMachineState::Booting,
         },
-        name: wire.uid,
+        name: wire.name,
         endpoint: wire.endpoint.unwrap_or_default(),
-        machine_type: wire.boxkind,
-        zone: wire.hall,
-        spot: wire.loaners,
-        age_ms: (wire.held_s.max(0.0) * 1000.0) as u64,
+        machine_type: wire.machine_type,
+        zone: wire.zone,
+        spot: wire.spot,
+        age_ms: (wire.age_s.max(0.0) * 1000.0) as u64,
     }
 }
--- a/src/protocol/config.rs
+++ b/src/protocol/config.rs
@@ -1,19 +1,24 @@
-//! Changes of configuration: what operators ask over HTTP, and the records that hold it.
+//! Configuration at run time: what operators set over HTTP, and the stored records that hold it.
+//!
+//! An entry can only lower what the platform's settings allow. Parses and serializes; whether a change is accepted or in
+//! force is decided in `coordination`.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use super::HttpResponse;
-use super::operators::invalid_parameter;
+use super::query_params::{invalid_parameter, parse_json_body, parse_query, parse_value};
 
-/// The format of entries that this program reads and writes.
+/// The format of stored entries that this version reads and writes.
 pub const ENTRY_FORMAT_VERSION: u32 = 1;
-/// Longest name of a team in an entry, longest reason, author and number of a change, in bytes.
+/// Longest name of a team in an entry, in bytes.
 const MAX_NAME_BYTES: usize = 100;
+/// Longest reason, author and id of a change, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
-/// Sorts of entries.
+/// How the name of an entry about a team begins.
 const TEAM_PREFIX: &str = "team/";
 
+/// Why the name of an entry is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EntryError {
     #[error("expected an entry like team/NAME, not {0:?}")]
@@ -30,7 +35,10 @@
 }
 
 impl ConfigKey {
-    /// Reads `team/NAME`.
+    /// Parses `team/NAME`.
+    ///
+    /// # Errors
+    /// The name is of another kind, or the team's name is not valid.
     pub fn parse(text: &str) -> Result<ConfigKey, EntryError> {
         let name = text.strip_prefix(TEAM_PREFIX).ok_or_else(|| EntryError::UnknownKind(text.into()))?;
         let is_valid = (1..=MAX_NAME_BYTES).contains(&name.len())
@@ -55,7 +63,7 @@
     }
 }
 
-/// What an entry sets; what is null is as the platform's settings have it.
+/// What an entry sets; null leaves the value of the platform's settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamQuota {
@@ -67,7 +75,7 @@
     pub guaranteed_cpus: Option<f64>,
 }
 
-/// A durable entry. Its version is the revision of its last change.
+/// A stored entry. Its version is the store's revision of its last change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigRecord {
     #[serde(rename = "format")]
@@ -81,12 +89,12 @@
     /// The time of day of the change, in milliseconds.
     #[serde(rename = "at")]
     pub changed_at_ms: u64,
-    /// The change's own number: a repeated request is known by it.
+    /// The id of the last change, by which a repeated request is recognized.
     #[serde(rename = "change")]
     pub change_id: String,
 }
 
-/// The value as it is kept: later versions may add to it.
+/// The value as it is stored: unlike [`TeamQuota`] it accepts fields that later versions add.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredTeamQuota {
     #[serde(default)]
@@ -96,24 +104,24 @@
 }
 
 impl From<StoredTeamQuota> for TeamQuota {
-    fn from(kept: StoredTeamQuota) -> TeamQuota {
-        TeamQuota { limit_cpus: kept.limit_cpus, guaranteed_cpus: kept.guaranteed_cpus }
+    fn from(stored: StoredTeamQuota) -> TeamQuota {
+        TeamQuota { limit_cpus: stored.limit_cpus, guaranteed_cpus: stored.guaranteed_cpus }
     }
 }
 
 impl From<TeamQuota> for StoredTeamQuota {
-    fn from(value: TeamQuota) -> StoredTeamQuota {
-        StoredTeamQuota { limit_cpus: value.limit_cpus, guaranteed_cpus: value.guaranteed_cpus }
+    fn from(quota: TeamQuota) -> StoredTeamQuota {
+        StoredTeamQuota { limit_cpus: quota.limit_cpus, guaranteed_cpus: quota.guaranteed_cpus }
     }
 }
 
-/// A change that an operator asks for.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigChangeRequest {
     #[serde(rename = "value")]
     pub quota: TeamQuota,
-    /// The version that the operator has seen: another one is a conflict. 0: the entry is not there. Null: whatever is there.
+    /// The version that the change replaces; any other is a conflict. 0: the entry must not exist. Null: no condition.
     #[serde(default)]
     #[serde(rename = "expected")]
     pub expected_version: Option<u64>,
@@ -122,16 +130,16 @@
     #[serde(default)]
     #[serde(rename = "why")]
     pub reason: String,
-    /// Chosen by the client, a new one for each change; the same again is the same change.
+    /// Idempotency key, chosen by the client for each change.
     #[serde(rename = "change")]
     pub change_id: String,
 }
 
-/// What is asked of the configuration.
+/// A request to the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigRequest {
     List,
-    /// One entry; with a version, once that or a later one is in force, or the time is over.
+    /// One entry. With a version, the response waits until it or a later one is in force, or for a time limit.
     Get {
         key: ConfigKey,
         min_version: Option<u64>,
@@ -142,10 +150,10 @@
     },
 }
 
-/// Whom a change waits for.
+/// What a change that is not in force waits for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PendingOn {
-    /// The controller that may act by an older value; null: it is not known yet who leads.
+    /// The controller that may still act on an older value; null while the leader is unknown.
     #[serde(rename = "node")]
     pub controller: Option<String>,
     #[serde(rename = "reason")]
@@ -153,25 +161,25 @@
     pub since_s: f64,
 }
 
-/// Why a change is not shown to be in force.
+/// Why a change is not known to be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PropagationBlocker {
-    /// The asked controller has not read so far itself.
+    /// The controller that responds has not read the change itself.
     #[serde(rename = "not_read")]
     RevisionNotRead,
-    /// The leader has not said that it has read the change.
+    /// The leader has not acknowledged the change.
     LeaderBehind,
-    /// The leader is of an earlier version, or its configuration is off: it acts by the platform's settings.
+    /// The leader is of an earlier version or has the feature turned off: it acts on the platform's settings.
     #[serde(rename = "leader_ignores")]
     LeaderConfigDisabled,
-    /// The entry is of a later format, or of a sort that the asked controller does not know.
+    /// The entry is of a later format, or of a kind unknown to the controller that responds.
     #[serde(rename = "not_understood")]
     UnsupportedFormat,
 }
 
 impl PropagationBlocker {
-    /// For people.
+    /// A description for people, which continues a sentence that begins with the controller.
     pub fn description(self) -> &'static str {
         match self {
             PropagationBlocker::RevisionNotRead => "has not read the change yet",
@@ -186,20 +194,20 @@
     }
 }
 
-/// One entry as it is shown.
+/// One entry as operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntryView {
     #[serde(rename = "entry")]
     pub key: String,
-    /// 0: nobody has set it.
+    /// 0 if it was never set.
     pub version: u64,
-    /// What is set; null where the platform's settings hold.
+    /// What the entry sets; null where the platform's settings apply.
     #[serde(rename = "value")]
     pub configured: TeamQuota,
-    /// What the platform's settings allow: the ceiling.
+    /// What the platform's settings allow.
     #[serde(rename = "platform")]
     pub ceiling: TeamQuota,
-    /// What holds, both taken together.
+    /// What applies: the entry within the ceiling.
     #[serde(rename = "holds")]
     pub effective: TeamQuota,
     #[serde(rename = "by")]
@@ -212,22 +220,28 @@
     pub is_effective: bool,
     #[serde(rename = "waits_for")]
     pub pending_on: Option<PendingOn>,
-    /// CPUs of tasks that run or may run, and what of it is above the limit that holds.
+    /// CPUs of the team's tasks that run or may run.
     pub used_cpus: f64,
+    /// The part of `used_cpus` above the effective limit.
     #[serde(rename = "above_cpus")]
     pub cpus_over_limit: f64,
 }
 
+/// All entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntryList {
     #[serde(rename = "node")]
     pub controller: String,
+    /// Revision of the key-value store up to which the list is complete.
     pub revision: u64,
-    /// Every team of the platform's settings, and entries that this controller does not understand.
+    /// One for every team of the platform's settings, and the entries that this controller does not understand.
     pub entries: Vec<ConfigEntryView>,
 }
 
-/// Reads a request below `/v1/config`. None: no such path. `Err` is the final answer.
+/// Parses a request whose path starts with `/v1/config`; `path` is what follows `/v1/`. None: there is no such path.
+///
+/// # Errors
+/// The response to send if the path exists but the request is not valid.
 pub fn parse_config_request(
     method: &str,
     path: &str,
@@ -241,25 +255,28 @@
             _ => Err(HttpResponse::error(405, "wrong method")),
         });
     }
-    let name = rest.strip_prefix('/')?;
-    let entry = match ConfigKey::parse(name) {
-        Ok(entry) => entry,
-        Err(problem) => return Some(Err(HttpResponse::error(404, &problem.to_string()))),
-    };
-    Some(match method {
-        "GET" => parse_version(query).map(|version| ConfigRequest::Get { key: entry, min_version: version }),
-        "PUT" => parse_change(body).map(|change| ConfigRequest::Set { key: entry, change }),
+    Some(parse_entry_request(method, rest.strip_prefix('/')?, query, body))
+}
+
+fn parse_entry_request(
+    method: &str,
+    name: &str,
+    query: &str,
+    body: &[u8],
+) -> Result<ConfigRequest, HttpResponse> {
+    let key = ConfigKey::parse(name).map_err(|error| HttpResponse::error(404, &error.to_string()))?;
+    match method {
+        "GET" => parse_min_version(query).map(|min_version| ConfigRequest::Get { key, min_version }),
+        "PUT" => parse_change(body).map(|change| ConfigRequest::Set { key, change }),
         _ => Err(HttpResponse::error(405, "wrong method")),
-    })
+    }
 }
 
-fn parse_version(query: &str) -> Result<Option<u64>, HttpResponse> {
+fn parse_min_version(query: &str) -> Result<Option<u64>, HttpResponse> {
     let mut version = None;
-    for (name, value) in super::operators::parse_query(query)? {
+    for (name, value) in parse_query(query)? {
         match name {
-            "version" => {
-                version = Some(value.parse().map_err(|_| invalid_parameter(name, "a version", value))?)
-            }
+            "version" => version = Some(parse_value(name, "a version", value)?),
             _ => return Err(invalid_parameter("query", "version=N", name)),
         }
     }
@@ -267,8 +284,7 @@
 }
 
 fn parse_change(body: &[u8]) -> Result<ConfigChangeRequest, HttpResponse> {
-    let change: ConfigChangeRequest =
-        serde_json::from_slice(body).map_err(|error| HttpResponse::error(400, &error.to_string()))?;
+    let change: ConfigChangeRequest = parse_json_body(body)?;
     let texts = [("by", &change.changed_by, 1), ("why", &change.reason, 0), ("change", &change.change_id, 1)];
     for (name, text, min_bytes) in texts {
         if !(min_bytes..=MAX_TEXT_BYTES).contains(&text.len()) {
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,12 +1,15 @@
-//! The state service.
+//! The consensus-backed key-value store: requests and replies, and their HTTP form.
+//!
+//! Parses and serializes only. The replies keep apart what was certainly not carried out ([`KvReply::Rejected`]) from
+//! what may have been ([`KvReply::Unknown`]), as callers must not repeat the latter blindly.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use super::{HttpOutcome, HttpRequest, WireError};
+use super::{HttpOutcome, HttpRequest};
 use crate::ids::{LeaseId, Revision};
 
-/// One change of a transaction.
+/// One change of a transaction. Values are JSON texts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvMutation {
     Put { key: String, value: String, lease: Option<LeaseId> },
@@ -14,6 +17,7 @@
 }
 
 impl KvMutation {
+    /// The key that it changes.
     pub fn key(&self) -> &str {
         match self {
             KvMutation::Put { key, .. } | KvMutation::Delete { key } => key,
@@ -21,23 +25,44 @@
     }
 }
 
-/// A condition: the key has this version (0: it does not exist).
+/// A condition of a transaction: the key's last revision is this one (0: it does not exist).
 #[derive(Debug, Clone, PartialEq)]
 pub struct Precondition {
     pub key: String,
     pub revision: Revision,
 }
 
+/// A request to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
-    ListPage { prefix: String, after: Option<String>, limit: u32 },
-    PollChanges { prefix: String, after: Revision },
-    Transaction { preconditions: Vec<Precondition>, mutations: Vec<KvMutation> },
-    GrantLease { ttl_ms: u64 },
-    RenewLease { lease: LeaseId },
-    RevokeLease { lease: LeaseId },
+    /// Keys with a prefix, in their order, those behind `after`.
+    ListPage {
+        prefix: String,
+        after: Option<String>,
+        limit: u32,
+    },
+    /// Changes of keys with a prefix after a revision; the reply does not wait for any.
+    PollChanges {
+        prefix: String,
+        after: Revision,
+    },
+    /// Compare-and-swap: all mutations if all preconditions hold, else none.
+    Transaction {
+        preconditions: Vec<Precondition>,
+        mutations: Vec<KvMutation>,
+    },
+    GrantLease {
+        ttl_ms: u64,
+    },
+    RenewLease {
+        lease: LeaseId,
+    },
+    RevokeLease {
+        lease: LeaseId,
+    },
 }
 
+/// A key and its value at a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KvEntry {
     pub key: String,
@@ -46,6 +71,7 @@
     pub revision: Revision,
 }
 
+/// A reply of the store, or what is known without one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvReply {
     ListPage {
@@ -66,9 +92,10 @@
     LeaseGranted {
         lease: LeaseId,
     },
+    /// The lease was renewed or revoked.
     LeaseUpdated,
     LeaseNotFound,
-    /// The revision asked for is too old.
+    /// Changes since the requested revision are no longer available: the keys have to be listed again.
     Compacted,
     /// 429 or 503: certainly not carried out.
     Rejected {
@@ -79,87 +106,101 @@
 }
 
 #[derive(Serialize)]
-struct GuardWire<'a> {
+struct PreconditionWire<'a> {
     key: &'a str,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    revision: u64,
 }
 
 #[derive(Serialize)]
 #[serde(untagged)]
-enum ChangeWire<'a> {
+enum MutationWire<'a> {
     Put {
-        write: &'a str,
+        #[serde(rename = "write")]
+        key: &'a str,
         value: &'a RawValue,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        permit: Option<u64>,
+        #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
     },
     Delete {
-        drop: &'a str,
+        #[serde(rename = "drop")]
+        key: &'a str,
     },
 }
 
 #[derive(Serialize)]
-struct TxnWire<'a> {
-    guards: Vec<GuardWire<'a>>,
+struct TransactionWire<'a> {
+    #[serde(rename = "guards")]
+    preconditions: Vec<PreconditionWire<'a>>,
     #[serde(rename = "then")]
-    changes: Vec<ChangeWire<'a>>,
+    mutations: Vec<MutationWire<'a>>,
 }
 
 #[derive(Deserialize)]
-struct PairWire<'a> {
+struct EntryWire<'a> {
     key: String,
     #[serde(borrow)]
     value: &'a RawValue,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
 struct PageWire<'a> {
-    #[serde(borrow)]
-    pairs: Vec<PairWire<'a>>,
-    #[serde(default)]
-    has_next: bool,
-    ledger_rev: u64,
+    #[serde(borrow, rename = "pairs")]
+    entries: Vec<EntryWire<'a>>,
+    #[serde(default, rename = "has_next")]
+    has_more: bool,
+    #[serde(rename = "ledger_rev")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
-struct EventWire<'a> {
-    write: Option<String>,
-    drop: Option<String>,
+struct ChangeWire<'a> {
+    #[serde(rename = "write")]
+    put_key: Option<String>,
+    #[serde(rename = "drop")]
+    deleted_key: Option<String>,
     #[serde(borrow)]
     value: Option<&'a RawValue>,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
 struct ChangesWire<'a> {
-    ledger_rev: u64,
-    #[serde(borrow)]
-    events: Vec<EventWire<'a>>,
+    #[serde(rename = "ledger_rev")]
+    revision: u64,
+    #[serde(borrow, rename = "events")]
+    changes: Vec<ChangeWire<'a>>,
 }
 
 #[derive(Deserialize)]
-struct RevisionWire {
-    ledger_rev: u64,
+struct CommittedWire {
+    #[serde(rename = "ledger_rev")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
-struct ConflictWire {
-    #[serde(default)]
-    failed: Vec<String>,
+struct PreconditionFailedWire {
+    #[serde(default, rename = "failed")]
+    failed_keys: Vec<String>,
 }
 
 #[derive(Serialize)]
-struct GrantWire {
-    life_ms: u64,
+struct GrantLeaseWire {
+    #[serde(rename = "life_ms")]
+    ttl_ms: u64,
 }
 
 #[derive(Deserialize)]
-struct GrantedWire {
-    permit: u64,
+struct LeaseGrantedWire {
+    #[serde(rename = "permit")]
+    lease: u64,
 }
 
 impl KvRequest {
+    /// The HTTP form of the request.
     pub fn to_http_request(&self) -> HttpRequest {
         match self {
             KvRequest::ListPage { prefix, after, limit } => {
@@ -169,11 +210,11 @@
             KvRequest::PollChanges { prefix, after } => {
                 HttpRequest::get(format!("/changes?starts={prefix}&after={}&block_ms=0", after.0))
             }
-            KvRequest::Transaction { preconditions: guards, mutations: changes } => {
-                transaction_request(guards, changes)
+            KvRequest::Transaction { preconditions, mutations } => {
+                transaction_request(preconditions, mutations)
             }
-            KvRequest::GrantLease { ttl_ms: life_ms } => {
-                HttpRequest::post("/grants", &GrantWire { life_ms: *life_ms })
+            KvRequest::GrantLease { ttl_ms } => {
+                HttpRequest::post("/grants", &GrantLeaseWire { ttl_ms: *ttl_ms })
             }
             KvRequest::RenewLease { lease } => HttpRequest {
                 method: "POST",
@@ -186,10 +227,11 @@
         }
     }
 
+    /// The reply that an HTTP outcome of this request stands for.
     pub fn parse_reply(&self, outcome: &HttpOutcome) -> KvReply {
         let (status, body) = match outcome {
             HttpOutcome::NotSent => return KvReply::Rejected { status: 503 },
-            // Asked again, the changes would be as many: the records are read anew, in pages.
+            // A retry would exceed the limit as well: listing the keys again reads them in pages.
             HttpOutcome::TooLarge if matches!(self, KvRequest::PollChanges { .. }) => {
                 return KvReply::Compacted;
             }
@@ -198,91 +240,96 @@
         };
         match status {
             200 => self.parse_success(body).unwrap_or(KvReply::Unknown),
-            409 => serde_json::from_slice::<ConflictWire>(body)
-                .map_or(KvReply::PreconditionFailed { failed_keys: Vec::new() }, |wire| {
-                    KvReply::PreconditionFailed { failed_keys: wire.failed }
-                }),
+            409 => {
+                let wire = serde_json::from_slice::<PreconditionFailedWire>(body);
+                KvReply::PreconditionFailed { failed_keys: wire.map_or(Vec::new(), |wire| wire.failed_keys) }
+            }
             410 => KvReply::Compacted,
             404 if matches!(self, KvRequest::RenewLease { .. } | KvRequest::RevokeLease { .. }) => {
                 KvReply::LeaseNotFound
             }
-            400 if matches!(self, KvRequest::Transaction { .. })
-                && String::from_utf8_lossy(body).contains("no such lease") =>
-            {
+            400 if matches!(self, KvRequest::Transaction { .. }) && names_missing_lease(body) => {
                 KvReply::LeaseNotFound
             }
             _ => KvReply::Rejected { status },
         }
     }
 
-    fn parse_success(&self, body: &[u8]) -> Result<KvReply, WireError> {
+    fn parse_success(&self, body: &[u8]) -> Result<KvReply, serde_json::Error> {
         Ok(match self {
             KvRequest::ListPage { .. } => {
                 let wire: PageWire<'_> = serde_json::from_slice(body)?;
-                let read = |pair: PairWire<'_>| KvEntry {
-                    key: pair.key,
-                    value: Some(pair.value.get().to_string()),
-                    revision: Revision(pair.stamp),
-                };
                 KvReply::ListPage {
-                    entries: wire.pairs.into_iter().map(read).collect(),
-                    has_more: wire.has_next,
-                    revision: Revision(wire.ledger_rev),
+                    entries: wire.entries.into_iter().map(parse_entry).collect(),
+                    has_more: wire.has_more,
+                    revision: Revision(wire.revision),
                 }
             }
             KvRequest::PollChanges { .. } => {
                 let wire: ChangesWire<'_> = serde_json::from_slice(body)?;
                 KvReply::ChangedEntries {
-                    entries: wire.events.into_iter().filter_map(parse_change).collect(),
-                    revision: Revision(wire.ledger_rev),
+                    entries: wire.changes.into_iter().filter_map(parse_change).collect(),
+                    revision: Revision(wire.revision),
                 }
             }
             KvRequest::Transaction { .. } => {
-                let wire: RevisionWire = serde_json::from_slice(body)?;
-                KvReply::Committed { revision: Revision(wire.ledger_rev) }
+                let wire: CommittedWire = serde_json::from_slice(body)?;
+                KvReply::Committed { revision: Revision(wire.revision) }
             }
             KvRequest::GrantLease { .. } => {
-                let wire: GrantedWire = serde_json::from_slice(body)?;
-                KvReply::LeaseGranted { lease: LeaseId(wire.permit) }
+                let wire: LeaseGrantedWire = serde_json::from_slice(body)?;
+                KvReply::LeaseGranted { lease: LeaseId(wire.lease) }
             }
             KvRequest::RenewLease { .. } | KvRequest::RevokeLease { .. } => KvReply::LeaseUpdated,
         })
     }
 }
 
+/// A transaction with a lease that has expired is rejected as malformed; only the text tells why.
+fn names_missing_lease(body: &[u8]) -> bool {
+    String::from_utf8_lossy(body).contains("no such lease")
+}
+
 fn transaction_request(preconditions: &[Precondition], mutations: &[KvMutation]) -> HttpRequest {
     let values: Vec<Option<Box<RawValue>>> = mutations
         .iter()
-        .map(|change| match change {
+        .map(|mutation| match mutation {
             KvMutation::Put { value, .. } => RawValue::from_string(value.clone()).ok(),
             KvMutation::Delete { .. } => None,
         })
         .collect();
-    let wire = TxnWire {
-        guards: preconditions
+    let wire = TransactionWire {
+        preconditions: preconditions
             .iter()
-            .map(|guard| GuardWire { key: &guard.key, stamp: guard.revision.0 })
+            .map(|condition| PreconditionWire { key: &condition.key, revision: condition.revision.0 })
             .collect(),
-        changes: mutations
+        mutations: mutations
             .iter()
             .zip(&values)
-            .filter_map(|(change, value)| match (change, value) {
-                (KvMutation::Put { key, lease, .. }, Some(value)) => {
-                    Some(ChangeWire::Put { write: key, value, permit: lease.map(|lease| lease.0) })
-                }
-                (KvMutation::Delete { key }, _) => Some(ChangeWire::Delete { drop: key }),
-                _ => None,
-            })
+            .filter_map(|(mutation, value)| mutation_wire(mutation, value.as_deref()))
             .collect(),
     };
     HttpRequest::post("/txn", &wire)
 }
 
-fn parse_change(event: EventWire<'_>) -> Option<KvEntry> {
-    let stamp = Revision(event.stamp);
-    if let Some(key) = event.drop {
-        return Some(KvEntry { key, value: None, revision: stamp });
+fn mutation_wire<'a>(mutation: &'a KvMutation, value: Option<&'a RawValue>) -> Option<MutationWire<'a>> {
+    Some(match mutation {
+        KvMutation::Put { key, lease, .. } => {
+            MutationWire::Put { key, value: value?, lease: lease.map(|lease| lease.0) }
+        }
+        KvMutation::Delete { key } => MutationWire::Delete { key },
+    })
+}
+
+fn parse_entry(wire: EntryWire<'_>) -> KvEntry {
+    KvEntry { key: wire.key, value: Some(wire.value.get().to_string()), revision: Revision(wire.revision) }
+}
+
+fn parse_change(wire: ChangeWire<'_>) -> Option<KvEntry> {
+    let revision = Revision(wire.revision);
+    if let Some(key) = wire.deleted_key {
+        return Some(KvEntry { key, value: None, revision });
     }
-    let value = event.value?.get().to_string();
-    Some(KvEntry { key: event.write?, value: Some(value), revision: stamp })
+    let value = wire.value?.get().to_string();
+    Some(KvEntry { key: wire.put_key?, value: Some(value), revision })
 }
--- a/src/protocol/tests/operators.rs
+++ b/src/protocol/operators/tests/requests.rs
@@ -1,10 +1,10 @@
-//! Tests of `operators`.
+//! Tests of `requests`.
 
 use super::*;
 
-/// A query that is wrong is answered with what was expected; none is guessed at.
+/// A query that is not valid is rejected with what was expected; nothing is guessed.
 #[test]
-fn queries_are_read_or_named() {
+fn queries_are_parsed_or_rejected_by_name() {
     let ok = parse_operator_request("jobs", "after=job-000412&limit=7&state=live&team=core");
     let Some(Ok(OperatorRequest::ListJobs(list))) = ok else { panic!("{ok:?}") };
     assert_eq!((list.after, list.limit, list.state), (Some(JobId(412)), 7, Some(StateFilter::Active)));
@@ -18,12 +18,12 @@
         ("jobs/job-000001/explain", "task=x", "task"),
         ("jobs/job-000001", "after=-1", "after"),
     ] {
-        let Some(Err(answer)) = parse_operator_request(path, query) else { panic!("{path}?{query}") };
-        let body = String::from_utf8_lossy(&answer.body).to_string();
-        assert!(answer.status == 400 && body.contains(named), "{path}?{query}: {body}");
+        let Some(Err(response)) = parse_operator_request(path, query) else { panic!("{path}?{query}") };
+        let body = String::from_utf8_lossy(&response.body).to_string();
+        assert!(response.status == 400 && body.contains(named), "{path}?{query}: {body}");
     }
     assert_eq!(
-        parse_operator_request("jobs/412", "").and_then(Result::err).map(|answer| answer.status),
+        parse_operator_request("jobs/412", "").and_then(Result::err).map(|response| response.status),
         Some(404)
     );
     assert!(parse_operator_request("jobs/job-000001/colour", "").is_none());
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,30 +1,33 @@
-//! What controllers say to each other: short frames, `rkyv` inside, validated on receipt.
+//! Messages between controllers: length-prefixed frames that hold `rkyv` archives, validated on receipt.
+//!
+//! Controllers of different versions may exchange them: the order of variants and fields must not change.
 
 use rkyv::{Archive, Deserialize, Serialize, rancor};
 
 use super::operators::{MAX_PAGE_SIZE, OperatorRequest};
 use crate::ids::JobId;
 
+/// A message from one controller to another.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum PeerMessage {
-    /// First frame of a connection: which node is calling.
+    /// First frame of a connection: the name of the controller that opened it.
     Hello { controller: String },
-    /// Something was accepted or has ended at this revision; the receiver may want to look, and says how far it has read.
+    /// A job was accepted or is over at this revision: the receiver polls the store and replies with its read watermark.
     RevisionNotice { revision: u64 },
-    /// Once a second: is the state service answering, and how many workers that
-    /// belong to the leader have turned up here lately, or at nodes heard from here?
+    /// Sent once a second: whether the key-value store responds, and how many workers that belong to the leader
+    /// recently sent heartbeats to this controller instead, or to others that this one can reach.
     HealthStatus { kv_reachable: bool, misrouted_workers: u32, misrouted_workers_elsewhere: u32 },
-    /// The leader resigns and would like the receiver to take over.
+    /// The leader steps down in favour of the receiver.
     TransferLeadership,
-    /// A client asked what only the leader knows. Only said where the operators' interface is on.
+    /// A client's query that only the leader can answer. Sent only where the operators' interface is enabled.
     Query { query_id: u64, query: LeaderQuery },
-    /// The leader's answer, ready to be passed on.
+    /// The leader's response to a query, ready to be forwarded to the client.
     QueryResponse { query_id: u64, status: u16, retry_after_s: Option<u32>, body: Vec<u8> },
-    /// The sender has read the records up to this revision, and answers with nothing older.
+    /// The sender has read the stored records up to this revision, and responds with nothing older.
     ReadWatermark { revision: u64 },
 }
 
-/// What operators may ask of the leader.
+/// An operator's query that only the leader can answer.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum LeaderQuery {
     InspectJob { job: u64, after: Option<u32>, limit: u32 },
@@ -33,7 +36,7 @@
 }
 
 impl OperatorRequest {
-    /// How the leader is asked, if only it can answer.
+    /// The query to forward to the leader; None if any controller can answer the request.
     pub fn to_leader_query(&self) -> Option<LeaderQuery> {
         Some(match self {
             OperatorRequest::InspectJob { id, after, limit } => {
@@ -51,8 +54,8 @@
 }
 
 impl From<&LeaderQuery> for OperatorRequest {
-    fn from(question: &LeaderQuery) -> OperatorRequest {
-        match question {
+    fn from(query: &LeaderQuery) -> OperatorRequest {
+        match query {
             LeaderQuery::InspectJob { job, after, limit } => OperatorRequest::InspectJob {
                 id: JobId(*job),
                 after: *after,
@@ -66,18 +69,21 @@
     }
 }
 
-/// Largest frame that is read; anything above is taken for garbage.
+/// Largest payload of a frame; a longer one is treated as garbage.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
+/// Size of a frame's header: the payload's length, little endian.
+pub const FRAME_HEADER_BYTES: usize = 4;
 
-/// A frame is its length (4 bytes, little endian) and the archived message.
+/// A frame: the header and the archived message.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let bytes = rkyv::to_bytes::<rancor::Error>(message).unwrap_or_default();
-    let mut frame = Vec::with_capacity(bytes.len() + 4);
+    let mut frame = Vec::with_capacity(bytes.len() + FRAME_HEADER_BYTES);
     frame.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     frame.extend_from_slice(&bytes);
     frame
 }
 
+/// The message in a frame's payload; None if it does not validate.
 pub fn decode(payload: &[u8]) -> Option<PeerMessage> {
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(payload.len());
     aligned.extend_from_slice(payload);
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,20 +1,29 @@
-//! Users: submit, ask, abort.
+//! Users: submit a job, poll its status, cancel it.
+//!
+//! [`JobManifest`] is stored as it is in a job's durable record: its names on the wire and the order of its fields must
+//! not change. Parses, checks ranges and serializes; nothing here does I/O or reads a clock.
 
 use serde::{Deserialize, Serialize};
 
 use super::HttpResponse;
+pub use super::operators::JobPhase as JobStatus;
 use crate::ids::{JobId, seconds_to_ms, to_milli_ceil};
 
+/// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
+    /// Independent tasks.
     #[serde(rename = "array")]
     Array,
+    /// Tasks that run at the same time or not at all.
     #[serde(rename = "gang")]
     Gang,
+    /// Tasks that run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
 }
 
+/// How urgent a job is, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PriorityClass {
     #[serde(rename = "critical")]
@@ -27,26 +36,7 @@
     Low,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JobStatus {
-    Pending,
-    Running,
-    Done,
-    Cancelled,
-}
-
-impl JobStatus {
-    fn as_str(self) -> &'static str {
-        match self {
-            JobStatus::Pending => "pending",
-            JobStatus::Running => "running",
-            JobStatus::Done => "done",
-            JobStatus::Cancelled => "withdrawn",
-        }
-    }
-}
-
-/// A job as its user describes it; kept as it is in the job's durable record.
+/// A job as its user describes it. Resources and sizes are of one task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobManifest {
     #[serde(rename = "uid")]
@@ -70,14 +60,18 @@
     pub image: String,
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
+    /// Machine types it may run on; null: any.
     #[serde(default)]
     #[serde(rename = "boxkinds")]
     pub machine_types: Option<Vec<String>>,
+    /// Zone it must run in; null: any.
     #[serde(default)]
     #[serde(rename = "hall")]
     pub zone: Option<String>,
+    /// All tasks have to run in one zone.
     #[serde(rename = "together")]
     pub same_zone: bool,
+    /// Tasks are to be spread over zones.
     #[serde(rename = "scatter")]
     pub spread: bool,
     #[serde(rename = "loaners")]
@@ -88,6 +82,7 @@
     pub checkpoint_interval_s: f64,
     #[serde(rename = "flush_s")]
     pub checkpoint_save_s: f64,
+    /// Seconds after its submission by which it should be done.
     #[serde(default)]
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
@@ -95,12 +90,15 @@
 
 /// Most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
+/// Longest name of a class, a team, an image or a zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-const MAX_QUANTITY: f64 = 1e9;
+/// Largest amount of a resource, size in GB or time in seconds.
+pub(super) const MAX_QUANTITY: f64 = 1e9;
 
+/// A request of a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserRequest {
-    /// The name could be read, the rest may be wrong; known names come first.
+    /// The id is valid, the rest may not be: a job that is known already is reported before any error.
     Submit {
         id: JobId,
         manifest: Result<Box<JobManifest>, String>,
@@ -124,7 +122,8 @@
 
 #[derive(Serialize)]
 struct StatusWire {
-    uid: String,
+    #[serde(rename = "uid")]
+    id: String,
     status: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     done: Option<u32>,
@@ -132,19 +131,23 @@
     running: Option<u32>,
 }
 
+/// The response with a job's status; `counts` are its tasks done and running.
 pub fn status_response(code: u16, id: JobId, status: JobStatus, counts: Option<(u32, u32)>) -> HttpResponse {
     HttpResponse::json(
         code,
         &StatusWire {
-            uid: id.to_string(),
+            id: id.to_string(),
             status: status.as_str(),
-            done: counts.map(|c| c.0),
-            running: counts.map(|c| c.1),
+            done: counts.map(|(done, _)| done),
+            running: counts.map(|(_, running)| running),
         },
     )
 }
 
-/// Reads a submission. `Err` is the final answer.
+/// Parses the body of a submission.
+///
+/// # Errors
+/// The response to send if the body does not even hold a valid id.
 pub fn parse_submission(body: &[u8]) -> Result<UserRequest, HttpResponse> {
     let value: serde_json::Value =
         serde_json::from_slice(body).map_err(|_| HttpResponse::error(400, "the body is not JSON"))?;
@@ -156,17 +159,21 @@
         .and_then(|uid| uid.as_str())
         .and_then(JobId::parse)
         .ok_or_else(|| HttpResponse::error(400, "uid is missing or not of the form job-000412"))?;
-    let spec = serde_json::from_value::<JobManifest>(value)
+    let manifest = serde_json::from_value::<JobManifest>(value)
         .map_err(|error| error.to_string())
-        .and_then(|spec| validate_manifest(&spec).map(|()| Box::new(spec)));
-    Ok(UserRequest::Submit { id, manifest: spec })
+        .and_then(|manifest| validate_manifest(&manifest).map(|()| Box::new(manifest)));
+    Ok(UserRequest::Submit { id, manifest })
 }
 
+/// Checks the ranges of a manifest.
+///
+/// # Errors
+/// A message for the user that names the field as it is written on the wire.
 pub fn validate_manifest(manifest: &JobManifest) -> Result<(), String> {
     if manifest.tasks == 0 || manifest.tasks > MAX_TASKS {
         return Err(format!("pieces must be 1 to {MAX_TASKS}"));
     }
-    let amounts = [
+    let quantities = [
         ("vcpus", manifest.cpus),
         ("accelerators", manifest.gpus),
         ("memory_gb", manifest.memory_gb),
@@ -176,7 +183,7 @@
         ("flush_s", manifest.checkpoint_save_s),
         ("due_s", manifest.deadline_s.unwrap_or(0.0)),
     ];
-    for (name, value) in amounts {
+    for (name, value) in quantities {
         if !(0.0..=MAX_QUANTITY).contains(&value) {
             return Err(format!("{name} is out of range"));
         }
@@ -193,13 +200,14 @@
             return Err(format!("{name} must be 1 to {MAX_NAME_BYTES} bytes"));
         }
     }
-    if manifest.zone.as_ref().is_some_and(|hall| hall.len() > MAX_NAME_BYTES) {
+    if manifest.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME_BYTES) {
         return Err("hall is too long".into());
     }
     Ok(())
 }
 
 impl JobManifest {
+    /// The run time that the user estimates for a task, in milliseconds.
     pub fn estimated_run_ms(&self) -> u64 {
         seconds_to_ms(self.estimated_run_s)
     }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,4 +1,7 @@
-//! Workers: reports in, orders out.
+//! Workers: heartbeats with the status of tasks come in, commands go out.
+//!
+//! Parses and serializes only. Commands carry the leader's fencing token, by which workers reject those of a former
+//! leader.
 
 use std::borrow::Cow;
 
@@ -7,76 +10,108 @@
 use super::{HttpRequest, HttpResponse};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskId};
 
+/// Why an attempt is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
     Done,
-    Stopped { checkpointed: bool },
+    /// Stopped by a command; whether it saved its progress.
+    Stopped {
+        checkpointed: bool,
+    },
+    /// Other tasks of its gang were lost.
     PeersLost,
+    /// Its gang did not come together in time.
     GangIncomplete,
     Error,
+    /// The machine has too little free capacity.
     InsufficientCapacity,
+    /// Another attempt of the task is on the machine.
     Busy,
+    /// The worker has no description of the job.
     Unknown,
 }
 
+/// What an attempt is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
+    /// Fetching its image.
     Fetching,
+    /// Waiting for the other tasks of its gang.
     WaitingForPeers,
     Running,
+    /// Saving its progress before it stops.
     Checkpointing,
     Exited(ExitCause),
 }
 
+/// The status of one attempt in a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskPhase,
-    /// Of a task that is done: the attempt whose result counts, if a worker tells it.
+    /// Of a task that is done: the attempt whose output was published, if the worker says so.
     pub published_attempt: Option<Attempt>,
-    /// And the length of the list it gave.
+    /// Length of the list that it published.
     pub output_list_len: Option<u32>,
 }
 
+/// A worker's periodic report, which renews its lease.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     pub machine: String,
+    /// Address at which the worker takes commands; may be empty.
     pub endpoint: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub epoch: AgentEpoch,
+    /// Rises with each heartbeat of an epoch.
     pub sequence: u64,
+    /// The highest token that the worker has seen.
     pub token: FencingToken,
+    /// Milliseconds until the cloud reclaims the machine, once it has announced that.
     pub reclaim_notice_ms: Option<u64>,
     pub tasks: Vec<TaskStatus>,
 }
 
+/// A command to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerCommand {
-    Run { task: TaskId, attempt: Attempt },
-    Stop { task: TaskId, attempt: Attempt, grace_ms: u64 },
-    Forget { task: TaskId, attempt: Attempt },
+    Run {
+        task: TaskId,
+        attempt: Attempt,
+    },
+    /// Stop the attempt, with this time to save its progress.
+    Stop {
+        task: TaskId,
+        attempt: Attempt,
+        grace_ms: u64,
+    },
+    /// The end of the attempt is recorded: stop reporting it.
+    Forget {
+        task: TaskId,
+        attempt: Attempt,
+    },
 }
 
-/// Text is borrowed from the body, unless it is escaped: reports are the most of what is read.
+/// Text is borrowed from the body unless it is escaped, as heartbeats are most of what is parsed.
 #[derive(Deserialize)]
 struct TaskStatusWire<'a> {
-    #[serde(borrow)]
-    piece: Cow<'a, str>,
+    #[serde(borrow, rename = "piece")]
+    task: Cow<'a, str>,
     #[serde(rename = "try")]
     attempt: u64,
-    #[serde(borrow)]
-    status: Cow<'a, str>,
+    #[serde(borrow, rename = "status")]
+    phase: Cow<'a, str>,
     #[serde(borrow, default)]
     cause: Option<Cow<'a, str>>,
-    #[serde(default)]
-    kept: Option<bool>,
-    #[serde(default)]
-    made: Option<u64>,
-    #[serde(default)]
-    gave: Option<u32>,
+    #[serde(default, rename = "kept")]
+    checkpointed: Option<bool>,
+    #[serde(default, rename = "made")]
+    published_attempt: Option<u64>,
+    #[serde(default, rename = "gave")]
+    output_list_len: Option<u32>,
 }
 
 #[derive(Deserialize)]
@@ -85,65 +120,74 @@
     machine: String,
     #[serde(default)]
     endpoint: String,
-    boxkind: String,
-    hall: String,
-    loaners: bool,
-    shift: u64,
-    tick: u64,
-    #[serde(default)]
-    baton: u64,
-    #[serde(default)]
-    warning_s: Option<f64>,
-    #[serde(borrow, default)]
-    pieces: Vec<TaskStatusWire<'a>>,
+    #[serde(rename = "boxkind")]
+    machine_type: String,
+    #[serde(rename = "hall")]
+    zone: String,
+    #[serde(rename = "loaners")]
+    spot: bool,
+    #[serde(rename = "shift")]
+    epoch: u64,
+    #[serde(rename = "tick")]
+    sequence: u64,
+    #[serde(default, rename = "baton")]
+    token: u64,
+    #[serde(default, rename = "warning_s")]
+    reclaim_notice_s: Option<f64>,
+    #[serde(borrow, default, rename = "pieces")]
+    tasks: Vec<TaskStatusWire<'a>>,
 }
 
 #[derive(Serialize)]
 struct CommandWire {
     verb: &'static str,
-    piece: String,
+    #[serde(rename = "piece")]
+    task: String,
     #[serde(rename = "try")]
     attempt: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    wind_down_s: Option<f64>,
+    #[serde(rename = "wind_down_s", skip_serializing_if = "Option::is_none")]
+    grace_s: Option<f64>,
 }
 
 #[derive(Serialize)]
 struct CommandsWire {
-    baton: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    shift: Option<u64>,
-    orders: Vec<CommandWire>,
+    #[serde(rename = "baton")]
+    token: u64,
+    #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
+    epoch: Option<u64>,
+    #[serde(rename = "orders")]
+    commands: Vec<CommandWire>,
 }
 
 #[derive(Serialize)]
 struct RedirectWire<'a> {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    home: Option<&'a str>,
+    #[serde(rename = "home", skip_serializing_if = "Option::is_none")]
+    controller: Option<&'a str>,
 }
 
+/// Parses a heartbeat; None if it is not valid as a whole.
 pub fn parse_heartbeat(body: &[u8]) -> Option<Heartbeat> {
     let wire: HeartbeatWire<'_> = serde_json::from_slice(body).ok()?;
-    let pieces: Option<Vec<TaskStatus>> = wire.pieces.iter().map(parse_task_status).collect();
+    let tasks = wire.tasks.iter().map(parse_task_status).collect::<Option<Vec<TaskStatus>>>()?;
     Some(Heartbeat {
         machine: wire.machine,
         endpoint: wire.endpoint,
-        machine_type: wire.boxkind,
-        zone: wire.hall,
-        spot: wire.loaners,
-        epoch: AgentEpoch(wire.shift),
-        sequence: wire.tick,
-        token: FencingToken(wire.baton),
-        reclaim_notice_ms: wire.warning_s.map(|s| (s.max(0.0) * 1000.0) as u64),
-        tasks: pieces?,
+        machine_type: wire.machine_type,
+        zone: wire.zone,
+        spot: wire.spot,
+        epoch: AgentEpoch(wire.epoch),
+        sequence: wire.sequence,
+        token: FencingToken(wire.token),
+        reclaim_notice_ms: wire.reclaim_notice_s.map(|s| (s.max(0.0) * 1000.0) as u64),
+        tasks,
     })
 }
 
 fn parse_task_status(wire: &TaskStatusWire<'_>) -> Option<TaskStatus> {
     Some(TaskStatus {
-        task: TaskId::parse(&wire.piece)?,
+        task: TaskId::parse(&wire.task)?,
         attempt: Attempt(wire.attempt),
-        state: match &*wire.status {
+        state: match &*wire.phase {
             "fetching" => TaskPhase::Fetching,
             "gathering" => TaskPhase::WaitingForPeers,
             "running" => TaskPhase::Running,
@@ -151,15 +195,15 @@
             "ended" => TaskPhase::Exited(parse_exit_cause(wire)),
             _ => return None,
         },
-        published_attempt: wire.made.map(Attempt),
-        output_list_len: wire.gave,
+        published_attempt: wire.published_attempt.map(Attempt),
+        output_list_len: wire.output_list_len,
     })
 }
 
 fn parse_exit_cause(wire: &TaskStatusWire<'_>) -> ExitCause {
     match wire.cause.as_deref() {
         Some("done") => ExitCause::Done,
-        Some("halted") => ExitCause::Stopped { checkpointed: wire.kept == Some(true) },
+        Some("halted") => ExitCause::Stopped { checkpointed: wire.checkpointed == Some(true) },
         Some("peers") => ExitCause::PeersLost,
         Some("incomplete") => ExitCause::GangIncomplete,
         Some("full") => ExitCause::InsufficientCapacity,
@@ -169,41 +213,43 @@
     }
 }
 
-fn command_wire(order: &WorkerCommand) -> CommandWire {
-    let (verb, task, attempt, grace_ms) = match order {
+fn command_wire(command: &WorkerCommand) -> CommandWire {
+    let (verb, task, attempt, grace_ms) = match command {
         WorkerCommand::Run { task, attempt } => ("run", task, attempt, None),
         WorkerCommand::Stop { task, attempt, grace_ms } => ("halt", task, attempt, Some(*grace_ms)),
         WorkerCommand::Forget { task, attempt } => ("reap", task, attempt, None),
     };
     CommandWire {
         verb,
-        piece: task.to_string(),
+        task: task.to_string(),
         attempt: attempt.0,
-        wind_down_s: grace_ms.map(|ms| ms as f64 / 1000.0),
+        grace_s: grace_ms.map(|ms| ms as f64 / 1000.0),
     }
 }
 
+/// The response to a heartbeat.
 pub fn commands_response(token: FencingToken, commands: &[WorkerCommand]) -> HttpResponse {
     HttpResponse::json(
         200,
-        &CommandsWire { baton: token.0, shift: None, orders: commands.iter().map(command_wire).collect() },
+        &CommandsWire { token: token.0, epoch: None, commands: commands.iter().map(command_wire).collect() },
     )
 }
 
+/// Commands sent between heartbeats; the worker rejects them in another epoch.
 pub fn commands_request(token: FencingToken, epoch: AgentEpoch, commands: &[WorkerCommand]) -> HttpRequest {
     HttpRequest::post(
         "/orders",
         &CommandsWire {
-            baton: token.0,
-            shift: Some(epoch.0),
-            orders: commands.iter().map(command_wire).collect(),
+            token: token.0,
+            epoch: Some(epoch.0),
+            commands: commands.iter().map(command_wire).collect(),
         },
     )
 }
 
-/// Sends a worker to the node that is entitled to command it.
+/// Redirects a worker to the leader, if it is known.
 pub fn redirect_response(controller: Option<&str>) -> HttpResponse {
-    HttpResponse::json(421, &RedirectWire { home: controller })
+    HttpResponse::json(421, &RedirectWire { controller })
 }
 
 #[cfg(test)]
