--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,14 +1,15 @@
-//! Command line.
+//! The command line of the controller: checks the settings or serves until it is killed.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use thiserror::Error;
 
-use crate::settings::Settings;
+use crate::settings::{Settings, SettingsError};
 use crate::transport;
-use crate::tunables::Tunables;
+use crate::tunables::{Tunables, TunablesError};
 
 #[derive(Parser)]
 #[command(name = "olivelatch", version, about = "A cluster scheduler for small controllers")]
@@ -35,21 +36,31 @@
     config: PathBuf,
 }
 
-/// Exit code for settings that can't be used, as for wrong arguments.
+/// Why the files given on the command line can't be used.
+#[derive(Debug, Error)]
+enum ConfigError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Tunables(#[from] TunablesError),
+}
+
+/// Exit code for settings that can't be used, the same as for wrong arguments.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
+/// Runs the program with the arguments of the process.
 pub fn main() -> ExitCode {
     run(std::env::args_os())
 }
 
-/// The same with arguments given, the program's name first: a region on one machine starts its controllers so.
+/// Runs the program with these arguments, the program's name first. A local cluster starts its controllers like this.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = Cli::parse_from(arguments);
     let (Command::Serve(files) | Command::Check(files)) = &cli.command;
     let (settings, tunables) = match load_files(files) {
         Ok(loaded) => loaded,
-        Err(problem) => {
-            eprintln!("olivelatch: {problem}");
+        Err(error) => {
+            eprintln!("olivelatch: {error}");
             return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
@@ -58,24 +69,23 @@
             println!("settings of {} are fine", settings.controller);
             ExitCode::SUCCESS
         }
-        Command::Serve(_) => {
-            crate::logging::init(&settings.controller, tunables.log.format);
-            match transport::serve(settings, tunables) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(error) => {
-                    log::error!("cannot serve: {error}");
-                    ExitCode::FAILURE
-                }
-            }
+        Command::Serve(_) => serve(settings, tunables),
+    }
+}
+
+fn serve(settings: Settings, tunables: Tunables) -> ExitCode {
+    crate::logging::init(&settings.controller, tunables.log.format);
+    match transport::serve(settings, tunables) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            log::error!("cannot serve: {error}");
+            ExitCode::FAILURE
         }
     }
 }
 
-fn load_files(files: &ConfigFiles) -> Result<(Settings, Tunables), String> {
-    let settings = Settings::load(&files.config).map_err(|error| error.to_string())?;
-    let tunables = match &files.tunables {
-        Some(path) => Tunables::load(path).map_err(|error| error.to_string())?,
-        None => Tunables::default(),
-    };
+fn load_files(files: &ConfigFiles) -> Result<(Settings, Tunables), ConfigError> {
+    let settings = Settings::load(&files.config)?;
+    let tunables = files.tunables.as_deref().map(Tunables::load).transpose()?.unwrap_or_default();
     Ok((settings, tunables))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! olivelatch: a cluster scheduler with data-aware work stealing.
 //!
-//! The layers, outermost first: `transport` moves bytes and keeps time,
-//! `protocol` turns bytes into typed messages and back, `coordination` decides,
-//! `bookkeeping` remembers. The last two do no I/O and read no clock.
+//! The layers, outermost first: `transport` moves bytes and reads the clock,
+//! `protocol` parses and serializes typed messages, `coordination` decides,
+//! `bookkeeping` holds the state. The last two do no I/O and read no clock.
 
 pub mod bookkeeping;
 pub mod cli;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs on standard error, one line an event, at `LOG_LEVEL`, as text, `key=value` pairs or JSON.
+//! Logs to standard error at `LOG_LEVEL`, one line for each event, as text, `key=value` pairs or JSON.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -10,6 +10,7 @@
 
 use crate::tunables::LogFormat;
 
+/// Writes events to standard error.
 struct StderrLogger {
     controller: String,
     format: LogFormat,
@@ -26,14 +27,14 @@
         }
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = format_line(self.format, &self.controller, wall.as_millis() as u64, record);
-        // One write a line: lines of several processes do not mix. A full pipe is not worth dying for.
+        // One write for each line keeps lines of several processes apart. Logging must not fail the program.
         let _ = std::io::stderr().write_all(line.as_bytes());
     }
 
     fn flush(&self) {}
 }
 
-/// The pairs of one event, in their order.
+/// The key-value pairs of one event, in their order.
 struct KeyValues(Vec<(String, String)>);
 
 impl<'kvs> VisitSource<'kvs> for KeyValues {
@@ -47,6 +48,11 @@
     if format == LogFormat::Text {
         return format!("{} {controller} {}\n", record.level(), record.args());
     }
+    let KeyValues(pairs) = key_values(controller, wall_ms, record);
+    if format == LogFormat::Json { format_json(pairs) } else { format_logfmt(&pairs) }
+}
+
+fn key_values(controller: &str, wall_ms: u64, record: &Record<'_>) -> KeyValues {
     let level = record.level().as_str().to_ascii_lowercase();
     let mut pairs = KeyValues(vec![
         ("ts_ms".into(), wall_ms.to_string()),
@@ -54,32 +60,38 @@
         ("node".into(), controller.into()),
         ("msg".into(), record.args().to_string()),
     ]);
-    // Pairs that cannot be read are left out; the message says it all.
+    // Pairs that cannot be formatted are left out, as the message stands on its own.
     let _ = record.key_values().visit(&mut pairs);
-    match format {
-        LogFormat::Json => {
-            let object: Map<String, serde_json::Value> =
-                pairs.0.into_iter().map(|(key, value)| (key, value.into())).collect();
-            format!("{}\n", serde_json::Value::Object(object))
-        }
-        LogFormat::Logfmt | LogFormat::Text => format_logfmt(&pairs.0),
-    }
+    pairs
+}
+
+fn format_json(pairs: Vec<(String, String)>) -> String {
+    let object: Map<String, serde_json::Value> =
+        pairs.into_iter().map(|(key, value)| (key, value.into())).collect();
+    format!("{}\n", serde_json::Value::Object(object))
 }
 
 fn format_logfmt(pairs: &[(String, String)]) -> String {
     let mut line = String::new();
-    for (at, (key, value)) in pairs.iter().enumerate() {
-        let space = if at == 0 { "" } else { " " };
-        let plain =
-            !value.is_empty() && value.bytes().all(|b| b.is_ascii_graphic() && b != b'"' && b != b'=');
+    for (index, (key, value)) in pairs.iter().enumerate() {
+        let separator = if index == 0 { "" } else { " " };
         // Writing to a string does not fail.
-        let _ =
-            if plain { write!(line, "{space}{key}={value}") } else { write!(line, "{space}{key}={value:?}") };
+        let _ = if needs_quotes(value) {
+            write!(line, "{separator}{key}={value:?}")
+        } else {
+            write!(line, "{separator}{key}={value}")
+        };
     }
     line.push('\n');
     line
 }
 
+fn needs_quotes(value: &str) -> bool {
+    value.is_empty() || !value.bytes().all(|b| b.is_ascii_graphic() && b != b'"' && b != b'=')
+}
+
+/// Installs the logger of this process for the named controller. The level is that of the environment's `LOG_LEVEL`,
+/// `info` by default.
 pub fn init(controller: &str, format: LogFormat) {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::Error,
@@ -89,7 +101,7 @@
         _ => LevelFilter::Info,
     };
     log::set_max_level(level);
-    // A second start (tests) keeps the first logger.
+    // A second call in one process, as in tests, keeps the first logger.
     let _ = log::set_boxed_logger(Box::new(StderrLogger { controller: controller.into(), format }));
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The controller's program; see `olivelatch::cli`.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/src/tunables.rs
+++ b/src/tunables.rs
@@ -1,4 +1,6 @@
-//! The operators' own settings: an optional HCL file. The defaults are here, in one place.
+//! The tunables: an optional HCL file of the operators that is read and checked once at the start.
+//!
+//! All defaults are here. Names in the file that differ from the code's are mapped by serde; errors use the file's.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,6 +10,7 @@
 
 use crate::source_location::with_line_number;
 
+/// Why the tunables can't be used.
 #[derive(Debug, Error)]
 pub enum TunablesError {
     #[error("{file}: {error}")]
@@ -18,69 +21,70 @@
     OutOfRange { file: String, name: &'static str, low: f64, high: f64, value: f64 },
     #[error("{file}: graphs are asked about over the operators' interface: turn operators on as well")]
     GraphsRequireOperators { file: String },
-    #[error("{file}: pool {pool}: expected 1 to 1000000 slots, not {slots}")]
+    #[error("{file}: pool {pool}: expected 1 to {MAX_POOL_SLOTS} slots, not {slots}")]
     InvalidPoolSlots { file: String, pool: String, slots: f64 },
 }
 
-/// Defaults marked (source) are the paper's, the others the project's own.
+/// All tunables. Defaults marked (DAWS) are the paper's, the others the project's own.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tunables {
-    /// Fetch time over run time up to which a task joins a shared queue (source).
+    /// Fetch time over run time up to which a task joins a shared queue (DAWS).
     pub t: f64,
-    /// Estimated run time of a dedicated queue above which it spills, in seconds (source).
+    /// Estimated run time of a dedicated queue above which it spills, in seconds (DAWS).
     pub tt_s: f64,
     /// Fetch rate assumed until one was observed or published, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// First wait after a failed steal, doubled by each further one (source).
+    /// Backoff after a failed steal in milliseconds, doubled by each further one (DAWS).
     #[serde(rename = "steal_wait_ms")]
     pub steal_backoff_ms: f64,
-    /// The wait at which an idle machine stops stealing until tasks arrive.
+    /// The backoff in seconds at which an idle machine stops stealing until tasks arrive.
     #[serde(rename = "steal_bound_s")]
     pub max_steal_backoff_s: f64,
-    /// How long a machine is held for a gang or a preempting job.
+    /// Seconds for which a machine is reserved for a gang or a preempting job.
     #[serde(rename = "hold_s")]
     pub machine_hold_s: f64,
-    /// Life of the leader's lease at the state service.
+    /// Time to live of the leader's lease at the key-value store, in seconds.
     #[serde(rename = "leader_life_s")]
     pub leader_lease_s: f64,
-    /// An idle machine is returned after this.
+    /// Seconds after which an idle machine is returned to the cloud.
     #[serde(rename = "idle_s")]
     pub idle_return_s: f64,
-    /// Jobs of a class without an aim should be done within this and a run time.
+    /// Jobs of a class without an objective should be done within these seconds and one run time.
     #[serde(rename = "drain_s")]
     pub queue_drain_target_s: f64,
-    /// Part of the time to a job's aim within which its tasks should all have started.
+    /// Part of the time to a job's objective within which all its tasks should have started.
     #[serde(rename = "haste")]
     pub start_deadline_fraction: f64,
-    /// What changes while there is more than can be served (docs/overload.md).
+    /// Behaviour under overload (docs/overload.md).
     pub overload: OverloadTunables,
     /// The operators' interface (docs/client.md).
     pub operators: OperatorTunables,
     /// Graphs (docs/flows.md).
     pub graphs: GraphTunables,
-    /// Changes of configuration while the service runs (docs/client.md).
+    /// Configuration at run time (docs/client.md).
     pub config: ConfigTunables,
+    /// The log's form.
     pub log: LogTunables,
 }
 
-/// On in `run`, as it does the bench no harm. Claims of lent room are bounded in any case.
+/// Mechanisms against overload, all on by default. Preemption of borrowed capacity is bounded in any case.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OverloadTunables {
-    /// Jobs that cannot meet their aims are put off with a floor for each party, small gangs go first when there are too
-    /// many, machines of scarce types are kept for gangs.
+    /// Jobs that cannot meet their objectives are deferred, with a minimum share for each class of a team; small gangs
+    /// go first when there are too many; machines of scarce types are reserved for gangs.
     #[serde(rename = "order")]
     pub overload_ordering: bool,
-    /// A controller that is behind its events leaves planning and direct starts.
+    /// A controller that is behind its events skips planning and direct starts.
     #[serde(rename = "pressure")]
     pub load_shedding: bool,
-    /// Work that nobody waits for leaves room for what others asked for lately.
+    /// Best-effort jobs leave capacity free for what other jobs requested recently.
     pub headroom: bool,
-    /// Arrays stop long tasks that are less urgent, or what others have borrowed.
+    /// Arrays preempt long tasks of lower priority, and capacity that other teams have borrowed.
     #[serde(rename = "claims")]
     pub preemption: bool,
-    /// Jobs that fail wherever they are tried go on one task at a time.
+    /// Jobs that fail on every machine run one task at a time.
     #[serde(rename = "trials")]
     pub probation: bool,
 }
@@ -97,14 +101,14 @@
     }
 }
 
-/// Off, its paths do not exist and nothing is recorded for it.
+/// The operators' interface. While it is off its paths do not exist and nothing is recorded for it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorTunables {
     pub enabled: bool,
-    /// Decisions remembered of each job.
+    /// Events kept in memory for each job.
     pub events_per_job: f64,
-    /// Lists, inspections and explanations worked out a second; beyond that clients are told to come back.
+    /// Lists, inspections and explanations a second; requests beyond that are rejected with a time to retry.
     #[serde(rename = "explains_per_s")]
     pub queries_per_s: f64,
 }
@@ -116,26 +120,26 @@
 }
 
 impl OperatorTunables {
-    /// Decisions remembered of each job; none while the interface is off.
+    /// Events kept in memory for each job; none while the interface is off.
     pub fn event_capacity(&self) -> usize {
         if self.enabled { self.events_per_job as usize } else { 0 }
     }
 }
 
-/// Off, graphs are not accepted; those that are there are served.
+/// The graphs' interface. While it is off no graphs are accepted; runs that exist already go on.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GraphTunables {
     pub enabled: bool,
-    /// Tasks of nodes that name a pool, at a time.
+    /// Slots by pool: most tasks, of nodes that name the pool, that run at the same time.
     pub pools: BTreeMap<String, f64>,
-    /// Runs that have ended and are kept, so that they can be looked at and done over.
+    /// Finished runs that are kept, so that they can be inspected and rerun.
     #[serde(rename = "kept_runs")]
     pub retained_runs: f64,
-    /// Nodes of all runs that are kept; beyond that no further run is accepted.
+    /// Nodes of all runs together above which no further run is accepted.
     #[serde(rename = "most_nodes")]
     pub max_nodes: f64,
-    /// Parts that are not committed within this are removed.
+    /// Seconds after which uploaded parts that are not committed are deleted.
     #[serde(rename = "sweep_s")]
     pub upload_expiry_s: f64,
 }
@@ -152,13 +156,14 @@
     }
 }
 
-/// Off, entries are neither taken nor acted by: the platform's settings hold.
+/// Configuration at run time. While it is off entries are neither accepted nor applied.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConfigTunables {
     pub enabled: bool,
 }
 
+/// The log.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogTunables {
@@ -169,7 +174,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Level, node, what happened.
+    /// Level, controller and message.
     #[default]
     Text,
     /// `key=value` pairs.
@@ -177,7 +182,10 @@
     Json,
 }
 
-/// The shortest lease of a leader that may be asked for: others rely on it, whatever their own files say.
+/// Most slots of a pool.
+const MAX_POOL_SLOTS: f64 = 1e6;
+
+/// Shortest lease of a leader, in seconds. All controllers rely on it, whatever their own files say.
 pub const MIN_LEADER_LEASE_S: f64 = 1.0;
 
 impl Default for Tunables {
@@ -203,6 +211,10 @@
 }
 
 impl Tunables {
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// The file can't be read, isn't the HCL expected, or holds a value that is out of range.
     pub fn load(path: &Path) -> Result<Tunables, TunablesError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -210,6 +222,10 @@
         Tunables::parse(&file, &text)
     }
 
+    /// Parses and checks the text of a file; `file` is its name in errors.
+    ///
+    /// # Errors
+    /// The text isn't the HCL expected, or holds a value that is out of range.
     pub fn parse(file: &str, text: &str) -> Result<Tunables, TunablesError> {
         let tunables: Tunables = hcl::from_str(text).map_err(|error| TunablesError::InvalidHcl {
             file: file.into(),
@@ -220,6 +236,15 @@
     }
 
     fn validate(&self, file: &str) -> Result<(), TunablesError> {
+        self.validate_ranges(file)?;
+        self.validate_pools(file)?;
+        if self.graphs.enabled && !self.operators.enabled {
+            return Err(TunablesError::GraphsRequireOperators { file: file.into() });
+        }
+        Ok(())
+    }
+
+    fn validate_ranges(&self, file: &str) -> Result<(), TunablesError> {
         let ranges = [
             ("t", self.t, 0.0, 1e9),
             ("tt_s", self.tt_s, 0.0, 1e6),
@@ -242,17 +267,18 @@
                 return Err(TunablesError::OutOfRange { file: file.into(), name, low, high, value });
             }
         }
-        if let Some((pool, slots)) = self.graphs.pools.iter().find(|(_, slots)| !(1.0..=1e6).contains(*slots))
-        {
+        Ok(())
+    }
+
+    fn validate_pools(&self, file: &str) -> Result<(), TunablesError> {
+        let is_valid = |slots: &f64| (1.0..=MAX_POOL_SLOTS).contains(slots);
+        if let Some((pool, slots)) = self.graphs.pools.iter().find(|(_, slots)| !is_valid(slots)) {
             return Err(TunablesError::InvalidPoolSlots {
                 file: file.into(),
                 pool: pool.clone(),
                 slots: *slots,
             });
         }
-        if self.graphs.enabled && !self.operators.enabled {
-            return Err(TunablesError::GraphsRequireOperators { file: file.into() });
-        }
         Ok(())
     }
 }
