--- a/src/coordination/kv_client/mod.rs
+++ b/src/coordination/kv_client/mod.rs
@@ -34,12 +34,19 @@
 /// What a request is for: who gets the reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Purpose {
+    /// A page of the first load.
     Page,
+    /// Changes since the last poll.
     Poll,
+    /// Jobs that users submit or cancel.
     UserTxn,
+    /// Uploads and commits of DAG runs.
     GraphTxn,
+    /// Configuration changes by operators.
     ConfigTxn,
+    /// Records of the leader.
     LeaderTxn,
+    /// The leader key and its lease.
     Leadership,
 }
 
@@ -62,9 +69,13 @@
 /// A reply with the request that it answers.
 #[derive(Debug)]
 pub struct CompletedRequest {
+    /// Who gets the reply.
     pub purpose: Purpose,
+    /// As it was sent.
     pub request: KvRequest,
+    /// What the store answered, or that it did not.
     pub reply: KvReply,
+    /// When the request was sent.
     pub sent_at: Millis,
 }
 
@@ -195,8 +206,8 @@
         }
     }
 
-    /// Whether the store answers this controller. While it does not, users are told at once to retry later; a single
-    /// refusal or lost reply is not shown to them.
+    /// Whether the store answers this controller. While it does not, user requests are rejected at once; a single
+    /// refusal or lost reply does not count.
     pub(super) fn is_reachable(&self, now: Millis) -> bool {
         self.failing_since.is_none_or(|since| now.saturating_since(since) < UNREACHABLE_AFTER_MS)
     }
--- a/src/coordination/leader/dag_runs/node_results.rs
+++ b/src/coordination/leader/dag_runs/node_results.rs
@@ -75,7 +75,7 @@
         let Some(state) = self.workload.jobs.get_mut(&job) else { return };
         let Some((info, node)) = state.spec.node.as_ref().zip(state.dag_node.as_ref()) else { return };
         state.finishing = true;
-        // The task that decided the outcome comes first.
+        // Only so many failures fit into the record: those of the task that decided the outcome come first.
         let decisive = node.retries.get_key_value(&task);
         let others = node.retries.iter().filter(|(other, _)| **other != task);
         let failed_attempts = decisive
--- a/src/coordination/leader/records/assignment_log/append.rs
+++ b/src/coordination/leader/records/assignment_log/append.rs
@@ -1,12 +1,11 @@
 //! The leader's side of the assignment log: filling the next segment, and acting on a segment once it is durable.
 
-use super::needs_finished_record;
 use super::segment::{FinishedBlock, SegmentContents, SegmentId, TaskPlacement};
+use super::{WriteBudget, needs_finished_record};
 use crate::bookkeeping::bit_set::BitSet;
 use crate::bookkeeping::records::{AssignmentLogRecord, MachineDescriptor, RecordKey};
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
-use crate::coordination::leader::records::store_writer::WriteBudget;
 use crate::coordination::leader::{DispatchState, Leader, MachineState};
 use crate::ids::{Attempt, MachineIx};
 
--- a/src/coordination/leader/records/assignment_log/mod.rs
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -12,7 +12,6 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::store_writer::WriteBudget;
 use crate::bookkeeping::records::RecordKey;
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{FencingToken, JobId, MachineIx, Millis, TaskId};
@@ -57,6 +56,15 @@
     last_write_at: Millis,
 }
 
+/// What the store's rate limit allows now.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct WriteBudget {
+    /// Mutations that may be sent at once.
+    pub spare_writes: usize,
+    /// Mutations per second in the long run.
+    pub writes_per_second: f64,
+}
+
 impl AssignmentLog {
     /// A task was bound to a machine. Its run command may be sent once this is durable.
     pub(in crate::coordination::leader) fn queue_start(&mut self, start: TaskPlacement) {
--- a/src/coordination/leader/records/assignment_log/segment.rs
+++ b/src/coordination/leader/records/assignment_log/segment.rs
@@ -39,7 +39,7 @@
 }
 
 impl LogSegment {
-    pub fn new(key: RecordKey) -> LogSegment {
+    pub(super) fn new(key: RecordKey) -> LogSegment {
         LogSegment {
             key,
             starts: HashSet::new(),
@@ -51,11 +51,11 @@
     }
 
     /// Live starts and returns.
-    pub fn machine_entries(&self) -> usize {
+    pub(super) fn machine_entries(&self) -> usize {
         self.starts.len() + self.returns.len()
     }
 
-    pub fn has_live_entries(&self) -> bool {
+    pub(super) fn has_live_entries(&self) -> bool {
         self.machine_entries() > 0 || !self.finished.is_empty()
     }
 }
--- a/src/coordination/leader/records/mod.rs
+++ b/src/coordination/leader/records/mod.rs
@@ -3,7 +3,6 @@
 
 pub mod assignment_log;
 mod bindings;
-mod dag_records;
 mod image_locality;
 mod recovery;
 mod requeue;
--- a/src/coordination/leader/records/store_writer/batch.rs
+++ b/src/coordination/leader/records/store_writer/batch.rs
@@ -15,7 +15,7 @@
 
 /// What the leader does once a mutation is durable.
 #[derive(Debug, Clone)]
-pub(in crate::coordination::leader::records) enum WriteEffect {
+pub(super) enum WriteEffect {
     SegmentPersisted(SegmentContents),
     SegmentRemoved(SegmentId),
     FinishedBlockPersisted(FinishedBlock),
@@ -29,14 +29,14 @@
 
 /// A block of a job's task numbers, as records of retry states divide them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(in crate::coordination::leader::records) struct RetryBlock {
+pub(super) struct RetryBlock {
     pub job: JobId,
     pub block: u32,
 }
 
 /// The batch takes no further mutation; what is left is planned again for the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::coordination::leader::records) struct BatchFull;
+pub(super) struct BatchFull;
 
 /// Limits of a batch, and what it may contain.
 #[derive(Debug, Clone, Copy)]
@@ -47,8 +47,8 @@
 }
 
 /// Mutations of one transaction, with their preconditions and effects.
-pub(in crate::coordination::leader::records) struct WriteBatch<'a> {
-    pub(in crate::coordination::leader::records) cache: &'a StoreCache,
+pub(super) struct WriteBatch<'a> {
+    pub(super) cache: &'a StoreCache,
     options: BatchOptions,
     pub(super) preconditions: Vec<Precondition>,
     pub(super) mutations: Vec<KvMutation>,
@@ -70,13 +70,13 @@
         }
     }
 
-    pub(in crate::coordination::leader::records) fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.mutations.len() >= self.options.max_mutations || self.bytes >= BATCH_FULL_BYTES
     }
 
     /// # Errors
     /// [`BatchFull`] if the batch takes no further mutation.
-    pub(in crate::coordination::leader::records) fn ensure_room(&self) -> Result<(), BatchFull> {
+    pub(super) fn ensure_room(&self) -> Result<(), BatchFull> {
         if self.is_full() { Err(BatchFull) } else { Ok(()) }
     }
 
@@ -85,28 +85,23 @@
     }
 
     /// Terminal records contain details for operators.
-    pub(in crate::coordination::leader::records) fn with_details(&self) -> bool {
+    pub(super) fn with_details(&self) -> bool {
         self.options.with_details
     }
 
     /// How many mutations it still takes.
-    pub(in crate::coordination::leader::records) fn remaining(&self) -> usize {
+    pub(super) fn remaining(&self) -> usize {
         self.options.max_mutations.saturating_sub(self.mutations.len())
     }
 
     /// Whether it changes the key already.
-    pub(in crate::coordination::leader::records) fn has_key(&self, key: &RecordKey) -> bool {
+    pub(super) fn has_key(&self, key: &RecordKey) -> bool {
         let key = key.encode();
         self.mutations.iter().any(|mutation| mutation.key() == key)
     }
 
     /// Writes a record. One that cannot be serialized is logged and left out.
-    pub(in crate::coordination::leader::records) fn put(
-        &mut self,
-        key: &RecordKey,
-        record: &impl Serialize,
-        effect: WriteEffect,
-    ) {
+    pub(super) fn put(&mut self, key: &RecordKey, record: &impl Serialize, effect: WriteEffect) {
         match serde_json::to_string(record) {
             Ok(value) => self.put_json(key, value, effect),
             Err(error) => log::error!("cannot serialize {}: {error}", key.encode()),
@@ -118,7 +113,7 @@
         self.push(key, value_bytes, effect, |key| KvMutation::Put { key, value, lease: None });
     }
 
-    pub(in crate::coordination::leader::records) fn delete(&mut self, key: &RecordKey, effect: WriteEffect) {
+    pub(super) fn delete(&mut self, key: &RecordKey, effect: WriteEffect) {
         self.push(key, 0, effect, |key| KvMutation::Delete { key });
     }
 
--- a/src/coordination/leader/records/store_writer/effects.rs
+++ b/src/coordination/leader/records/store_writer/effects.rs
@@ -1,6 +1,7 @@
 //! Replies to the leader's transactions: effects of a committed one, and what is queued again after any other.
 
-use super::{WriteEffect, persists};
+use super::batch::WriteEffect;
+use super::persists;
 use crate::bookkeeping::records::LEADER_KEY;
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
--- a/src/coordination/leader/records/store_writer/mod.rs
+++ b/src/coordination/leader/records/store_writer/mod.rs
@@ -11,6 +11,7 @@
 mod batch;
 mod effects;
 mod plan;
+mod plan_dag_runs;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,12 +20,12 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::kv_client::{KvClient, Purpose};
 use crate::coordination::leader::Leader;
+use crate::coordination::leader::records::assignment_log::WriteBudget;
 use crate::coordination::{Action, Clock};
 use crate::ids::{JobId, Millis};
 use crate::protocol::cloud::MachineTypeRecord;
 use crate::protocol::kv::KvMutation;
-use batch::{BatchOptions, RetryBlock};
-pub(super) use batch::{WriteBatch, WriteEffect};
+use batch::{BatchOptions, RetryBlock, WriteBatch, WriteEffect};
 
 /// The term's pending writes, and the transaction in flight.
 #[derive(Debug, Default)]
@@ -51,15 +52,6 @@
     value: Option<String>,
 }
 
-/// What the store's rate limit allows now.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct WriteBudget {
-    /// Mutations that may be sent at once.
-    pub spare_writes: usize,
-    /// Mutations per second in the long run.
-    pub writes_per_second: f64,
-}
-
 impl StoreWriter {
     pub(in crate::coordination::leader) fn queue_job_success(&mut self, id: JobId) {
         self.terminal_due.insert(id, None);
--- a/src/coordination/leader/records/store_writer/plan.rs
+++ b/src/coordination/leader/records/store_writer/plan.rs
@@ -5,15 +5,16 @@
 
 use std::collections::BTreeSet;
 
-use super::batch::{BatchFull, RetryBlock};
-use super::{WriteBatch, WriteBudget, WriteEffect};
+use super::batch::{BatchFull, RetryBlock, WriteBatch, WriteEffect};
 use crate::bookkeeping::bit_set::BitSet;
 use crate::bookkeeping::dag_records::{NodeTerminalRecord, RETRY_BLOCK_TASKS, RetryStateRecord};
 use crate::bookkeeping::jobs::TerminalState;
 use crate::bookkeeping::records::{FinishedRecord, RecordKey, TerminalRecord};
 use crate::coordination::Clock;
 use crate::coordination::leader::Leader;
-use crate::coordination::leader::records::assignment_log::{FinishedBlock, needs_finished_record};
+use crate::coordination::leader::records::assignment_log::{
+    FinishedBlock, WriteBudget, needs_finished_record,
+};
 use crate::ids::{JobId, Revision};
 
 impl Leader {
@@ -53,9 +54,9 @@
 
     fn plan_terminal_records(&mut self, clock: Clock, batch: &mut WriteBatch<'_>) -> Result<(), BatchFull> {
         self.writer.terminal_due.retain(|id, _| batch.cache.terminal_state(*id).is_none());
-        for (id, node) in &self.writer.terminal_due {
+        for (id, node_terminal) in &self.writer.terminal_due {
             batch.ensure_room()?;
-            self.plan_terminal_record(*id, node.as_ref(), clock, batch);
+            self.plan_terminal_record(*id, node_terminal.as_ref(), clock, batch);
         }
         Ok(())
     }
@@ -63,7 +64,7 @@
     fn plan_terminal_record(
         &self,
         id: JobId,
-        node: Option<&NodeTerminalRecord>,
+        node_terminal: Option<&NodeTerminalRecord>,
         clock: Clock,
         batch: &mut WriteBatch<'_>,
     ) {
@@ -71,8 +72,8 @@
         let state = ix.and_then(|ix| self.workload.jobs.get(&ix));
         let first_run = state.and_then(|state| state.first_run.wall_ms());
         let detail = if batch.with_details() { batch.cache.terminal_detail(id, first_run) } else { None };
-        let record = match node {
-            Some(node) => TerminalRecord::for_node(node.clone(), clock.wall_ms, detail),
+        let record = match node_terminal {
+            Some(terminal) => TerminalRecord::for_node(terminal.clone(), clock.wall_ms, detail),
             None => TerminalRecord::new(TerminalState::Done, clock.wall_ms, detail),
         };
         let effect = if record.terminal_state() == TerminalState::Done {
--- a/src/coordination/leader/records/dag_records.rs
+++ b/src/coordination/leader/records/store_writer/plan_dag_runs.rs
@@ -3,7 +3,7 @@
 
 use olivelatch_dag::{NodeIx, NodeOutcome};
 
-use super::store_writer::{WriteBatch, WriteEffect};
+use super::batch::{WriteBatch, WriteEffect};
 use crate::bookkeeping::dag::Dag;
 use crate::bookkeeping::dag_records::{DagRunRecord, NodeTerminalRecord, RunPhase, RunPhaseRecord};
 use crate::bookkeeping::dag_runs::DagRun;
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -76,8 +76,11 @@
 /// What a reply changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
+    /// This controller leads or follows as before.
     Unchanged,
+    /// This controller leads now, with this fencing token.
     Acquired(FencingToken),
+    /// The lease has expired or was revoked: this controller does not lead any more.
     Lost,
 }
 
