--- a/src/coordination/kv_client/mod.rs
+++ b/src/coordination/kv_client/mod.rs
@@ -1,5 +1,5 @@
 //! This controller's client of the key-value store: requests in flight, its share of the rate limits, and whether the store
-//! answers. [`cache_refresh`] keeps the cache up to date with it.
+//! answers. `cache_refresh` keeps the cache up to date with it.
 //!
 //! [`KvClient`] does no I/O: requests go out as actions, replies come in as outcomes. Requests in flight are bounded by the
 //! rate limits; each ends with an outcome, a timeout included.
--- a/src/coordination/leader/dag_runs/mod.rs
+++ b/src/coordination/leader/dag_runs/mod.rs
@@ -1,7 +1,7 @@
 //! DAG nodes and runs on the leader: retries, time limits, pools, output locality, and which runs are deleted.
 //!
-//! A DAG node's tasks are placed like all others; here is only what being a node adds. [`DagRuns`] owns state that is lost
-//! at a failover; what must survive is in the records, written by the [store writer](super::records::store_writer).
+//! A DAG node's tasks are placed like all others; here is only what being a node adds. `DagRuns` owns state that is lost
+//! at a failover; what must survive is in the records, written by the store writer.
 
 mod node_results;
 mod run_retention;
--- a/src/coordination/leader/records/assignment_log/mod.rs
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -3,9 +3,8 @@
 //!
 //! Writes per second are the scarcest resource of the store, so one segment holds everything since the segment before,
 //! however many machines that concerns. A segment is deleted once newer records supersede all its entries; compaction
-//! rewrites sparse segments so that the log stays short. [`AssignmentLog`] owns the live segments and the entries that
-//! are not durable yet; both are bounded by the running tasks. It does no I/O: segments are written by the
-//! [store writer](super::store_writer).
+//! rewrites sparse segments so that the log stays short. `AssignmentLog` owns the live segments and the entries that
+//! are not durable yet; both are bounded by the running tasks. It does no I/O: the store writer writes the segments.
 
 mod append;
 mod segment;
@@ -261,3 +260,7 @@
 pub(super) fn needs_finished_record(job: JobId, cache: &StoreCache) -> bool {
     cache.terminal_state(job).is_none() && cache.find(job).is_some()
 }
+
+#[cfg(test)]
+#[path = "tests/assignment_log.rs"]
+mod tests;
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -2,7 +2,7 @@
 //! lead.
 //!
 //! [`Peers`] owns the last beacon of each other controller and the workers that reported here although another controller
-//! leads. It does no I/O and reads no clock; memory is bounded by the controllers and by [`MAX_MISDIRECTED`].
+//! leads. It does no I/O and reads no clock; memory is bounded by the controllers and by `MAX_MISDIRECTED`.
 
 use std::collections::HashMap;
 
@@ -130,3 +130,7 @@
         best.map(|(name, peer)| (name.clone(), peer.total_misdirected()))
     }
 }
+
+#[cfg(test)]
+#[path = "tests/peers.rs"]
+mod tests;
--- a/src/coordination/token_bucket.rs
+++ b/src/coordination/token_bucket.rs
@@ -80,3 +80,7 @@
         self.backoff_ms = MIN_BACKOFF_MS;
     }
 }
+
+#[cfg(test)]
+#[path = "tests/token_bucket.rs"]
+mod tests;
