--- a/src/coordination/kv_client/mod.rs
+++ b/src/coordination/kv_client/mod.rs
@@ -212,3 +212,7 @@
         self.failing_since.is_none_or(|since| now.saturating_since(since) < UNREACHABLE_AFTER_MS)
     }
 }
+
+#[cfg(test)]
+#[path = "tests/kv_client.rs"]
+mod tests;
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -327,3 +327,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/leadership.rs"]
+mod tests;
