--- a/src/coordination/kv_client/cache_refresh.rs
+++ b/src/coordination/kv_client/cache_refresh.rs
@@ -26,6 +26,7 @@
 }
 
 impl RefreshState {
+    /// The request is not in flight any more, if it was a read.
     pub(super) fn complete_request(&mut self, outbound: OutboundId) {
         self.poll_in_flight.take_if(|in_flight| *in_flight == outbound);
         self.page_in_flight.take_if(|in_flight| *in_flight == outbound);
--- a/src/coordination/leader/records/assignment_log/mod.rs
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -75,6 +75,7 @@
         self.pending_returns.insert(machine);
     }
 
+    /// A task has finished. Its number is written with a segment that is written anyway, or after a delay.
     pub(in crate::coordination::leader) fn queue_finished(&mut self, task: TaskId, now: Millis) {
         self.pending_finished.insert(task);
         self.pending_finished_since.get_or_insert(now);
@@ -147,6 +148,7 @@
         self.segments.remove(&segment);
     }
 
+    /// Segments whose records are in the store.
     pub(in crate::coordination::leader) fn segment_count(&self) -> usize {
         self.segments.len()
     }
@@ -181,6 +183,7 @@
         }
     }
 
+    /// The segment records finished tasks of the block.
     pub(super) fn add_finished(&mut self, segment: SegmentId, block: FinishedBlock) {
         if let Some(segment) = self.segments.get_mut(&segment) {
             segment.finished.insert(block);
--- a/src/coordination/leader/records/assignment_log/segment.rs
+++ b/src/coordination/leader/records/assignment_log/segment.rs
@@ -39,6 +39,7 @@
 }
 
 impl LogSegment {
+    /// Without entries. `key`: of its record.
     pub(super) fn new(key: RecordKey) -> LogSegment {
         LogSegment {
             key,
@@ -55,6 +56,7 @@
         self.starts.len() + self.returns.len()
     }
 
+    /// Whether its record is still needed.
     pub(super) fn has_live_entries(&self) -> bool {
         self.machine_entries() > 0 || !self.finished.is_empty()
     }
--- a/src/coordination/leader/records/store_writer/batch.rs
+++ b/src/coordination/leader/records/store_writer/batch.rs
@@ -70,6 +70,7 @@
         }
     }
 
+    /// Whether it takes no further mutation.
     pub(super) fn is_full(&self) -> bool {
         self.mutations.len() >= self.options.max_mutations || self.bytes >= BATCH_FULL_BYTES
     }
@@ -80,6 +81,7 @@
         if self.is_full() { Err(BatchFull) } else { Ok(()) }
     }
 
+    /// How many mutations it takes in all.
     pub(super) fn max_mutations(&self) -> usize {
         self.options.max_mutations
     }
@@ -108,11 +110,13 @@
         }
     }
 
+    /// Writes a record that is serialized already.
     pub(super) fn put_json(&mut self, key: &RecordKey, value: String, effect: WriteEffect) {
         let value_bytes = value.len();
         self.push(key, value_bytes, effect, |key| KvMutation::Put { key, value, lease: None });
     }
 
+    /// Deletes a record.
     pub(super) fn delete(&mut self, key: &RecordKey, effect: WriteEffect) {
         self.push(key, 0, effect, |key| KvMutation::Delete { key });
     }
--- a/src/coordination/leader/records/store_writer/mod.rs
+++ b/src/coordination/leader/records/store_writer/mod.rs
@@ -53,10 +53,12 @@
 }
 
 impl StoreWriter {
+    /// All tasks of the job have finished: its terminal record is due.
     pub(in crate::coordination::leader) fn queue_job_success(&mut self, id: JobId) {
         self.terminal_due.insert(id, None);
     }
 
+    /// The DAG node has ended with this outcome.
     pub(in crate::coordination::leader) fn queue_node_terminal(
         &mut self,
         id: JobId,
@@ -82,9 +84,13 @@
         self.other_writes.push_back(PendingWrite { key, value });
     }
 
+    /// The catalog has a new or changed machine type.
     pub(in crate::coordination::leader) fn queue_machine_type(&mut self, entry: &MachineTypeRecord) {
-        let value = serde_json::to_string(entry).unwrap_or_default();
-        self.queue_write(RecordKey::MachineType(entry.name.clone()), Some(value));
+        let key = RecordKey::MachineType(entry.name.clone());
+        match serde_json::to_string(entry) {
+            Ok(value) => self.queue_write(key, Some(value)),
+            Err(error) => log::error!("cannot serialize {}: {error}", key.encode()),
+        }
     }
 
     /// Whether [`queue_write`](Self::queue_write) holds a write of the key that is not durable.
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -159,6 +159,7 @@
         unseen_until.min(self.lease_valid_until().saturating_add(after_lease_ms))
     }
 
+    /// Another controller leads, or this one cannot: the lease is left to expire.
     pub(super) fn become_follower(&mut self) {
         self.phase = Phase::Follower;
     }
