--- a/src/coordination/leader/records/assignment_log/mod.rs
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -3,16 +3,14 @@
 //!
 //! Writes per second are the scarcest resource of the store, so one segment holds everything since the segment before,
 //! however many machines that concerns. A segment is deleted once newer records supersede all its entries; compaction
-//! rewrites sparse segments so that the log stays short. [`AssignmentLog`] owns the live segments and the entries that
-//! are not durable yet; both are bounded by the running tasks. It does no I/O: segments are written by the
-//! [store writer](super::store_writer).
+//! rewrites sparse segments so that the log stays short. `AssignmentLog` owns the live segments and the entries that
+//! are not durable yet; both are bounded by the running tasks. It does no I/O: the store writer writes the segments.
 
 mod append;
 mod segment;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::store_writer::WriteBudget;
 use crate::bookkeeping::records::RecordKey;
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{FencingToken, JobId, MachineIx, Millis, TaskId};
@@ -57,6 +55,15 @@
     last_write_at: Millis,
 }
 
+/// What the store's rate limit allows now.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct WriteBudget {
+    /// Mutations that may be sent at once.
+    pub spare_writes: usize,
+    /// Mutations per second in the long run.
+    pub writes_per_second: f64,
+}
+
 impl AssignmentLog {
     /// A task was bound to a machine. Its run command may be sent once this is durable.
     pub(in crate::coordination::leader) fn queue_start(&mut self, start: TaskPlacement) {
@@ -68,6 +75,7 @@
         self.pending_returns.insert(machine);
     }
 
+    /// A task has finished. Its number is written with a segment that is written anyway, or after a delay.
     pub(in crate::coordination::leader) fn queue_finished(&mut self, task: TaskId, now: Millis) {
         self.pending_finished.insert(task);
         self.pending_finished_since.get_or_insert(now);
@@ -140,6 +148,7 @@
         self.segments.remove(&segment);
     }
 
+    /// Segments whose records are in the store.
     pub(in crate::coordination::leader) fn segment_count(&self) -> usize {
         self.segments.len()
     }
@@ -174,6 +183,7 @@
         }
     }
 
+    /// The segment records finished tasks of the block.
     pub(super) fn add_finished(&mut self, segment: SegmentId, block: FinishedBlock) {
         if let Some(segment) = self.segments.get_mut(&segment) {
             segment.finished.insert(block);
@@ -253,3 +263,7 @@
 pub(super) fn needs_finished_record(job: JobId, cache: &StoreCache) -> bool {
     cache.terminal_state(job).is_none() && cache.find(job).is_some()
 }
+
+#[cfg(test)]
+#[path = "tests/assignment_log.rs"]
+mod tests;
--- a/src/coordination/leader/records/assignment_log/segment.rs
+++ b/src/coordination/leader/records/assignment_log/segment.rs
@@ -39,7 +39,8 @@
 }
 
 impl LogSegment {
-    pub fn new(key: RecordKey) -> LogSegment {
+    /// Without entries. `key`: of its record.
+    pub(super) fn new(key: RecordKey) -> LogSegment {
         LogSegment {
             key,
             starts: HashSet::new(),
@@ -51,11 +52,12 @@
     }
 
     /// Live starts and returns.
-    pub fn machine_entries(&self) -> usize {
+    pub(super) fn machine_entries(&self) -> usize {
         self.starts.len() + self.returns.len()
     }
 
-    pub fn has_live_entries(&self) -> bool {
+    /// Whether its record is still needed.
+    pub(super) fn has_live_entries(&self) -> bool {
         self.machine_entries() > 0 || !self.finished.is_empty()
     }
 }
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -76,8 +76,11 @@
 /// What a reply changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
+    /// This controller leads or follows as before.
     Unchanged,
+    /// This controller leads now, with this fencing token.
     Acquired(FencingToken),
+    /// The lease has expired or was revoked: this controller does not lead any more.
     Lost,
 }
 
@@ -156,6 +159,7 @@
         unseen_until.min(self.lease_valid_until().saturating_add(after_lease_ms))
     }
 
+    /// Another controller leads, or this one cannot: the lease is left to expire.
     pub(super) fn become_follower(&mut self) {
         self.phase = Phase::Follower;
     }
@@ -324,3 +328,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/leadership.rs"]
+mod tests;
