--- a/src/coordination/controller/graph_requests.rs
+++ b/src/coordination/controller/graph_requests.rs
@@ -42,13 +42,13 @@
     }
 
     /// Queues the nodes that have become ready with what was just read or written, if this controller leads.
-    pub(super) fn enqueue_ready_nodes(&mut self, clock: Clock) {
+    pub(super) fn enqueue_ready_nodes(&mut self) {
         let ready = self.state.cache.take_newly_ready();
         let Some(leader) = self.state.leader.as_mut().filter(|_| !ready.is_empty()) else { return };
         let new_jobs: Vec<_> =
             ready.into_iter().filter(|ix| !leader.workload.jobs.contains_key(ix)).collect();
         for ix in &new_jobs {
-            leader.track_job(*ix, &self.state.cache, clock);
+            leader.track_job(*ix, &self.state.cache);
         }
         leader.enqueue_jobs(new_jobs);
     }
--- a/src/coordination/controller/kv_replies.rs
+++ b/src/coordination/controller/kv_replies.rs
@@ -24,7 +24,7 @@
         };
         self.apply_kv_reply(clock, completed, out);
         self.record_new_terminals(clock);
-        self.enqueue_ready_nodes(clock);
+        self.enqueue_ready_nodes();
     }
 
     fn apply_kv_reply(&mut self, clock: Clock, completed: CompletedRequest, out: &mut Vec<Action>) {
@@ -97,7 +97,7 @@
             let cache = &mut self.state.cache;
             match (change, &mut self.state.leader) {
                 (ChangeEvent::Job(ix), Some(leader)) => {
-                    leader.track_job(*ix, cache, clock);
+                    leader.track_job(*ix, cache);
                     new_jobs.push(*ix);
                 }
                 (ChangeEvent::Terminal(id, TerminalState::Cancelled), Some(leader)) => {
@@ -131,7 +131,7 @@
                     leader.cancel_job(job.spec.id, Some(ix), wall_ms, clock);
                 }
                 None if !leader.workload.jobs.contains_key(&ix) => {
-                    leader.track_job(ix, cache, clock);
+                    leader.track_job(ix, cache);
                     new_jobs.push(ix);
                 }
                 _ => {}
--- a/src/coordination/leader/dag_runs/node_results.rs
+++ b/src/coordination/leader/dag_runs/node_results.rs
@@ -37,14 +37,14 @@
 }
 
 impl Leader {
-    /// A task has exited without success. `None`: that is no failure of a DAG node. `Some(None)`: the node is not retried.
-    /// Otherwise the backoff before the next attempt, in milliseconds.
+    /// Counts a task's exit without success if it is a failure of a DAG node. Returns the backoff before the next attempt
+    /// in milliseconds; `None` if it is no such failure or the node is not retried.
     pub(in crate::coordination::leader) fn record_node_failure(
         &mut self,
         ix: MachineIx,
         binding: &Binding,
         cause: ExitCause,
-    ) -> Option<Option<u64>> {
+    ) -> Option<u64> {
         let cause = failure_cause(binding, cause)?;
         let job = binding.job?;
         let machine = self.cluster.machines[ix.index()].name.clone();
@@ -66,7 +66,7 @@
             self.fail_node(job, task);
         }
         let finishing = self.workload.jobs.get(&job).is_none_or(|state| state.finishing);
-        Some((!finishing).then_some(backoff_ms))
+        (!finishing).then_some(backoff_ms)
     }
 
     /// The retries of the node's `task` are exhausted: no task of the node starts any more, and once the terminal record is
--- a/src/coordination/leader/job_tracking.rs
+++ b/src/coordination/leader/job_tracking.rs
@@ -4,7 +4,6 @@
 use super::{JobState, Leader};
 use crate::bookkeeping::jobs::JobSpec;
 use crate::bookkeeping::store_cache::StoreCache;
-use crate::coordination::Clock;
 use crate::ids::{JobId, JobIx, Millis};
 
 /// Jobs without a deadline or objective come after those with an objective of a few minutes.
@@ -16,7 +15,7 @@
 
 impl Leader {
     /// Takes in a job of the cache. Its ready tasks are queued by [`Leader::enqueue_jobs`].
-    pub fn track_job(&mut self, ix: JobIx, cache: &StoreCache, _clock: Clock) {
+    pub fn track_job(&mut self, ix: JobIx, cache: &StoreCache) {
         let Some(job) = cache.job(ix) else { return };
         if job.terminal.is_some() {
             self.writer.queue_cleanup(job.spec.id);
--- a/src/coordination/leader/machines/task_status.rs
+++ b/src/coordination/leader/machines/task_status.rs
@@ -125,7 +125,7 @@
             self.record_success(ix, &binding, clock);
             return;
         }
-        let node_delay = self.record_node_failure(ix, &binding, cause).flatten();
+        let node_delay = self.record_node_failure(ix, &binding, cause);
         if cause == ExitCause::Error {
             self.record_failure(ix, &binding, clock);
         }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Leader`] owns its state in parts: the leadership [term](term), the [machines](cluster), the [jobs](workload), the
 //! [team quotas](quotas), [placement](placement::state), the [provisioner](machines::provisioner), the
-//! [assignment log](records::assignment_log) and the [write pipeline](records::store_writer). It does no I/O and reads no
+//! [assignment log](records) and the [write pipeline](records). It does no I/O and reads no
 //! clock: events and the time come in, actions go out. All of it is rebuilt from the records at failover, except what is
 //! only evidence (measured rates, failures of jobs and machines).
 
@@ -117,7 +117,7 @@
         leader.load_pools(cache);
         leader.recover_machines(cache, clock);
         leader.provisioner.recover_requests(cache);
-        leader.recover_jobs(cache, clock);
+        leader.recover_jobs(cache);
         leader.event_log.finish_recovery();
         leader
     }
--- a/src/coordination/leader/records/recovery.rs
+++ b/src/coordination/leader/records/recovery.rs
@@ -167,10 +167,10 @@
     }
 
     /// Takes over all unfinished jobs and queues their tasks, except those that may be on a machine.
-    pub(in crate::coordination::leader) fn recover_jobs(&mut self, cache: &StoreCache, clock: Clock) {
+    pub(in crate::coordination::leader) fn recover_jobs(&mut self, cache: &StoreCache) {
         let live_jobs: Vec<JobIx> = cache.live_jobs().map(|(ix, _)| ix).collect();
         for ix in live_jobs {
-            self.track_job(ix, cache, clock);
+            self.track_job(ix, cache);
         }
         for index in 0..self.cluster.machines.len() {
             self.recover_placements(MachineIx(index as u32));
