--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -1,4 +1,7 @@
-//! Jobs that their users have withdrawn: everything stops, and in time.
+//! Cancelled jobs: nothing of them starts any more, and everything that runs is stopped before the cancellation deadline.
+//!
+//! A worker that cannot be commanded is not kept alive either: from [`Leader::cancel_deadline`] on its heartbeats are
+//! rejected, so that the expiry of its lease stops the task in time.
 
 use super::Leader;
 use crate::coordination::Clock;
@@ -7,18 +10,18 @@
 use crate::protocol::operators::JobEventKind;
 
 impl Leader {
-    /// When a worker that still shows a withdrawn job's task must get no more answers,
-    /// so that its lease takes the task away in time.
-    pub fn cancel_deadline(&self, cancelled_wall_ms: u64, clock: Clock) -> Millis {
+    /// When the leader must stop renewing the lease of a worker that still runs tasks of the job, so that the lease expires
+    /// before the cancellation deadline.
+    pub(super) fn cancel_deadline(&self, cancelled_wall_ms: u64, clock: Clock) -> Millis {
         let workers = &self.settings.worker_timings;
-        let slack = self.settings.time_bound_ms * 2 + 4 * SAFETY_MARGIN_MS;
-        let allowed_ms = workers.cancel_deadline_ms.saturating_sub(workers.lease_duration_ms + slack);
+        let slack_ms = self.settings.time_bound_ms * 2 + 4 * SAFETY_MARGIN_MS;
+        let allowed_ms = workers.cancel_deadline_ms.saturating_sub(workers.lease_duration_ms + slack_ms);
         let elapsed_ms = clock.wall_ms.saturating_sub(cancelled_wall_ms);
         clock.now.saturating_add(allowed_ms.saturating_sub(elapsed_ms))
     }
 
-    /// None of the job's queued tasks starts any more.
-    pub fn remove_queued_tasks(&mut self, ix: JobIx) {
+    /// Removes the job's tasks from all queues.
+    pub(super) fn remove_queued_tasks(&mut self, ix: JobIx) {
         self.placement.backlog.remove_job(ix);
         for machine in &mut self.cluster.machines {
             machine.shared_queue.remove_job(ix);
@@ -26,12 +29,12 @@
         }
     }
 
-    /// The user has withdrawn the job: nothing of it starts any more, everything stops.
+    /// Handles the durable cancellation of a job: removes it from the workload and has its tasks stopped.
     pub fn cancel_job(&mut self, id: JobId, ix: Option<JobIx>, cancelled_wall_ms: u64, clock: Clock) {
         if let Some(ix) = ix
-            && let Some(work) = self.workload.jobs.remove(&ix)
+            && let Some(job_state) = self.workload.jobs.remove(&ix)
         {
-            self.placement.waiting_gangs.remove(&work.queue_order);
+            self.placement.waiting_gangs.remove(&job_state.queue_order);
             self.remove_queued_tasks(ix);
             self.release_holds_of(ix);
         }
@@ -39,28 +42,26 @@
         let deadline = self.cancel_deadline(cancelled_wall_ms, clock);
         let tasks = self.workload.placed_task_counts.get(&id).copied().unwrap_or(0);
         let ago_ms = clock.wall_ms.saturating_sub(cancelled_wall_ms);
-        log::info!(event = "stops", job:% = id, tasks, ago_ms; "{id} was withdrawn {ago_ms} ms ago: {tasks} tasks stop");
-        for at in 0..self.cluster.machines.len() {
-            self.cluster.machines[at].failed_jobs.remove(&id);
-            for binding in &mut self.cluster.machines[at].bindings {
-                if binding.task.job == id {
-                    let task = binding.task.task;
-                    self.event_log.record(
-                        id,
-                        JobEventKind::StoppedForCancel,
-                        Some(MachineIx(at as u32)),
-                        task,
-                        1,
-                    );
-                    binding.job = None;
-                    binding.stop_grace_ms = Some(0);
-                    binding.stop_sent_at = None;
-                    binding.lease_renewal_cutoff = Some(deadline);
-                    self.cluster.pending_announcements.insert(MachineIx(at as u32));
-                }
-            }
-            self.drop_unsent_bindings(MachineIx(at as u32), clock);
+        log::info!(event = "cancelled", job:% = id, tasks, ago_ms; "{id} cancelled {ago_ms} ms ago, stopping {tasks} tasks");
+        for ix in self.cluster.machine_indices() {
+            self.cluster.machines[ix.index()].failed_jobs.remove(&id);
+            self.stop_cancelled_tasks(ix, id, deadline);
+            self.drop_unsent_bindings(ix, clock);
         }
         self.writer.queue_cleanup(id);
     }
+
+    /// Marks the job's tasks on a machine to be stopped without grace.
+    fn stop_cancelled_tasks(&mut self, ix: MachineIx, id: JobId, deadline: Millis) {
+        let bindings = &mut self.cluster.machines[ix.index()].bindings;
+        for binding in bindings.iter_mut().filter(|binding| binding.task.job == id) {
+            let task = binding.task.task;
+            self.event_log.record(id, JobEventKind::StoppedForCancel, Some(ix), task, 1);
+            binding.job = None;
+            binding.stop_grace_ms = Some(0);
+            binding.stop_sent_at = None;
+            binding.lease_renewal_cutoff = Some(deadline);
+            self.cluster.pending_announcements.insert(ix);
+        }
+    }
 }
--- a/src/coordination/leader/debug_status.rs
+++ b/src/coordination/leader/debug_status.rs
@@ -1,12 +1,14 @@
-//! A line for the operator at `debug`: where the room is, and who waits for it.
+//! Periodic status lines at `debug`: free capacity by machine type, queue lengths and team usage.
 
 use std::collections::BTreeMap;
 
-use super::{Leader, MachineState};
+use super::{Leader, Machine, MachineState};
 use crate::ids::{MachineTypeIx, Millis, TeamIx};
 
+/// Time between status lines.
 const STATUS_INTERVAL_MS: u64 = 5_000;
 
+/// Machines of one type. CPUs in thousandths.
 #[derive(Debug, Default)]
 struct MachineTypeStatus {
     machines: u32,
@@ -15,20 +17,45 @@
     held_for_gangs: u32,
     closed: u32,
     total_cpu: u64,
-    /// Free CPU of machines that take queued tasks, that are parked, that are held.
+    /// Free CPUs of machines that take queued tasks.
     free_cpu: u64,
     free_cpu_cordoned: u64,
     free_cpu_held: u64,
 }
 
+impl MachineTypeStatus {
+    fn add(&mut self, machine: &Machine) {
+        if machine.state == MachineState::Booting {
+            self.booting += 1;
+            return;
+        }
+        let free_cpu = machine.free().cpu;
+        self.machines += 1;
+        self.total_cpu += machine.capacity.cpu;
+        if !machine.is_schedulable() {
+            self.closed += 1;
+        } else if machine.hold.is_some() {
+            self.held_for_gangs += 1;
+            self.free_cpu_held += free_cpu;
+        } else if machine.cordoned {
+            self.cordoned += 1;
+            self.free_cpu_cordoned += free_cpu;
+        } else {
+            self.free_cpu += free_cpu;
+        }
+    }
+}
+
 impl Leader {
+    /// Logs the status, if it is time and `debug` is enabled.
     pub fn log_status(&mut self, now: Millis) {
         if now < self.next_status_at || !log::log_enabled!(log::Level::Debug) {
             return;
         }
         self.next_status_at = now.saturating_add(STATUS_INTERVAL_MS);
-        for (kind, status) in self.status_by_machine_type() {
-            let name = self.cluster.machine_types.get(&kind).map_or("?", |kind| &kind.name);
+        for (ix, status) in self.status_by_machine_type() {
+            let machine_type = self.cluster.machine_types.get(&ix);
+            let name = machine_type.map_or("?", |machine_type| &machine_type.name);
             log::debug!("status {name}: {status:?}");
         }
         let (mut shared, mut dedicated) = (0, 0);
@@ -36,10 +63,10 @@
             shared += machine.shared_queue.len();
             dedicated += machine.dedicated_queue.len();
         }
-        let teams: BTreeMap<TeamIx, u64> =
+        let team_cpu: BTreeMap<TeamIx, u64> =
             self.quotas.usage.iter().map(|(team, used)| (*team, used.cpu)).collect();
         log::debug!(
-            "status queues: shared {shared} dedicated {dedicated} backlog {} gangs {} parts {} teams {teams:?} {:?}",
+            "status queues: shared {shared} dedicated {dedicated} backlog {} gangs {} segments {} teams {team_cpu:?} {:?}",
             self.placement.backlog.len(),
             self.placement.waiting_gangs.len(),
             self.assignment_log.segment_count(),
@@ -48,28 +75,10 @@
     }
 
     fn status_by_machine_type(&self) -> BTreeMap<MachineTypeIx, MachineTypeStatus> {
-        let mut kinds: BTreeMap<MachineTypeIx, MachineTypeStatus> = BTreeMap::new();
+        let mut by_type: BTreeMap<MachineTypeIx, MachineTypeStatus> = BTreeMap::new();
         for machine in self.cluster.machines.iter().filter(|machine| machine.state != MachineState::Gone) {
-            let status = kinds.entry(machine.machine_type).or_default();
-            let free = machine.free().cpu;
-            if machine.state == MachineState::Booting {
-                status.booting += 1;
-                continue;
-            }
-            status.machines += 1;
-            status.total_cpu += machine.capacity.cpu;
-            if !machine.is_schedulable() {
-                status.closed += 1;
-            } else if machine.hold.is_some() {
-                status.held_for_gangs += 1;
-                status.free_cpu_held += free;
-            } else if machine.cordoned {
-                status.cordoned += 1;
-                status.free_cpu_cordoned += free;
-            } else {
-                status.free_cpu += free;
-            }
+            by_type.entry(machine.machine_type).or_default().add(machine);
         }
-        kinds
+        by_type
     }
 }
--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -17,7 +17,7 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::{JobState, Leader, MachineType};
-use crate::ids::{JobIx, MachineIx, ZoneIx};
+use crate::ids::{JobIx, ZoneIx};
 use crate::protocol::cloud::MAX_SCALE_OUT_COUNT;
 use planned_machines::PlannedMachine;
 
@@ -74,13 +74,12 @@
     }
 
     fn update_cordons(&mut self, needed: &MachineSet) {
-        for index in 0..self.cluster.machines.len() {
-            let ix = MachineIx(index as u32);
+        for ix in self.cluster.machine_indices() {
             let cordoned = !needed.contains(ix);
-            if cordoned == self.cluster.machines[index].cordoned {
+            if cordoned == self.cluster.machines[ix.index()].cordoned {
                 continue;
             }
-            self.cluster.machines[index].cordoned = cordoned;
+            self.cluster.machines[ix.index()].cordoned = cordoned;
             self.refresh_placement_index(ix);
             if cordoned {
                 self.requeue_machine_queues(ix);
--- a/src/coordination/leader/machines/capacity_plan/planned_machines.rs
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -32,13 +32,9 @@
 impl Leader {
     /// Machines that are up or booting, the cheapest first.
     pub(super) fn planned_machines(&self, clock: Clock) -> Vec<PlannedMachine> {
-        let mut planned: Vec<PlannedMachine> = self
-            .cluster
-            .machines
-            .iter()
-            .enumerate()
-            .filter_map(|(index, machine)| self.planned_machine(MachineIx(index as u32), machine, clock))
-            .collect();
+        let machines = self.cluster.machine_indices().zip(&self.cluster.machines);
+        let mut planned: Vec<PlannedMachine> =
+            machines.filter_map(|(ix, machine)| self.planned_machine(ix, machine, clock)).collect();
         planned.sort_by(|a, b| a.price.total_cmp(&b.price).then(a.ix.cmp(&b.ix)));
         planned
     }
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -1,134 +1,109 @@
-//! Commands to workers: in the response to a report, or straight to the worker.
+//! Commands to workers: in the response to a heartbeat, or in a direct message.
+//!
+//! Decides which commands are due, which workers are sent a direct message, and what follows from its outcome. A run command is
+//! sent only when the binding is recorded, and at most one direct message to a machine is in flight.
 
 use olivelatch_admission::pressure::PressureLevel;
 
 use crate::coordination::Clock;
-use crate::coordination::leader::{DispatchState, Leader, MachineState};
-use crate::ids::{AgentEpoch, Attempt, MachineIx, TaskId};
-use crate::protocol::workers::WorkerCommand;
+use crate::coordination::leader::{Binding, DispatchState, Leader, Machine, MachineState};
+use crate::ids::{AgentEpoch, Attempt, MachineIx, Millis, TaskId};
+use crate::protocol::workers::{TaskPhase, WorkerCommand};
 
-/// A halt is repeated after this while its task is still shown.
-const STOP_RESEND_MS: u64 = 1500;
-/// After a direct command failed, the worker's own reports are waited for.
-const DIRECT_BACKOFF_MS: u64 = 3000;
-/// Machines greeted by one step of a new leader.
+/// A stop command is sent again after this while the worker still shows the task.
+const STOP_RESEND_MS: u64 = 1_500;
+/// After a direct message failed, none is sent to the machine for this long: its next heartbeat is answered instead.
+const DIRECT_BACKOFF_MS: u64 = 3_000;
+/// Machines to which the leader is announced in one step.
 const MAX_ANNOUNCEMENTS: u64 = 16;
-/// And of one that is behind its events.
+/// The same while the leader is behind its events.
 const MAX_ANNOUNCEMENTS_UNDER_PRESSURE: u64 = 1;
 /// Most commands in one message.
 const MAX_COMMANDS: usize = 400;
 
-/// A direct message to a worker, and the runs that go with it.
+/// A direct message to a worker.
 #[derive(Debug)]
 pub struct DirectMessage {
+    /// The machine of the worker.
     pub machine: MachineIx,
-    /// The session it is meant for; 0 if that is not known yet.
+    /// The epoch the message is meant for; 0 if it is not known yet.
     pub epoch: AgentEpoch,
+    /// The tasks that the commands start.
     pub task_starts: Vec<(TaskId, Attempt)>,
+    /// None if the message only announces the leader.
     pub commands: Vec<WorkerCommand>,
 }
 
-/// What came of it.
+/// What became of a direct message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectOutcome {
+    /// The commands were executed.
     Executed,
     /// Nothing was executed and nothing will be.
     Refused,
-    /// It may have been, or may be minutes later.
+    /// The commands may have been executed, or may be minutes later.
     Unknown,
 }
 
+/// What a direct message to a machine would be for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum DirectPurpose {
+    /// To make the fencing token known to a worker that has not acknowledged it, or whose receive path is down.
+    Announcement,
+    Commands,
+}
+
 impl Leader {
-    /// The commands a machine should get now. `tick`: that of the report being answered,
-    /// None for a direct message.
-    pub fn take_due_commands(
+    /// Takes the commands that are due for a machine. `sequence`: that of the heartbeat to which they respond, none for a
+    /// direct message. `may_start`: this controller may have tasks started now.
+    pub(super) fn take_due_commands(
         &mut self,
         ix: MachineIx,
         clock: Clock,
         sequence: Option<u64>,
         may_start: bool,
     ) -> Vec<WorkerCommand> {
-        let machine = &mut self.cluster.machines[ix.index()];
-        let mut commands = Vec::new();
-        for binding in &mut machine.bindings {
-            if commands.len() >= MAX_COMMANDS {
-                break;
-            }
-            let (task, attempt) = (binding.task, binding.attempt);
-            if let Some(grace_ms) = binding.stop_grace_ms {
-                let due =
-                    binding.stop_sent_at.is_none_or(|at| clock.now.saturating_since(at) >= STOP_RESEND_MS);
-                let saving_checkpoint = binding.reported_state
-                    == Some(crate::protocol::workers::TaskPhase::Checkpointing)
-                    && grace_ms > 0;
-                if due && !saving_checkpoint {
-                    binding.stop_sent_at = Some(clock.now);
-                    commands.push(WorkerCommand::Stop { task, attempt, grace_ms });
-                }
-                continue;
-            }
-            if binding.dispatch == DispatchState::Recorded && may_start {
-                binding.dispatch = match sequence {
-                    Some(tick) => DispatchState::SentInResponse { sequence: tick },
-                    None => DispatchState::SentDirect,
-                };
-                commands.push(WorkerCommand::Run { task, attempt });
+        let dispatched = match sequence {
+            Some(sequence) => DispatchState::SentInResponse { sequence },
+            None => DispatchState::SentDirect,
+        };
+        let bindings = &mut self.cluster.machines[ix.index()].bindings;
+        let due = bindings.iter_mut().filter_map(|binding| {
+            if binding.stop_grace_ms.is_some() {
+                take_due_stop(binding, clock.now)
+            } else if binding.dispatch == DispatchState::Recorded && may_start {
+                binding.dispatch = dispatched;
+                Some(WorkerCommand::Run { task: binding.task, attempt: binding.attempt })
+            } else {
+                None
             }
-        }
-        commands
+        });
+        due.take(MAX_COMMANDS).collect()
     }
 
-    /// Machines that have something to hear, each at most one message at a time.
+    /// Takes the direct messages that are due.
     pub fn take_direct_messages(&mut self, clock: Clock, may_start: bool) -> Vec<DirectMessage> {
+        let under_pressure = self.pressure > PressureLevel::Calm;
+        let max_announcements =
+            if under_pressure { MAX_ANNOUNCEMENTS_UNDER_PRESSURE } else { MAX_ANNOUNCEMENTS };
         let mut messages = Vec::new();
         let mut announcements = 0;
-        let max_announcements = if self.pressure > PressureLevel::Calm {
-            MAX_ANNOUNCEMENTS_UNDER_PRESSURE
-        } else {
-            MAX_ANNOUNCEMENTS
-        };
         for ix in std::mem::take(&mut self.cluster.pending_announcements) {
-            let machine = &self.cluster.machines[ix.index()];
-            if machine.state != MachineState::Up
-                || machine.direct_send_in_flight
-                || clock.now < machine.direct_send_not_before
-            {
-                if machine.receive_path_down() && machine.state == MachineState::Up {
+            let Some(purpose) = self.direct_purpose(ix, clock.now) else { continue };
+            if purpose == DirectPurpose::Announcement {
+                // All at once they would delay renewals and heartbeats; a machine that sends a heartbeat first needs none.
+                if announcements >= max_announcements {
                     self.cluster.pending_announcements.insert(ix);
+                    continue;
                 }
+                announcements += 1;
+                messages.push(self.start_direct_message(ix, Vec::new()));
                 continue;
             }
-            // One that is deaf is greeted again and again, so that it is known when it hears.
-            let announcing = !machine.token_acknowledged || machine.receive_path_down();
-            if announcing && machine.epoch.0 == 0 && machine.endpoint.is_empty() {
-                continue;
-            }
-            // Starts go with the answer to its next report, which costs no connection.
-            let urgent = announcing || machine.bindings.iter().any(|binding| binding.stop_grace_ms.is_some());
-            if self.pressure > PressureLevel::Calm && !urgent {
-                continue;
-            }
-            // All at once they would hold up renewals and reports; who reports first needs none.
-            if announcing && announcements >= max_announcements {
-                self.cluster.pending_announcements.insert(ix);
-                continue;
+            let commands = self.take_due_commands(ix, clock, None, may_start);
+            if !commands.is_empty() {
+                messages.push(self.start_direct_message(ix, commands));
             }
-            announcements += u64::from(announcing);
-            let commands =
-                if announcing { Vec::new() } else { self.take_due_commands(ix, clock, None, may_start) };
-            if commands.is_empty() && !announcing {
-                continue;
-            }
-            let task_starts = commands
-                .iter()
-                .filter_map(|order| match order {
-                    WorkerCommand::Run { task, attempt } => Some((*task, *attempt)),
-                    _ => None,
-                })
-                .collect();
-            let machine = &mut self.cluster.machines[ix.index()];
-            machine.direct_send_in_flight = true;
-            messages.push(DirectMessage { machine: ix, epoch: machine.epoch, task_starts, commands });
         }
         self.counters.leadership_announcements += announcements;
         self.counters.max_announcements_per_step =
@@ -136,51 +111,103 @@
         messages
     }
 
+    /// Whether a direct message should be sent to the machine now, and what for. A machine whose receive path is down
+    /// stays pending, so that the leader learns when it receives again.
+    fn direct_purpose(&mut self, ix: MachineIx, now: Millis) -> Option<DirectPurpose> {
+        let machine = &self.cluster.machines[ix.index()];
+        if machine.state != MachineState::Up {
+            return None;
+        }
+        let receive_path_down = machine.receive_path_down();
+        if machine.direct_send_in_flight || now < machine.direct_send_not_before {
+            if receive_path_down {
+                self.cluster.pending_announcements.insert(ix);
+            }
+            return None;
+        }
+        if !machine.token_acknowledged || receive_path_down {
+            let reachable = machine.epoch.0 != 0 || !machine.endpoint.is_empty();
+            return reachable.then_some(DirectPurpose::Announcement);
+        }
+        // Under pressure only stops are sent directly: starts go with the next heartbeat response, which costs no connection.
+        let has_stops = machine.bindings.iter().any(|binding| binding.stop_grace_ms.is_some());
+        let postponed = self.pressure > PressureLevel::Calm && !has_stops;
+        (!postponed).then_some(DirectPurpose::Commands)
+    }
+
+    fn start_direct_message(&mut self, ix: MachineIx, commands: Vec<WorkerCommand>) -> DirectMessage {
+        let machine = &mut self.cluster.machines[ix.index()];
+        machine.direct_send_in_flight = true;
+        let task_starts = commands
+            .iter()
+            .filter_map(|command| match command {
+                WorkerCommand::Run { task, attempt } => Some((*task, *attempt)),
+                WorkerCommand::Stop { .. } | WorkerCommand::Forget { .. } => None,
+            })
+            .collect();
+        DirectMessage { machine: ix, epoch: machine.epoch, task_starts, commands }
+    }
+
+    /// Takes in the outcome of a direct message.
     pub fn handle_direct_outcome(&mut self, message: &DirectMessage, outcome: DirectOutcome, clock: Clock) {
-        let machine = &mut self.cluster.machines[message.machine.index()];
+        let ix = message.machine;
+        let machine = &mut self.cluster.machines[ix.index()];
         machine.direct_send_in_flight = false;
         if outcome == DirectOutcome::Refused && machine.epoch > message.epoch {
-            // A worker takes no notice of a token that comes with another session than its
-            // own, which no record tells: its refusal did.
-            self.cluster.pending_announcements.insert(message.machine);
+            // A worker ignores a token that comes with another epoch than its own. No record tells the epoch; the
+            // refusal did, so the message is sent again.
+            self.cluster.pending_announcements.insert(ix);
         } else if outcome != DirectOutcome::Executed {
             machine.direct_send_not_before = clock.now.saturating_add(DIRECT_BACKOFF_MS);
         }
-        let delivered = outcome == DirectOutcome::Executed;
-        if delivered {
-            machine.unacknowledged_starts = 0;
-        }
-        for binding in &mut machine.bindings {
-            if !message.task_starts.contains(&(binding.task, binding.attempt))
-                || binding.dispatch != DispatchState::SentDirect
-            {
-                continue;
+        settle_direct_starts(machine, message, outcome);
+        match outcome {
+            DirectOutcome::Executed => self.refresh_placement_index(ix),
+            DirectOutcome::Refused | DirectOutcome::Unknown if machine.receive_path_down() => {
+                self.cluster.pending_announcements.insert(ix);
             }
-            match outcome {
-                DirectOutcome::Executed => binding.dispatch = DispatchState::Observed,
-                DirectOutcome::Refused => binding.dispatch = DispatchState::Recorded,
-                DirectOutcome::Unknown => {
-                    // Sent again with the next response, which settles it; until then it
-                    // stays bound to this machine and session.
-                    binding.dispatch = DispatchState::Recorded;
-                    binding.late_start_possible = true;
+            DirectOutcome::Refused => {}
+            DirectOutcome::Unknown => {
+                if machine.state == MachineState::Up && !message.task_starts.is_empty() {
+                    self.record_unacknowledged_command(ix);
                 }
             }
         }
-        if outcome == DirectOutcome::Unknown {
-            // Also those that were seen to exit meanwhile: a late copy must find them there.
-            machine.late_starts.extend(message.task_starts.iter().copied());
-        }
-        let machine = &self.cluster.machines[message.machine.index()];
-        if delivered {
-            self.refresh_placement_index(message.machine);
-        } else if machine.receive_path_down() {
-            self.cluster.pending_announcements.insert(message.machine);
-        } else if outcome == DirectOutcome::Unknown
-            && machine.state == MachineState::Up
-            && !message.task_starts.is_empty()
-        {
-            self.record_unacknowledged_command(message.machine);
-        }
+    }
+}
+
+/// The stop command of a binding, if it is due. While the task saves a checkpoint it is not sent again.
+fn take_due_stop(binding: &mut Binding, now: Millis) -> Option<WorkerCommand> {
+    let grace_ms = binding.stop_grace_ms?;
+    let is_due = binding.stop_sent_at.is_none_or(|sent_at| now.saturating_since(sent_at) >= STOP_RESEND_MS);
+    let saving_checkpoint = binding.reported_state == Some(TaskPhase::Checkpointing) && grace_ms > 0;
+    if !is_due || saving_checkpoint {
+        return None;
+    }
+    binding.stop_sent_at = Some(now);
+    Some(WorkerCommand::Stop { task: binding.task, attempt: binding.attempt, grace_ms })
+}
+
+/// Updates the bindings that the message was to start.
+fn settle_direct_starts(machine: &mut Machine, message: &DirectMessage, outcome: DirectOutcome) {
+    if outcome == DirectOutcome::Executed {
+        machine.unacknowledged_starts = 0;
+    }
+    let is_started = |binding: &&mut Binding| {
+        binding.dispatch == DispatchState::SentDirect
+            && message.task_starts.contains(&(binding.task, binding.attempt))
+    };
+    for binding in machine.bindings.iter_mut().filter(is_started) {
+        binding.dispatch = match outcome {
+            DirectOutcome::Executed => DispatchState::Observed,
+            // After an unknown outcome, the next heartbeat response repeats the command and settles it. Until then the
+            // task stays bound to this machine and epoch.
+            DirectOutcome::Refused | DirectOutcome::Unknown => DispatchState::Recorded,
+        };
+        binding.late_start_possible |= outcome == DirectOutcome::Unknown;
+    }
+    if outcome == DirectOutcome::Unknown {
+        // Tasks that have exited meanwhile too: a delayed copy of the command must find them on the worker.
+        machine.late_starts.extend(message.task_starts.iter().copied());
     }
 }
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -1,9 +1,12 @@
-//! Tasks that fail: is it the machine or the job?
+//! Failed tasks: is the machine or the job at fault?
 //!
-//! A machine is sick when different jobs fail on it with no success between. A job is at fault when it fails wherever it
-//! is tried and has never succeeded. It is then **on trial**: one task at a time, after waits that grow, and nothing more
-//! of it is queued, planned or counted in anybody's turn, until a task succeeds. Without this one array submitted with a
-//! mistake started its tasks 2,563 times, and had the whole fleet rented for them (docs/incidents/broken-jobs.md).
+//! A machine is quarantined when tasks of different jobs fail on it with no success in between. A job is at fault when it has
+//! failed on several machines and has never succeeded. It is then **on probation**: one task at a time is attempted, after
+//! growing delays, and nothing else of it is queued, planned for or counted in priorities until a task succeeds. Without
+//! probation one faulty array started its tasks 2,563 times, and the whole cluster was provisioned for them
+//! (docs/incidents/broken-jobs.md).
+//!
+//! All of this is evidence, not record: a new leader begins without it.
 
 use std::collections::HashSet;
 
@@ -12,29 +15,31 @@
 use crate::coordination::leader::{Binding, JobState, Leader};
 use crate::ids::{JobId, JobIx, MachineIx, Millis};
 
-/// Different jobs must have failed on a machine before it is thought to be sick; more of them if none of these has
-/// succeeded anywhere yet, as jobs submitted with a mistake fail on good machines.
+/// A machine is quarantined after this many different jobs have failed on it.
 const QUARANTINE_FAILED_JOBS: usize = 2;
+/// The same if none of these jobs has succeeded anywhere yet: faulty jobs fail on good machines too.
 const QUARANTINE_UNPROVEN_JOBS: usize = 3;
-/// A job that failed on so many machines is at fault itself.
+/// A job that has failed on this many machines is at fault itself.
 const JOB_FAULT_MACHINES: usize = 3;
+/// The same for gangs: they succeed only as a whole.
+const GANG_FAULT_MACHINES: usize = 2 * JOB_FAULT_MACHINES;
 /// Delay before a task that failed is attempted again, in milliseconds.
 pub(super) const ERROR_RETRY_DELAY_MS: u64 = 1_000;
 /// Repeated failures double the delay at most this often.
 const MAX_BACKOFF_DOUBLINGS: usize = 5;
 
-/// A job at fault: what of it may still be tried.
+/// A job at fault, of which one task at a time is attempted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Probation {
-    /// When the next task is tried.
+    /// When the next task is attempted.
     pub next_attempt_at: Millis,
-    /// It is in a queue.
+    /// Whether that task is in a queue already.
     pub queued: bool,
 }
 
 impl JobState {
-    /// Machines on which it failed, and failed again when they were given back to it.
-    pub fn failure_count(&self) -> usize {
+    /// The number of machines on which the job failed, counting those twice on which it failed again after an exclusion.
+    fn failure_count(&self) -> usize {
         self.failed_on.len() + self.retried_exclusions
     }
 
@@ -43,148 +48,177 @@
         1 << self.failure_count().saturating_sub(JOB_FAULT_MACHINES - 1).min(MAX_BACKOFF_DOUBLINGS)
     }
 
-    /// A task of it has succeeded: what fails after that is the fault of machines.
+    /// Whether a task has succeeded: later failures are then the fault of machines.
     fn has_succeeded(&self) -> bool {
         self.finished_runs > 0 || !self.finished.is_empty()
     }
 
-    /// It is at fault itself, not the machines. A gang succeeds only as a whole, so that it is given more of them.
+    /// Whether the job is at fault itself, not the machines on which it failed.
     pub fn is_at_fault(&self) -> bool {
-        let threshold =
-            if self.spec.is_all_or_nothing() { 2 * JOB_FAULT_MACHINES } else { JOB_FAULT_MACHINES };
+        let threshold = if self.spec.is_all_or_nothing() { GANG_FAULT_MACHINES } else { JOB_FAULT_MACHINES };
         !self.has_succeeded() && self.failure_count() >= threshold
     }
 
-    /// A task succeeded: all its machines are good again. True if the job was on trial.
-    pub fn reset_failures(&mut self) -> bool {
+    /// Clears all failures after a success, and returns whether the job was on probation.
+    pub(super) fn reset_failures(&mut self) -> bool {
         self.failed_on.clear();
         self.retried_exclusions = 0;
         self.probation.take().is_some()
     }
 
-    /// Has it failed on more machines than still run its tasks? A few sick ones among many put no job on trial.
+    /// Whether it has failed on at least as many machines as run its tasks: a few bad machines among many are no reason
+    /// for probation.
     fn failures_outnumber_running_machines(&self) -> bool {
         let running: HashSet<MachineIx> = self.placements.values().flatten().map(|(ix, _)| *ix).collect();
         self.failure_count() >= JOB_FAULT_MACHINES.max(running.len())
     }
+
+    /// Whether the next task of a job on probation has to be queued.
+    fn is_probation_attempt_due(&self, now: Millis) -> bool {
+        let is_due = |probation: Probation| !probation.queued && probation.next_attempt_at <= now;
+        self.probation.is_some_and(is_due) && self.placements.is_empty() && !self.finishing
+    }
 }
 
 impl Leader {
-    /// A job that failed on every machine it might use now gets them back, ever more seldom: with few machines,
-    /// one failure on each would otherwise keep it waiting for good.
+    /// Lifts the exclusions of jobs that have failed on every machine they may use, after growing delays: with few machines,
+    /// one failure on each would otherwise keep such a job waiting for good.
     pub fn retry_after_exclusion(&mut self, clock: Clock) {
-        let due =
-            |work: &JobState| !work.failed_on.is_empty() && clock.now >= work.retry_exclusion_not_before;
-        let excluded_everywhere =
-            self.workload.jobs.iter().filter(|(_, work)| due(work) && self.has_failed_everywhere(work));
-        for ix in excluded_everywhere.map(|(ix, _)| *ix).collect::<Vec<JobIx>>() {
-            let Some(work) = self.workload.jobs.get_mut(&ix) else { continue };
-            let id = work.spec.id;
-            log::info!(event = "forgiven", job:% = id; "{id} failed on all it may use: tried there again");
-            work.retried_exclusions += work.failed_on.len();
-            work.failed_on.clear();
-            work.retry_exclusion_not_before =
-                clock.now.saturating_add(ERROR_RETRY_DELAY_MS * work.failure_backoff_factor());
+        let is_due = |job_state: &JobState| {
+            !job_state.failed_on.is_empty() && clock.now >= job_state.retry_exclusion_not_before
+        };
+        let excluded: Vec<JobIx> = self
+            .workload
+            .jobs
+            .iter()
+            .filter(|(_, job_state)| is_due(job_state) && self.has_failed_everywhere(job_state))
+            .map(|(ix, _)| *ix)
+            .collect();
+        for ix in excluded {
+            let Some(job_state) = self.workload.jobs.get_mut(&ix) else { continue };
+            let id = job_state.spec.id;
+            log::info!(event = "retry_after_exclusion", job:% = id; "retry after exclusion: {id} had failed on every machine it may use");
+            job_state.retried_exclusions += job_state.failed_on.len();
+            job_state.failed_on.clear();
+            let delay_ms = ERROR_RETRY_DELAY_MS * job_state.failure_backoff_factor();
+            job_state.retry_exclusion_not_before = clock.now.saturating_add(delay_ms);
         }
     }
 
-    /// Of the machines that could run its tasks, each has failed one. Parked ones take no queued tasks.
-    fn has_failed_everywhere(&self, work: &JobState) -> bool {
-        let mut failed = false;
-        for ix in self.cluster.placement_index.open() {
-            let usable = work.spec.is_all_or_nothing() || self.cluster.placement_index.accepts_queued(*ix);
-            match self.machine_blocker(*ix, work) {
+    /// Whether the job has failed on each machine that could run its tasks. Cordoned machines run only gangs.
+    fn has_failed_everywhere(&self, job_state: &JobState) -> bool {
+        let placement_index = &self.cluster.placement_index;
+        let mut has_failed = false;
+        for ix in placement_index.open() {
+            let usable = job_state.spec.is_all_or_nothing() || placement_index.accepts_queued(*ix);
+            match self.machine_blocker(*ix, job_state) {
                 None if usable => return false,
-                Some(PlacementBlocker::FailedBefore) => failed = true,
+                Some(PlacementBlocker::FailedBefore) => has_failed = true,
                 _ => {}
             }
         }
-        failed
+        has_failed
     }
 
-    pub fn record_failure(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
+    /// Records that a task failed on a machine, and quarantines the machine or starts the job's probation.
+    pub(super) fn record_failure(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
         let machine = self.cluster.machines[ix.index()].name.as_str();
         log::info!(event = "failed", task:% = binding.task, machine; "{} failed on {machine}", binding.task);
-        let Some((job, work)) = binding.job.and_then(|job| Some((job, self.workload.jobs.get_mut(&job)?)))
-        else {
-            return;
-        };
-        work.failed_on.insert(ix);
-        if work.is_at_fault() {
-            // Its own fault: machines that failed nothing else are good again.
-            let id = work.spec.id;
-            for at in 0..self.cluster.machines.len() {
-                if self.cluster.machines[at].failed_jobs.remove(&id) {
-                    self.cluster.machines[at].quarantined &= self.should_quarantine(MachineIx(at as u32));
-                }
-            }
+        let Some(job) = binding.job else { return };
+        let Some(job_state) = self.workload.jobs.get_mut(&job) else { return };
+        job_state.failed_on.insert(ix);
+        if job_state.is_at_fault() {
+            let id = job_state.spec.id;
+            self.clear_machine_failures(id);
             self.start_probation(job, clock);
-            return;
+        } else {
+            self.record_machine_failure(ix, binding.task.job);
+        }
+    }
+
+    /// The job is at fault itself: machines on which nothing else failed leave quarantine.
+    fn clear_machine_failures(&mut self, id: JobId) {
+        for ix in self.cluster.machine_indices() {
+            if self.cluster.machines[ix.index()].failed_jobs.remove(&id) {
+                let still_quarantined = self.should_quarantine(ix);
+                self.cluster.machines[ix.index()].quarantined &= still_quarantined;
+            }
         }
-        self.cluster.machines[ix.index()].failed_jobs.insert(binding.task.job);
-        if self.should_quarantine(ix) && !self.cluster.machines[ix.index()].quarantined {
-            let machine = &mut self.cluster.machines[ix.index()];
-            log::info!(event = "sick", machine = machine.name.as_str(); "machine {} taken for sick", machine.name);
-            machine.quarantined = true;
-            self.requeue_machine_queues(ix);
+    }
+
+    fn record_machine_failure(&mut self, ix: MachineIx, id: JobId) {
+        self.cluster.machines[ix.index()].failed_jobs.insert(id);
+        if self.cluster.machines[ix.index()].quarantined || !self.should_quarantine(ix) {
+            return;
         }
+        let machine = &mut self.cluster.machines[ix.index()];
+        log::info!(event = "quarantined", machine = machine.name.as_str(); "machine {} quarantined", machine.name);
+        machine.quarantined = true;
+        self.requeue_machine_queues(ix);
     }
 
-    /// Different jobs failed there, with no success between.
+    /// Whether enough different jobs have failed on the machine since a task last succeeded there.
     fn should_quarantine(&self, ix: MachineIx) -> bool {
-        let errors = &self.cluster.machines[ix.index()].failed_jobs;
-        // A job that is over was done: what a user withdraws is taken off.
-        let unproven =
-            |id: &JobId| self.workload.jobs.values().any(|work| work.spec.id == *id && !work.has_succeeded());
-        errors.len()
-            >= if errors.iter().all(unproven) { QUARANTINE_UNPROVEN_JOBS } else { QUARANTINE_FAILED_JOBS }
+        let failed_jobs = &self.cluster.machines[ix.index()].failed_jobs;
+        // A job that is not in the workload any more has succeeded: cancelled ones are removed from `failed_jobs`.
+        let is_unproven = |id: &JobId| {
+            let mut jobs = self.workload.jobs.values();
+            jobs.any(|job_state| job_state.spec.id == *id && !job_state.has_succeeded())
+        };
+        let threshold = if failed_jobs.iter().all(is_unproven) {
+            QUARANTINE_UNPROVEN_JOBS
+        } else {
+            QUARANTINE_FAILED_JOBS
+        };
+        failed_jobs.len() >= threshold
     }
 
-    /// The job has failed once more: nothing of it waits in any queue, and the next task is tried after a while.
+    /// Puts a job at fault on probation, or delays its next attempt if it is already: nothing of it stays in any queue.
     fn start_probation(&mut self, ix: JobIx, clock: Clock) {
-        let Some(work) = self.workload.jobs.get_mut(&ix) else { return };
-        // Gangs are tried one attempt at a time anyway, and graphs say themselves how often a node is.
-        if work.spec.is_all_or_nothing() || work.dag_node.is_some() || !self.tunables.overload.probation {
+        let Some(job_state) = self.workload.jobs.get_mut(&ix) else { return };
+        // Gangs are attempted one at a time anyway, and DAGs have their own retry limits.
+        let is_exempt = job_state.spec.is_all_or_nothing() || job_state.dag_node.is_some();
+        if is_exempt || !self.tunables.overload.probation {
             return;
         }
-        let next = clock.now.saturating_add(ERROR_RETRY_DELAY_MS * work.failure_backoff_factor());
-        if let Some(trial) = &mut work.probation {
-            trial.next_attempt_at = next;
+        let delay_ms = ERROR_RETRY_DELAY_MS * job_state.failure_backoff_factor();
+        let next_attempt_at = clock.now.saturating_add(delay_ms);
+        if let Some(probation) = &mut job_state.probation {
+            probation.next_attempt_at = next_attempt_at;
             return;
         }
-        if !work.failures_outnumber_running_machines() {
+        if !job_state.failures_outnumber_running_machines() {
             return;
         }
-        work.probation = Some(Probation { next_attempt_at: next, queued: false });
-        let id = work.spec.id;
-        log::info!(event = "on_trial", job:% = id; "{id} fails wherever it is tried: one task at a time from now on");
+        job_state.probation = Some(Probation { next_attempt_at, queued: false });
+        let id = job_state.spec.id;
+        log::info!(event = "probation", job:% = id; "{id} is on probation: one task at a time");
         self.remove_queued_tasks(ix);
-        for waiting in self.workload.retry_queue.values_mut() {
-            waiting.retain(|(job, _)| *job != ix);
+        for delayed in self.workload.retry_queue.values_mut() {
+            delayed.retain(|(job, _)| *job != ix);
         }
     }
 
-    /// One task of each job on trial whose wait is over, if none of it is out.
+    /// Queues one task of each job on probation whose delay is over, unless a task of it is placed.
     pub fn queue_probation_tasks(&mut self, clock: Clock) {
-        let due = |work: &JobState| {
-            let due = work.probation.is_some_and(|trial| !trial.queued && trial.next_attempt_at <= clock.now);
-            due && work.placements.is_empty() && !work.finishing
-        };
-        let due: Vec<JobIx> =
-            self.workload.jobs.iter().filter(|(_, work)| due(work)).map(|(ix, _)| *ix).collect();
+        let jobs = self.workload.jobs.iter();
+        let due: Vec<JobIx> = jobs
+            .filter(|(_, job_state)| job_state.is_probation_attempt_due(clock.now))
+            .map(|(ix, _)| *ix)
+            .collect();
         for ix in due {
-            let Some(work) = self.workload.jobs.get_mut(&ix) else { continue };
-            let Some(task) = work.finished.iter_missing().next() else { continue };
-            if let Some(trial) = &mut work.probation {
-                trial.queued = true;
+            let Some(job_state) = self.workload.jobs.get_mut(&ix) else { continue };
+            let Some(task) = job_state.finished.iter_missing().next() else { continue };
+            if let Some(probation) = &mut job_state.probation {
+                probation.queued = true;
             }
             self.enqueue(ix, &[task]);
         }
     }
 
-    /// A task of a job on trial has succeeded: the rest of the job is queued like any other.
-    pub fn end_probation(&mut self, ix: JobIx) {
-        // The next task to be tried may wait in a queue: it must not be queued twice.
+    /// A task of a job on probation has succeeded: all others are queued.
+    pub(super) fn end_probation(&mut self, ix: JobIx) {
+        // The next task to be attempted may be in a queue, where it must not be twice.
         self.remove_queued_tasks(ix);
         self.enqueue_jobs([ix]);
     }
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -57,14 +57,14 @@
         let first_expected_at = self.term.acquired_at().saturating_add(LEADER_DISCOVERY_MS);
         let mut up = 0;
         let mut silent = Vec::new();
-        for (index, machine) in self.cluster.machines.iter().enumerate() {
+        for (ix, machine) in self.cluster.machine_indices().zip(&self.cluster.machines) {
             if machine.state != MachineState::Up || machine.returning {
                 continue;
             }
             up += 1;
             let since = machine.last_answered_heartbeat_at.unwrap_or(first_expected_at);
             if now.saturating_since(since) > timeout_ms {
-                silent.push(MachineIx(index as u32));
+                silent.push(ix);
             }
         }
         if silent.len() > MAX_RECLAIMED_AT_ONCE && silent.len() * 3 > up {
@@ -135,10 +135,10 @@
 
     /// Removes all tasks from machines whose worker's lease has certainly expired.
     pub fn expire_machine_leases(&mut self, clock: Clock) {
-        for index in 0..self.cluster.machines.len() {
-            let machine = &self.cluster.machines[index];
+        for ix in self.cluster.machine_indices() {
+            let machine = &self.cluster.machines[ix.index()];
             if machine.state == MachineState::Up && clock.now >= self.lease_expires_at(machine) {
-                self.remove_lost_machine(MachineIx(index as u32), clock);
+                self.remove_lost_machine(ix, clock);
             }
         }
     }
--- a/src/coordination/leader/machines/machine_set.rs
+++ b/src/coordination/leader/machines/machine_set.rs
@@ -1,8 +1,16 @@
-//! A set of machines for plans that insert and look up every running task: hashing took a sixth of their time.
+//! Machines by their dense index: iteration over all, and sets of them.
 
+use crate::coordination::leader::cluster::ClusterState;
 use crate::ids::MachineIx;
 
-/// Machines by their dense index.
+impl ClusterState {
+    /// The indices of all machines, ascending. The iterator borrows nothing, so that machines can be changed meanwhile.
+    pub(in crate::coordination::leader) fn machine_indices(&self) -> impl Iterator<Item = MachineIx> + use<> {
+        (0..self.machines.len() as u32).map(MachineIx)
+    }
+}
+
+/// A set of machines. A plan inserts and looks up one for every running task; hashing took a sixth of its time.
 #[derive(Debug, Default)]
 pub struct MachineSet(Vec<bool>);
 
--- a/src/coordination/leader/machines/provisioner/scale_in.rs
+++ b/src/coordination/leader/machines/provisioner/scale_in.rs
@@ -49,10 +49,9 @@
             .values()
             .map(|machine_type| machine_type.lowest_price_per_cpu())
             .fold(f64::MAX, f64::min);
-        for index in 0..self.cluster.machines.len() {
-            let ix = MachineIx(index as u32);
+        for ix in self.cluster.machine_indices() {
             let Some(reason) = self.return_reason(ix, lowest_price, clock) else { continue };
-            let (name, reason) = (self.cluster.machines[index].name.as_str(), reason.as_str());
+            let (name, reason) = (self.cluster.machines[ix.index()].name.as_str(), reason.as_str());
             log::info!(event = "scale_in", machine = name, reason; "scale in: machine {name}, {reason}");
             self.return_machine(ix);
         }
--- a/src/coordination/leader/operator_views.rs
+++ b/src/coordination/leader/operator_views.rs
@@ -1,44 +1,41 @@
-//! What a leader shows of jobs, events and itself.
+//! Views of the leader's state for operators: tasks and events of a job, the leader's own status.
+//!
+//! Only reads; whatever is shown here is known without asking the key-value store.
 
 use std::collections::BTreeMap;
 
 use super::event_log::LoggedEvent;
-use super::{Binding, Leader, MachineState};
+use super::{Binding, DispatchState, Leader, Machine, MachineState};
 use crate::bookkeeping::jobs::NameRegistry;
 use crate::ids::{JobId, JobIx, MachineIx, from_milli};
 use crate::protocol::operators::{JobEvent, LeaderStatus, TaskStateView, TaskSummary, TeamStatus};
 use crate::protocol::workers::TaskPhase;
 
 impl Leader {
-    /// Tasks of a job that are not done, from behind `after` on, and where the next page begins.
+    /// Unfinished tasks of a job after the task `after`, at most `limit`, and the task after which the next page begins.
     pub fn task_rows(&self, ix: JobIx, after: Option<u32>, limit: usize) -> (Vec<TaskSummary>, Option<u32>) {
-        let Some(work) = self.workload.jobs.get(&ix) else { return (Vec::new(), None) };
-        let delayed: Vec<u32> = self
-            .workload
-            .retry_queue
-            .values()
-            .flatten()
-            .filter(|(job, _)| *job == ix)
-            .map(|(_, task)| *task)
-            .collect();
-        let mut open = work.finished.iter_missing().filter(|task| after.is_none_or(|after| *task > after));
-        let rows: Vec<TaskSummary> = open
+        let Some(job_state) = self.workload.jobs.get(&ix) else { return (Vec::new(), None) };
+        let delayed = self.delayed_tasks(ix);
+        let mut unfinished =
+            job_state.finished.iter_missing().filter(|task| after.is_none_or(|after| *task > after));
+        let rows: Vec<TaskSummary> = unfinished
             .by_ref()
             .take(limit)
-            .map(|task| match work.placements.get(&task) {
-                Some(places) => self.placed_task_row(ix, task, places.iter().map(|(machine, _)| *machine)),
-                None => {
-                    let state = if delayed.contains(&task) {
-                        TaskStateView::RetryWait
-                    } else {
-                        TaskStateView::Waiting
-                    };
-                    TaskSummary { task, state, attempt: None, machines: Vec::new() }
+            .map(|task| match job_state.placements.get(&task) {
+                Some(placements) => {
+                    self.placed_task_row(ix, task, placements.iter().map(|(machine, _)| *machine))
                 }
+                None => unplaced_task_row(task, delayed.contains(&task)),
             })
             .collect();
-        let next = open.next().and(rows.last().map(|row| row.task));
-        (rows, next)
+        let next_after = unfinished.next().and(rows.last().map(|row| row.task));
+        (rows, next_after)
+    }
+
+    /// Tasks of a job that wait for their retry delay to end.
+    fn delayed_tasks(&self, ix: JobIx) -> Vec<u32> {
+        let delayed = self.workload.retry_queue.values().flatten();
+        delayed.filter(|(job, _)| *job == ix).map(|(_, task)| *task).collect()
     }
 
     fn placed_task_row(
@@ -47,29 +44,30 @@
         task: u32,
         machines: impl Iterator<Item = MachineIx>,
     ) -> TaskSummary {
-        let places: Vec<MachineIx> = machines.collect();
-        let binding = places.iter().find_map(|ix| self.binding_of(*ix, job, task));
+        let machines: Vec<MachineIx> = machines.collect();
+        let binding = machines.iter().find_map(|ix| self.binding_of(*ix, job, task));
         TaskSummary {
             task,
-            state: binding.map_or(TaskStateView::Recorded, task_state_word),
+            state: binding.map_or(TaskStateView::Recorded, task_state_view),
             attempt: binding.map(|binding| binding.attempt.0),
-            machines: places.iter().map(|ix| self.cluster.machines[ix.index()].name.clone()).collect(),
+            machines: machines.iter().map(|ix| self.cluster.machines[ix.index()].name.clone()).collect(),
         }
     }
 
-    /// The last decisions on a job, and whether earlier ones are unknown.
+    /// The latest events of a job, and whether earlier ones are unknown.
     pub fn event_rows(&self, id: JobId) -> (Vec<JobEvent>, bool) {
-        let Some(ring) = self.event_log.history_of(id) else { return (Vec::new(), true) };
-        let row = |noted: &LoggedEvent| JobEvent {
-            at_ms: noted.at_wall_ms,
-            kind: noted.event,
-            first_task: (noted.task_count > 0).then_some(noted.first_task),
-            tasks: noted.task_count,
-            machine: noted.machine.map(|ix| self.cluster.machines[ix.index()].name.clone()),
+        let Some(history) = self.event_log.history_of(id) else { return (Vec::new(), true) };
+        let row = |logged: &LoggedEvent| JobEvent {
+            at_ms: logged.at_wall_ms,
+            kind: logged.event,
+            first_task: (logged.task_count > 0).then_some(logged.first_task),
+            tasks: logged.task_count,
+            machine: logged.machine.map(|ix| self.cluster.machines[ix.index()].name.clone()),
         };
-        (ring.events.iter().map(row).collect(), ring.truncated)
+        (history.events.iter().map(row).collect(), history.truncated)
     }
 
+    /// The leader's status: queues, counters, machines and teams.
     pub fn leader_status(&self, registry: &NameRegistry) -> LeaderStatus {
         let mut status = LeaderStatus {
             queued_backlog: self.placement.backlog.len() as u64,
@@ -86,18 +84,7 @@
             ..LeaderStatus::default()
         };
         for machine in &self.cluster.machines {
-            match machine.state {
-                MachineState::Booting => status.machines_booting += 1,
-                MachineState::Unreachable => status.machines_unreachable += 1,
-                MachineState::Gone => continue,
-                MachineState::Up => {
-                    status.machines_up += 1;
-                    status.cpus += from_milli(machine.capacity.cpu);
-                    status.cpus_used += from_milli(machine.used.cpu);
-                }
-            }
-            status.queued_shared += machine.shared_queue.len() as u64;
-            status.queued_dedicated += machine.dedicated_queue.len() as u64;
+            count_machine(&mut status, machine);
         }
         status.teams = self.team_statuses(registry);
         status
@@ -105,7 +92,7 @@
 
     fn team_statuses(&self, registry: &NameRegistry) -> Vec<TeamStatus> {
         let teams: BTreeMap<_, _> = self.quotas.team_settings.iter().collect();
-        let figures = teams.into_iter().map(|(ix, team)| {
+        let statuses = teams.into_iter().map(|(ix, team)| {
             let limit = team.effective_limit().cpu;
             TeamStatus {
                 team: registry.teams.name_or_unknown(ix.index()).into(),
@@ -114,11 +101,32 @@
                 limit_cpus: (limit < u64::MAX).then(|| from_milli(limit)),
             }
         });
-        figures.collect()
+        statuses.collect()
     }
 }
 
-fn task_state_word(binding: &Binding) -> TaskStateView {
+fn count_machine(status: &mut LeaderStatus, machine: &Machine) {
+    match machine.state {
+        MachineState::Booting => status.machines_booting += 1,
+        MachineState::Unreachable => status.machines_unreachable += 1,
+        MachineState::Gone => return,
+        MachineState::Up => {
+            status.machines_up += 1;
+            status.cpus += from_milli(machine.capacity.cpu);
+            status.cpus_used += from_milli(machine.used.cpu);
+        }
+    }
+    status.queued_shared += machine.shared_queue.len() as u64;
+    status.queued_dedicated += machine.dedicated_queue.len() as u64;
+}
+
+fn unplaced_task_row(task: u32, is_delayed: bool) -> TaskSummary {
+    let state = if is_delayed { TaskStateView::RetryWait } else { TaskStateView::Waiting };
+    TaskSummary { task, state, attempt: None, machines: Vec::new() }
+}
+
+/// The state of a task that is bound to a machine.
+fn task_state_view(binding: &Binding) -> TaskStateView {
     if binding.stop_grace_ms.is_some() {
         return TaskStateView::Stopping;
     }
@@ -128,7 +136,7 @@
         Some(TaskPhase::Running) => TaskStateView::Running,
         Some(TaskPhase::Checkpointing) => TaskStateView::Checkpointing,
         Some(TaskPhase::Exited(_)) => TaskStateView::Stopping,
-        None if binding.dispatch == super::DispatchState::Inherited => TaskStateView::Recorded,
+        None if binding.dispatch == DispatchState::Inherited => TaskStateView::Recorded,
         None => TaskStateView::Starting,
     }
 }
