--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -30,7 +30,13 @@
     }
 
     /// Handles the durable cancellation of a job: removes it from the workload and has its tasks stopped.
-    pub fn cancel_job(&mut self, id: JobId, ix: Option<JobIx>, cancelled_wall_ms: u64, clock: Clock) {
+    pub(in crate::coordination) fn cancel_job(
+        &mut self,
+        id: JobId,
+        ix: Option<JobIx>,
+        cancelled_wall_ms: u64,
+        clock: Clock,
+    ) {
         if let Some(ix) = ix
             && let Some(job_state) = self.workload.jobs.remove(&ix)
         {
--- a/src/coordination/leader/debug_status.rs
+++ b/src/coordination/leader/debug_status.rs
@@ -48,7 +48,7 @@
 
 impl Leader {
     /// Logs the status, if it is time and `debug` is enabled.
-    pub fn log_status(&mut self, now: Millis) {
+    pub(in crate::coordination) fn log_status(&mut self, now: Millis) {
         if now < self.next_status_at || !log::log_enabled!(log::Level::Debug) {
             return;
         }
--- a/src/coordination/leader/event_log.rs
+++ b/src/coordination/leader/event_log.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sets the time of the events to come.
-    pub fn set_wall_time(&mut self, wall_ms: u64) {
+    pub(in crate::coordination) fn set_wall_time(&mut self, wall_ms: u64) {
         self.wall_ms = wall_ms;
     }
 
@@ -173,7 +173,7 @@
 }
 
 impl Leader {
-    /// Logs tasks that were queued. `event` tells where.
+    /// Logs tasks that were queued. `event`: in which queue.
     pub(super) fn log_queued(&mut self, job: JobIx, tasks: &[u32], event: JobEventKind) {
         if !self.event_log.is_enabled() {
             return;
--- a/src/coordination/leader/machines/capacity_plan/deadlines.rs
+++ b/src/coordination/leader/machines/capacity_plan/deadlines.rs
@@ -5,7 +5,7 @@
 
 impl Leader {
     /// Milliseconds from now within which a job should complete, by its deadline or the objectives of its class.
-    pub fn time_left_ms(&self, job_state: &JobState, clock: Clock) -> u64 {
+    pub(in crate::coordination::leader) fn time_left_ms(&self, job_state: &JobState, clock: Clock) -> u64 {
         let spec = &job_state.spec;
         let fallback_ms = (self.tunables.queue_drain_target_s * 1000.0) as u64 + job_state.expected_run_ms();
         if self.is_past_slo(job_state, clock) {
@@ -20,7 +20,7 @@
     }
 
     /// Whether the job can meet no objective any more. Such a job must not delay those that still can.
-    pub fn is_past_slo(&self, job_state: &JobState, clock: Clock) -> bool {
+    pub(in crate::coordination::leader) fn is_past_slo(&self, job_state: &JobState, clock: Clock) -> bool {
         let spec = &job_state.spec;
         let age_ms = clock.wall_ms.saturating_sub(spec.accepted_wall_ms);
         let past_deadline = spec.slo_wall_ms.is_some_and(|deadline| deadline < clock.wall_ms);
@@ -28,7 +28,7 @@
     }
 
     /// The longest objective of the job's class, in milliseconds from acceptance to completion.
-    pub fn longest_slo_ms(&self, job_state: &JobState) -> Option<u64> {
+    pub(in crate::coordination::leader) fn longest_slo_ms(&self, job_state: &JobState) -> Option<u64> {
         self.slos.completion_slos.get(&job_state.spec.class)?.last().copied()
     }
 }
--- a/src/coordination/leader/machines/capacity_plan/planned_machines.rs
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -61,7 +61,7 @@
     }
 
     /// CPU milliseconds that a task is expected to need still.
-    pub fn remaining_cpu_ms(&self, binding: &Binding, clock: Clock) -> u64 {
+    pub(in crate::coordination::leader) fn remaining_cpu_ms(&self, binding: &Binding, clock: Clock) -> u64 {
         let Some(job_state) = binding.job.and_then(|job| self.workload.jobs.get(&job)) else { return 0 };
         let ran_ms = binding.running_since.map_or(0, |since| clock.now.saturating_since(since));
         let remaining_ms = job_state.expected_run_ms().saturating_sub(ran_ms).max(MIN_REMAINING_RUN_MS);
--- a/src/coordination/leader/machines/capacity_plan/zone_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/zone_demand.rs
@@ -31,7 +31,7 @@
         self.unplaced == 0
     }
 
-    /// Whether the job must be in one zone, and none of its tasks tells yet in which.
+    /// Whether the job must be in one zone that none of its tasks determines yet.
     pub(super) fn needs_zone(&self, job_state: &JobState) -> bool {
         job_state.spec.single_zone && self.required_zone.is_none()
     }
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -82,7 +82,11 @@
     }
 
     /// Takes the direct messages that are due.
-    pub fn take_direct_messages(&mut self, clock: Clock, may_start: bool) -> Vec<DirectMessage> {
+    pub(in crate::coordination) fn take_direct_messages(
+        &mut self,
+        clock: Clock,
+        may_start: bool,
+    ) -> Vec<DirectMessage> {
         let under_pressure = self.pressure > PressureLevel::Calm;
         let max_announcements =
             if under_pressure { MAX_ANNOUNCEMENTS_UNDER_PRESSURE } else { MAX_ANNOUNCEMENTS };
@@ -149,13 +153,18 @@
     }
 
     /// Takes in the outcome of a direct message.
-    pub fn handle_direct_outcome(&mut self, message: &DirectMessage, outcome: DirectOutcome, clock: Clock) {
+    pub(in crate::coordination) fn handle_direct_outcome(
+        &mut self,
+        message: &DirectMessage,
+        outcome: DirectOutcome,
+        clock: Clock,
+    ) {
         let ix = message.machine;
         let machine = &mut self.cluster.machines[ix.index()];
         machine.direct_send_in_flight = false;
         if outcome == DirectOutcome::Refused && machine.epoch > message.epoch {
-            // A worker ignores a token that comes with another epoch than its own. No record tells the epoch; the
-            // refusal did, so the message is sent again.
+            // A worker ignores a token that comes with another epoch than its own. The epoch is
+            // in no record; it came with the refusal, so the message is sent again.
             self.cluster.pending_announcements.insert(ix);
         } else if outcome != DirectOutcome::Executed {
             machine.direct_send_not_before = clock.now.saturating_add(DIRECT_BACKOFF_MS);
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether the job is at fault itself, not the machines on which it failed.
-    pub fn is_at_fault(&self) -> bool {
+    pub(in crate::coordination::leader) fn is_at_fault(&self) -> bool {
         let threshold = if self.spec.is_all_or_nothing() { GANG_FAULT_MACHINES } else { JOB_FAULT_MACHINES };
         !self.has_succeeded() && self.failure_count() >= threshold
     }
@@ -83,7 +83,7 @@
 impl Leader {
     /// Lifts the exclusions of jobs that have failed on every machine they may use, after growing delays: with few machines,
     /// one failure on each would otherwise keep such a job waiting for good.
-    pub fn retry_after_exclusion(&mut self, clock: Clock) {
+    pub(in crate::coordination::leader) fn retry_after_exclusion(&mut self, clock: Clock) {
         let is_due = |job_state: &JobState| {
             !job_state.failed_on.is_empty() && clock.now >= job_state.retry_exclusion_not_before
         };
@@ -200,7 +200,7 @@
     }
 
     /// Queues one task of each job on probation whose delay is over, unless a task of it is placed.
-    pub fn queue_probation_tasks(&mut self, clock: Clock) {
+    pub(in crate::coordination::leader) fn queue_probation_tasks(&mut self, clock: Clock) {
         let jobs = self.workload.jobs.iter();
         let due: Vec<JobIx> = jobs
             .filter(|(_, job_state)| job_state.is_probation_attempt_due(clock.now))
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -24,7 +24,7 @@
 
 impl Leader {
     /// Handles a heartbeat that came as a request. `may_start`: this controller may have tasks started now.
-    pub fn handle_heartbeat(
+    pub(in crate::coordination) fn handle_heartbeat(
         &mut self,
         cache: &mut StoreCache,
         clock: Clock,
@@ -48,12 +48,10 @@
         if is_newer {
             self.apply_heartbeat(ix, clock, heartbeat);
             self.reconcile_done_tasks(cache, heartbeat, clock);
-        }
-        if is_newer && acknowledged {
-            let machine = &mut self.cluster.machines[ix.index()];
-            machine.token_acknowledged = true;
-            machine.unacknowledged_since = None;
-            self.reconcile_missing_tasks(ix, clock, heartbeat);
+            if acknowledged {
+                self.record_token_acknowledged(ix);
+                self.reconcile_missing_tasks(ix, clock, heartbeat);
+            }
         }
         self.refresh_placement_index(ix);
         if self.is_lease_renewal_cut_off(ix, clock) {
@@ -71,7 +69,12 @@
 
     /// Takes in the worker's status from its response to a direct message. Commands that are still on their way to the
     /// worker in a heartbeat response cannot show in it, so nothing is concluded from tasks that are missing.
-    pub fn observe_command_response(&mut self, ix: MachineIx, clock: Clock, heartbeat: &Heartbeat) {
+    pub(in crate::coordination) fn observe_command_response(
+        &mut self,
+        ix: MachineIx,
+        clock: Clock,
+        heartbeat: &Heartbeat,
+    ) {
         if !self.is_newer_heartbeat(ix, heartbeat) {
             return;
         }
@@ -118,6 +121,12 @@
         (heartbeat.epoch, heartbeat.sequence) > (machine.epoch, machine.sequence)
     }
 
+    fn record_token_acknowledged(&mut self, ix: MachineIx) {
+        let machine = &mut self.cluster.machines[ix.index()];
+        machine.token_acknowledged = true;
+        machine.unacknowledged_since = None;
+    }
+
     /// Whether the machine still has a task of a cancelled job that only the expiry of its lease stops in time.
     fn is_lease_renewal_cut_off(&self, ix: MachineIx, clock: Clock) -> bool {
         let is_overdue =
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -1,4 +1,4 @@
-//! Machines whose heartbeats stop, or whom our commands do not reach: when they are certainly empty, and what is done until
+//! Machines whose heartbeats stop, or that our commands do not reach: when they are certainly empty, and what is done until
 //! then.
 //!
 //! A machine is lost only when its worker's lease has certainly expired, whichever leader renewed it last. Until then
@@ -23,7 +23,7 @@
 
 impl Leader {
     /// The number of workers that should send us heartbeats, and how many of them are overdue.
-    pub fn count_overdue_workers(&self, now: Millis) -> (usize, usize) {
+    pub(in crate::coordination) fn count_overdue_workers(&self, now: Millis) -> (usize, usize) {
         let timeout_ms = self.settings.worker_timings.heartbeat_interval_ms * 9 / 4 + OVERDUE_MARGIN_MS;
         self.cluster
             .machines
@@ -37,7 +37,7 @@
     /// Returns spot machines that are silent while most others are not. The cloud reclaims spot machines without notice, and
     /// its response to the release makes certain at once that nothing runs there, long before the worker's lease, or after
     /// a failover the recovery period, has expired.
-    pub fn return_silent_spot_machines(&mut self, clock: Clock) {
+    pub(in crate::coordination) fn return_silent_spot_machines(&mut self, clock: Clock) {
         for ix in self.silent_machines(clock.now) {
             let machine = &self.cluster.machines[ix.index()];
             let saved_ms = self.lease_expires_at(machine).saturating_since(clock.now);
@@ -134,7 +134,7 @@
     }
 
     /// Removes all tasks from machines whose worker's lease has certainly expired.
-    pub fn expire_machine_leases(&mut self, clock: Clock) {
+    pub(in crate::coordination) fn expire_machine_leases(&mut self, clock: Clock) {
         for ix in self.cluster.machine_indices() {
             let machine = &self.cluster.machines[ix.index()];
             if machine.state == MachineState::Up && clock.now >= self.lease_expires_at(machine) {
--- a/src/coordination/leader/machines/machine_set.rs
+++ b/src/coordination/leader/machines/machine_set.rs
@@ -12,7 +12,7 @@
 
 /// A set of machines. A plan inserts and looks up one for every running task; hashing took a sixth of its time.
 #[derive(Debug, Default)]
-pub struct MachineSet(Vec<bool>);
+pub(super) struct MachineSet(Vec<bool>);
 
 impl MachineSet {
     pub(super) fn insert(&mut self, ix: MachineIx) {
--- a/src/coordination/leader/machines/placement_index.rs
+++ b/src/coordination/leader/machines/placement_index.rs
@@ -11,11 +11,11 @@
 use crate::ids::{MachineIx, MachineTypeIx, Millis, ZoneIx};
 
 /// The type and the zone of a machine.
-pub type TypeAndZone = (MachineTypeIx, ZoneIx);
+pub(in crate::coordination::leader) type TypeAndZone = (MachineTypeIx, ZoneIx);
 
 /// The index. Its size is bounded by the number of machines.
 #[derive(Debug, Default)]
-pub struct PlacementIndex {
+pub(in crate::coordination::leader) struct PlacementIndex {
     /// Machines that may get tasks; those that are cordoned or reserved get only gangs.
     open: BTreeSet<MachineIx>,
     /// The same by type and zone.
--- a/src/coordination/leader/machines/provisioner/cloud_replies.rs
+++ b/src/coordination/leader/machines/provisioner/cloud_replies.rs
@@ -22,21 +22,19 @@
 
 impl Leader {
     /// Whether a response belongs to a request of the provisioner.
-    pub fn owns_outbound(&self, outbound: OutboundId) -> bool {
+    pub(in crate::coordination) fn owns_outbound(&self, outbound: OutboundId) -> bool {
         self.provisioner.in_flight.contains_key(&outbound)
     }
 
     /// Handles the response to a request of the provisioner.
-    pub fn handle_cloud_response(
+    pub(in crate::coordination) fn handle_cloud_response(
         &mut self,
         clock: Clock,
         outbound: OutboundId,
         outcome: &HttpOutcome,
         cache: &mut StoreCache,
     ) {
-        let Some((request, request_name)) = self.provisioner.in_flight.remove(&outbound) else {
-            return;
-        };
+        let Some(request) = self.provisioner.in_flight.remove(&outbound) else { return };
         let reply = request.parse_reply(outcome);
         match reply {
             CloudReply::Rejected { .. } => self.provisioner.rate_budget.back_off(clock.now),
@@ -47,10 +45,8 @@
             CloudRequest::Catalog => self.handle_catalog_reply(clock, reply, cache),
             CloudRequest::ListMachines { .. } => self.handle_list_reply(clock, reply, cache),
             CloudRequest::ScaleIn { machines } => self.handle_release_reply(clock, &machines, &reply),
-            CloudRequest::ScaleOut { .. } => {
-                if let Some(name) = request_name {
-                    self.handle_scale_out_reply(clock, &name, reply);
-                }
+            CloudRequest::ScaleOut { request_id, .. } => {
+                self.handle_scale_out_reply(clock, &request_id, reply);
             }
         }
     }
--- a/src/coordination/leader/machines/provisioner/mod.rs
+++ b/src/coordination/leader/machines/provisioner/mod.rs
@@ -21,7 +21,7 @@
 use crate::ids::{FencingToken, MachineIx, Millis};
 use crate::protocol::cloud::CloudRequest;
 use offer_backoff::OfferBackoff;
-pub use offers::InstanceOffer;
+pub(in crate::coordination::leader) use offers::InstanceOffer;
 pub(super) use offers::MIN_BILLED_MS;
 use requests::{ProvisioningRequest, RequestStage};
 
@@ -37,14 +37,14 @@
 
 /// Requests to the cloud and what they have to achieve.
 #[derive(Debug)]
-pub struct Provisioner {
+pub(in crate::coordination::leader) struct Provisioner {
     token: FencingToken,
     rate_budget: TokenBucket,
     /// Scale-out requests by name; the names are unique over all terms.
     requests: BTreeMap<String, ProvisioningRequest>,
     request_counter: u32,
-    /// Requests without a response yet; of a scale-out request also its name.
-    in_flight: HashMap<OutboundId, (CloudRequest, Option<String>)>,
+    /// Requests without a response yet.
+    in_flight: HashMap<OutboundId, CloudRequest>,
     last_outbound: u64,
     offer_backoff: OfferBackoff,
     list_in_flight: bool,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes over the scale-out requests on record: sent again, they tell which machines they yielded.
+    /// Takes over the scale-out requests on record: sent again, they return the machines that they yielded.
     pub fn recover_requests(&mut self, cache: &mut StoreCache) {
         for (name, record) in &cache.provisioning_requests {
             let offer = InstanceOffer {
@@ -117,16 +117,11 @@
         matching.map(|(name, _)| name.clone()).collect()
     }
 
-    fn send_cloud_request(
-        &mut self,
-        request: CloudRequest,
-        request_name: Option<String>,
-        actions: &mut Vec<Action>,
-    ) {
+    fn send_cloud_request(&mut self, request: CloudRequest, actions: &mut Vec<Action>) {
         self.last_outbound += 1;
         let outbound = OutboundId(self.last_outbound);
         actions.push(Action::CallCloud { outbound, request: request.clone(), timeout_ms: CLOUD_TIMEOUT_MS });
-        self.in_flight.insert(outbound, (request, request_name));
+        self.in_flight.insert(outbound, request);
     }
 
     fn list_machines_if_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -135,7 +130,7 @@
         }
         self.list_in_flight = true;
         let after = self.list_after.clone();
-        self.send_cloud_request(CloudRequest::ListMachines { after }, None, actions);
+        self.send_cloud_request(CloudRequest::ListMachines { after }, actions);
     }
 
     fn request_catalog_if_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -143,13 +138,18 @@
             return;
         }
         self.next_catalog_at = now.saturating_add(CATALOG_INTERVAL_MS);
-        self.send_cloud_request(CloudRequest::Catalog, None, actions);
+        self.send_cloud_request(CloudRequest::Catalog, actions);
     }
 }
 
 impl Leader {
     /// Sends the requests to the cloud that are due, and plans capacity when it is time.
-    pub fn run_provisioner(&mut self, clock: Clock, cache: &StoreCache, actions: &mut Vec<Action>) {
+    pub(in crate::coordination) fn run_provisioner(
+        &mut self,
+        clock: Clock,
+        cache: &StoreCache,
+        actions: &mut Vec<Action>,
+    ) {
         self.send_provisioning_requests(clock, cache, actions);
         self.release_machines(clock, actions);
         self.provisioner.list_machines_if_due(clock.now, actions);
--- a/src/coordination/leader/machines/provisioner/offers.rs
+++ b/src/coordination/leader/machines/provisioner/offers.rs
@@ -8,12 +8,12 @@
 pub(in crate::coordination::leader::machines) const MIN_BILLED_MS: u64 = 60_000;
 /// Share by which each machine already requested from an offer raises its cost, so that zones take turns.
 const PENDING_REQUEST_SURCHARGE: f64 = 0.01;
-/// Tasks without any need would fit without limit; more than this many a machine are not told apart.
+/// Tasks that fit a machine count up to this many: those without any need would fit without limit.
 const MAX_TASK_SLOTS: u64 = 1_000_000;
 
 /// A sort of machine that the cloud provides on request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct InstanceOffer {
+pub(in crate::coordination::leader) struct InstanceOffer {
     /// The machine type.
     pub machine_type: MachineTypeIx,
     /// The zone.
@@ -42,7 +42,7 @@
 
 impl Leader {
     /// What a CPU of the machine costs.
-    pub fn price_per_cpu(&self, ix: MachineIx) -> f64 {
+    pub(in crate::coordination::leader) fn price_per_cpu(&self, ix: MachineIx) -> f64 {
         let machine = &self.cluster.machines[ix.index()];
         let Some(machine_type) = self.cluster.machine_types.get(&machine.machine_type) else {
             return f64::MAX;
--- a/src/coordination/leader/machines/provisioner/requests.rs
+++ b/src/coordination/leader/machines/provisioner/requests.rs
@@ -118,13 +118,13 @@
             let offer = request.offer;
             let machine_type = cache.names.machine_types.name_or_unknown(offer.machine_type.index());
             let scale_out = CloudRequest::ScaleOut {
-                request_id: name.clone(),
+                request_id: name,
                 machine_type: machine_type.into(),
                 zone: cache.names.zones.name_or_unknown(offer.zone.index()).into(),
                 spot: offer.spot,
                 count: request.count,
             };
-            provisioner.send_cloud_request(scale_out, Some(name), actions);
+            provisioner.send_cloud_request(scale_out, actions);
         }
     }
 
--- a/src/coordination/leader/machines/provisioner/scale_in.rs
+++ b/src/coordination/leader/machines/provisioner/scale_in.rs
@@ -115,7 +115,7 @@
         }
         provisioner.release_in_flight = true;
         log::info!("releasing {}", machines.join(" "));
-        provisioner.send_cloud_request(CloudRequest::ScaleIn { machines }, None, actions);
+        provisioner.send_cloud_request(CloudRequest::ScaleIn { machines }, actions);
     }
 
     pub(super) fn handle_release_reply(&mut self, clock: Clock, machines: &[String], reply: &CloudReply) {
--- a/src/coordination/leader/operator_views.rs
+++ b/src/coordination/leader/operator_views.rs
@@ -13,7 +13,12 @@
 
 impl Leader {
     /// Unfinished tasks of a job after the task `after`, at most `limit`, and the task after which the next page begins.
-    pub fn task_rows(&self, ix: JobIx, after: Option<u32>, limit: usize) -> (Vec<TaskSummary>, Option<u32>) {
+    pub(in crate::coordination) fn task_rows(
+        &self,
+        ix: JobIx,
+        after: Option<u32>,
+        limit: usize,
+    ) -> (Vec<TaskSummary>, Option<u32>) {
         let Some(job_state) = self.workload.jobs.get(&ix) else { return (Vec::new(), None) };
         let delayed = self.delayed_tasks(ix);
         let mut unfinished =
@@ -55,7 +60,7 @@
     }
 
     /// The latest events of a job, and whether earlier ones are unknown.
-    pub fn event_rows(&self, id: JobId) -> (Vec<JobEvent>, bool) {
+    pub(in crate::coordination) fn event_rows(&self, id: JobId) -> (Vec<JobEvent>, bool) {
         let Some(history) = self.event_log.history_of(id) else { return (Vec::new(), true) };
         let row = |logged: &LoggedEvent| JobEvent {
             at_ms: logged.at_wall_ms,
@@ -68,7 +73,7 @@
     }
 
     /// The leader's status: queues, counters, machines and teams.
-    pub fn leader_status(&self, registry: &NameRegistry) -> LeaderStatus {
+    pub(in crate::coordination) fn leader_status(&self, registry: &NameRegistry) -> LeaderStatus {
         let mut status = LeaderStatus {
             queued_backlog: self.placement.backlog.len() as u64,
             gangs_waiting: self.placement.waiting_gangs.len() as u64,
