--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -44,7 +44,7 @@
             self.remove_queued_tasks(ix);
             self.release_holds_of(ix);
         }
-        self.event_log.record(id, JobEventKind::Cancelled, None, 0, 0);
+        self.event_log.record_job_event(id, JobEventKind::Cancelled);
         let deadline = self.cancel_deadline(cancelled_wall_ms, clock);
         let tasks = self.workload.placed_task_counts.get(&id).copied().unwrap_or(0);
         let ago_ms = clock.wall_ms.saturating_sub(cancelled_wall_ms);
@@ -61,8 +61,7 @@
     fn stop_cancelled_tasks(&mut self, ix: MachineIx, id: JobId, deadline: Millis) {
         let bindings = &mut self.cluster.machines[ix.index()].bindings;
         for binding in bindings.iter_mut().filter(|binding| binding.task.job == id) {
-            let task = binding.task.task;
-            self.event_log.record(id, JobEventKind::StoppedForCancel, Some(ix), task, 1);
+            self.event_log.record_task_event(binding.task, JobEventKind::StoppedForCancel, ix);
             binding.job = None;
             binding.stop_grace_ms = Some(0);
             binding.stop_sent_at = None;
--- a/src/coordination/leader/event_log.rs
+++ b/src/coordination/leader/event_log.rs
@@ -7,7 +7,7 @@
 
 use super::placement::policy::Rank;
 use super::{Binding, Leader};
-use crate::ids::{JobId, JobIx, MachineIx};
+use crate::ids::{JobId, JobIx, MachineIx, TaskId};
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::workers::ExitCause;
 
@@ -132,7 +132,7 @@
     /// Records that this leader has got to know a job.
     pub fn record_new_job(&mut self, id: JobId) {
         let event = if self.recovering { JobEventKind::Recovered } else { JobEventKind::Accepted };
-        self.record(id, event, None, 0, 0);
+        self.record_job_event(id, event);
     }
 
     /// The events of a job; none if it has no history.
@@ -140,6 +140,16 @@
         self.histories.get(&id)
     }
 
+    /// Records an event that concerns a job as a whole.
+    pub(super) fn record_job_event(&mut self, id: JobId, event: JobEventKind) {
+        self.record(id, event, None, 0, 0);
+    }
+
+    /// Records an event of one task on a machine.
+    pub(super) fn record_task_event(&mut self, task: TaskId, event: JobEventKind, machine: MachineIx) {
+        self.record(task.job, event, Some(machine), task.task, 1);
+    }
+
     /// Records an event, or merges it with the one before it. `task_count`: 0 if it concerns the job as a whole.
     pub fn record(
         &mut self,
@@ -206,7 +216,7 @@
             ExitCause::PeersLost | ExitCause::GangIncomplete => JobEventKind::GangLeft,
             ExitCause::Stopped { .. } => JobEventKind::Stopped,
         };
-        self.event_log.record(binding.task.job, event, Some(ix), binding.task.task, 1);
+        self.event_log.record_task_event(binding.task, event, ix);
     }
 }
 
--- a/src/coordination/leader/machines/capacity_plan/array_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/array_demand.rs
@@ -1,7 +1,7 @@
 //! Capacity for job arrays: CPU time until the job should complete, on any machines that fit a task.
 
 use super::CapacityPlan;
-use super::MILLI_PER_CPU;
+use super::planned_machines::cpu_ms;
 use crate::coordination::leader::machines::provisioner::MIN_BILLED_MS;
 use crate::coordination::leader::{JobState, MachineType};
 
@@ -34,7 +34,7 @@
             job_state,
             run_ms,
             horizon_ms: start_within_ms.max(MIN_HORIZON_MS.max(run_ms / 2)),
-            unplaced_cpu_ms: waiting_tasks * cpu * run_ms / MILLI_PER_CPU,
+            unplaced_cpu_ms: cpu_ms(waiting_tasks * cpu, run_ms),
         }
     }
 
@@ -54,7 +54,7 @@
     fn usable_cpu_ms(&self, machine_type: &MachineType) -> u64 {
         let billed_ms = self.horizon_ms.max(MIN_BILLED_MS);
         let usable_ms = billed_ms.saturating_sub(machine_type.boot_ms).max(self.run_ms);
-        (machine_type.capacity.cpu * usable_ms / MILLI_PER_CPU).max(1)
+        cpu_ms(machine_type.capacity.cpu, usable_ms).max(1)
     }
 }
 
--- a/src/coordination/leader/machines/capacity_plan/gang_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/gang_demand.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::CapacityPlan;
-use super::MILLI_PER_CPU;
+use super::planned_machines::cpu_ms;
 use super::zone_demand::ZoneDemand;
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{JobIx, MachineIx, ZoneIx};
@@ -43,8 +43,7 @@
                 self.gang_machines.insert(planned.ix);
                 self.needed_machines.insert(planned.ix);
                 planned.reserved_cpu_ms +=
-                    job_state.spec.task_resources.cpu * assigned * job_state.expected_run_ms()
-                        / MILLI_PER_CPU;
+                    cpu_ms(job_state.spec.task_resources.cpu * assigned, job_state.expected_run_ms());
             }
         }
     }
--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -21,9 +21,6 @@
 use crate::protocol::cloud::MAX_SCALE_OUT_COUNT;
 use planned_machines::PlannedMachine;
 
-/// CPUs are counted in thousandths: times milliseconds and divided by this, they are CPU milliseconds.
-const MILLI_PER_CPU: u64 = 1_000;
-
 /// A plan in progress.
 struct CapacityPlan<'a> {
     leader: &'a Leader,
--- a/src/coordination/leader/machines/capacity_plan/planned_machines.rs
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -1,6 +1,5 @@
 //! The machines a capacity plan may use, and the CPU time on them that is already reserved.
 
-use super::MILLI_PER_CPU;
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, Leader, Machine, MachineState};
 use crate::ids::MachineIx;
@@ -10,6 +9,14 @@
 /// A running task counts as running at least this much longer.
 const MIN_REMAINING_RUN_MS: u64 = 1_000;
 
+/// CPUs are counted in thousandths.
+const MILLI_PER_CPU: u64 = 1_000;
+
+/// CPU milliseconds of `cpu` thousandths of a CPU in use for `ms` milliseconds.
+pub(super) fn cpu_ms(cpu: u64, ms: u64) -> u64 {
+    cpu * ms / MILLI_PER_CPU
+}
+
 /// A machine of the plan.
 pub(super) struct PlannedMachine {
     pub(super) ix: MachineIx,
@@ -25,7 +32,7 @@
     /// CPU milliseconds that are free until the horizon, counted from now.
     pub(super) fn free_cpu_ms(&self, horizon_ms: u64) -> u64 {
         let usable_ms = horizon_ms.saturating_sub(self.available_in_ms);
-        (self.cpu * usable_ms / MILLI_PER_CPU).saturating_sub(self.reserved_cpu_ms)
+        cpu_ms(self.cpu, usable_ms).saturating_sub(self.reserved_cpu_ms)
     }
 }
 
@@ -65,6 +72,6 @@
         let Some(job_state) = binding.job.and_then(|job| self.workload.jobs.get(&job)) else { return 0 };
         let ran_ms = binding.running_since.map_or(0, |since| clock.now.saturating_since(since));
         let remaining_ms = job_state.expected_run_ms().saturating_sub(ran_ms).max(MIN_REMAINING_RUN_MS);
-        binding.need.cpu * remaining_ms / MILLI_PER_CPU
+        cpu_ms(binding.need.cpu, remaining_ms)
     }
 }
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -10,6 +10,7 @@
 
 use std::collections::HashSet;
 
+use super::probation::Probation;
 use crate::coordination::Clock;
 use crate::coordination::leader::placement::dispatch::PlacementBlocker;
 use crate::coordination::leader::{Binding, JobState, Leader};
@@ -28,15 +29,6 @@
 /// Repeated failures double the delay at most this often.
 const MAX_BACKOFF_DOUBLINGS: usize = 5;
 
-/// A job at fault, of which one task at a time is attempted.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Probation {
-    /// When the next task is attempted.
-    pub next_attempt_at: Millis,
-    /// Whether that task is in a queue already.
-    pub queued: bool,
-}
-
 impl JobState {
     /// The number of machines on which the job failed, counting those twice on which it failed again after an exclusion.
     fn failure_count(&self) -> usize {
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -193,8 +193,7 @@
         while let Some(index) = self.cluster.machines[ix.index()].bindings.iter().position(is_lost_with_epoch)
         {
             let binding = self.remove_binding(ix, index, clock);
-            let task = binding.task;
-            self.event_log.record(task.job, JobEventKind::MachineLost, Some(ix), task.task, 1);
+            self.event_log.record_task_event(binding.task, JobEventKind::MachineLost, ix);
             self.requeue(&binding, 0, clock);
         }
         self.forget_images(ix);
--- a/src/coordination/leader/machines/mod.rs
+++ b/src/coordination/leader/machines/mod.rs
@@ -2,11 +2,12 @@
 
 mod capacity_plan;
 pub mod commands;
-pub mod faults;
+mod faults;
 pub mod heartbeats;
 mod liveness;
 mod machine_set;
 pub mod placement_index;
+pub mod probation;
 pub mod provisioner;
 mod reconcile;
 mod task_status;
--- a/src/coordination/leader/machines/provisioner/offers.rs
+++ b/src/coordination/leader/machines/provisioner/offers.rs
@@ -1,5 +1,6 @@
 //! What the cloud offers, what it costs, and which offer suits a job best.
 
+use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::{JobState, Leader, MachineType};
 use crate::ids::{MachineIx, MachineTypeIx, ZoneIx};
@@ -22,6 +23,18 @@
     pub spot: bool,
 }
 
+impl InstanceOffer {
+    /// The name of the machine type.
+    pub(super) fn machine_type_name(self, cache: &StoreCache) -> &str {
+        cache.names.machine_types.name_or_unknown(self.machine_type.index())
+    }
+
+    /// The name of the zone.
+    pub(super) fn zone_name(self, cache: &StoreCache) -> &str {
+        cache.names.zones.name_or_unknown(self.zone.index())
+    }
+}
+
 impl MachineType {
     /// The price of an on-demand or a spot instance; none if the type has no spot instances.
     fn offered_price(&self, spot: bool) -> Option<f64> {
--- a/src/coordination/leader/machines/provisioner/requests.rs
+++ b/src/coordination/leader/machines/provisioner/requests.rs
@@ -80,8 +80,8 @@
         // With the fencing token in it, no other leader ever uses the name.
         let name = format!("r-{}-{}", provisioner.token.0, provisioner.request_counter);
         let record = ProvisioningRecord {
-            machine_type: cache.names.machine_types.name_or_unknown(offer.machine_type.index()).into(),
-            zone: cache.names.zones.name_or_unknown(offer.zone.index()).into(),
+            machine_type: offer.machine_type_name(cache).into(),
+            zone: offer.zone_name(cache).into(),
             spot: offer.spot,
             count,
         };
@@ -116,11 +116,10 @@
             request.attempts += 1;
             request.sent_at = clock.now;
             let offer = request.offer;
-            let machine_type = cache.names.machine_types.name_or_unknown(offer.machine_type.index());
             let scale_out = CloudRequest::ScaleOut {
                 request_id: name,
-                machine_type: machine_type.into(),
-                zone: cache.names.zones.name_or_unknown(offer.zone.index()).into(),
+                machine_type: offer.machine_type_name(cache).into(),
+                zone: offer.zone_name(cache).into(),
                 spot: offer.spot,
                 count: request.count,
             };
--- a/src/coordination/leader/machines/task_status.rs
+++ b/src/coordination/leader/machines/task_status.rs
@@ -77,8 +77,7 @@
         let binding = &mut self.cluster.machines[ix.index()].bindings[index];
         binding.running_since = Some(clock.now);
         let job = binding.job;
-        let task = status.task;
-        self.event_log.record(task.job, JobEventKind::Running, Some(ix), task.task, 1);
+        self.event_log.record_task_event(status.task, JobEventKind::Running, ix);
         if let Some(job_state) = job.and_then(|job| self.workload.jobs.get_mut(&job)) {
             job_state.first_run.record(clock.wall_ms);
         }
--- a/src/coordination/leader/workload.rs
+++ b/src/coordination/leader/workload.rs
@@ -5,7 +5,7 @@
 
 use super::dag_runs::DagNodeState;
 use super::event_log::FirstRun;
-use super::machines::faults::Probation;
+use super::machines::probation::Probation;
 use super::placement::policy::Rank;
 use crate::bookkeeping::bit_set::BitSet;
 use crate::bookkeeping::jobs::{Job, JobSpec};
