--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -1,7 +1,8 @@
-//! Cancelled jobs: nothing of them starts any more, and everything that runs is stopped before the cancellation deadline.
+//! Cancelled jobs: nothing of them starts any more, and everything that runs is stopped before the
+//! cancellation deadline.
 //!
-//! A worker that cannot be commanded is not kept alive either: from [`Leader::cancel_deadline`] on its heartbeats are
-//! rejected, so that the expiry of its lease stops the task in time.
+//! A worker that cannot be commanded is not kept alive either: from `Leader::cancel_deadline` on its
+//! heartbeats are rejected, so that the expiry of its lease stops the task in time.
 
 use super::Leader;
 use crate::coordination::Clock;
@@ -10,8 +11,8 @@
 use crate::protocol::operators::JobEventKind;
 
 impl Leader {
-    /// When the leader must stop renewing the lease of a worker that still runs tasks of the job, so that the lease expires
-    /// before the cancellation deadline.
+    /// When the leader must stop renewing the lease of a worker that still runs tasks of the job, so that the
+    /// lease expires before the cancellation deadline.
     pub(super) fn cancel_deadline(&self, cancelled_wall_ms: u64, clock: Clock) -> Millis {
         let workers = &self.settings.worker_timings;
         let slack_ms = self.settings.time_bound_ms * 2 + 4 * SAFETY_MARGIN_MS;
--- a/src/coordination/leader/event_log.rs
+++ b/src/coordination/leader/event_log.rs
@@ -1,7 +1,8 @@
 //! The latest events of each job, for operators.
 //!
-//! Bounded: a number of events per job from the tunables, and [`MAX_JOBS`] jobs. It is no record: it begins anew with each
-//! term, and a history says when earlier events are unknown. With a limit of no events it costs nothing.
+//! Bounded: a number of events per job from the tunables, and `MAX_JOBS` jobs. It is no record: it begins
+//! anew with each term, and a history says when earlier events are unknown. With a limit of no events it
+//! costs nothing.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -150,7 +151,8 @@
         self.record(task.job, event, Some(machine), task.task, 1);
     }
 
-    /// Records an event, or merges it with the one before it. `task_count`: 0 if it concerns the job as a whole.
+    /// Records an event, or merges it with the one before it. `task_count`: 0 if it concerns the job as a
+    /// whole.
     pub fn record(
         &mut self,
         id: JobId,
--- a/src/coordination/leader/machines/capacity_plan/array_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/array_demand.rs
@@ -42,15 +42,16 @@
         self.unplaced_cpu_ms == 0
     }
 
-    /// Places as much as possible on what is available, and returns how much that is. Both in CPU milliseconds.
+    /// Places as much as possible on what is available, and returns how much that is. Both in CPU
+    /// milliseconds.
     fn assign(&mut self, available_cpu_ms: u64) -> u64 {
         let assigned = self.unplaced_cpu_ms.min(available_cpu_ms);
         self.unplaced_cpu_ms -= assigned;
         assigned
     }
 
-    /// CPU milliseconds of a new machine that are of use. It comes late and is billed for a minimum time: unless there is
-    /// work for that long, present machines are the better choice.
+    /// CPU milliseconds of a new machine that are of use. It comes late and is billed for a minimum time:
+    /// unless there is work for that long, present machines are the better choice.
     fn usable_cpu_ms(&self, machine_type: &MachineType) -> u64 {
         let billed_ms = self.horizon_ms.max(MIN_BILLED_MS);
         let usable_ms = billed_ms.saturating_sub(machine_type.boot_ms).max(self.run_ms);
--- a/src/coordination/leader/machines/capacity_plan/deadlines.rs
+++ b/src/coordination/leader/machines/capacity_plan/deadlines.rs
@@ -4,7 +4,8 @@
 use crate::coordination::leader::{JobState, Leader};
 
 impl Leader {
-    /// Milliseconds from now within which a job should complete, by its deadline or the objectives of its class.
+    /// Milliseconds from now within which a job should complete, by its deadline or the objectives of its
+    /// class.
     pub(in crate::coordination::leader) fn time_left_ms(&self, job_state: &JobState, clock: Clock) -> u64 {
         let spec = &job_state.spec;
         let fallback_ms = (self.tunables.queue_drain_target_s * 1000.0) as u64 + job_state.expected_run_ms();
--- a/src/coordination/leader/machines/capacity_plan/gang_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/gang_demand.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The zone for a job that must be in a single one: the one with most capacity for it among those that have or can get
-    /// enough.
+    /// The zone for a job that must be in a single one: the one with most capacity for it among those that
+    /// have or can get enough.
     fn choose_zone(&self, ix: JobIx, job_state: &JobState) -> Option<ZoneIx> {
         let mut slots_by_zone: BTreeMap<ZoneIx, u64> = BTreeMap::new();
         for planned in &self.planned_machines {
--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -1,8 +1,9 @@
 //! The capacity plan: which machines the jobs need to complete in time, and how many have to be requested.
 //!
-//! Jobs are assigned to machines in the order of their objectives, the cheapest machines first. What does not fit is requested
-//! from the cloud. Machines to which nothing was assigned are cordoned: they take no queued tasks, so that they become empty
-//! and can be returned. A plan is computed from scratch each time and changes nothing until it is complete.
+//! Jobs are assigned to machines in the order of their objectives, the cheapest machines first. What does not
+//! fit is requested from the cloud. Machines to which nothing was assigned are cordoned: they take no queued
+//! tasks, so that they become empty and can be returned. A plan is computed from scratch each time and
+//! changes nothing until it is complete.
 
 mod array_demand;
 mod deadlines;
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -1,7 +1,8 @@
 //! Commands to workers: in the response to a heartbeat, or in a direct message.
 //!
-//! Decides which commands are due, which workers are sent a direct message, and what follows from its outcome. A run command is
-//! sent only when the binding is recorded, and at most one direct message to a machine is in flight.
+//! Decides which commands are due, which workers are sent a direct message, and what follows from its
+//! outcome. A run command is sent only when the binding is recorded, and at most one direct message to a
+//! machine is in flight.
 
 use olivelatch_admission::pressure::PressureLevel;
 
@@ -12,7 +13,8 @@
 
 /// A stop command is sent again after this while the worker still shows the task.
 const STOP_RESEND_MS: u64 = 1_500;
-/// After a direct message failed, none is sent to the machine for this long: its next heartbeat is answered instead.
+/// After a direct message failed, none is sent to the machine for this long: its next heartbeat is answered
+/// instead.
 const DIRECT_BACKOFF_MS: u64 = 3_000;
 /// Machines to which the leader is announced in one step.
 const MAX_ANNOUNCEMENTS: u64 = 16;
@@ -48,14 +50,15 @@
 /// What a direct message to a machine would be for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DirectPurpose {
-    /// To make the fencing token known to a worker that has not acknowledged it, or whose receive path is down.
+    /// To make the fencing token known to a worker that has not acknowledged it, or whose receive path is
+    /// down.
     Announcement,
     Commands,
 }
 
 impl Leader {
-    /// Takes the commands that are due for a machine. `sequence`: that of the heartbeat to which they respond, none for a
-    /// direct message. `may_start`: this controller may have tasks started now.
+    /// Takes the commands that are due for a machine. `sequence`: that of the heartbeat to which they
+    /// respond, none for a direct message. `may_start`: this controller may have tasks started now.
     pub(super) fn take_due_commands(
         &mut self,
         ix: MachineIx,
@@ -95,7 +98,8 @@
         for ix in std::mem::take(&mut self.cluster.pending_announcements) {
             let Some(purpose) = self.direct_purpose(ix, clock.now) else { continue };
             if purpose == DirectPurpose::Announcement {
-                // All at once they would delay renewals and heartbeats; a machine that sends a heartbeat first needs none.
+                // All at once they would delay renewals and heartbeats; a machine that sends a heartbeat
+                // first needs none.
                 if announcements >= max_announcements {
                     self.cluster.pending_announcements.insert(ix);
                     continue;
@@ -115,8 +119,8 @@
         messages
     }
 
-    /// Whether a direct message should be sent to the machine now, and what for. A machine whose receive path is down
-    /// stays pending, so that the leader learns when it receives again.
+    /// Whether a direct message should be sent to the machine now, and what for. A machine whose receive path
+    /// is down stays pending, so that the leader learns when it receives again.
     fn direct_purpose(&mut self, ix: MachineIx, now: Millis) -> Option<DirectPurpose> {
         let machine = &self.cluster.machines[ix.index()];
         if machine.state != MachineState::Up {
@@ -133,7 +137,8 @@
             let reachable = machine.epoch.0 != 0 || !machine.endpoint.is_empty();
             return reachable.then_some(DirectPurpose::Announcement);
         }
-        // Under pressure only stops are sent directly: starts go with the next heartbeat response, which costs no connection.
+        // Under pressure only stops are sent directly: starts go with the next heartbeat response, which
+        // costs no connection.
         let has_stops = machine.bindings.iter().any(|binding| binding.stop_grace_ms.is_some());
         let postponed = self.pressure > PressureLevel::Calm && !has_stops;
         (!postponed).then_some(DirectPurpose::Commands)
@@ -209,8 +214,8 @@
     for binding in machine.bindings.iter_mut().filter(is_started) {
         binding.dispatch = match outcome {
             DirectOutcome::Executed => DispatchState::Observed,
-            // After an unknown outcome, the next heartbeat response repeats the command and settles it. Until then the
-            // task stays bound to this machine and epoch.
+            // After an unknown outcome, the next heartbeat response repeats the command and settles it. Until
+            // then the task stays bound to this machine and epoch.
             DirectOutcome::Refused | DirectOutcome::Unknown => DispatchState::Recorded,
         };
         binding.late_start_possible |= outcome == DirectOutcome::Unknown;
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -1,10 +1,10 @@
 //! Failed tasks: is the machine or the job at fault?
 //!
-//! A machine is quarantined when tasks of different jobs fail on it with no success in between. A job is at fault when it has
-//! failed on several machines and has never succeeded. It is then **on probation**: one task at a time is attempted, after
-//! growing delays, and nothing else of it is queued, planned for or counted in priorities until a task succeeds. Without
-//! probation one faulty array started its tasks 2,563 times, and the whole cluster was provisioned for them
-//! (docs/incidents/broken-jobs.md).
+//! A machine is quarantined when tasks of different jobs fail on it with no success in between. A job is at
+//! fault when it has failed on several machines and has never succeeded. It is then **on probation**: one
+//! task at a time is attempted, after growing delays, and nothing else of it is queued, planned for or
+//! counted in priorities until a task succeeds. Without probation one faulty array started its tasks 2,563
+//! times, and the whole cluster was provisioned for them (docs/incidents/broken-jobs.md).
 //!
 //! All of this is evidence, not record: a new leader begins without it.
 
@@ -30,7 +30,8 @@
 const MAX_BACKOFF_DOUBLINGS: usize = 5;
 
 impl JobState {
-    /// The number of machines on which the job failed, counting those twice on which it failed again after an exclusion.
+    /// The number of machines on which the job failed, counting those twice on which it failed again after an
+    /// exclusion.
     fn failure_count(&self) -> usize {
         self.failed_on.len() + self.retried_exclusions
     }
@@ -58,8 +59,8 @@
         self.probation.take().is_some()
     }
 
-    /// Whether it has failed on at least as many machines as run its tasks: a few bad machines among many are no reason
-    /// for probation.
+    /// Whether it has failed on at least as many machines as run its tasks: a few bad machines among many are
+    /// no reason for probation.
     fn failures_outnumber_running_machines(&self) -> bool {
         let running: HashSet<MachineIx> = self.placements.values().flatten().map(|(ix, _)| *ix).collect();
         self.failure_count() >= JOB_FAULT_MACHINES.max(running.len())
@@ -73,8 +74,8 @@
 }
 
 impl Leader {
-    /// Lifts the exclusions of jobs that have failed on every machine they may use, after growing delays: with few machines,
-    /// one failure on each would otherwise keep such a job waiting for good.
+    /// Lifts the exclusions of jobs that have failed on every machine they may use, after growing delays:
+    /// with few machines, one failure on each would otherwise keep such a job waiting for good.
     pub(in crate::coordination::leader) fn retry_after_exclusion(&mut self, clock: Clock) {
         let is_due = |job_state: &JobState| {
             !job_state.failed_on.is_empty() && clock.now >= job_state.retry_exclusion_not_before
@@ -152,7 +153,8 @@
     /// Whether enough different jobs have failed on the machine since a task last succeeded there.
     fn should_quarantine(&self, ix: MachineIx) -> bool {
         let failed_jobs = &self.cluster.machines[ix.index()].failed_jobs;
-        // A job that is not in the workload any more has succeeded: cancelled ones are removed from `failed_jobs`.
+        // A job that is not in the workload any more has succeeded: cancelled ones are removed from
+        // `failed_jobs`.
         let is_unproven = |id: &JobId| {
             let mut jobs = self.workload.jobs.values();
             jobs.any(|job_state| job_state.spec.id == *id && !job_state.has_succeeded())
@@ -165,7 +167,8 @@
         failed_jobs.len() >= threshold
     }
 
-    /// Puts a job at fault on probation, or delays its next attempt if it is already: nothing of it stays in any queue.
+    /// Puts a job at fault on probation, or delays its next attempt if it is already: nothing of it stays in
+    /// any queue.
     fn start_probation(&mut self, ix: JobIx, clock: Clock) {
         let Some(job_state) = self.workload.jobs.get_mut(&ix) else { return };
         // Gangs are attempted one at a time anyway, and DAGs have their own retry limits.
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -1,10 +1,10 @@
 //! Heartbeats from workers: what the leader learns from each one, and whether and how it answers.
 //!
-//! An answered heartbeat renews the worker's lease, so a heartbeat that must not keep the worker alive is rejected.
-//! Nothing is sent to a worker before it has acknowledged the leader's fencing token, and everything learned in an
-//! earlier agent epoch is void once a later one is seen. The state lives in [`Machine`](crate::coordination::leader::Machine);
-//! this module does no I/O and reads no clock. Task statuses are handled in `task_status`, differences between a
-//! heartbeat and the leader's bindings in `reconcile`.
+//! An answered heartbeat renews the worker's lease, so a heartbeat that must not keep the worker alive is
+//! rejected. No command is sent to a worker before it has acknowledged the leader's fencing token, and
+//! everything learned in an earlier agent epoch is void once a later one is seen. The state lives in
+//! `Machine`; this module does no I/O and reads no clock. Task statuses are handled in `task_status`,
+//! differences between a heartbeat and the leader's bindings in `reconcile`.
 
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
@@ -37,8 +37,9 @@
             return HeartbeatReply::Reject;
         }
         self.cluster.machines[ix.index()].last_heartbeat_id = (heartbeat.epoch, heartbeat.sequence);
-        // A command response that overtook this heartbeat may have shown a later state. The heartbeat may still be the
-        // worker's latest, so its response renews the lease like any other, but it carries nothing new.
+        // A command response that overtook this heartbeat may have shown a later state. The heartbeat may
+        // still be the worker's latest, so its response renews the lease like any other, but it carries
+        // nothing new.
         let is_newer = self.is_newer_heartbeat(ix, heartbeat);
         let acknowledged = heartbeat.token == self.term.token();
         self.mark_machine_up(ix, clock);
@@ -67,8 +68,9 @@
         HeartbeatReply::Commands(commands)
     }
 
-    /// Takes in the worker's status from its response to a direct message. Commands that are still on their way to the
-    /// worker in a heartbeat response cannot show in it, so nothing is concluded from tasks that are missing.
+    /// Takes in the worker's status from its response to a direct message. Commands that are still on their
+    /// way to the worker in a heartbeat response cannot show in it, so nothing is concluded from tasks that
+    /// are missing.
     pub(in crate::coordination) fn observe_command_response(
         &mut self,
         ix: MachineIx,
@@ -80,8 +82,8 @@
         }
         self.apply_heartbeat(ix, clock, heartbeat);
         let machine = &mut self.cluster.machines[ix.index()];
-        // After a failover the worker's heartbeats may go to a partitioned controller for another 16 s. The token in
-        // this response acknowledges the leader just as well.
+        // After a failover the worker's heartbeats may go to a partitioned controller for another 16 s. The
+        // token in this response acknowledges the leader just as well.
         if heartbeat.token == self.term.token() && !machine.token_acknowledged {
             machine.token_acknowledged = true;
             machine.token_first_acknowledged = Some(clock.now);
@@ -115,7 +117,8 @@
         (heartbeat.epoch, heartbeat.sequence) <= self.cluster.machines[ix.index()].last_heartbeat_id
     }
 
-    /// Whether the heartbeat is later than everything seen of the worker, responses to direct messages included.
+    /// Whether the heartbeat is later than everything seen of the worker, responses to direct messages
+    /// included.
     fn is_newer_heartbeat(&self, ix: MachineIx, heartbeat: &Heartbeat) -> bool {
         let machine = &self.cluster.machines[ix.index()];
         (heartbeat.epoch, heartbeat.sequence) > (machine.epoch, machine.sequence)
@@ -127,7 +130,8 @@
         machine.unacknowledged_since = None;
     }
 
-    /// Whether the machine still has a task of a cancelled job that only the expiry of its lease stops in time.
+    /// Whether the machine still has a task of a cancelled job that only the expiry of its lease stops in
+    /// time.
     fn is_lease_renewal_cut_off(&self, ix: MachineIx, clock: Clock) -> bool {
         let is_overdue =
             |binding: &Binding| binding.lease_renewal_cutoff.is_some_and(|cutoff| cutoff <= clock.now);
@@ -200,9 +204,9 @@
     }
 }
 
-/// Whether a binding of an earlier epoch is certainly void in the current one. An inherited binding is not: if the earlier
-/// epoch was seen in a delayed heartbeat, the task may have been started in the current epoch. The first heartbeat with
-/// our token settles it.
+/// Whether a binding of an earlier epoch is certainly void in the current one. An inherited binding is not:
+/// if the earlier epoch was seen in a delayed heartbeat, the task may have been started in the current epoch.
+/// The first heartbeat with our token settles it.
 fn is_lost_with_epoch(binding: &Binding) -> bool {
     let unsent_or_inherited = matches!(
         binding.dispatch,
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -1,8 +1,8 @@
-//! Machines whose heartbeats stop, or that our commands do not reach: when they are certainly empty, and what is done until
-//! then.
+//! Machines whose heartbeats stop, or that our commands do not reach: when they are certainly empty, and what
+//! is done until then.
 //!
-//! A machine is lost only when its worker's lease has certainly expired, whichever leader renewed it last. Until then
-//! its tasks stay bound to it.
+//! A machine is lost only when its worker's lease has certainly expired, whichever leader renewed it last.
+//! Until then its tasks stay bound to it.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, DispatchState, Leader, Machine, MachineState};
@@ -18,7 +18,8 @@
 const SILENT_MARGIN_MS: u64 = 2_000;
 /// Margin, in addition to two and a quarter heartbeat intervals, before a worker counts as overdue.
 const OVERDUE_MARGIN_MS: u64 = 500;
-/// So many silent machines, or a third of those up, may have been reclaimed by the cloud; more hint at a partition.
+/// So many silent machines, or a third of those up, may have been reclaimed by the cloud; more hint at a
+/// partition.
 const MAX_RECLAIMED_AT_ONCE: usize = 2;
 
 impl Leader {
@@ -34,9 +35,9 @@
             .fold((0, 0), |(workers, overdue), is_overdue| (workers + 1, overdue + usize::from(is_overdue)))
     }
 
-    /// Returns spot machines that are silent while most others are not. The cloud reclaims spot machines without notice, and
-    /// its response to the release makes certain at once that nothing runs there, long before the worker's lease, or after
-    /// a failover the recovery period, has expired.
+    /// Returns spot machines that are silent while most others are not. The cloud reclaims spot machines
+    /// without notice, and its response to the release makes certain at once that nothing runs there, long
+    /// before the worker's lease, or after a failover the recovery period, has expired.
     pub(in crate::coordination) fn return_silent_spot_machines(&mut self, clock: Clock) {
         for ix in self.silent_machines(clock.now) {
             let machine = &self.cluster.machines[ix.index()];
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Machines that are up and have missed several heartbeats; none if so many have that a partition or this controller is
-    /// the likely cause.
+    /// Machines that are up and have missed several heartbeats; none if so many have that a partition or this
+    /// controller is the likely cause.
     fn silent_machines(&self, now: Millis) -> Vec<MachineIx> {
         let heartbeat_ms = self.settings.worker_timings.heartbeat_interval_ms;
         let timeout_ms = SILENT_HEARTBEATS * heartbeat_ms + SILENT_MARGIN_MS;
@@ -73,9 +74,9 @@
         silent
     }
 
-    /// When a machine that stays silent is certainly empty: a lease duration after the latest time at which a lease may have
-    /// begun. An answered heartbeat begins one, and so does a new agent epoch, in which direct commands start tasks although
-    /// they renew no lease.
+    /// When a machine that stays silent is certainly empty: a lease duration after the latest time at which a
+    /// lease may have begun. An answered heartbeat begins one, and so does a new agent epoch, in which direct
+    /// commands start tasks although they renew no lease.
     fn lease_expires_at(&self, machine: &Machine) -> Millis {
         let lease_ms = self.settings.worker_timings.lease_duration_ms;
         let expiry = |began: Millis| began.saturating_add(lease_ms + clock_slack_ms(lease_ms));
@@ -83,9 +84,9 @@
         match last_renewal.max(machine.epoch_first_seen) {
             // No other leader's response to a heartbeat sent after the acknowledgement renews the lease.
             Some(began) if machine.token_acknowledged => expiry(began),
-            // An earlier leader, or our own first responses, may have renewed the lease. We have sent no task there, and an
-            // earlier leader's commands were for the epoch it knew: the epochs of a machine that receives nothing do
-            // not count.
+            // An earlier leader, or our own first responses, may have renewed the lease. We have sent no task
+            // there, and an earlier leader's commands were for the epoch it knew: the epochs of a machine
+            // that receives nothing do not count.
             _ => last_renewal.map_or(self.term.recovery_until(), |renewed_at| {
                 expiry(renewed_at).max(self.term.recovery_until())
             }),
@@ -94,9 +95,9 @@
 
     /// Takes in a new heartbeat without our token, and returns whether it must not be answered any more.
     ///
-    /// When such a heartbeat was sent, the worker had received none of our responses, so none of them renews its lease.
-    /// Leases of other origin have expired after a lease duration: from then on only our own responses could make us wait
-    /// for its tasks.
+    /// When such a heartbeat was sent, the worker had received none of our responses, so none of them renews
+    /// its lease. Leases of other origin have expired after a lease duration: from then on only our own
+    /// responses could make us wait for its tasks.
     pub(super) fn check_unacknowledged_timeout(&mut self, ix: MachineIx, clock: Clock) -> bool {
         let lease_ms = self.settings.worker_timings.lease_duration_ms;
         let machine = &mut self.cluster.machines[ix.index()];
@@ -109,8 +110,8 @@
         timed_out && !machine.bindings.is_empty()
     }
 
-    /// Counts a response with commands that the heartbeat with this sequence proves lost, and returns whether the receive
-    /// path of the machine is down.
+    /// Counts a response with commands that the heartbeat with this sequence proves lost, and returns whether
+    /// the receive path of the machine is down.
     pub(super) fn detect_dropped_response(&mut self, ix: MachineIx, sequence: u64) -> bool {
         let is_lost = |binding: &Binding| matches!(binding.dispatch, DispatchState::SentInResponse { sequence: answered } if answered < sequence);
         if self.cluster.machines[ix.index()].bindings.iter().any(is_lost) {
--- a/src/coordination/leader/machines/machine_set.rs
+++ b/src/coordination/leader/machines/machine_set.rs
@@ -4,13 +4,15 @@
 use crate::ids::MachineIx;
 
 impl ClusterState {
-    /// The indices of all machines, ascending. The iterator borrows nothing, so that machines can be changed meanwhile.
+    /// The indices of all machines, ascending. The iterator borrows nothing, so that machines can be changed
+    /// meanwhile.
     pub(in crate::coordination::leader) fn machine_indices(&self) -> impl Iterator<Item = MachineIx> + use<> {
         (0..self.machines.len() as u32).map(MachineIx)
     }
 }
 
-/// A set of machines. A plan inserts and looks up one for every running task; hashing took a sixth of its time.
+/// A set of machines. A plan inserts and looks up one for every running task; hashing took a sixth of its
+/// time.
 #[derive(Debug, Default)]
 pub(super) struct MachineSet(Vec<bool>);
 
--- a/src/coordination/leader/machines/mod.rs
+++ b/src/coordination/leader/machines/mod.rs
@@ -1,4 +1,5 @@
-//! The machines of the cluster: what they report and are commanded, when they count as lost, which are scaled out and in.
+//! The machines of the cluster: what they report and are commanded, when they count as lost, which are scaled
+//! out and in.
 
 mod capacity_plan;
 pub mod commands;
--- a/src/coordination/leader/machines/placement_index.rs
+++ b/src/coordination/leader/machines/placement_index.rs
@@ -1,7 +1,8 @@
 //! Index of the machines that placement has to examine: those where something changed, not all.
 //!
-//! Owns the sets of schedulable machines, by type and zone, and the machines whose queues are to be filled, in backoff, or
-//! blocked by a quota. What makes a machine schedulable is decided elsewhere and passed to [`PlacementIndex::update`].
+//! Owns the sets of schedulable machines, by type and zone, and the machines whose queues are to be filled,
+//! in backoff, or blocked by a quota. What makes a machine schedulable is decided elsewhere and passed to
+//! [`PlacementIndex::update`].
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,6 +11,9 @@
 
 use crate::ids::{MachineIx, MachineTypeIx, Millis, ZoneIx};
 
+/// Freed capacity of a team lets about one task start: this many blocked machines are tried for it.
+const QUOTA_BLOCKED_WAKE_COUNT: usize = 8;
+
 /// The type and the zone of a machine.
 pub(in crate::coordination::leader) type TypeAndZone = (MachineTypeIx, ZoneIx);
 
@@ -22,8 +26,8 @@
     open_by_type_zone: BTreeMap<TypeAndZone, BTreeSet<MachineIx>>,
     /// The type of each machine that was ever open.
     machine_types: HashMap<MachineIx, MachineTypeIx>,
-    /// How often free capacity has grown, or is about to, on machines of a type: a task left or was ordered to stop, a
-    /// machine opened or a hold was released.
+    /// How often free capacity has grown, or is about to, on machines of a type: a task left or was ordered
+    /// to stop, a machine opened or a hold was released.
     capacity_growths: BTreeMap<MachineTypeIx, u64>,
     /// Machines that take queued tasks, in no order, so that one can be drawn by index.
     queue_eligible: Vec<MachineIx>,
@@ -43,9 +47,6 @@
     pub recheck_backlog: bool,
 }
 
-/// Freed capacity of a team lets about one task start: this many blocked machines are tried for it.
-const QUOTA_BLOCKED_WAKE_COUNT: usize = 8;
-
 impl PlacementIndex {
     /// Updates a machine. `open`: it may get tasks; `accepts_queued`: queued ones too.
     pub fn update(&mut self, ix: MachineIx, type_zone: TypeAndZone, open: bool, accepts_queued: bool) {
@@ -130,8 +131,8 @@
         &self.queue_eligible
     }
 
-    /// A random sample of the machines that take queued tasks: as many draws as the square root of their number, rounded up
-    /// (DAWS). Machines that are not drawn cost nothing.
+    /// A random sample of the machines that take queued tasks: as many draws as the square root of their
+    /// number, rounded up (DAWS). Machines that are not drawn cost nothing.
     pub fn sample_queue_eligible(&self, rng: &mut SmallRng) -> Vec<MachineIx> {
         let eligible = self.queue_eligible.len();
         if eligible == 0 {
--- a/src/coordination/leader/machines/probation.rs
+++ b/src/coordination/leader/machines/probation.rs
@@ -1,4 +1,4 @@
-//! The probation of a job that fails everywhere; [`faults`](super::faults) decides on it.
+//! The probation of a job that fails everywhere; `faults` decides on it.
 
 use crate::ids::Millis;
 
--- a/src/coordination/leader/machines/provisioner/cloud_replies.rs
+++ b/src/coordination/leader/machines/provisioner/cloud_replies.rs
@@ -136,7 +136,8 @@
                 provisioner.offer_backoff.record_refusal(offer, clock.now);
                 self.writer.queue_write(RecordKey::ProvisioningRequest(name.into()), None);
             }
-            // The same name again yields the same machines if the request was executed, and executes it if not.
+            // The same name again yields the same machines if the request was executed, and executes it if
+            // not.
             _ => {
                 request.stage = RequestStage::Ready;
                 let delay_ms = SCALE_OUT_RETRY_MS * u64::from(request.attempts.min(MAX_RETRY_DELAY_ATTEMPTS));
--- a/src/coordination/leader/machines/provisioner/mod.rs
+++ b/src/coordination/leader/machines/provisioner/mod.rs
@@ -1,7 +1,7 @@
 //! The provisioner: scale-out and scale-in requests to the cloud, its catalog and its list of machines.
 //!
-//! Owns the requests in flight, the rate budget for the cloud and the backoff of refused offers. It returns actions and does
-//! no I/O itself. What the cluster needs is decided by the capacity plan.
+//! Owns the requests in flight, the rate budget for the cloud and the backoff of refused offers. It returns
+//! actions and does no I/O itself. What the cluster needs is decided by the capacity plan.
 
 mod cloud_replies;
 mod offer_backoff;
--- a/src/coordination/leader/machines/provisioner/offer_backoff.rs
+++ b/src/coordination/leader/machines/provisioner/offer_backoff.rs
@@ -1,7 +1,7 @@
 //! Exponential backoff of offers that the cloud has refused.
 //!
-//! One offer is tried a second. With a constant backoff of as many seconds as there are cheap offers without capacity, these
-//! were tried in turn for ever, and more expensive offers that had capacity never.
+//! One offer is tried a second. With a constant backoff of as many seconds as there are cheap offers without
+//! capacity, these were tried in turn for ever, and more expensive offers that had capacity never.
 
 use std::collections::HashMap;
 
--- a/src/coordination/leader/machines/provisioner/offers.rs
+++ b/src/coordination/leader/machines/provisioner/offers.rs
@@ -63,7 +63,8 @@
         machine_type.per_cpu(machine_type.offered_price(machine.spot).unwrap_or(machine_type.price))
     }
 
-    /// The offer with the least cost per task of the job, in the zones that are allowed. Offers in backoff are left out.
+    /// The offer with the least cost per task of the job, in the zones that are allowed. Offers in backoff
+    /// are left out.
     pub(in crate::coordination::leader::machines) fn cheapest_offer(
         &self,
         job_state: &JobState,
--- a/src/coordination/leader/machines/provisioner/requests.rs
+++ b/src/coordination/leader/machines/provisioner/requests.rs
@@ -1,7 +1,7 @@
 //! Scale-out requests, from the record in the key-value store to the listing of their machines.
 //!
-//! A request is recorded before it is sent, under a name that identifies it to the cloud: after a failover the next leader
-//! sends it again and learns which machines it yielded.
+//! A request is recorded before it is sent, under a name that identifies it to the cloud: after a failover
+//! the next leader sends it again and learns which machines it yielded.
 
 use crate::bookkeeping::records::{ProvisioningRecord, RecordKey};
 use crate::bookkeeping::store_cache::StoreCache;
@@ -92,7 +92,8 @@
         provisioner.requests.insert(name, request);
     }
 
-    /// Sends the requests that are durable and due, in the order of their names, as far as the rate budget goes.
+    /// Sends the requests that are durable and due, in the order of their names, as far as the rate budget
+    /// goes.
     pub(super) fn send_provisioning_requests(
         &mut self,
         clock: Clock,
--- a/src/coordination/leader/machines/provisioner/scale_in.rs
+++ b/src/coordination/leader/machines/provisioner/scale_in.rs
@@ -10,7 +10,8 @@
 const SCALE_IN_RETRY_MS: u64 = 1_000;
 /// How long an empty machine may be unreachable.
 const MAX_UNREACHABLE_MS: u64 = 20_000;
-/// After a failover, idle workers may try every other controller first, each for four seconds, before they find the leader.
+/// After a failover, idle workers may try every other controller first, each for four seconds, before they
+/// find the leader.
 const IDLE_LEADER_DISCOVERY_MS: u64 = 30_000;
 /// A machine that takes this many times its usual boot time, and the margin, never comes up.
 const BOOT_TIMEOUT_FACTOR: u64 = 3;
@@ -41,7 +42,8 @@
 }
 
 impl Leader {
-    /// Returns machines without tasks that are not needed, never came up, became unreachable or do not work well.
+    /// Returns machines without tasks that are not needed, never came up, became unreachable or do not work
+    /// well.
     pub(super) fn scale_in(&mut self, clock: Clock) {
         let lowest_price = self
             .cluster
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Whether a machine without tasks has not been needed for long enough. The cheaper it is, the longer it may wait for
-    /// the next job.
+    /// Whether a machine without tasks has not been needed for long enough. The cheaper it is, the longer it
+    /// may wait for the next job.
     fn is_idle(&self, ix: MachineIx, lowest_price: f64, clock: Clock) -> bool {
         let machine = &self.cluster.machines[ix.index()];
         let idle_factor = (lowest_price / self.price_per_cpu(ix)).clamp(0.0, 1.0);
@@ -85,9 +87,9 @@
             && !self.provisioner.needed_machines.contains(ix)
     }
 
-    /// Whether a booting machine should have sent a heartbeat long ago. One that was up before this term may still be
-    /// looking for the leader: without that allowance a new leader returned 147 idle machines within a second, and
-    /// provisioned them anew.
+    /// Whether a booting machine should have sent a heartbeat long ago. One that was up before this term may
+    /// still be looking for the leader: without that allowance a new leader returned 147 idle machines within
+    /// a second, and provisioned them anew.
     pub(in crate::coordination::leader::machines) fn is_boot_overdue(
         &self,
         machine: &Machine,
--- a/src/coordination/leader/machines/reconcile.rs
+++ b/src/coordination/leader/machines/reconcile.rs
@@ -1,8 +1,8 @@
-//! Reconciles heartbeats with the leader's bindings: tasks that a heartbeat proves to be missing, results of tasks that are
-//! bound to no machine any more, and exited tasks that the worker may forget.
+//! Reconciles heartbeats with the leader's bindings: tasks that a heartbeat proves to be missing, results of
+//! tasks that are bound to no machine any more, and exited tasks that the worker may forget.
 //!
-//! A worker forgets an exited task only when everything that follows from the exit is durable: the next leader learns of
-//! it from the worker otherwise.
+//! A worker forgets an exited task only when everything that follows from the exit is durable: the next
+//! leader learns of it from the worker otherwise.
 
 use std::collections::HashSet;
 
@@ -55,7 +55,8 @@
         self.drop_unsent_bindings(ix, clock);
     }
 
-    /// Commands to forget exited tasks of the heartbeat, as far as everything that follows from the exits is durable.
+    /// Commands to forget exited tasks of the heartbeat, as far as everything that follows from the exits is
+    /// durable.
     pub(super) fn build_forget_commands(
         &self,
         ix: MachineIx,
@@ -75,8 +76,8 @@
             .collect()
     }
 
-    /// Whether the status is a failed attempt of a DAG node that is counted here and not in the records: if the worker
-    /// forgot it now, the next leader would not count it.
+    /// Whether the status is a failed attempt of a DAG node that is counted here and not in the records: if
+    /// the worker forgot it now, the next leader would not count it.
     fn has_unpersisted_failure(&self, status: &TaskStatus, cache: &StoreCache) -> bool {
         let Some(job_state) = cache.find(status.task.job).and_then(|job| self.workload.jobs.get(&job)) else {
             return false;
--- a/src/coordination/leader/machines/task_status.rs
+++ b/src/coordination/leader/machines/task_status.rs
@@ -1,7 +1,7 @@
 //! Task statuses in heartbeats: tasks that start, run, exit, or should not be there at all.
 //!
-//! Updates the bindings of the reporting machine, the measured fetch rates and run times, and decides when a task that
-//! exited without success is attempted again.
+//! Updates the bindings of the reporting machine, the measured fetch rates and run times, and decides when a
+//! task that exited without success is attempted again.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::machines::faults::ERROR_RETRY_DELAY_MS;
@@ -208,7 +208,8 @@
     }
 }
 
-/// Compares a run with the mean of its job's earlier ones, and marks the machine as slow if its runs take too long.
+/// Compares a run with the mean of its job's earlier ones, and marks the machine as slow if its runs take too
+/// long.
 fn update_run_time_ratio(machine: &mut Machine, job_state: &JobState, run_ms: u64) {
     if job_state.finished_runs >= MIN_COMPARED_RUNS {
         let mean_ms = (job_state.total_run_ms / u64::from(job_state.finished_runs)).max(1);
--- a/src/coordination/leader/operator_views.rs
+++ b/src/coordination/leader/operator_views.rs
@@ -12,7 +12,8 @@
 use crate::protocol::workers::TaskPhase;
 
 impl Leader {
-    /// Unfinished tasks of a job after the task `after`, at most `limit`, and the task after which the next page begins.
+    /// Unfinished tasks of a job after the task `after`, at most `limit`, and the task after which the next
+    /// page begins.
     pub(in crate::coordination) fn task_rows(
         &self,
         ix: JobIx,
