--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -1,8 +1,9 @@
 //! The capacity plan: which machines the jobs need to complete in time, and how many have to be requested.
 //!
-//! Jobs are assigned to machines in the order of their objectives, the cheapest machines first. What does not fit is requested
-//! from the cloud. Machines to which nothing was assigned are cordoned: they take no queued tasks, so that they become empty
-//! and can be returned. A plan is computed from scratch each time and changes nothing until it is complete.
+//! Jobs are assigned to machines in the order of their objectives, the cheapest machines first. What does not
+//! fit is requested from the cloud. Machines to which nothing was assigned are cordoned: they take no queued
+//! tasks, so that they become empty and can be returned. A plan is computed from scratch each time and
+//! changes nothing until it is complete.
 
 mod array_demand;
 mod deadlines;
@@ -17,13 +18,10 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::{JobState, Leader, MachineType};
-use crate::ids::{JobIx, MachineIx, ZoneIx};
+use crate::ids::{JobIx, ZoneIx};
 use crate::protocol::cloud::MAX_SCALE_OUT_COUNT;
 use planned_machines::PlannedMachine;
 
-/// CPUs are counted in thousandths: times milliseconds and divided by this, they are CPU milliseconds.
-const MILLI_PER_CPU: u64 = 1_000;
-
 /// A plan in progress.
 struct CapacityPlan<'a> {
     leader: &'a Leader,
@@ -74,13 +72,12 @@
     }
 
     fn update_cordons(&mut self, needed: &MachineSet) {
-        for index in 0..self.cluster.machines.len() {
-            let ix = MachineIx(index as u32);
+        for ix in self.cluster.machine_indices() {
             let cordoned = !needed.contains(ix);
-            if cordoned == self.cluster.machines[index].cordoned {
+            if cordoned == self.cluster.machines[ix.index()].cordoned {
                 continue;
             }
-            self.cluster.machines[index].cordoned = cordoned;
+            self.cluster.machines[ix.index()].cordoned = cordoned;
             self.refresh_placement_index(ix);
             if cordoned {
                 self.requeue_machine_queues(ix);
--- a/src/coordination/leader/machines/capacity_plan/planned_machines.rs
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -1,6 +1,5 @@
 //! The machines a capacity plan may use, and the CPU time on them that is already reserved.
 
-use super::MILLI_PER_CPU;
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, Leader, Machine, MachineState};
 use crate::ids::MachineIx;
@@ -10,6 +9,14 @@
 /// A running task counts as running at least this much longer.
 const MIN_REMAINING_RUN_MS: u64 = 1_000;
 
+/// CPUs are counted in thousandths.
+const MILLI_PER_CPU: u64 = 1_000;
+
+/// CPU milliseconds of `cpu` thousandths of a CPU in use for `ms` milliseconds.
+pub(super) fn cpu_ms(cpu: u64, ms: u64) -> u64 {
+    cpu * ms / MILLI_PER_CPU
+}
+
 /// A machine of the plan.
 pub(super) struct PlannedMachine {
     pub(super) ix: MachineIx,
@@ -25,20 +32,16 @@
     /// CPU milliseconds that are free until the horizon, counted from now.
     pub(super) fn free_cpu_ms(&self, horizon_ms: u64) -> u64 {
         let usable_ms = horizon_ms.saturating_sub(self.available_in_ms);
-        (self.cpu * usable_ms / MILLI_PER_CPU).saturating_sub(self.reserved_cpu_ms)
+        cpu_ms(self.cpu, usable_ms).saturating_sub(self.reserved_cpu_ms)
     }
 }
 
 impl Leader {
     /// Machines that are up or booting, the cheapest first.
     pub(super) fn planned_machines(&self, clock: Clock) -> Vec<PlannedMachine> {
-        let mut planned: Vec<PlannedMachine> = self
-            .cluster
-            .machines
-            .iter()
-            .enumerate()
-            .filter_map(|(index, machine)| self.planned_machine(MachineIx(index as u32), machine, clock))
-            .collect();
+        let machines = self.cluster.machine_indices().zip(&self.cluster.machines);
+        let mut planned: Vec<PlannedMachine> =
+            machines.filter_map(|(ix, machine)| self.planned_machine(ix, machine, clock)).collect();
         planned.sort_by(|a, b| a.price.total_cmp(&b.price).then(a.ix.cmp(&b.ix)));
         planned
     }
@@ -65,10 +68,10 @@
     }
 
     /// CPU milliseconds that a task is expected to need still.
-    pub fn remaining_cpu_ms(&self, binding: &Binding, clock: Clock) -> u64 {
+    pub(in crate::coordination::leader) fn remaining_cpu_ms(&self, binding: &Binding, clock: Clock) -> u64 {
         let Some(job_state) = binding.job.and_then(|job| self.workload.jobs.get(&job)) else { return 0 };
         let ran_ms = binding.running_since.map_or(0, |since| clock.now.saturating_since(since));
         let remaining_ms = job_state.expected_run_ms().saturating_sub(ran_ms).max(MIN_REMAINING_RUN_MS);
-        binding.need.cpu * remaining_ms / MILLI_PER_CPU
+        cpu_ms(binding.need.cpu, remaining_ms)
     }
 }
--- a/src/coordination/leader/machines/provisioner/offers.rs
+++ b/src/coordination/leader/machines/provisioner/offers.rs
@@ -1,5 +1,6 @@
 //! What the cloud offers, what it costs, and which offer suits a job best.
 
+use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::{JobState, Leader, MachineType};
 use crate::ids::{MachineIx, MachineTypeIx, ZoneIx};
@@ -8,12 +9,12 @@
 pub(in crate::coordination::leader::machines) const MIN_BILLED_MS: u64 = 60_000;
 /// Share by which each machine already requested from an offer raises its cost, so that zones take turns.
 const PENDING_REQUEST_SURCHARGE: f64 = 0.01;
-/// Tasks without any need would fit without limit; more than this many a machine are not told apart.
+/// Tasks that fit a machine count up to this many: those without any need would fit without limit.
 const MAX_TASK_SLOTS: u64 = 1_000_000;
 
 /// A sort of machine that the cloud provides on request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct InstanceOffer {
+pub(in crate::coordination::leader) struct InstanceOffer {
     /// The machine type.
     pub machine_type: MachineTypeIx,
     /// The zone.
@@ -22,6 +23,18 @@
     pub spot: bool,
 }
 
+impl InstanceOffer {
+    /// The name of the machine type.
+    pub(super) fn machine_type_name(self, cache: &StoreCache) -> &str {
+        cache.names.machine_types.name_or_unknown(self.machine_type.index())
+    }
+
+    /// The name of the zone.
+    pub(super) fn zone_name(self, cache: &StoreCache) -> &str {
+        cache.names.zones.name_or_unknown(self.zone.index())
+    }
+}
+
 impl MachineType {
     /// The price of an on-demand or a spot instance; none if the type has no spot instances.
     fn offered_price(&self, spot: bool) -> Option<f64> {
@@ -42,7 +55,7 @@
 
 impl Leader {
     /// What a CPU of the machine costs.
-    pub fn price_per_cpu(&self, ix: MachineIx) -> f64 {
+    pub(in crate::coordination::leader) fn price_per_cpu(&self, ix: MachineIx) -> f64 {
         let machine = &self.cluster.machines[ix.index()];
         let Some(machine_type) = self.cluster.machine_types.get(&machine.machine_type) else {
             return f64::MAX;
@@ -50,7 +63,8 @@
         machine_type.per_cpu(machine_type.offered_price(machine.spot).unwrap_or(machine_type.price))
     }
 
-    /// The offer with the least cost per task of the job, in the zones that are allowed. Offers in backoff are left out.
+    /// The offer with the least cost per task of the job, in the zones that are allowed. Offers in backoff
+    /// are left out.
     pub(in crate::coordination::leader::machines) fn cheapest_offer(
         &self,
         job_state: &JobState,
