--- a/src/coordination/leader/explain.rs
+++ b/src/coordination/leader/explain.rs
@@ -4,7 +4,8 @@
 
 use super::machines::provisioner::InstanceOffer;
 use super::placement::dispatch::PlacementBlocker;
-use super::placement::gangs::{PlacementMethod, unplaced_tasks};
+use super::placement::gang_search::GangSearch;
+use super::placement::gangs::PlacementMethod;
 use super::{Binding, JobState, Leader, MachineState};
 use crate::bookkeeping::jobs::NameRegistry;
 use crate::coordination::Clock;
@@ -157,7 +158,7 @@
         clock: Clock,
         reasons: &mut Vec<StateReason>,
     ) {
-        let tasks = if work.spec.is_all_or_nothing() { unplaced_tasks(work).len() as u64 } else { 1 };
+        let tasks = if work.spec.is_all_or_nothing() { work.unplaced_tasks().len() as u64 } else { 1 };
         let limited = !self.within_quota(work.spec.team, &work.spec.task_resources.saturating_mul(tasks));
         if limited {
             reasons.extend(self.team_limit_reason(work, names));
@@ -194,10 +195,9 @@
         counts: &BlockerCounts,
         reasons: &mut Vec<StateReason>,
     ) {
-        let needs = unplaced_tasks(work).len();
-        let placement_in = |zone| {
-            (self.find_partial_placement(ix, work, needs, zone, PlacementMethod::Free, clock).1.len(), zone)
-        };
+        let needs = work.unplaced_tasks().len();
+        let search = GangSearch { job_ix: ix, job: work, count: needs, method: PlacementMethod::Free, clock };
+        let placement_in = |zone| (self.find_partial_placement(&search, zone).machines.len(), zone);
         let best = self.gang_zones(work).into_iter().map(placement_in).max_by_key(|(count, _)| *count);
         let (could_start, zone) = best.unwrap_or((0, None));
         if could_start < needs {
--- /dev/null
+++ b/src/coordination/leader/placement/gang_search_cache.rs
@@ -0,0 +1,82 @@
+//! Negative cache of gang searches: a search that found no machines need not be repeated before there is more room.
+//!
+//! Memory: one entry for each distinct requirement of waiting gangs; expired entries are dropped with each insertion.
+
+use std::collections::HashMap;
+
+use crate::bookkeeping::jobs::JobSpec;
+use crate::coordination::leader::JobState;
+use crate::ids::{MachineTypeIx, Millis, Resources, TeamIx, ZoneIx};
+use crate::protocol::users::PriorityClass;
+
+/// An entry expires after this time whatever has changed: running tasks come nearer to their ends, and borrowed capacity
+/// becomes reclaimable.
+const ENTRY_TTL_MS: u64 = 1_000;
+
+/// What gangs that fit into the same room have in common: one search is valid for all of them.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct GangSearchKey {
+    task_resources: Resources,
+    machine_types: Option<Vec<MachineTypeIx>>,
+    zone: Option<ZoneIx>,
+    single_zone: bool,
+    spread: bool,
+    allows_spot: bool,
+    team: TeamIx,
+    urgency: PriorityClass,
+}
+
+impl GangSearchKey {
+    fn new(spec: &JobSpec) -> GangSearchKey {
+        GangSearchKey {
+            task_resources: spec.task_resources,
+            machine_types: spec.machine_types.clone(),
+            zone: spec.zone,
+            single_zone: spec.single_zone,
+            spread: spec.spread,
+            allows_spot: spec.allows_spot,
+            team: spec.team,
+            urgency: spec.urgency,
+        }
+    }
+}
+
+#[derive(Debug, Clone, Copy)]
+struct FailedSearch {
+    /// Tasks that were searched room for.
+    count: usize,
+    /// The capacity growth count at the time of the search.
+    room_generation: u64,
+    expires_at: Millis,
+}
+
+/// Searches that found nothing. Less room makes them no better, so they hold until room grows.
+#[derive(Debug, Default)]
+pub struct GangSearchCache(HashMap<GangSearchKey, FailedSearch>);
+
+impl GangSearchCache {
+    /// Whether a search for this many tasks would find nothing, as an earlier one did.
+    pub(super) fn is_known_failure(
+        &self,
+        job: &JobState,
+        count: usize,
+        room_generation: u64,
+        now: Millis,
+    ) -> bool {
+        let failure = self.0.get(&GangSearchKey::new(&job.spec));
+        failure.is_some_and(|failure| {
+            count >= failure.count && now < failure.expires_at && failure.room_generation == room_generation
+        })
+    }
+
+    /// Records that a search found nothing. Failures of a gang that its own history keeps from machines or zones are not
+    /// recorded: they say nothing about other gangs.
+    pub(super) fn record_failure(&mut self, job: &JobState, count: usize, room_generation: u64, now: Millis) {
+        if !job.failed_on.is_empty() || !job.tasks_per_zone.is_empty() {
+            return;
+        }
+        self.0.retain(|_, failure| now < failure.expires_at);
+        let expires_at = now.saturating_add(ENTRY_TTL_MS);
+        self.0.insert(GangSearchKey::new(&job.spec), FailedSearch { count, room_generation, expires_at });
+    }
+}
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -6,7 +6,6 @@
 use olivelatch_admission::service_window::WaitingShare;
 
 use crate::coordination::Clock;
-use crate::coordination::leader::placement::gangs::unplaced_tasks;
 use crate::coordination::leader::placement::policy::Rank;
 use crate::coordination::leader::{DEFAULT_SLO_MS, JobState, Leader, MachineState};
 use crate::ids::{ClassIx, JobIx, MachineTypeIx, TeamIx};
@@ -143,7 +142,7 @@
         let mut ahead: BTreeMap<MachineTypeIx, (u64, u64)> = BTreeMap::new();
         for work in ranks.iter().filter_map(|rank| self.workload.jobs.get(&rank.job)) {
             let objective_ms = self.longest_slo_ms(work).unwrap_or(DEFAULT_SLO_MS);
-            let own = (unplaced_tasks(work).len() as u64).saturating_mul(work.expected_run_ms());
+            let own = (work.unplaced_tasks().len() as u64).saturating_mul(work.expected_run_ms());
             let machine_types = self.machine_types_for(work);
             for kind in &machine_types {
                 let slots = self
--- a/src/coordination/leader/placement/state.rs
+++ b/src/coordination/leader/placement/state.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 
 use super::best_effort;
-use super::gang_search::GangSearchCache;
+use super::gang_search_cache::GangSearchCache;
 use super::overload::{SERVICE_WINDOW_MS, TeamClass};
 use super::policy::{PriorityInputsTable, Rank};
 use super::preemption::PreemptorPriority;
--- a/src/coordination/leader/placement/team_quota.rs
+++ b/src/coordination/leader/placement/team_quota.rs
@@ -5,10 +5,16 @@
 use olivelatch_admission::borrowed::{BorrowedCapacity, QuotaAmount};
 
 use crate::bookkeeping::store_cache::StoreCache;
-use crate::coordination::leader::placement::gang_search::GangSearchCache;
+use crate::coordination::leader::placement::gang_search_cache::GangSearchCache;
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{JobIx, MachineIx, Millis, Resources, TeamIx};
 
+impl From<&Resources> for QuotaAmount {
+    fn from(resources: &Resources) -> QuotaAmount {
+        QuotaAmount { cpu: resources.cpu, gpu: resources.gpu }
+    }
+}
+
 impl Leader {
     /// What teams may use and are guaranteed from now on: the platform's settings, lowered by the configuration where
     /// that is turned on. What runs above a lowered limit is left running.
@@ -88,15 +94,14 @@
 
     /// What other teams have borrowed and is not being stopped already.
     pub fn borrowed_by_others(&self, team: TeamIx) -> BorrowedCapacity<TeamIx, JobIx> {
-        let room = |amount: &Resources| QuotaAmount { cpu: amount.cpu, gpu: amount.gpu };
         let mut borrowed = BorrowedCapacity::default();
         for (other, settings) in self.quotas.team_settings.iter().filter(|(other, _)| **other != team) {
             let stopping = self.quotas.stopping_usage.get(other).copied().unwrap_or_default();
             borrowed.add_team(
                 *other,
-                room(&self.team_usage(*other)),
-                room(&stopping),
-                room(&settings.guaranteed),
+                QuotaAmount::from(&self.team_usage(*other)),
+                QuotaAmount::from(&stopping),
+                QuotaAmount::from(&settings.guaranteed),
             );
         }
         borrowed
