--- a/src/coordination/leader/placement/binding.rs
+++ b/src/coordination/leader/placement/binding.rs
@@ -28,6 +28,17 @@
         self.counters.tasks_bound += 1;
     }
 
+    /// The binding of a task to a machine, if the task may be there.
+    pub(in crate::coordination::leader) fn binding_of(
+        &self,
+        machine_ix: MachineIx,
+        job_ix: JobIx,
+        task: u32,
+    ) -> Option<&Binding> {
+        let bindings = &self.cluster.machines[machine_ix.index()].bindings;
+        bindings.iter().find(|binding| binding.job == Some(job_ix) && binding.task.task == task)
+    }
+
     fn planned_binding(&self, job_ix: JobIx, spec: &JobSpec, task: u32, attempt: Attempt) -> Binding {
         Binding {
             task: TaskId { job: spec.id, task },
