--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -1,35 +1,44 @@
-//! How much of the fleet work that nobody waits for may use.
+//! How much of the fleet best-effort jobs may use.
 //!
-//! Idle-time work is there to fill what is left over. Started wherever there is room at the moment, tasks of several minutes
-//! keep out work that is waited for and comes a little later. So room is left for what such work asked for lately, the
-//! longer ago the less, but never so much that idle-time work gets less than a stated part.
+//! Best-effort jobs are there to fill what is left over. Started wherever there is room at the moment, their tasks of
+//! several minutes keep out jobs with objectives that come a little later. So room is kept free for the recent demand of
+//! such jobs, the older the less, but never so much that best-effort jobs get less than a minimum share.
 
 use std::collections::VecDeque;
 
-/// What work with aims asked for over a sliding window, and what is left over. Amounts are in the caller's unit. Memory: at
-/// most one entry for each call of [`Headroom::see`] within the window.
+/// Demand of one moment.
+#[derive(Debug, Clone, Copy)]
+struct Demand {
+    /// Milliseconds of the caller's clock.
+    at_ms: u64,
+    amount: u64,
+}
+
+/// Capacity to be kept free, by the demand over a sliding window. Amounts are in the caller's unit. Memory: at most one
+/// entry for each call of [`Headroom::record_demand`] within the window.
 #[derive(Debug, Clone)]
 pub struct Headroom {
     window_ms: u64,
-    /// The part of all that idle-time work always gets, 0 to 1.
+    /// The part of the capacity that best-effort jobs may always use, 0 to 1.
     minimum_share: f64,
-    /// When so much was asked for; nothing later was more.
-    peaks: VecDeque<(u64, u64)>,
+    /// Demands after which there was no higher one; so they fall from the oldest to the newest.
+    peaks: VecDeque<Demand>,
     allowed: u64,
 }
 
 impl Headroom {
+    /// Without any demand yet. `minimum_share`: the part of the capacity that best-effort jobs may always use, 0 to 1.
     pub fn new(window_ms: u64, minimum_share: f64) -> Headroom {
         Headroom { window_ms, minimum_share, peaks: VecDeque::new(), allowed: u64::MAX }
     }
 
-    /// At `now` (milliseconds of the caller's clock) work with aims asks for `demand` of `capacity`.
+    /// Records that jobs with objectives demand so much of `capacity` at `now` (milliseconds of the caller's clock).
     pub fn record_demand(&mut self, now: u64, demand: u64, capacity: u64) {
-        while self.peaks.back().is_some_and(|(_, lower)| *lower <= demand) {
+        while self.peaks.back().is_some_and(|peak| peak.amount <= demand) {
             self.peaks.pop_back();
         }
-        self.peaks.push_back((now, demand));
-        while self.peaks.front().is_some_and(|(at, _)| now.saturating_sub(*at) > self.window_ms) {
+        self.peaks.push_back(Demand { at_ms: now, amount: demand });
+        while self.peaks.front().is_some_and(|peak| now.saturating_sub(peak.at_ms) > self.window_ms) {
             self.peaks.pop_front();
         }
         let minimum = (capacity as f64 * self.minimum_share) as u64;
@@ -38,13 +47,16 @@
 
     /// A demand counts in full for half of the window and then less and less, until nothing at its end.
     fn reserved(&self, now: u64) -> u64 {
-        let age = |at: u64| now.saturating_sub(at).min(self.window_ms) as f64 / self.window_ms as f64;
-        let weight = |at: u64| (2.0 * (1.0 - age(at))).min(1.0);
-        let weighted = self.peaks.iter().map(|(at, demand)| (*demand as f64 * weight(*at)) as u64);
+        let weighted = self.peaks.iter().map(|peak| {
+            let age_ms = now.saturating_sub(peak.at_ms).min(self.window_ms);
+            let age = age_ms as f64 / self.window_ms as f64;
+            let weight = (2.0 * (1.0 - age)).min(1.0);
+            (peak.amount as f64 * weight) as u64
+        });
         weighted.max().unwrap_or(0)
     }
 
-    /// What idle-time work may use altogether; no bound before anything was seen.
+    /// How much best-effort jobs may use altogether; unbounded before any demand was recorded.
     pub fn allowed(&self) -> u64 {
         self.allowed
     }
--- a/crates/admission/src/pressure.rs
+++ b/crates/admission/src/pressure.rs
@@ -1,60 +1,77 @@
-//! How far a controller is behind its events, and what it leaves undone therefore.
+//! How far a controller is behind its events, and what it therefore defers.
 //!
-//! What counts is how long events waited before they were looked at, not how many wait (the idea of CoDel): a queue that
-//! empties now and then is no overload, however long it was. So the least wait within an interval decides.
+//! The measure is how long events wait in the queue, not how many there are (the idea of CoDel): a queue that empties now
+//! and then is not overloaded, however long it was. So the minimum wait within an interval decides.
 
-/// How much is left undone; each level includes those before it.
+/// How much is deferred; each level includes those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum PressureLevel {
+    /// Nothing is deferred.
     #[default]
     Calm,
-    /// Planning is done less often, and commands that can wait go with the answers to reports.
+    /// Planning runs less often, and commands that can wait go with the responses to heartbeats.
     Busy,
-    /// Planning is done hardly at all.
+    /// Planning hardly runs at all.
     Overloaded,
 }
 
-/// Longest waits, in milliseconds, that are no reason for a level.
+/// Minimum waits above this, in milliseconds, are a reason for the level.
 const BUSY_ABOVE_MS: u64 = 100;
 const OVERLOADED_ABOVE_MS: u64 = 1_000;
-/// The least wait is taken over this.
+/// The minimum wait is taken over this time.
 const INTERVAL_MS: u64 = 1_000;
-/// A level is left after so many intervals in a row that would not have led to it.
+/// A level is left after this many consecutive intervals that would not have led to it.
 const LOWER_INTERVALS_TO_DROP: u32 = 3;
 
-/// The level of one controller. Feed it every wait, and now and then a wait of nothing while nothing waits.
+impl PressureLevel {
+    fn from_min_wait_ms(min_wait_ms: u64) -> PressureLevel {
+        if min_wait_ms > OVERLOADED_ABOVE_MS {
+            PressureLevel::Overloaded
+        } else if min_wait_ms > BUSY_ABOVE_MS {
+            PressureLevel::Busy
+        } else {
+            PressureLevel::Calm
+        }
+    }
+
+    fn one_lower(self) -> PressureLevel {
+        match self {
+            PressureLevel::Overloaded => PressureLevel::Busy,
+            PressureLevel::Busy | PressureLevel::Calm => PressureLevel::Calm,
+        }
+    }
+}
+
+/// The pressure level of one controller. Has to be given every wait, and from time to time a wait of zero while no event
+/// waits.
 #[derive(Debug, Default)]
 pub struct Pressure {
     level: PressureLevel,
     interval_started_ms: u64,
     min_wait_ms: Option<u64>,
     lower_intervals: u32,
-    /// Times that it rose, for operators.
+    /// Times that the level rose, for operators.
     pub level_increases: u64,
 }
 
 impl Pressure {
+    /// The level now.
     pub fn level(&self) -> PressureLevel {
         self.level
     }
 
-    /// An event is looked at that waited so long, both in milliseconds. True if the level changed.
+    /// Records an event that is processed at `now` after a wait, both in milliseconds. Returns whether the level changed.
     pub fn record_wait(&mut self, now: u64, wait_ms: u64) -> bool {
-        self.min_wait_ms = Some(self.min_wait_ms.map_or(wait_ms, |least| least.min(wait_ms)));
+        self.min_wait_ms = Some(self.min_wait_ms.map_or(wait_ms, |min_ms| min_ms.min(wait_ms)));
         if now.saturating_sub(self.interval_started_ms) < INTERVAL_MS {
             return false;
         }
-        let least = self.min_wait_ms.take().unwrap_or(0);
+        let min_wait_ms = self.min_wait_ms.take().unwrap_or(0);
         self.interval_started_ms = now;
-        self.update_level(least)
+        self.update_level(PressureLevel::from_min_wait_ms(min_wait_ms))
     }
 
-    fn update_level(&mut self, least: u64) -> bool {
-        let observed = match least {
-            least if least > OVERLOADED_ABOVE_MS => PressureLevel::Overloaded,
-            least if least > BUSY_ABOVE_MS => PressureLevel::Busy,
-            _ => PressureLevel::Calm,
-        };
+    fn update_level(&mut self, observed: PressureLevel) -> bool {
         if observed > self.level {
             self.level = observed;
             self.lower_intervals = 0;
@@ -66,8 +83,7 @@
             return false;
         }
         self.lower_intervals = 0;
-        self.level =
-            if self.level == PressureLevel::Overloaded { PressureLevel::Busy } else { PressureLevel::Calm };
+        self.level = self.level.one_lower();
         true
     }
 }
--- a/crates/admission/src/service_window.rs
+++ b/crates/admission/src/service_window.rs
@@ -1,51 +1,55 @@
-//! What each of several parties has been given lately, and who is far behind its weight.
+//! How much service each of several keys got recently, and which are below their minimum share.
 //!
-//! Orders that look at aims alone starve: what has missed them all waits behind whatever comes new, for as long as new work
-//! keeps coming. A party that has work waiting is owed a floor, a stated part of its weight among those that wait. Who is
-//! below it comes forward until it is not, and no further: the order above the floor is not touched.
+//! An order by objectives alone starves: jobs that have missed them all wait behind whatever arrives, for as long as new
+//! jobs keep arriving. A key that has jobs waiting is due a minimum share: a stated part of its weight among those that
+//! wait. It is served first until it has that, and no longer: the order above minimum shares is not touched.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The window moves in so many steps.
+/// The window advances in this many steps.
 const STEPS: usize = 6;
 
-/// Amounts given to parties `K` over a sliding window. Memory: at most six entries a party.
+/// Service given to keys `K` over a sliding window. Memory: at most seven entries for each key.
 #[derive(Debug, Clone)]
 pub struct ServiceWindow<K> {
     step_ms: u64,
-    /// Closed steps, the oldest first.
+    /// The oldest first.
     closed_steps: VecDeque<BTreeMap<K, u64>>,
     current_step: BTreeMap<K, u64>,
-    /// When the present step began, in milliseconds of the caller's clock.
+    /// When the current step began, in milliseconds of the caller's clock.
     step_started_ms: u64,
 }
 
-/// One that has work waiting, and how much it counts.
+/// A key that has jobs waiting, and its weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingShare<K> {
+    /// The key.
     pub key: K,
+    /// Minimum shares are in proportion to weights.
     pub weight: u64,
 }
 
 impl<K: Ord + Copy> ServiceWindow<K> {
+    /// An empty window that starts at `now` (milliseconds of the caller's clock).
     pub fn new(window_ms: u64, now: u64) -> ServiceWindow<K> {
-        let step_ms = (window_ms / STEPS as u64).max(1);
         ServiceWindow {
-            step_ms,
+            step_ms: (window_ms / STEPS as u64).max(1),
             closed_steps: VecDeque::new(),
             current_step: BTreeMap::new(),
             step_started_ms: now,
         }
     }
 
+    /// Records service in the current step.
     pub fn record(&mut self, key: K, amount: u64) {
-        let given = self.current_step.entry(key).or_default();
-        *given = given.saturating_add(amount);
+        let served = self.current_step.entry(key).or_default();
+        *served = served.saturating_add(amount);
     }
 
-    /// Lets the window move on. A clock that stood still for long empties it.
+    /// Advances the window. A jump over all of it empties it.
     pub fn advance_to(&mut self, now: u64) {
-        let steps = (now.saturating_sub(self.step_started_ms) / self.step_ms).min(STEPS as u64 + 1);
+        let elapsed_ms = now.saturating_sub(self.step_started_ms);
+        let steps = (elapsed_ms / self.step_ms).min(STEPS as u64 + 1);
         for _ in 0..steps {
             self.closed_steps.push_back(std::mem::take(&mut self.current_step));
             if self.closed_steps.len() > STEPS {
@@ -53,25 +57,27 @@
             }
         }
         if steps > 0 {
-            self.step_started_ms = now - now.saturating_sub(self.step_started_ms) % self.step_ms;
+            self.step_started_ms = now - elapsed_ms % self.step_ms;
         }
     }
 
+    /// Service that the key got within the window.
     pub fn total(&self, key: K) -> u64 {
-        let steps = self.closed_steps.iter().chain([&self.current_step]).filter_map(|step| step.get(&key));
-        steps.fold(0, |all, given| all.saturating_add(*given))
+        let steps = self.closed_steps.iter().chain([&self.current_step]);
+        steps.filter_map(|step| step.get(&key)).fold(0, |total, served| total.saturating_add(*served))
     }
 
-    /// Who of those that wait got less than `floor` (0 to 1) of its weight's part of what all of them got. Where nothing
-    /// was given to any, nobody is behind another.
+    /// The keys that got less than `minimum_share` (0 to 1) of their weight's part of the service that all waiting ones
+    /// got. If none got any, none is below another.
     pub fn below_minimum_share(&self, waiting: &[WaitingShare<K>], minimum_share: f64) -> BTreeSet<K> {
-        let weights: u64 = waiting.iter().map(|claim| claim.weight).sum();
-        let given: u64 = waiting.iter().fold(0, |all, claim| all.saturating_add(self.total(claim.key)));
-        let owed_amount = |claim: &WaitingShare<K>| {
-            minimum_share * given as f64 * claim.weight as f64 / weights.max(1) as f64
+        let total_weight: u64 = waiting.iter().map(|share| share.weight).sum();
+        let total_service =
+            waiting.iter().fold(0_u64, |total, share| total.saturating_add(self.total(share.key)));
+        let due = |share: &WaitingShare<K>| {
+            minimum_share * total_service as f64 * share.weight as f64 / total_weight.max(1) as f64
         };
-        let below = waiting.iter().filter(|claim| (self.total(claim.key) as f64) < owed_amount(claim));
-        below.map(|claim| claim.key).collect()
+        let below = waiting.iter().filter(|share| (self.total(share.key) as f64) < due(share));
+        below.map(|share| share.key).collect()
     }
 }
 
--- a/crates/admission/src/tests/borrowed.rs
+++ b/crates/admission/src/tests/borrowed.rs
@@ -1,4 +1,4 @@
-//! Tests of `lent`.
+//! Tests of borrowed capacity.
 
 use super::*;
 
--- a/crates/admission/src/tests/headroom.rs
+++ b/crates/admission/src/tests/headroom.rs
@@ -1,4 +1,4 @@
-//! Tests of `headroom`.
+//! Tests of headroom for jobs with objectives.
 
 use super::*;
 
@@ -15,21 +15,20 @@
     headroom.record_demand(61_000, 200, 1_000);
     assert_eq!(headroom.allowed(), 800, "nothing after the window");
     headroom.record_demand(62_000, 5_000, 1_000);
-    assert_eq!(headroom.allowed(), 250, "the floor, however much is asked for");
+    assert_eq!(headroom.allowed(), 250, "the minimum share, however high the demand");
     headroom.record_demand(200_000, 0, 1_000);
     assert_eq!(headroom.allowed(), 1_000);
 }
 
-/// Held against looking at all demands within the window.
 #[test]
 fn matches_a_scan_of_all_demands_in_the_window() {
     let mut headroom = Headroom::new(5, 0.0);
-    let demands: Vec<u64> = (0..200u64).map(|at| at * at * 7919 % 101).collect();
-    for (at, demand) in demands.iter().enumerate() {
-        headroom.record_demand(at as u64, *demand, 1_000);
-        let part = |age: usize| (2.0 * (1.0 - age as f64 / 5.0)).min(1.0);
-        let counts = |age: usize| (demands[at - age] as f64 * part(age)) as u64;
-        let most = (0..=at.min(5)).map(counts).max().unwrap_or(0);
-        assert_eq!(headroom.allowed(), 1_000 - most);
+    let demands: Vec<u64> = (0..200u64).map(|now| now * now * 7919 % 101).collect();
+    for (now, demand) in demands.iter().enumerate() {
+        headroom.record_demand(now as u64, *demand, 1_000);
+        let weight = |age: usize| (2.0 * (1.0 - age as f64 / 5.0)).min(1.0);
+        let weighted = |age: usize| (demands[now - age] as f64 * weight(age)) as u64;
+        let reserved = (0..=now.min(5)).map(weighted).max().unwrap_or(0);
+        assert_eq!(headroom.allowed(), 1_000 - reserved);
     }
 }
--- a/crates/admission/src/tests/pressure.rs
+++ b/crates/admission/src/tests/pressure.rs
@@ -1,18 +1,18 @@
-//! Tests of `pressure`.
+//! Tests of the pressure level.
 
 use super::*;
 
-/// Waits of so many milliseconds, ten a second, for so many seconds.
+/// Ten waits a second; `wait_ms` gives each by its number.
 fn record_waits(pressure: &mut Pressure, from_s: u64, seconds: u64, wait_ms: impl Fn(u64) -> u64) {
-    for at in from_s * 10..(from_s + seconds) * 10 {
-        pressure.record_wait(at * 100, wait_ms(at));
+    for number in from_s * 10..(from_s + seconds) * 10 {
+        pressure.record_wait(number * 100, wait_ms(number));
     }
 }
 
 #[test]
 fn a_queue_that_empties_at_times_is_not_overloaded() {
     let mut pressure = Pressure::default();
-    record_waits(&mut pressure, 1, 30, |at| if at % 10 == 5 { 0 } else { 5_000 });
+    record_waits(&mut pressure, 1, 30, |number| if number % 10 == 5 { 0 } else { 5_000 });
     assert_eq!(pressure.level(), PressureLevel::Calm);
 }
 
@@ -33,6 +33,6 @@
 #[test]
 fn level_does_not_flap_at_the_threshold() {
     let mut pressure = Pressure::default();
-    record_waits(&mut pressure, 1, 30, |at| if at % 30 < 20 { 130 } else { 70 });
+    record_waits(&mut pressure, 1, 30, |number| if number % 30 < 20 { 130 } else { 70 });
     assert_eq!((pressure.level(), pressure.level_increases), (PressureLevel::Busy, 1));
 }
--- a/crates/admission/src/tests/service_window.rs
+++ b/crates/admission/src/tests/service_window.rs
@@ -1,44 +1,44 @@
-//! Tests of `served`.
+//! Tests of the service window.
 
 use super::*;
 
 fn waiting_shares(weights: &[(u32, u64)]) -> Vec<WaitingShare<u32>> {
-    weights.iter().map(|(party, weight)| WaitingShare { key: *party, weight: *weight }).collect()
+    weights.iter().map(|(key, weight)| WaitingShare { key: *key, weight: *weight }).collect()
 }
 
 #[test]
 fn unserved_key_is_below_until_it_has_its_minimum_share() {
-    let mut served = ServiceWindow::new(60_000, 0);
-    served.record(1, 900);
+    let mut window = ServiceWindow::new(60_000, 0);
+    window.record(1, 900);
     let waiting = waiting_shares(&[(1, 1), (2, 1)]);
-    assert_eq!(served.below_minimum_share(&waiting, 0.5), [2].into());
-    served.record(2, 299);
-    assert_eq!(served.below_minimum_share(&waiting, 0.5), [2].into(), "299 of 1,199 is under a quarter");
-    served.record(2, 2);
-    assert!(served.below_minimum_share(&waiting, 0.5).is_empty());
+    assert_eq!(window.below_minimum_share(&waiting, 0.5), [2].into());
+    window.record(2, 299);
+    assert_eq!(window.below_minimum_share(&waiting, 0.5), [2].into(), "299 of 1,199 is under a quarter");
+    window.record(2, 2);
+    assert!(window.below_minimum_share(&waiting, 0.5).is_empty());
 }
 
 #[test]
 fn service_before_the_window_does_not_count() {
-    let mut served = ServiceWindow::new(60_000, 0);
-    served.record(2, 1_000);
-    served.advance_to(65_000);
-    served.record(1, 10);
-    assert_eq!(served.total(2), 1_000, "the step it was given in is still in the window");
-    served.advance_to(75_000);
-    assert_eq!(served.total(2), 0);
-    assert_eq!(served.below_minimum_share(&waiting_shares(&[(1, 1), (2, 1)]), 0.5), [2].into());
+    let mut window = ServiceWindow::new(60_000, 0);
+    window.record(2, 1_000);
+    window.advance_to(65_000);
+    window.record(1, 10);
+    assert_eq!(window.total(2), 1_000, "the step of the service is still in the window");
+    window.advance_to(75_000);
+    assert_eq!(window.total(2), 0);
+    assert_eq!(window.below_minimum_share(&waiting_shares(&[(1, 1), (2, 1)]), 0.5), [2].into());
 }
 
 #[test]
 fn weights_decide_the_minimum_shares() {
-    let mut served = ServiceWindow::new(60_000, 0);
-    served.record(1, 80);
-    served.record(2, 20);
-    assert!(served.below_minimum_share(&waiting_shares(&[(1, 3), (2, 1)]), 0.5).is_empty());
-    assert_eq!(served.below_minimum_share(&waiting_shares(&[(1, 1), (2, 1)]), 0.5), [2].into());
+    let mut window = ServiceWindow::new(60_000, 0);
+    window.record(1, 80);
+    window.record(2, 20);
+    assert!(window.below_minimum_share(&waiting_shares(&[(1, 3), (2, 1)]), 0.5).is_empty());
+    assert_eq!(window.below_minimum_share(&waiting_shares(&[(1, 1), (2, 1)]), 0.5), [2].into());
     assert!(
-        served.below_minimum_share(&waiting_shares(&[(3, 1)]), 0.5).is_empty(),
-        "alone, nobody is behind another"
+        window.below_minimum_share(&waiting_shares(&[(3, 1)]), 0.5).is_empty(),
+        "a key that waits alone is never below"
     );
 }
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -1,7 +1,7 @@
-//! What changes in the order of service while not all can be served in time: floors for parties that are behind, small
-//! gangs first. docs/overload.md argues for it.
+//! The order of service while not all jobs can meet their objectives: minimum shares for team classes that are behind,
+//! small gangs first. docs/overload.md argues for it.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use olivelatch_admission::service_window::WaitingShare;
 
@@ -11,166 +11,204 @@
 use crate::ids::{ClassIx, JobIx, MachineTypeIx, TeamIx};
 use crate::protocol::users::PriorityClass;
 
-/// Who is owed a floor: the jobs of a class that a team owns.
+/// The jobs of a class that a team owns: what a minimum share is given to.
 pub type TeamClass = (TeamIx, ClassIx);
 
-/// What was started within so many milliseconds counts.
-pub const SERVICE_WINDOW_MS: u64 = 60_000;
-/// A party below this part of its weight comes forward.
+/// Service within this time counts for minimum shares.
+pub(super) const SERVICE_WINDOW_MS: u64 = 60_000;
+/// A team class that got less than this part of its weight is served first.
 const MINIMUM_SHARE: f64 = 0.5;
+/// A team without a guarantee weighs this part of all guarantees.
+const UNGUARANTEED_WEIGHT_DIVISOR: u64 = 20;
+/// Bound of the tasks that a machine is expected to run at once.
+const MAX_EXPECTED_SLOTS: u64 = 1_000;
+/// Milliseconds in a second, and thousandths in a CPU.
+const MILLI: u64 = 1000;
+
+/// An array job that may still complete in time. In the order in which they would, the smaller first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ArrayWork {
+    urgency: PriorityClass,
+    remaining_work: u64,
+    job_ix: JobIx,
+    /// Until its last objective.
+    time_left_ms: u64,
+}
+
+/// Gangs that wait for machines of one type.
+struct GangBacklog {
+    /// Machine milliseconds that they take.
+    machine_ms: u64,
+    /// The shortest of their objectives.
+    objective_ms: u64,
+}
 
 impl Leader {
-    /// A task of the job starts.
-    pub fn record_start(&mut self, job: JobIx) {
-        if let Some(work) = self.workload.jobs.get(&job) {
-            let amount = work.spec.task_resources.cpu.saturating_mul(work.expected_run_ms()) / 1000;
-            self.placement.recently_served.record((work.spec.team, work.spec.class), amount);
+    /// Records the service that a task of the job gets by its start.
+    pub(super) fn record_start(&mut self, job_ix: JobIx) {
+        if let Some(job) = self.workload.jobs.get(&job_ix) {
+            let cpu_ms = job.spec.task_resources.cpu.saturating_mul(job.expected_run_ms()) / MILLI;
+            self.placement.recently_served.record((job.spec.team, job.spec.class), cpu_ms);
         }
     }
 
-    /// Which jobs have missed all their aims or will, and which parties have such jobs waiting and are below their floor.
-    pub fn update_past_slo_jobs(&mut self, clock: Clock) {
+    /// Updates which jobs have missed their objectives or will, and which team classes have such jobs waiting and are
+    /// below their minimum share.
+    pub(in crate::coordination::leader) fn update_past_slo_jobs(&mut self, clock: Clock) {
         self.placement.recently_served.advance_to(clock.now.0);
         let past_slo = self.past_slo_jobs(clock);
-        let mut waiting: BTreeMap<TeamClass, bool> = BTreeMap::new();
-        for (ix, work) in self.workload.jobs.iter().filter(|(_, work)| work.has_waiting_tasks()) {
-            *waiting.entry((work.spec.team, work.spec.class)).or_default() |= past_slo.contains_key(ix);
+        let below_minimum = self.classes_below_minimum_share(&past_slo);
+        let inputs = &mut self.placement.priority_inputs;
+        inputs.present.past_slo = !past_slo.is_empty();
+        inputs.present.below_minimum_share = !below_minimum.is_empty();
+        for (ix, job) in &self.workload.jobs {
+            let of_job = inputs.get_mut(*ix);
+            of_job.past_slo_work = past_slo.get(ix).copied();
+            of_job.below_minimum_share = below_minimum.contains(&(job.spec.team, job.spec.class));
+        }
+    }
+
+    /// Of the team classes with jobs waiting, those below their minimum share with a job past its objectives among them.
+    fn classes_below_minimum_share(&self, past_slo: &BTreeMap<JobIx, u64>) -> BTreeSet<TeamClass> {
+        if !self.tunables.overload.overload_ordering {
+            return BTreeSet::new();
         }
-        let waiting_shares: Vec<WaitingShare<TeamClass>> = waiting
+        let mut has_past_slo: BTreeMap<TeamClass, bool> = BTreeMap::new();
+        for (ix, job) in self.workload.jobs.iter().filter(|(_, job)| job.has_waiting_tasks()) {
+            *has_past_slo.entry((job.spec.team, job.spec.class)).or_default() |= past_slo.contains_key(ix);
+        }
+        let waiting: Vec<WaitingShare<TeamClass>> = has_past_slo
             .keys()
-            .map(|party| WaitingShare { key: *party, weight: self.team_weight(party.0) })
+            .map(|class| WaitingShare { key: *class, weight: self.team_weight(class.0) })
             .collect();
-        let mut below_minimum =
-            self.placement.recently_served.below_minimum_share(&waiting_shares, MINIMUM_SHARE);
-        below_minimum
-            .retain(|party| self.tunables.overload.overload_ordering && waiting.get(party) == Some(&true));
-        (
-            self.placement.priority_inputs.present.past_slo,
-            self.placement.priority_inputs.present.below_minimum_share,
-        ) = (!past_slo.is_empty(), !below_minimum.is_empty());
-        for (ix, work) in &self.workload.jobs {
-            let inputs = self.placement.priority_inputs.get_mut(*ix);
-            inputs.past_slo_work = past_slo.get(ix).copied();
-            inputs.below_minimum_share = below_minimum.contains(&(work.spec.team, work.spec.class));
-        }
+        let mut below = self.placement.recently_served.below_minimum_share(&waiting, MINIMUM_SHARE);
+        below.retain(|class| has_past_slo.get(class) == Some(&true));
+        below
     }
 
-    /// Jobs whose last aim has passed, and array jobs that could not meet theirs even if all smaller ones went first and
-    /// nothing of what is put off came in between (Moore's rule for the fewest late jobs): with the work left of each.
+    /// Jobs whose last objective has passed, and array jobs that could not meet theirs even if all smaller ones went first
+    /// and nothing that is past its objectives came in between (Moore's rule for the fewest late jobs), with the work left
+    /// of each.
     fn past_slo_jobs(&self, clock: Clock) -> BTreeMap<JobIx, u64> {
+        let overload_ordering = self.tunables.overload.overload_ordering;
         let mut past_slo = BTreeMap::new();
-        let mut arrays: Vec<(PriorityClass, u64, JobIx, u64)> = Vec::new();
-        for (ix, work) in &self.workload.jobs {
-            let left = remaining_work(work);
-            if self.is_past_slo(work, clock) {
-                past_slo.insert(*ix, if self.tunables.overload.overload_ordering { left } else { 0 });
-            } else if self.tunables.overload.overload_ordering
-                && !work.spec.is_all_or_nothing()
-                && work.probation.is_none()
-            {
-                arrays.push((work.spec.urgency, left, *ix, self.time_to_last_objective_ms(work, clock)));
+        let mut arrays: Vec<ArrayWork> = Vec::new();
+        for (ix, job) in &self.workload.jobs {
+            let remaining_work = remaining_work(job);
+            if self.is_past_slo(job, clock) {
+                past_slo.insert(*ix, if overload_ordering { remaining_work } else { 0 });
+            } else if overload_ordering && !job.spec.is_all_or_nothing() && job.probation.is_none() {
+                let time_left_ms = self.time_to_last_objective_ms(job, clock);
+                arrays.push(ArrayWork {
+                    urgency: job.spec.urgency,
+                    remaining_work,
+                    job_ix: *ix,
+                    time_left_ms,
+                });
             }
         }
         arrays.sort_unstable();
-        let cpus = self.cpu_for_arrays().max(1);
-        let mut ahead = 0;
-        for (_, left, ix, time_left_ms) in arrays {
-            if left.saturating_add(ahead).saturating_mul(1000) / cpus > time_left_ms {
-                past_slo.insert(ix, left);
+        let cpu = self.cpu_for_arrays().max(1);
+        let mut work_ahead: u64 = 0;
+        for array in arrays {
+            let work = work_ahead.saturating_add(array.remaining_work);
+            if work.saturating_mul(MILLI) / cpu > array.time_left_ms {
+                past_slo.insert(array.job_ix, array.remaining_work);
             } else {
-                ahead = left.saturating_add(ahead);
+                work_ahead = work;
             }
         }
         past_slo
     }
 
-    /// From now until the job's deadline, or the last aim of its class.
-    fn time_to_last_objective_ms(&self, work: &JobState, clock: Clock) -> u64 {
-        let until =
-            work.spec.slo_wall_ms.or(self.longest_slo_ms(work).map(|aim| work.spec.accepted_wall_ms + aim));
-        until.map_or(u64::MAX, |until| until.saturating_sub(clock.wall_ms))
+    /// From now until the job's deadline, or the last objective of its class.
+    fn time_to_last_objective_ms(&self, job: &JobState, clock: Clock) -> u64 {
+        let class_slo = self.longest_slo_ms(job).map(|slo_ms| job.spec.accepted_wall_ms + slo_ms);
+        let last = job.spec.slo_wall_ms.or(class_slo);
+        last.map_or(u64::MAX, |last| last.saturating_sub(clock.wall_ms))
     }
 
-    /// Of the machines there and those coming, in thousandths of CPUs.
-    pub fn fleet_cpu(&self) -> u64 {
-        let present = self
-            .cluster
-            .machines
-            .iter()
-            .filter(|machine| machine.state != MachineState::Gone && !machine.returning);
-        present.map(|machine| machine.capacity.cpu).sum()
+    /// CPUs of the machines that are present or coming, in thousandths.
+    pub(super) fn fleet_cpu(&self) -> u64 {
+        let machines = self.cluster.machines.iter();
+        machines
+            .filter(|machine| machine.state != MachineState::Gone && !machine.returning)
+            .map(|machine| machine.capacity.cpu)
+            .sum()
     }
 
     /// What of them gangs do not use.
     fn cpu_for_arrays(&self) -> u64 {
-        let gangs = self.workload.jobs.values().filter(|work| work.spec.is_all_or_nothing());
-        let used: u64 = gangs.map(|work| work.spec.task_resources.cpu * work.placements.len() as u64).sum();
+        let gangs = self.workload.jobs.values().filter(|job| job.spec.is_all_or_nothing());
+        let used: u64 = gangs.map(|job| job.spec.task_resources.cpu * job.placements.len() as u64).sum();
         self.fleet_cpu().saturating_sub(used)
     }
 
-    /// A team counts by what it is guaranteed; one without a guarantee a little.
+    /// A team weighs what it is guaranteed; one without a guarantee a little.
     fn team_weight(&self, team: TeamIx) -> u64 {
-        let cpu =
-            self.quotas.team_settings.get(&team).map_or(0, |team| team.guaranteed.cpu + team.guaranteed.gpu);
-        let all: u64 =
-            self.quotas.team_settings.values().map(|team| team.guaranteed.cpu + team.guaranteed.gpu).sum();
-        cpu.max(all / 20).max(1)
+        let teams = &self.quotas.team_settings;
+        let own = teams.get(&team).map_or(0, |team| team.guaranteed.cpu + team.guaranteed.gpu);
+        let all: u64 = teams.values().map(|team| team.guaranteed.cpu + team.guaranteed.gpu).sum();
+        own.max(all / UNGUARANTEED_WEIGHT_DIVISOR).max(1)
     }
 
-    /// The order in which waiting gangs are tried: by rank, unless they are so many for the machines that fit them that
-    /// one that came now would not even start before its aims had passed. Then those of parties that are behind come
-    /// first, and small ones before large ones that came only a little earlier, so that more of them end.
-    pub fn gang_order(&self) -> Vec<Rank> {
+    /// The order in which waiting gangs are tried: by rank, unless there are so many for the machines that fit them that
+    /// one that came now would not even start before its objectives had passed. Then those of team classes that are behind
+    /// come first, and small ones before large ones that came only a little earlier, so that more of them complete.
+    pub(super) fn gang_order(&self) -> Vec<Rank> {
         let mut ranks: Vec<Rank> = self.placement.waiting_gangs.iter().copied().collect();
         let excess_backlog_ms =
             self.gang_backlog_ms(&ranks).filter(|_| self.tunables.overload.overload_ordering);
         let Some(backlog_ms) = excess_backlog_ms else { return ranks };
         log::debug!("gangs are too many: {backlog_ms} ms ahead of the next");
         ranks.sort_by_cached_key(|rank| {
-            let work = self.workload.jobs.get(&rank.job);
-            let due = work.map_or(0, |work| {
-                let own = u64::from(work.unfinished_tasks()).saturating_mul(work.expected_run_ms());
-                work.spec.accepted_wall_ms.saturating_add(own)
+            let due_ms = self.workload.jobs.get(&rank.job).map_or(0, |job| {
+                let total_run_ms = u64::from(job.unfinished_tasks()).saturating_mul(job.expected_run_ms());
+                job.spec.accepted_wall_ms.saturating_add(total_run_ms)
             });
-            (!self.placement.priority_inputs.get(rank.job).below_minimum_share, rank.urgency(), due, *rank)
+            let is_below_minimum = self.placement.priority_inputs.get(rank.job).below_minimum_share;
+            (!is_below_minimum, rank.urgency(), due_ms, *rank)
         });
         ranks
     }
 
-    /// Milliseconds that the machines of some type are busy with the gangs that wait for it, if that is too many.
+    /// How long the machines of some type are busy with the gangs that wait for it, in milliseconds; None if no type's
+    /// gangs wait longer than their objectives.
     fn gang_backlog_ms(&self, ranks: &[Rank]) -> Option<u64> {
-        let mut ahead: BTreeMap<MachineTypeIx, (u64, u64)> = BTreeMap::new();
-        for work in ranks.iter().filter_map(|rank| self.workload.jobs.get(&rank.job)) {
-            let objective_ms = self.longest_slo_ms(work).unwrap_or(DEFAULT_SLO_MS);
-            let own = (work.unplaced_tasks().len() as u64).saturating_mul(work.expected_run_ms());
-            let machine_types = self.machine_types_for(work);
-            for kind in &machine_types {
-                let slots = self
-                    .cluster
-                    .machine_types
-                    .get(kind)
-                    .map_or(0, |kind| work.spec.task_resources.max_count_in(&kind.capacity).min(1_000));
-                let (busy, least) = ahead.entry(*kind).or_insert((0, u64::MAX));
-                *busy = busy.saturating_add(own / slots.max(1) / machine_types.len() as u64);
-                *least = (*least).min(objective_ms);
+        let excess = self.gang_backlogs(ranks).into_iter().filter_map(|(machine_type, backlog)| {
+            let open = self.cluster.placement_index.open_matching(|other, _| other == machine_type);
+            let machines = open.count() as u64;
+            let wait_ms = backlog.machine_ms / machines.max(1);
+            (machines > 0 && wait_ms > backlog.objective_ms).then_some(wait_ms)
+        });
+        excess.max()
+    }
+
+    fn gang_backlogs(&self, ranks: &[Rank]) -> BTreeMap<MachineTypeIx, GangBacklog> {
+        let mut backlogs: BTreeMap<MachineTypeIx, GangBacklog> = BTreeMap::new();
+        for job in ranks.iter().filter_map(|rank| self.workload.jobs.get(&rank.job)) {
+            let objective_ms = self.longest_slo_ms(job).unwrap_or(DEFAULT_SLO_MS);
+            let task_ms = (job.unplaced_tasks().len() as u64).saturating_mul(job.expected_run_ms());
+            let machine_types = self.machine_types_for(job);
+            for ix in &machine_types {
+                let machine_type = self.cluster.machine_types.get(ix);
+                let slots = machine_type.map_or(0, |machine_type| {
+                    job.spec.task_resources.max_count_in(&machine_type.capacity).min(MAX_EXPECTED_SLOTS)
+                });
+                // The types share the gang equally.
+                let machine_ms = task_ms / slots.max(1) / machine_types.len() as u64;
+                let backlog =
+                    backlogs.entry(*ix).or_insert(GangBacklog { machine_ms: 0, objective_ms: u64::MAX });
+                backlog.machine_ms = backlog.machine_ms.saturating_add(machine_ms);
+                backlog.objective_ms = backlog.objective_ms.min(objective_ms);
             }
         }
-        let late = ahead.into_iter().filter_map(|(kind, (busy, least))| {
-            let machines =
-                self.cluster.placement_index.open_matching(|other, _| other == kind).count() as u64;
-            let wait = busy / machines.max(1);
-            (machines > 0 && wait > least).then_some(wait)
-        });
-        late.max()
+        backlogs
     }
 }
 
-/// CPU milliseconds that it still needs, in thousandths of CPUs.
-fn remaining_work(work: &JobState) -> u64 {
-    work.spec
-        .task_resources
-        .cpu
-        .saturating_mul(u64::from(work.unfinished_tasks()))
-        .saturating_mul(work.expected_run_ms())
-        / 1000
+/// CPU milliseconds that the job still needs, in thousandths of CPUs.
+fn remaining_work(job: &JobState) -> u64 {
+    let task_work = job.spec.task_resources.cpu.saturating_mul(u64::from(job.unfinished_tasks()));
+    task_work.saturating_mul(job.expected_run_ms()) / MILLI
 }
--- a/src/coordination/leader/placement/reserved_machines.rs
+++ b/src/coordination/leader/placement/reserved_machines.rs
@@ -1,117 +1,145 @@
-//! Machines of types that are scarce: gangs wait whose tasks fit nothing else, while queued tasks there would fit
-//! elsewhere too.
+//! Machines of scarce types are reserved for gangs whose tasks fit nothing else, while queued tasks would fit elsewhere.
 //!
-//! Filled with small tasks each time one of them falls free, such machines are never free together, and a gang can only
-//! hold some and wait until they have run empty: with six times the gangs more than a quarter of the large machines stood
-//! held and half empty. As many of them as gangs wait for take no queued tasks, and those queued there go elsewhere.
+//! Filled with small tasks each time one of them becomes free, such machines are never free together, and a gang can only
+//! hold some and wait until they are empty: with six times the gangs, more than a quarter of the large machines stood held
+//! and half empty. As many of them as gangs wait for take no queued tasks, and those queued there are queued elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{MachineIx, MachineTypeIx, Resources};
 
-/// Tasks of gangs that wait for room on machines of a type, and the largest of them.
+/// Gangs that wait for room on machines of a type.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct GangDemand {
+pub(super) struct GangDemand {
     tasks: u64,
-    need: Resources,
+    /// The largest of each resource that one task needs.
+    max_need: Resources,
 }
 
-/// By the types that fit.
-pub type GangDemandByType = BTreeMap<MachineTypeIx, GangDemand>;
+/// Demand by the machine types that the tasks fit.
+pub(super) type GangDemandByType = BTreeMap<MachineTypeIx, GangDemand>;
+
+/// A machine that can be reserved, the best first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Reservable {
+    is_unreserved: bool,
+    /// CPUs that tasks use which are not part of a gang, in thousandths.
+    queued_task_cpu: u64,
+    machine_ix: MachineIx,
+}
+
+/// What the tasks on a machine use.
+#[derive(Default)]
+struct MachineUsage {
+    /// By tasks of gangs and services.
+    gangs: Resources,
+    /// CPUs of all other tasks, in thousandths.
+    queued_task_cpu: u64,
+}
 
 impl Leader {
-    /// A gang that may stop nobody has found no room.
-    pub fn record_gang_demand(&self, work: &JobState, tasks: usize, demand: &mut GangDemandByType) {
-        for kind in self.machine_types_for(work) {
-            let type_demand = demand.entry(kind).or_default();
-            type_demand.tasks += tasks as u64;
-            let (need, more) = (&mut type_demand.need, &work.spec.task_resources);
-            *need = Resources {
-                cpu: need.cpu.max(more.cpu),
-                gpu: need.gpu.max(more.gpu),
-                mem: need.mem.max(more.mem),
+    /// Adds a gang that may stop no tasks and found no room.
+    pub(super) fn record_gang_demand(&self, job: &JobState, tasks: usize, demand: &mut GangDemandByType) {
+        let need = &job.spec.task_resources;
+        for machine_type in self.machine_types_for(job) {
+            let of_type = demand.entry(machine_type).or_default();
+            of_type.tasks += tasks as u64;
+            of_type.max_need = Resources {
+                cpu: of_type.max_need.cpu.max(need.cpu),
+                gpu: of_type.max_need.gpu.max(need.gpu),
+                mem: of_type.max_need.mem.max(need.mem),
             };
         }
     }
 
-    /// Keeps queued tasks off as many machines as gangs wait for, those that run empty first.
-    pub fn reserve_scarce_machines(&mut self, demand: &GangDemandByType) {
+    /// Reserves as many machines as gangs wait for, those first that are nearest to empty, and releases all others.
+    pub(super) fn reserve_scarce_machines(&mut self, demand: &GangDemandByType) {
         if !self.tunables.overload.overload_ordering {
             return;
         }
-        let mut reserved = BTreeSet::new();
-        for (kind, waiting) in demand.iter().filter(|(kind, _)| self.has_other_machine_types(**kind, demand))
-        {
-            let mut usable: Vec<(bool, u64, MachineIx)> = Vec::new();
-            for ix in self.cluster.placement_index.open_matching(|other, _| other == *kind) {
-                let machine = &self.cluster.machines[ix.index()];
-                let (gangs, queued) = self.usage_by_gangs(ix);
-                if waiting.need.fits_in(&machine.capacity.saturating_sub(&gangs)) {
-                    usable.push((!machine.reserved, queued, ix));
-                }
-            }
-            usable.sort_unstable();
-            let limit = if self.has_queued_work_only_for(demand) { usable.len() / 2 } else { usable.len() };
-            reserved.extend(usable.into_iter().take((waiting.tasks as usize).min(limit)).map(|(.., ix)| ix));
-        }
+        let reserved = self.machines_to_reserve(demand);
         let released: Vec<MachineIx> =
             self.placement.reserved_machines.difference(&reserved).copied().collect();
-        for ix in released {
-            self.set_reserved(ix, false);
+        for machine_ix in released {
+            self.set_reserved(machine_ix, false);
         }
-        for ix in reserved {
-            self.set_reserved(ix, true);
+        for machine_ix in reserved {
+            self.set_reserved(machine_ix, true);
         }
     }
 
-    fn set_reserved(&mut self, ix: MachineIx, reserved: bool) {
-        if self.cluster.machines[ix.index()].reserved == reserved {
+    fn machines_to_reserve(&self, demand: &GangDemandByType) -> BTreeSet<MachineIx> {
+        let mut reserved = BTreeSet::new();
+        for (machine_type, of_type) in demand {
+            if !self.has_other_machine_types(*machine_type, demand) {
+                continue;
+            }
+            let mut reservable = self.reservable_machines(*machine_type, of_type);
+            reservable.sort_unstable();
+            // Half of them stay open for queued work that has nowhere else to go.
+            let limit =
+                if self.has_queued_work_only_for(demand) { reservable.len() / 2 } else { reservable.len() };
+            let count = limit.min(of_type.tasks as usize);
+            reserved.extend(reservable.into_iter().take(count).map(|machine| machine.machine_ix));
+        }
+        reserved
+    }
+
+    fn reservable_machines(&self, machine_type: MachineTypeIx, demand: &GangDemand) -> Vec<Reservable> {
+        let open = self.cluster.placement_index.open_matching(|other, _| other == machine_type);
+        let reservable = open.filter_map(|machine_ix| {
+            let machine = &self.cluster.machines[machine_ix.index()];
+            let usage = self.usage_by_gangs(machine_ix);
+            let room = machine.capacity.saturating_sub(&usage.gangs);
+            demand.max_need.fits_in(&room).then_some(Reservable {
+                is_unreserved: !machine.reserved,
+                queued_task_cpu: usage.queued_task_cpu,
+                machine_ix,
+            })
+        });
+        reservable.collect()
+    }
+
+    fn set_reserved(&mut self, machine_ix: MachineIx, reserved: bool) {
+        let machine = &mut self.cluster.machines[machine_ix.index()];
+        if machine.reserved == reserved {
             return;
         }
-        self.cluster.machines[ix.index()].reserved = reserved;
-        self.refresh_placement_index(ix);
+        machine.reserved = reserved;
+        self.refresh_placement_index(machine_ix);
         if reserved {
-            self.placement.reserved_machines.insert(ix);
-            self.requeue_machine_queues(ix);
+            self.placement.reserved_machines.insert(machine_ix);
+            self.requeue_machine_queues(machine_ix);
         } else {
-            self.placement.reserved_machines.remove(&ix);
+            self.placement.reserved_machines.remove(&machine_ix);
         }
     }
 
-    /// What gangs and services use on a machine, and how many CPUs (in thousandths) other tasks.
-    fn usage_by_gangs(&self, ix: MachineIx) -> (Resources, u64) {
-        let (mut gangs, mut others) = (Resources::default(), 0);
-        for binding in &self.cluster.machines[ix.index()].bindings {
-            if binding
-                .job
-                .and_then(|job| self.workload.jobs.get(&job))
-                .is_some_and(|work| work.spec.is_all_or_nothing())
-            {
-                gangs.add(&binding.need);
+    fn usage_by_gangs(&self, machine_ix: MachineIx) -> MachineUsage {
+        let mut usage = MachineUsage::default();
+        for binding in &self.cluster.machines[machine_ix.index()].bindings {
+            let job = binding.job.and_then(|job_ix| self.workload.jobs.get(&job_ix));
+            if job.is_some_and(|job| job.spec.is_all_or_nothing()) {
+                usage.gangs.add(&binding.need);
             } else {
-                others += binding.need.cpu;
+                usage.queued_task_cpu += binding.need.cpu;
             }
         }
-        (gangs, others)
+        usage
     }
 
-    /// Are there machines of types that no gang waits for?
-    fn has_other_machine_types(&self, kind: MachineTypeIx, demand: &GangDemandByType) -> bool {
-        self.cluster
-            .placement_index
-            .open_matching(|other, _| other != kind && !demand.contains_key(&other))
-            .next()
-            .is_some()
+    /// Whether there are machines of types that no gang waits for.
+    fn has_other_machine_types(&self, machine_type: MachineTypeIx, demand: &GangDemandByType) -> bool {
+        let is_other = |other, _| other != machine_type && !demand.contains_key(&other);
+        self.cluster.placement_index.open_matching(is_other).next().is_some()
     }
 
-    /// Does queued work wait that fits only types that gangs wait for too?
+    /// Whether queued work waits that fits only types that gangs wait for too.
     fn has_queued_work_only_for(&self, demand: &GangDemandByType) -> bool {
         let fits_elsewhere =
-            |work: &JobState| self.machine_types_for(work).iter().any(|kind| !demand.contains_key(kind));
-        self.workload
-            .jobs
-            .values()
-            .any(|work| !work.spec.is_all_or_nothing() && work.has_waiting_tasks() && !fits_elsewhere(work))
+            |job: &JobState| self.machine_types_for(job).iter().any(|ix| !demand.contains_key(ix));
+        let mut jobs = self.workload.jobs.values();
+        jobs.any(|job| !job.spec.is_all_or_nothing() && job.has_waiting_tasks() && !fits_elsewhere(job))
     }
 }
--- a/src/coordination/leader/placement/state.rs
+++ b/src/coordination/leader/placement/state.rs
@@ -1,4 +1,4 @@
-//! What placement keeps from one step to the next.
+//! What placement keeps from one pass to the next.
 
 use std::collections::BTreeSet;
 
@@ -20,15 +20,15 @@
 /// Queues and caches of placement that belong to no single machine or job.
 #[derive(Debug)]
 pub struct PlacementState {
-    /// What orders jobs in queues and changes while they wait.
+    /// What the order of service takes into account beside the jobs' ranks.
     pub(in crate::coordination::leader) priority_inputs: PriorityInputsTable,
-    /// CPU time started for each team and class lately, in thousandths of CPUs times milliseconds.
+    /// CPU milliseconds started for each team class within the window, in thousandths of CPUs.
     pub(in crate::coordination::leader) recently_served: ServiceWindow<TeamClass>,
     /// CPUs that best-effort tasks use, in thousandths.
     pub(in crate::coordination::leader) best_effort_cpu: u64,
     /// Capacity kept free of best-effort tasks.
     pub(in crate::coordination::leader) headroom: Headroom,
-    /// The job for which tasks were preempted when that was last examined.
+    /// The jobs for which the last preemption pass stopped tasks.
     pub(in crate::coordination::leader) preemption_state: Option<PreemptorPriority>,
     /// Ready tasks that no present machine may take.
     pub(in crate::coordination::leader) backlog: Queue,
@@ -40,16 +40,16 @@
     pub(in crate::coordination::leader) waiting_gangs: BTreeSet<Rank>,
     /// Negative cache of gang searches.
     pub(in crate::coordination::leader) gang_search_cache: GangSearchCache,
-    /// Waiting gangs are not searched for before.
+    /// When waiting gangs are next searched for.
     pub(in crate::coordination::leader) gang_search_not_before: Millis,
-    /// Tasks that one record of the store can hold.
+    /// Tasks that the record of one machine can hold.
     pub(in crate::coordination::leader) max_tasks_per_record: usize,
     /// Seeded, so that a run with the same events repeats exactly.
     pub(in crate::coordination::leader) rng: SmallRng,
 }
 
 impl PlacementState {
-    /// Nothing is queued or held.
+    /// Nothing is queued or held. `seed`: of all randomness of the term.
     pub(in crate::coordination::leader) fn new(
         settings: &Settings,
         seed: u64,
--- a/src/coordination/leader/placement/team_quota.rs
+++ b/src/coordination/leader/placement/team_quota.rs
@@ -16,55 +16,55 @@
 }
 
 impl Leader {
-    /// What teams may use and are guaranteed from now on: the platform's settings, lowered by the configuration where
-    /// that is turned on. What runs above a lowered limit is left running.
-    pub fn apply_config(&mut self, cache: &mut StoreCache) {
+    /// Puts the teams' guarantees and limits into force: the settings, lowered by the configuration on record where that is
+    /// enabled. Tasks that run above a lowered limit are left running.
+    pub(in crate::coordination) fn apply_config(&mut self, cache: &mut StoreCache) {
         let settings = self.settings.clone();
-        let mut raised = false;
-        for platform in &settings.teams {
+        let mut any_raised = false;
+        for configured in &settings.teams {
             let effective = if self.tunables.config.enabled {
-                cache.config.effective_team(platform)
+                cache.config.effective_team(configured)
             } else {
-                platform.clone()
+                configured.clone()
             };
-            let team = cache.names.teams.intern(&platform.name);
+            let team = cache.names.teams.intern(&configured.name);
             let limit = effective.effective_limit();
-            let before = self.quotas.team_settings.insert(team, effective);
-            raised |= before.is_some_and(|before| before.effective_limit().cpu < limit.cpu);
+            let previous = self.quotas.team_settings.insert(team, effective);
+            any_raised |= previous.is_some_and(|previous| previous.effective_limit().cpu < limit.cpu);
         }
-        if raised {
+        if any_raised {
             self.retry_all_placements();
         }
     }
 
-    /// Tasks that a limit kept from starting may start now, wherever there is room.
+    /// Tasks that a limit kept from starting may start now on any machine.
     fn retry_all_placements(&mut self) {
-        for at in 0..self.cluster.machines.len() {
-            self.cluster.placement_index.mark_to_fill(MachineIx(at as u32));
+        for index in 0..self.cluster.machines.len() {
+            self.cluster.placement_index.mark_to_fill(MachineIx(index as u32));
         }
         self.cluster.placement_index.recheck_backlog = true;
         self.placement.gang_search_not_before = Millis::default();
         self.placement.gang_search_cache = GangSearchCache::default();
     }
 
-    /// Which jobs fit into their teams' guarantees together with what is left of the teams'
-    /// earlier ones: they need not wait for other teams, or for their own team's later jobs.
-    pub fn update_guaranteed_jobs(&mut self) {
+    /// Updates which jobs fit into their teams' guarantees together with what is left of the teams' earlier ones: they
+    /// wait neither for other teams nor for later jobs of their own.
+    pub(in crate::coordination::leader) fn update_guaranteed_jobs(&mut self) {
         let mut jobs: Vec<(JobIx, &JobState)> =
-            self.workload.jobs.iter().map(|(ix, work)| (*ix, work)).collect();
-        jobs.sort_by_key(|(_, work)| work.spec.accepted_revision);
-        let mut taken: HashMap<TeamIx, Resources> = HashMap::new();
+            self.workload.jobs.iter().map(|(ix, job)| (*ix, job)).collect();
+        jobs.sort_by_key(|(_, job)| job.spec.accepted_revision);
+        let mut demand_by_team: HashMap<TeamIx, Resources> = HashMap::new();
         let mut any_guaranteed = false;
-        for (ix, work) in jobs {
-            // What fails wherever it is tried takes nothing of its team's guarantee from good work.
-            if work.probation.is_some() {
+        for (ix, job) in jobs {
+            // A job that fails wherever it is tried takes nothing of its team's guarantee from others.
+            if job.probation.is_some() {
                 self.placement.priority_inputs.get_mut(ix).guaranteed = false;
                 continue;
             }
-            let Some(team) = self.quotas.team_settings.get(&work.spec.team) else { continue };
-            let team_total = taken.entry(work.spec.team).or_default();
-            team_total.add(&work.spec.task_resources.saturating_mul(u64::from(work.unfinished_tasks())));
-            let guaranteed = team_total.cpu <= team.guaranteed.cpu && team_total.gpu <= team.guaranteed.gpu;
+            let Some(team) = self.quotas.team_settings.get(&job.spec.team) else { continue };
+            let demand = demand_by_team.entry(job.spec.team).or_default();
+            demand.add(&job.spec.task_resources.saturating_mul(u64::from(job.unfinished_tasks())));
+            let guaranteed = is_within(demand, &team.guaranteed);
             self.placement.priority_inputs.get_mut(ix).guaranteed = guaranteed;
             any_guaranteed |= guaranteed;
         }
@@ -75,25 +75,26 @@
         self.quotas.usage.get(&team).copied().unwrap_or_default()
     }
 
-    /// Has the team room for that much more?
-    pub fn within_quota(&self, team: TeamIx, need: &Resources) -> bool {
+    /// Whether the team's limit allows this much more.
+    pub(in crate::coordination::leader) fn within_quota(&self, team: TeamIx, need: &Resources) -> bool {
         let Some(settings) = self.quotas.team_settings.get(&team) else {
             return false;
         };
-        let mut used = self.team_usage(team);
-        used.add(need);
-        used.fits_in(&settings.effective_limit())
+        let mut usage = self.team_usage(team);
+        usage.add(need);
+        usage.fits_in(&settings.effective_limit())
     }
 
-    /// Would the team still be within what it is guaranteed?
-    pub fn within_guarantee(&self, team: TeamIx, need: &Resources) -> bool {
+    /// Whether the team's guarantee covers this much more.
+    pub(super) fn within_guarantee(&self, team: TeamIx, need: &Resources) -> bool {
         let Some(settings) = self.quotas.team_settings.get(&team) else { return false };
-        let used = self.team_usage(team);
-        used.cpu + need.cpu <= settings.guaranteed.cpu && used.gpu + need.gpu <= settings.guaranteed.gpu
+        let mut usage = self.team_usage(team);
+        usage.add(need);
+        is_within(&usage, &settings.guaranteed)
     }
 
     /// What other teams have borrowed and is not being stopped already.
-    pub fn borrowed_by_others(&self, team: TeamIx) -> BorrowedCapacity<TeamIx, JobIx> {
+    pub(super) fn borrowed_by_others(&self, team: TeamIx) -> BorrowedCapacity<TeamIx, JobIx> {
         let mut borrowed = BorrowedCapacity::default();
         for (other, settings) in self.quotas.team_settings.iter().filter(|(other, _)| **other != team) {
             let stopping = self.quotas.stopping_usage.get(other).copied().unwrap_or_default();
@@ -107,26 +108,28 @@
         borrowed
     }
 
-    /// What of all teams' use has been told to stop, when that was last counted.
-    pub fn total_stopping(&self) -> Resources {
-        let mut all = Resources::default();
-        self.quotas.stopping_usage.values().for_each(|amount| all.add(amount));
-        all
+    /// The part of all teams' usage that is being stopped, as last counted.
+    pub(super) fn total_stopping(&self) -> Resources {
+        let mut total = Resources::default();
+        for stopping in self.quotas.stopping_usage.values() {
+            total.add(stopping);
+        }
+        total
     }
 
-    /// What of each team's use has been told to stop, counted anew.
-    pub fn recount_stopping(&mut self) {
+    /// Counts the part of each team's usage that is being stopped.
+    pub(super) fn recount_stopping(&mut self) {
         self.quotas.stopping_usage.clear();
-        let stopping = self
-            .cluster
-            .machines
-            .iter()
-            .flat_map(|machine| &machine.bindings)
-            .filter(|b| b.stop_grace_ms.is_some());
-        for binding in stopping {
+        let bindings = self.cluster.machines.iter().flat_map(|machine| &machine.bindings);
+        for binding in bindings.filter(|binding| binding.stop_grace_ms.is_some()) {
             if let Some(team) = binding.team {
                 self.quotas.stopping_usage.entry(team).or_default().add(&binding.need);
             }
         }
     }
 }
+
+/// Guarantees are given in CPUs and GPUs; memory does not count.
+fn is_within(usage: &Resources, guaranteed: &Resources) -> bool {
+    usage.cpu <= guaranteed.cpu && usage.gpu <= guaranteed.gpu
+}
--- a/src/coordination/leader/placement/tests/policy.rs
+++ b/src/coordination/leader/placement/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Tests of `policy`.
+//! Tests of the order of service.
 
 use super::*;
 use crate::bookkeeping::jobs::{NameRegistry, NodeSpec};
@@ -6,8 +6,26 @@
 use crate::protocol::graphs::DagRunName;
 use std::sync::Arc;
 
-/// One who wants the last place: urgency, standing, ready at (s), due (s), path behind it (s; None: a plain job).
-type Candidate = (&'static str, PriorityInputs, u64, u64, Option<u64>);
+/// A job that waits for the last free room.
+#[derive(Debug, Clone, Copy)]
+struct Candidate {
+    urgency: &'static str,
+    inputs: PriorityInputs,
+    ready_s: u64,
+    objective_s: u64,
+    /// The path downstream of a node; None for a plain job.
+    downstream_s: Option<u64>,
+}
+
+const fn candidate(
+    urgency: &'static str,
+    inputs: PriorityInputs,
+    ready_s: u64,
+    objective_s: u64,
+    downstream_s: Option<u64>,
+) -> Candidate {
+    Candidate { urgency, inputs, ready_s, objective_s, downstream_s }
+}
 
 const BORROWING: PriorityInputs =
     PriorityInputs { guaranteed: false, past_slo_work: None, below_minimum_share: false };
@@ -17,42 +35,49 @@
 const BELOW_MINIMUM_SHARE: PriorityInputs =
     PriorityInputs { below_minimum_share: true, ..PAST_SLO_MUCH_LEFT };
 
-fn queue_order(at: u32, (urgency, standing, ready, due, ahead): Candidate) -> QueueOrder {
+fn queue_order(index: u32, candidate: Candidate) -> QueueOrder {
     let spec = serde_json::json!({"uid": "job-000001", "jobclass": "c", "owner": "o", "shape": "array",
-            "urgency": urgency, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
+            "urgency": candidate.urgency, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
             "size_gb": 0.0, "together": false, "scatter": false, "loaners": false, "guess_s": 0.0, "snapshot_s": 0.0,
             "flush_s": 0.0});
     let spec = serde_json::from_value(spec).expect("a specification");
     let mut names = NameRegistry::default();
-    let seq = Revision(u64::from(at));
-    let mut info = JobSpec::new(JobId(u64::from(at)), &spec, 1_000_000 + ready * 1000, seq, &mut names);
-    info.node = ahead.map(|ahead| {
+    let accepted = Revision(u64::from(index));
+    let accepted_wall_ms = 1_000_000 + candidate.ready_s * 1000;
+    let mut spec = JobSpec::new(JobId(u64::from(index)), &spec, accepted_wall_ms, accepted, &mut names);
+    spec.node = candidate.downstream_s.map(|downstream_s| {
         Arc::new(NodeSpec {
             run: DagRunName::parse("r").expect("a name"),
             name: "n".into(),
             retry_policy: Default::default(),
             timeout_ms: None,
             pool: None,
-            downstream_path_ms: ahead * 1000,
+            downstream_path_ms: downstream_s * 1000,
             upstream_jobs: Vec::new(),
             input_mb: 0,
-            has_downstream: ahead > 0,
+            has_downstream: downstream_s > 0,
         })
     });
-    QueueOrder::new(&Rank::new(JobIx(at), &info, due * 1000, 0), standing)
+    let rank = Rank::new(JobIx(index), &spec, candidate.objective_s * 1000, 0);
+    QueueOrder::new(&rank, candidate.inputs)
 }
 
-/// Whoever is passed over unseen would not have come first: held against looking at all.
+/// Jobs that are skipped would not have come first: compared with a scan of all of them.
 #[test]
 fn early_exit_finds_the_same_first() {
     let mut all = Vec::new();
     for urgency in ["high", "normal"] {
-        let late = PriorityInputs { guaranteed: true, ..PAST_SLO_MUCH_LEFT };
-        for standing in
-            [WITHIN_GUARANTEE, late, BORROWING, PAST_SLO_LITTLE_LEFT, PAST_SLO_MUCH_LEFT, BELOW_MINIMUM_SHARE]
-        {
-            for due in [60, 300, 900] {
-                all.push((urgency, standing, 0, due, None));
+        let guaranteed_past_slo = PriorityInputs { guaranteed: true, ..PAST_SLO_MUCH_LEFT };
+        for inputs in [
+            WITHIN_GUARANTEE,
+            guaranteed_past_slo,
+            BORROWING,
+            PAST_SLO_LITTLE_LEFT,
+            PAST_SLO_MUCH_LEFT,
+            BELOW_MINIMUM_SHARE,
+        ] {
+            for objective_s in [60, 300, 900] {
+                all.push(candidate(urgency, inputs, 0, objective_s, None));
             }
         }
     }
@@ -63,71 +88,79 @@
                 past_slo: true,
                 below_minimum_share: present_flags.1,
             };
-            let is_present = |claim: &&Candidate| {
-                (present.guaranteed || !claim.1.guaranteed)
-                    && (present.below_minimum_share || !claim.1.below_minimum_share)
+            let is_present = |candidate: &&Candidate| {
+                (present.guaranteed || !candidate.inputs.guaranteed)
+                    && (present.below_minimum_share || !candidate.inputs.below_minimum_share)
             };
             let candidates = all.iter().skip(skipped).filter(is_present).step_by(skipped % 3 + 1);
             let mut orders: Vec<QueueOrder> =
-                candidates.enumerate().map(|(at, claim)| queue_order(at as u32, *claim)).collect();
-            orders.sort_by_key(|turn| turn.rank);
+                candidates.enumerate().map(|(index, job)| queue_order(index as u32, *job)).collect();
+            orders.sort_by_key(|order| order.rank);
             let mut first: Option<QueueOrder> = None;
-            for turn in &orders {
-                if first.is_some_and(|first| first.precedes_all_from(&turn.rank, present)) {
+            for order in &orders {
+                if first.is_some_and(|first| first.precedes_all_from(&order.rank, present)) {
                     break;
                 }
-                first = first.into_iter().chain([*turn]).min();
+                first = first.into_iter().chain([*order]).min();
             }
             assert_eq!(first, orders.iter().min().copied());
         }
     }
 }
 
-/// The first of each pair gets the last place, whichever asks first.
+/// The first of each pair is served first, whichever was accepted first.
 #[test]
 fn queue_order_table() {
-    let plain = ("normal", BORROWING, 0, 600, None);
+    let plain = candidate("normal", BORROWING, 0, 600, None);
     let table: [(&str, Candidate, Candidate); 12] = [
         (
             "urgency before all",
-            ("high", PAST_SLO_LITTLE_LEFT, 900, 900, None),
-            ("normal", WITHIN_GUARANTEE, 0, 60, Some(500)),
+            candidate("high", PAST_SLO_LITTLE_LEFT, 900, 900, None),
+            candidate("normal", WITHIN_GUARANTEE, 0, 60, Some(500)),
         ),
         (
-            "a guarantee before what is held up",
-            ("normal", WITHIN_GUARANTEE, 0, 600, None),
-            ("normal", BORROWING, 0, 600, Some(500)),
+            "a guarantee before the path downstream",
+            candidate("normal", WITHIN_GUARANTEE, 0, 600, None),
+            candidate("normal", BORROWING, 0, 600, Some(500)),
         ),
-        ("who can still meet an aim", plain, ("normal", PAST_SLO_LITTLE_LEFT, 0, 60, Some(500))),
         (
-            "of two hopeless ones what has less left",
-            ("normal", PAST_SLO_LITTLE_LEFT, 0, 900, None),
-            ("normal", PAST_SLO_MUCH_LEFT, 0, 60, None),
+            "what can still meet an objective",
+            plain,
+            candidate("normal", PAST_SLO_LITTLE_LEFT, 0, 60, Some(500)),
         ),
         (
-            "who is below its floor",
-            ("normal", BELOW_MINIMUM_SHARE, 900, 900, None),
-            ("high", WITHIN_GUARANTEE, 0, 60, None),
+            "of two past their objectives what has less left",
+            candidate("normal", PAST_SLO_LITTLE_LEFT, 0, 900, None),
+            candidate("normal", PAST_SLO_MUCH_LEFT, 0, 60, None),
         ),
         (
-            "of two below their floors the more urgent",
-            ("high", BELOW_MINIMUM_SHARE, 900, 900, None),
-            ("normal", BELOW_MINIMUM_SHARE, 0, 60, None),
+            "what is below its minimum share",
+            candidate("normal", BELOW_MINIMUM_SHARE, 900, 900, None),
+            candidate("high", WITHIN_GUARANTEE, 0, 60, None),
         ),
-        ("the earlier aim", ("normal", BORROWING, 0, 300, None), plain),
-        ("what holds up more", ("normal", BORROWING, 0, 600, Some(60)), plain),
+        (
+            "of two below their minimum shares the more urgent",
+            candidate("high", BELOW_MINIMUM_SHARE, 900, 900, None),
+            candidate("normal", BELOW_MINIMUM_SHARE, 0, 60, None),
+        ),
+        ("the earlier objective", candidate("normal", BORROWING, 0, 300, None), plain),
+        ("a node with a path downstream", candidate("normal", BORROWING, 0, 600, Some(60)), plain),
         (
             "of two nodes the longer path",
-            ("normal", BORROWING, 0, 600, Some(90)),
-            ("normal", BORROWING, 0, 600, Some(30)),
+            candidate("normal", BORROWING, 0, 600, Some(90)),
+            candidate("normal", BORROWING, 0, 600, Some(30)),
         ),
-        ("a node that came a little later", ("normal", BORROWING, 100, 600, Some(500)), plain),
+        ("a node that came a little later", candidate("normal", BORROWING, 100, 600, Some(500)), plain),
         (
             "aged: a plain job that came two minutes earlier",
             plain,
-            ("normal", BORROWING, 130, 600, Some(100_000)),
+            candidate("normal", BORROWING, 130, 600, Some(100_000)),
+        ),
+        (
+            "a last node is like a plain job: the older one",
+            plain,
+            candidate("normal", BORROWING, 0, 600, Some(0)),
         ),
-        ("a last node is like a plain job: the older one", plain, ("normal", BORROWING, 0, 600, Some(0))),
     ];
     for (why, first, second) in table {
         assert!(queue_order(1, first) < queue_order(2, second), "{why}");
