--- a/src/coordination/leader/placement/gang_search.rs
+++ b/src/coordination/leader/placement/gang_search.rs
@@ -8,6 +8,7 @@
 use olivelatch_admission::borrowed::BorrowedCapacity;
 
 use crate::coordination::Clock;
+use crate::coordination::leader::placement::MS_PER_S;
 use crate::coordination::leader::placement::holds::PlacementMethod;
 use crate::coordination::leader::placement::preemption_cost::{BorrowedClaim, PreemptionPolicy};
 use crate::coordination::leader::{JobState, Leader, Machine};
@@ -17,7 +18,6 @@
 const STOP_LATENCY_MS: u64 = 500;
 /// Fetch rate of a machine whose type is unknown, in megabytes a second.
 const DEFAULT_FETCH_MB_PER_S: f64 = 100.0;
-const MS_PER_S: f64 = 1000.0;
 
 /// What is searched.
 #[derive(Clone, Copy)]
--- a/src/coordination/leader/placement/holds.rs
+++ b/src/coordination/leader/placement/holds.rs
@@ -2,10 +2,9 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::Leader;
+use crate::coordination::leader::placement::MS_PER_S;
 use crate::ids::{JobIx, MachineIx, Millis};
 
-const MS_PER_S: f64 = 1000.0;
-
 /// How a machine gets room for a gang. A hold is replaced only by one of an earlier method.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PlacementMethod {
--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -23,3 +23,9 @@
 mod steal;
 mod stop_tasks;
 pub mod team_quota;
+
+const MS_PER_S: f64 = 1000.0;
+/// Thousandths in a CPU, and milliseconds in a second.
+const MILLI: u64 = 1000;
+/// Bound of the tasks that a machine is expected to run at once: tasks without resources would fit any number of times.
+const MAX_EXPECTED_SLOTS: u64 = 1_000;
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -7,6 +7,7 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::placement::policy::Rank;
+use crate::coordination::leader::placement::{MAX_EXPECTED_SLOTS, MILLI};
 use crate::coordination::leader::{DEFAULT_SLO_MS, JobState, Leader, MachineState};
 use crate::ids::{ClassIx, JobIx, MachineTypeIx, TeamIx};
 use crate::protocol::users::PriorityClass;
@@ -20,10 +21,6 @@
 const MINIMUM_SHARE: f64 = 0.5;
 /// A team without a guarantee weighs this part of all guarantees.
 const UNGUARANTEED_WEIGHT_DIVISOR: u64 = 20;
-/// Bound of the tasks that a machine is expected to run at once.
-const MAX_EXPECTED_SLOTS: u64 = 1_000;
-/// Milliseconds in a second, and thousandths in a CPU.
-const MILLI: u64 = 1000;
 
 /// An array job that may still complete in time. In the order in which they would, the smaller first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -111,11 +108,11 @@
         let cpu = self.cpu_for_arrays().max(1);
         let mut work_ahead: u64 = 0;
         for array in arrays {
-            let work = work_ahead.saturating_add(array.remaining_work);
-            if work.saturating_mul(MILLI) / cpu > array.time_left_ms {
+            let work_until_done = work_ahead.saturating_add(array.remaining_work);
+            if work_until_done.saturating_mul(MILLI) / cpu > array.time_left_ms {
                 past_slo.insert(array.job_ix, array.remaining_work);
             } else {
-                work_ahead = work;
+                work_ahead = work_until_done;
             }
         }
         past_slo
--- a/src/coordination/leader/placement/preemption_cost.rs
+++ b/src/coordination/leader/placement/preemption_cost.rs
@@ -6,6 +6,7 @@
 
 use crate::bookkeeping::jobs::JobSpec;
 use crate::coordination::Clock;
+use crate::coordination::leader::placement::MILLI;
 use crate::coordination::leader::{Binding, JobState, Leader, Machine};
 use crate::ids::{JobIx, Resources, TeamIx};
 use crate::protocol::users::{JobKind, PriorityClass};
@@ -14,8 +15,6 @@
 const RECLAIM_DELAY_MS: u64 = 2_000;
 /// About what a gang takes to be placed, fetch its image and start all its tasks once more.
 const GANG_RESTART_MS: u64 = 10_000;
-/// Thousandths, the unit of CPUs in `Resources`.
-const MILLI: u64 = 1000;
 
 /// Which tasks a job may stop to make room.
 pub(super) struct PreemptionPolicy {
--- a/src/coordination/leader/placement/queue_assignment.rs
+++ b/src/coordination/leader/placement/queue_assignment.rs
@@ -9,7 +9,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use crate::coordination::leader::placement::MS_PER_S;
 use crate::coordination::leader::placement::policy::Rank;
+use crate::coordination::leader::placement::steal::THIEVES_RESUMED_PER_TASK;
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{JobIx, MachineIx};
 use crate::protocol::operators::JobEventKind;
@@ -23,9 +25,7 @@
 /// Makes an integer of a price per CPU.
 const PRICE_SCALE: f64 = 1e9;
 const MB_PER_GB: f64 = 1000.0;
-const MS_PER_S: f64 = 1000.0;
-/// Thieves that resume at an arrival: so many for each task, and so many more.
-const THIEVES_RESUMED_PER_TASK: usize = 2;
+/// Thieves that resume at an arrival, beside those for each task.
 const EXTRA_THIEVES_RESUMED: usize = 2;
 
 /// How well a machine's shared queue suits a job; the smallest is the best.
--- a/src/coordination/leader/placement/spill.rs
+++ b/src/coordination/leader/placement/spill.rs
@@ -3,6 +3,8 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::Leader;
+use crate::coordination::leader::placement::steal::THIEVES_RESUMED_PER_TASK;
+use crate::coordination::leader::placement::{MAX_EXPECTED_SLOTS, MS_PER_S};
 use crate::ids::MachineIx;
 use crate::protocol::operators::JobEventKind;
 
@@ -10,13 +12,8 @@
 const THROUGHPUT_WINDOW_MS: u64 = 60_000;
 /// A machine counts as having been up for at least this long.
 const MIN_UPTIME_MS: u64 = 1_000;
-/// Bound of the tasks that a machine is expected to run at once.
-const MAX_EXPECTED_SLOTS: u64 = 1_000;
 /// Tasks a second, at least: the divisor of the queue's run time must not be zero.
 const MIN_THROUGHPUT: f64 = 1e-3;
-const MS_PER_S: f64 = 1000.0;
-/// Thieves that resume for each spilled task.
-const THIEVES_RESUMED_PER_TASK: usize = 2;
 
 impl Leader {
     /// Spills every dedicated queue that is too long.
--- a/src/coordination/leader/placement/steal.rs
+++ b/src/coordination/leader/placement/steal.rs
@@ -5,14 +5,16 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::Leader;
+use crate::coordination::leader::placement::MS_PER_S;
 use crate::coordination::leader::placement::policy::{QueueOrder, Rank};
 use crate::coordination::leader::placement::queues::Queue;
 use crate::ids::{JobIx, MachineIx, Resources};
 use crate::protocol::operators::JobEventKind;
 
+/// Paused thieves that resume for each task that joins a queue.
+pub(super) const THIEVES_RESUMED_PER_TASK: usize = 2;
 /// The back-off doubles after each failure.
 const BACKOFF_FACTOR: f64 = 2.0;
-const MS_PER_S: f64 = 1000.0;
 
 /// The first task of a shared queue.
 #[derive(Debug, Clone, Copy)]
--- a/src/coordination/leader/placement/tests/policy.rs
+++ b/src/coordination/leader/placement/tests/policy.rs
@@ -62,6 +62,18 @@
     QueueOrder::new(&rank, candidate.inputs)
 }
 
+/// The first of these, which are sorted by rank, without examining those that cannot be it.
+fn first_with_early_exit(orders: &[QueueOrder], present: PresentInputs) -> Option<QueueOrder> {
+    let mut first: Option<QueueOrder> = None;
+    for order in orders {
+        if first.is_some_and(|first| first.precedes_all_from(&order.rank, present)) {
+            break;
+        }
+        first = first.into_iter().chain([*order]).min();
+    }
+    first
+}
+
 /// Jobs that are skipped would not have come first: compared with a scan of all of them.
 #[test]
 fn early_exit_finds_the_same_first() {
@@ -96,14 +108,7 @@
             let mut orders: Vec<QueueOrder> =
                 candidates.enumerate().map(|(index, job)| queue_order(index as u32, *job)).collect();
             orders.sort_by_key(|order| order.rank);
-            let mut first: Option<QueueOrder> = None;
-            for order in &orders {
-                if first.is_some_and(|first| first.precedes_all_from(&order.rank, present)) {
-                    break;
-                }
-                first = first.into_iter().chain([*order]).min();
-            }
-            assert_eq!(first, orders.iter().min().copied());
+            assert_eq!(first_with_early_exit(&orders, present), orders.iter().min().copied());
         }
     }
 }
