--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -7,15 +7,25 @@
 mod binding;
 pub mod dispatch;
 mod eligibility;
-pub mod gang_search;
+pub(in crate::coordination::leader) mod gang_search;
+mod gang_search_cache;
 pub mod gangs;
+mod holds;
 pub mod overload;
 pub mod policy;
 pub mod preemption;
+mod preemption_cost;
 mod queue_assignment;
 pub mod queues;
 pub mod reserved_machines;
 mod spill;
 pub mod state;
 mod steal;
+mod stop_tasks;
 pub mod team_quota;
+
+const MS_PER_S: f64 = 1000.0;
+/// Thousandths in a CPU, and milliseconds in a second.
+const MILLI: u64 = 1000;
+/// Bound of the tasks that a machine is expected to run at once: tasks without resources would fit any number of times.
+const MAX_EXPECTED_SLOTS: u64 = 1_000;
