--- /dev/null
+++ b/crates/dag/tests/random_graphs.rs
@@ -0,0 +1,96 @@
+//! Random graphs: the progress of a run against the definitions of the trigger rules.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use olivelatch_dag::{DagProgress, DagTopology, NodeIx, NodeOutcome, TriggerRule};
+use proptest::prelude::*;
+
+/// Whether a node runs, by the definition of its rule; None: not known yet.
+fn naive_decision(rule: TriggerRule, outcomes: &[Option<NodeOutcome>]) -> Option<bool> {
+    let failed = outcomes.iter().flatten().filter(|outcome| outcome.is_failure()).count();
+    let succeeded = outcomes.iter().flatten().filter(|outcome| **outcome == NodeOutcome::Success).count();
+    let all_ended = outcomes.iter().all(Option::is_some);
+    match rule {
+        TriggerRule::AllSuccess => all_ended.then_some(succeeded == outcomes.len()),
+        TriggerRule::AllFailed => all_ended.then_some(failed == outcomes.len()),
+        TriggerRule::AllDone => all_ended.then_some(true),
+        TriggerRule::OneSuccess => {
+            if succeeded > 0 {
+                Some(true)
+            } else {
+                all_ended.then_some(false)
+            }
+        }
+        TriggerRule::OneFailed => {
+            if failed > 0 {
+                Some(true)
+            } else {
+                all_ended.then_some(false)
+            }
+        }
+        TriggerRule::NoneFailed => all_ended.then_some(failed == 0),
+        TriggerRule::NoneFailedMinOneSuccess => all_ended.then_some(failed == 0 && succeeded > 0),
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(16), ..ProptestConfig::default() })]
+
+    /// Outcomes of random graphs in random order: the nodes that run are those that the definitions of the rules give,
+    /// and replaying the outcomes in the order of their keys, as a new leader does, gives the same state.
+    #[test]
+    fn progress_agrees_with_the_rules_in_any_order(
+        nodes in 2u32..14,
+        density in 0.05f64..0.6,
+        seed in proptest::collection::vec(0u32..1_000_000, 400),
+    ) {
+        let mut draw = seed.into_iter().cycle();
+        let mut chance = move |of: u32| draw.next().unwrap_or(0) % of;
+        let mut edges = Vec::new();
+        for to in 1..nodes {
+            for from in 0..to {
+                if f64::from(chance(1000)) < density * 1000.0 {
+                    edges.push((from, to));
+                }
+            }
+        }
+        let rules: Vec<TriggerRule> = (0..nodes).map(|_| TriggerRule::ALL[chance(7) as usize]).collect();
+        let topology = Arc::new(DagTopology::new(nodes, &edges).expect("edges go up"));
+        let mut run = DagProgress::new(topology.clone(), rules.clone().into(), Arc::default());
+        let mut outcomes: BTreeMap<u32, NodeOutcome> = BTreeMap::new();
+        let mut ready: Vec<u32> = run.activate().ready.into_iter().map(|node| node.0).collect();
+        let mut started: Vec<u32> = ready.clone();
+        while !run.is_finished() {
+            let write_pending = run.has_outcomes_to_write() && (ready.is_empty() || chance(2) == 0);
+            let (node, outcome) = if write_pending {
+                let (node, outcome) = run.outcomes_to_write(1)[0];
+                (node.0, outcome)
+            } else {
+                prop_assert!(!ready.is_empty(), "stuck");
+                let position = chance(ready.len() as u32) as usize;
+                let outcome = [NodeOutcome::Success, NodeOutcome::Failed, NodeOutcome::Cancelled][chance(3) as usize];
+                (ready.swap_remove(position), outcome)
+            };
+            outcomes.insert(node, outcome);
+            let new: Vec<u32> = run.record_outcome(NodeIx(node), outcome, None).ready.into_iter().map(|n| n.0).collect();
+            started.extend(&new);
+            ready.extend(new);
+            let mut replayed = DagProgress::new(topology.clone(), rules.clone().into(), Arc::default());
+            outcomes.iter().for_each(|(node, outcome)| { replayed.record_outcome(NodeIx(*node), *outcome, None); });
+            replayed.activate();
+            prop_assert_eq!(replayed.ready(), run.ready());
+            prop_assert_eq!(replayed.outcomes_to_write(99), run.outcomes_to_write(99));
+        }
+        started.sort_unstable();
+        let before = started.len();
+        started.dedup();
+        prop_assert_eq!(before, started.len(), "a node became ready twice");
+        for node in 0..nodes {
+            let upstream: Vec<Option<NodeOutcome>> =
+                edges.iter().filter(|(_, to)| *to == node).map(|(from, _)| outcomes.get(from).copied()).collect();
+            let runs = upstream.is_empty() || naive_decision(rules[node as usize], &upstream) == Some(true);
+            prop_assert_eq!(started.contains(&node), runs, "node {} with {:?} of {:?}", node, rules[node as usize], upstream);
+        }
+    }
+}
--- a/crates/kv-store/tests/golden.rs
+++ b/crates/kv-store/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What the state service answers, as the golden file has it.
+//! The responses of the key-value store, compared with a golden file.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use support::Golden;
 
-/// Requests in their order: each sees what those before it did.
+/// Requests in their order: each sees the effects of those before it.
 fn requests() -> Vec<(&'static str, &'static str, Value)> {
     let write =
         |key: &str, permit: Value| json!({"write": key, "value": {"a": [1, 2.5, "b"]}, "permit": permit});
--- a/crates/worker/tests/golden.rs
+++ b/crates/worker/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What a worker reports, and what it makes of orders, as the golden file has it.
+//! The heartbeats of a worker and its responses to commands, compared with golden files.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -78,31 +78,31 @@
     golden.check();
 }
 
-/// Orders of a controller, one after another, with a second or more between them.
+/// Commands of a controller, one after another, a second apart.
 #[test]
 fn orders() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "orders");
     let jobs: JobDescriptions = [("job-000412".to_string(), description())].into_iter().collect();
     let mut worker = Worker::new(machine(), 1_000);
-    let order = |verb: &str, task: u32| json!({"verb": verb, "piece": format!("job-000412/{task}"), "try": 70 + task});
-    let session = worker.epoch;
+    let command = |verb: &str, task: u32| json!({"verb": verb, "piece": format!("job-000412/{task}"), "try": 70 + task});
+    let epoch = worker.epoch;
     let bodies = [
-        ("run", json!({"baton": 31, "shift": session, "orders": [order("run", 0), order("run", 1)]})),
+        ("run", json!({"baton": 31, "shift": epoch, "orders": [command("run", 0), command("run", 1)]})),
         (
             "run more than fits",
-            json!({"baton": 31, "shift": session,
-            "orders": [order("run", 2), order("run", 3), order("run", 4)]}),
+            json!({"baton": 31, "shift": epoch,
+            "orders": [command("run", 2), command("run", 3), command("run", 4)]}),
         ),
         (
             "halt",
-            json!({"baton": 31, "shift": session, "orders": [{"verb": "halt", "piece": "job-000412/1",
+            json!({"baton": 31, "shift": epoch, "orders": [{"verb": "halt", "piece": "job-000412/1",
             "try": 71, "wind_down_s": 1.5}]}),
         ),
-        ("reap", json!({"baton": 32, "shift": session, "orders": [order("reap", 4)]})),
-        ("an earlier leader", json!({"baton": 31, "shift": session, "orders": []})),
-        ("another session", json!({"baton": 32, "shift": session + 1, "orders": []})),
+        ("reap", json!({"baton": 32, "shift": epoch, "orders": [command("reap", 4)]})),
+        ("an earlier leader", json!({"baton": 31, "shift": epoch, "orders": []})),
+        ("another session", json!({"baton": 32, "shift": epoch + 1, "orders": []})),
         ("malformed", json!({"orders": []})),
-        ("done", json!({"baton": 32, "shift": session, "orders": []})),
+        ("done", json!({"baton": 32, "shift": epoch, "orders": []})),
     ];
     for (at, (name, body)) in bodies.into_iter().enumerate() {
         let now = 2_000 + 1_000 * at as u64;
