--- a/src/bookkeeping/run_listing.rs
+++ b/src/bookkeeping/run_listing.rs
@@ -144,10 +144,7 @@
     DagNodeView {
         name: node.name.to_string(),
         job: node.job.to_string(),
-        state: match outcome {
-            Some(outcome) => ended_node_state(outcome),
-            None => live_node_state(cache, run, dag, ix, running_tasks),
-        },
+        state: outcome.map_or_else(|| live_node_state(cache, run, dag, ix, running_tasks), ended_node_state),
         trigger_rule: dag.progress.rule(ix),
         upstream: node.upstream_ranges.to_vec(),
         mapped_from: node.map_source.map(|source| source.0),
@@ -162,10 +159,8 @@
         published_attempt: terminal.and_then(|terminal| terminal.attempt),
         output_list_len: terminal.and_then(|terminal| terminal.list_len),
         finished_ms: cache.terminal_summary(node.job).map(|(_, ended_wall_ms, _)| ended_wall_ms),
-        failed_attempts: match terminal {
-            Some(terminal) => terminal.evidence.clone(),
-            None => live_failures(cache, node.job),
-        },
+        failed_attempts: terminal
+            .map_or_else(|| live_failures(cache, node.job), |terminal| terminal.evidence.clone()),
     }
 }
 
