--- a/crates/dag/src/topology.rs
+++ b/crates/dag/src/topology.rs
@@ -159,7 +159,7 @@
     }
 
     /// All nodes, each after all its upstream nodes.
-    pub fn topological_order(&self) -> impl DoubleEndedIterator<Item = NodeIx> + '_ {
+    fn topological_order(&self) -> impl DoubleEndedIterator<Item = NodeIx> + '_ {
         self.topological_order.iter().map(|node| NodeIx(*node))
     }
 
--- a/crates/dag/src/trigger_rule.rs
+++ b/crates/dag/src/trigger_rule.rs
@@ -112,7 +112,7 @@
     }
 
     /// All upstream nodes have ended.
-    pub fn is_complete(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.success + self.failed + self.skipped >= self.upstream
     }
 }
--- a/crates/kv-store/src/engine.rs
+++ b/crates/kv-store/src/engine.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
 use crate::change_log::ChangeLog;
@@ -10,7 +9,7 @@
 use crate::txn::{KvMutation, Txn};
 
 /// What must outlive the process. The deltas of one transaction belong together.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[derive(Debug, Clone, PartialEq)]
 pub enum Delta {
     /// A key was written.
     Put {
@@ -24,7 +23,6 @@
         lease: Option<u64>,
     },
     /// A key was deleted.
-    #[serde(rename = "Drop")]
     Delete {
         /// The key.
         key: String,
@@ -32,7 +30,6 @@
     /// The store has this revision now.
     Revision(u64),
     /// A lease was granted.
-    #[serde(rename = "Grant")]
     GrantLease {
         /// Its number.
         lease: u64,
@@ -40,7 +37,6 @@
         life_ms: u64,
     },
     /// A lease was revoked or has expired.
-    #[serde(rename = "End")]
     RemoveLease {
         /// Its number.
         lease: u64,
--- a/src/bookkeeping/bit_set.rs
+++ b/src/bookkeeping/bit_set.rs
@@ -1,7 +1,7 @@
 //! A fixed-size set of task numbers, stored durably in blocks.
 
 /// Tasks in one durable block: its hexadecimal form stays far below any limit of a value that the settings accept.
-pub const BLOCK_TASKS: u32 = 2048;
+const BLOCK_TASKS: u32 = 2048;
 const WORD_BITS: u32 = u64::BITS;
 /// Tasks in one hexadecimal digit of a block.
 const DIGIT_TASKS: u32 = 4;
--- a/src/bookkeeping/dag_runs/mod.rs
+++ b/src/bookkeeping/dag_runs/mod.rs
@@ -105,7 +105,7 @@
     }
 
     /// The run whose node has this job, or had it before a rerun.
-    pub fn run_for_job(&self, job: JobId) -> Option<&DagRun> {
+    fn run_for_job(&self, job: JobId) -> Option<&DagRun> {
         self.run(self.node_of(job)?.0)
     }
 
--- a/src/bookkeeping/dag_runs/node_jobs.rs
+++ b/src/bookkeeping/dag_runs/node_jobs.rs
@@ -50,8 +50,8 @@
     /// last upstream node that its rule waited for ended.
     fn ready_wall_ms(&self, run: &DagRun, dag: &Dag, node: NodeIx) -> u64 {
         let ended = |upstream: NodeIx| {
-            let (_, ended_wall_ms, _) = self.terminal_summary(dag.node(upstream).job)?;
-            Some((dag.progress.outcome(upstream)?, ended_wall_ms))
+            let terminal = self.terminal_summary(dag.node(upstream).job)?;
+            Some((dag.progress.outcome(upstream)?, terminal.ended_wall_ms))
         };
         let end_times = |counts: fn(NodeOutcome) -> bool| {
             let ended = dag.upstream(node).filter_map(ended);
--- a/src/bookkeeping/job_listing.rs
+++ b/src/bookkeeping/job_listing.rs
@@ -1,7 +1,7 @@
 //! Pages of jobs for operators, from the store cache. A page costs the same however many jobs there are.
 
 use super::jobs::{Job, TerminalState};
-use super::store_cache::{StoreCache, TerminalJobSummary};
+use super::store_cache::{StoreCache, TerminalJobSummary, TerminalSummary};
 use crate::ids::{ClassIx, JobId, TeamIx, from_milli};
 use crate::protocol::operators::{JobPhase, JobSpecView, JobSummary, ListQuery, StateFilter};
 
@@ -60,15 +60,8 @@
 /// A job as a list shows it; None if there is no such job.
 pub fn job_row(cache: &StoreCache, id: JobId, running: RunningTaskCount<'_>) -> Option<JobSummary> {
     let job = cache.find_job(id);
-    if let Some((state, ended_wall_ms, summary)) = cache.terminal_summary(id) {
-        // While its records are still being deleted the job itself has the data, afterwards its terminal record.
-        let summary = job
-            .map(|job| TerminalJobSummary {
-                first_start_wall_ms: summary.and_then(|summary| summary.first_start_wall_ms),
-                ..live_summary(job)
-            })
-            .or(summary);
-        return Some(ended_row(cache, id, state, ended_wall_ms, summary));
+    if let Some(terminal) = cache.terminal_summary(id) {
+        return Some(ended_row(cache, id, job, terminal));
     }
     match job {
         Some(job) => Some(live_row(cache, job, running(id))),
@@ -76,16 +69,6 @@
     }
 }
 
-fn live_summary(job: &Job) -> TerminalJobSummary {
-    TerminalJobSummary {
-        team: job.spec.team,
-        class: job.spec.class,
-        tasks: job.spec.tasks,
-        accepted_wall_ms: job.spec.accepted_wall_ms,
-        first_start_wall_ms: None,
-    }
-}
-
 fn team_name(cache: &StoreCache, team: TeamIx) -> String {
     cache.names.teams.name_or_unknown(team.index()).into()
 }
@@ -94,27 +77,34 @@
     cache.names.classes.name_or_unknown(class.index()).into()
 }
 
-fn ended_row(
-    cache: &StoreCache,
-    id: JobId,
-    state: TerminalState,
-    ended_wall_ms: u64,
-    summary: Option<TerminalJobSummary>,
-) -> JobSummary {
+fn ended_row(cache: &StoreCache, id: JobId, job: Option<&Job>, terminal: TerminalSummary) -> JobSummary {
+    let first_start_ms = terminal.job.and_then(|summary| summary.first_start_wall_ms);
+    // While its records are still being deleted the job itself has the data, afterwards its terminal record.
+    let summary = job.map(|job| live_summary(job, first_start_ms)).or(terminal.job);
     let tasks = summary.map(|summary| summary.tasks);
     // How far a cancelled job came is not kept.
-    let is_done = state == TerminalState::Done;
+    let is_done = terminal.state == TerminalState::Done;
     JobSummary {
         id: id.to_string(),
-        state: terminal_phase(state),
+        state: terminal_phase(terminal.state),
         team: summary.map(|summary| team_name(cache, summary.team)),
         class: summary.map(|summary| class_name(cache, summary.class)),
         tasks,
         done: tasks.filter(|_| is_done),
         running: is_done.then_some(0),
         accepted_ms: summary.map(|summary| summary.accepted_wall_ms),
-        first_start_ms: summary.and_then(|summary| summary.first_start_wall_ms),
-        finished_ms: Some(ended_wall_ms),
+        first_start_ms,
+        finished_ms: Some(terminal.ended_wall_ms),
+    }
+}
+
+fn live_summary(job: &Job, first_start_wall_ms: Option<u64>) -> TerminalJobSummary {
+    TerminalJobSummary {
+        team: job.spec.team,
+        class: job.spec.class,
+        tasks: job.spec.tasks,
+        accepted_wall_ms: job.spec.accepted_wall_ms,
+        first_start_wall_ms,
     }
 }
 
--- a/src/bookkeeping/run_listing.rs
+++ b/src/bookkeeping/run_listing.rs
@@ -158,7 +158,7 @@
         downstream_path_s: dag.downstream_path_s(ix),
         published_attempt: terminal.and_then(|terminal| terminal.attempt),
         output_list_len: terminal.and_then(|terminal| terminal.list_len),
-        finished_ms: cache.terminal_summary(node.job).map(|(_, ended_wall_ms, _)| ended_wall_ms),
+        finished_ms: cache.terminal_summary(node.job).map(|terminal| terminal.ended_wall_ms),
         failed_attempts: terminal
             .map_or_else(|| live_failures(cache, node.job), |terminal| terminal.evidence.clone()),
     }
--- a/src/bookkeeping/store_cache/mod.rs
+++ b/src/bookkeeping/store_cache/mod.rs
@@ -117,6 +117,17 @@
     notified: bool,
 }
 
+/// How and when a job ended, as lists show it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TerminalSummary {
+    /// How it ended.
+    pub state: TerminalState,
+    /// Wall-clock time of the end, in milliseconds.
+    pub ended_wall_ms: u64,
+    /// What its terminal record keeps of the job, if it does.
+    pub job: Option<TerminalJobSummary>,
+}
+
 /// What a terminal record keeps of its job if the operators' interface was enabled. Wall-clock times in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminalJobSummary {
@@ -176,11 +187,14 @@
         self.terminal_jobs.get(&id).map(|entry| entry.state)
     }
 
-    /// How a job ended, when (wall-clock time in milliseconds), and what its terminal record keeps of it.
-    pub fn terminal_summary(&self, id: JobId) -> Option<(TerminalState, u64, Option<TerminalJobSummary>)> {
-        self.terminal_jobs
-            .get(&id)
-            .map(|entry| (entry.state, entry.ended_wall_ms, self.summaries.get(&id).copied()))
+    /// How and when a job ended, and what its terminal record keeps of it.
+    pub fn terminal_summary(&self, id: JobId) -> Option<TerminalSummary> {
+        let entry = self.terminal_jobs.get(&id)?;
+        Some(TerminalSummary {
+            state: entry.state,
+            ended_wall_ms: entry.ended_wall_ms,
+            job: self.summaries.get(&id).copied(),
+        })
     }
 
     /// Live and ended jobs in the order of their ids, each once; those after `after` if it is given.
