--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,38 +1,50 @@
 //! HTTP/1.1 as the interfaces use it: no pipelining, bodies of known length or chunked.
+//!
+//! Parses messages at the front of a buffer and writes messages into one. Pure functions: no I/O, and nothing is kept
+//! between calls.
 
-/// Longest request or status line with its headers.
+/// Longest start line with its headers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Largest body a request may have.
+/// Largest body of a request.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
+/// A request that came in.
 #[derive(Debug, PartialEq)]
 pub struct Request {
     pub method: String,
+    /// Path and query.
     pub path: String,
     pub body: Vec<u8>,
     pub keep_alive: bool,
 }
 
+/// A response to a request of ours.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     pub status: u16,
     pub body: Vec<u8>,
     pub keep_alive: bool,
-    /// When to come back, if the answer says.
+    /// Seconds after which to retry, if the response says so.
     pub retry_after_s: Option<u32>,
 }
 
-/// A message at the front of the buffer, and how many bytes it took.
+/// Longest line with the size of a chunk.
+const MAX_CHUNK_LINE_BYTES: usize = 64;
+const CRLF: &[u8] = b"\r\n";
+
+/// What is at the front of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
+    /// More bytes are needed.
     Partial,
     Malformed,
-    /// More than may be held.
+    /// The body exceeds the limit.
     TooLong,
+    /// A message, and its length in bytes.
     Complete(T, usize),
 }
 
-/// Why a body cannot be taken.
+/// Why a body is rejected.
 enum BodyError {
     Malformed,
     TooLong,
@@ -87,6 +99,7 @@
     ParsedHead::Complete(head)
 }
 
+/// Takes over what a header says; false if it is malformed.
 fn apply_header(head: &mut MessageHead<'_>, name: &str, value: &str) -> bool {
     if name.is_empty() || name.ends_with([' ', '\t']) {
         return false;
@@ -96,7 +109,7 @@
         let Some(length) = value.parse().ok().filter(|_| digits) else {
             return false;
         };
-        // Two different lengths would let one message hide in another.
+        // Two different lengths would allow request smuggling.
         if head.content_length.is_some_and(|known| known != length) {
             return false;
         }
@@ -105,7 +118,7 @@
         head.chunked = value.eq_ignore_ascii_case("chunked");
         return head.chunked;
     } else if name.eq_ignore_ascii_case("retry-after") {
-        // A date instead of seconds says nothing to us.
+        // A date instead of seconds is ignored.
         head.retry_after_s = value.parse().ok();
     } else if name.eq_ignore_ascii_case("connection") {
         for part in value.split(',') {
@@ -116,54 +129,64 @@
     true
 }
 
-/// Body and bytes taken, None while incomplete, Err if it can't be right.
-fn read_body(
-    rest: &[u8],
-    head: &MessageHead<'_>,
-    most: usize,
-) -> Result<Option<(Vec<u8>, usize)>, BodyError> {
+/// A body, and the bytes that it takes in the buffer.
+struct ParsedBody {
+    body: Vec<u8>,
+    consumed: usize,
+}
+
+/// The body at the front of what follows the head; None while it is incomplete.
+fn parse_body(rest: &[u8], head: &MessageHead<'_>, max_body: usize) -> Result<Option<ParsedBody>, BodyError> {
     if head.chunked {
         return if head.content_length.is_some() {
             Err(BodyError::Malformed)
         } else {
-            read_chunks(rest, most)
+            parse_chunks(rest, max_body)
         };
     }
     let length = head.content_length.unwrap_or(0);
-    if length > most {
+    if length > max_body {
         return Err(BodyError::TooLong);
     }
-    Ok(rest.get(..length).map(|body| (body.to_vec(), length)))
+    Ok(rest.get(..length).map(|body| ParsedBody { body: body.to_vec(), consumed: length }))
 }
 
-fn read_chunks(rest: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, BodyError> {
+fn parse_chunks(rest: &[u8], max_body: usize) -> Result<Option<ParsedBody>, BodyError> {
     let mut body = Vec::new();
-    let mut at = 0;
+    let mut consumed = 0;
     loop {
-        let Some(line) = find_bytes(&rest[at..], b"\r\n") else {
-            return if rest.len() - at > 64 { Err(BodyError::Malformed) } else { Ok(None) };
+        let unread = &rest[consumed..];
+        let Some(line_length) = find_bytes(unread, CRLF) else {
+            return if unread.len() > MAX_CHUNK_LINE_BYTES { Err(BodyError::Malformed) } else { Ok(None) };
         };
-        let text = std::str::from_utf8(&rest[at..at + line]).map_err(|_| BodyError::Malformed)?;
-        let size = text.split(';').next().unwrap_or("").trim();
-        let size = usize::from_str_radix(size, 16).map_err(|_| BodyError::Malformed)?;
-        if size > most || body.len() + size > most {
+        let size = parse_chunk_size(&unread[..line_length])?;
+        if size > max_body || body.len() + size > max_body {
             return Err(BodyError::TooLong);
         }
-        let start = at + line + 2;
-        let Some(chunk) = rest.get(start..start + size + 2) else {
+        let start = line_length + CRLF.len();
+        let end = start + size + CRLF.len();
+        let Some(chunk) = unread.get(start..end) else {
             return Ok(None);
         };
-        if !chunk.ends_with(b"\r\n") {
+        if !chunk.ends_with(CRLF) {
             return Err(BodyError::Malformed);
         }
-        at = start + size + 2;
+        consumed += end;
         if size == 0 {
-            return Ok(Some((body, at)));
+            return Ok(Some(ParsedBody { body, consumed }));
         }
         body.extend_from_slice(&chunk[..size]);
     }
 }
 
+/// The size in a chunk's first line; extensions behind it are ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, BodyError> {
+    let text = std::str::from_utf8(line).map_err(|_| BodyError::Malformed)?;
+    let digits = text.split(';').next().unwrap_or("").trim();
+    usize::from_str_radix(digits, 16).map_err(|_| BodyError::Malformed)
+}
+
+/// Parses the request at the front of a buffer.
 pub fn parse_request(buffer: &[u8]) -> Parsed<Request> {
     let head = match parse_head(buffer) {
         ParsedHead::Partial => return Parsed::Partial,
@@ -176,22 +199,22 @@
     else {
         return Parsed::Malformed;
     };
-    let token = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
-    if !token || !path.starts_with('/') || !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
+    let is_method = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
+    if !is_method || !path.starts_with('/') || !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
         return Parsed::Malformed;
     }
-    match read_body(&buffer[head.head_bytes..], &head, MAX_BODY_BYTES) {
+    match parse_body(&buffer[head.head_bytes..], &head, MAX_BODY_BYTES) {
         Err(_) => Parsed::Malformed,
         Ok(None) => Parsed::Partial,
-        Ok(Some((body, taken))) => {
+        Ok(Some(ParsedBody { body, consumed })) => {
             let keep_alive = !head.connection_close && (version == "HTTP/1.1" || head.connection_keep_alive);
             let request = Request { method: method.into(), path: path.into(), body, keep_alive };
-            Parsed::Complete(request, head.head_bytes + taken)
+            Parsed::Complete(request, head.head_bytes + consumed)
         }
     }
 }
 
-/// A response whose body may have so many bytes.
+/// Parses the response at the front of a buffer; `max_body` is the limit on its body in bytes.
 pub fn parse_response(buffer: &[u8], max_body: usize) -> Parsed<Response> {
     let head = match parse_head(buffer) {
         ParsedHead::Partial => return Parsed::Partial,
@@ -204,14 +227,14 @@
     let Some(status) = status.filter(|_| version.starts_with("HTTP/1.")) else {
         return Parsed::Malformed;
     };
-    match read_body(&buffer[head.head_bytes..], &head, max_body) {
+    match parse_body(&buffer[head.head_bytes..], &head, max_body) {
         Err(BodyError::Malformed) => Parsed::Malformed,
         Err(BodyError::TooLong) => Parsed::TooLong,
         Ok(None) => Parsed::Partial,
-        Ok(Some((body, taken))) => {
+        Ok(Some(ParsedBody { body, consumed })) => {
             let retry_after_s = head.retry_after_s;
             let response = Response { status, body, keep_alive: !head.connection_close, retry_after_s };
-            Parsed::Complete(response, head.head_bytes + taken)
+            Parsed::Complete(response, head.head_bytes + consumed)
         }
     }
 }
@@ -233,9 +256,12 @@
     }
 }
 
+/// The type of JSON bodies.
 pub const JSON_CONTENT_TYPE: &str = "application/json";
+/// The type of scrapes in the OpenMetrics text format.
 pub const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
+/// Appends a response to a buffer.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
@@ -255,6 +281,7 @@
     out.extend_from_slice(body);
 }
 
+/// Appends a request with a JSON body to a buffer.
 pub fn write_request(out: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -1,7 +1,8 @@
-//! The one place that talks to `polling`'s unsafe registration.
+//! The poller and its registrations: the only place that calls `polling`'s unsafe functions.
 //!
-//! `polling` asks that a source is removed before it is closed. `Watch` keeps that
-//! promise: it owns the socket and unregisters it when it is dropped.
+//! `polling` requires that a source is removed from the poller before it is closed. [`Registration`] guarantees that: it
+//! owns the socket and removes it when it is dropped.
+// The one unsafe call has its reason beside it.
 #![allow(unsafe_code)]
 
 use std::io::{self, Read, Write};
@@ -12,7 +13,7 @@
 
 use polling::{Event, Poller};
 
-/// System calls since they were last shown, by kind, and the bytes that streams moved.
+/// System calls by kind and bytes transferred, since whoever reads them last reset them.
 #[derive(Debug, Default)]
 pub struct SyscallCounters {
     pub waits: AtomicU64,
@@ -23,40 +24,48 @@
     pub bytes_written: AtomicU64,
 }
 
-/// One more.
-fn increment(calls: &AtomicU64) {
-    calls.fetch_add(1, Ordering::Relaxed);
+fn increment(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// The poller, and how often the kernel was asked for something.
+/// The poller, with counters of the system calls made through it.
 pub struct EventPoller {
     poller: Poller,
     pub syscalls: SyscallCounters,
 }
 
 impl EventPoller {
+    /// Creates a poller.
+    ///
+    /// # Errors
+    /// The operating system has no resources for one.
     pub fn new() -> io::Result<EventPoller> {
         Ok(EventPoller { poller: Poller::new()?, syscalls: SyscallCounters::default() })
     }
 
+    /// Waits for events, at most for the timeout, and returns their number.
+    ///
+    /// # Errors
+    /// The system call failed; `Interrupted` is harmless.
     pub fn wait(&self, events: &mut polling::Events, timeout: std::time::Duration) -> io::Result<usize> {
         increment(&self.syscalls.waits);
         self.poller.wait(events, Some(timeout))
     }
 }
 
-/// Numbers for registered sockets.
+/// Allocates keys by which events name their socket. A key is never used twice.
 #[derive(Debug, Default)]
 pub struct KeyAllocator(usize);
 
 impl KeyAllocator {
+    /// A new key, starting with 1.
     pub fn next_key(&mut self) -> usize {
         self.0 += 1;
         self.0
     }
 }
 
-/// A registered socket.
+/// A socket that is registered with the poller for as long as this value lives.
 pub struct Registration<S: AsFd> {
     poller: Arc<EventPoller>,
     source: S,
@@ -64,26 +73,38 @@
 }
 
 impl<S: AsFd> Registration<S> {
-    pub fn new(gate: &Arc<EventPoller>, source: S, interest: Event) -> io::Result<Registration<S>> {
-        // SAFETY: `Watch` owns the source and deletes it from the poller in `drop`,
+    /// Registers a socket under the key of `interest`.
+    ///
+    /// # Errors
+    /// The poller does not take the socket.
+    pub fn new(poller: &Arc<EventPoller>, source: S, interest: Event) -> io::Result<Registration<S>> {
+        // SAFETY: `Registration` owns the source and deletes it from the poller in `drop`,
         // before the source itself is closed.
-        unsafe { gate.poller.add(&source.as_fd(), interest)? };
-        increment(&gate.syscalls.registrations);
-        Ok(Registration { poller: gate.clone(), source, key: interest.key })
+        unsafe { poller.poller.add(&source.as_fd(), interest)? };
+        increment(&poller.syscalls.registrations);
+        Ok(Registration { poller: poller.clone(), source, key: interest.key })
     }
 
-    /// Registrations are one-shot: every wait needs a new interest.
+    /// Asks for the next event. Registrations are one-shot: each event needs a new interest.
+    ///
+    /// # Errors
+    /// The poller does not take the change.
     pub fn set_interest(&self, readable: bool, writable: bool) -> io::Result<()> {
         increment(&self.poller.syscalls.registrations);
         self.poller.poller.modify(self.source.as_fd(), Event::new(self.key, readable, writable))
     }
 
+    /// The socket.
     pub fn source(&self) -> &S {
         &self.source
     }
 }
 
 impl Registration<TcpStream> {
+    /// Reads what is there.
+    ///
+    /// # Errors
+    /// As the socket's; `WouldBlock` if there is nothing.
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         increment(&self.poller.syscalls.reads);
         let read = (&self.source).read(buffer)?;
@@ -91,6 +112,10 @@
         Ok(read)
     }
 
+    /// Writes what the socket takes.
+    ///
+    /// # Errors
+    /// As the socket's; `WouldBlock` if it takes nothing.
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         increment(&self.poller.syscalls.writes);
         let written = (&self.source).write(bytes)?;
@@ -101,7 +126,7 @@
 
 impl<S: AsFd> Drop for Registration<S> {
     fn drop(&mut self) {
-        // A socket that cannot be removed is closed right after anyway.
+        // Closing the socket, which follows, removes it as well.
         let _ = self.poller.poller.delete(self.source.as_fd());
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,7 +1,7 @@
-//! A small HTTP server on `polling`: requests come out, answers go in, nothing waits.
+//! An HTTP server on `polling`: it returns requests and takes responses; nothing here waits or reads a clock.
 //!
-//! For programs that serve a few hundred connections, such as the region on one machine. The controller has a server of its
-//! own (`src/transport/servers.rs`), with budgets for its tiny machines.
+//! For programs that serve a few hundred connections, such as the local cluster. The controller has a server of its own
+//! (`src/transport/servers.rs`) with budgets for small machines.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,18 +15,21 @@
 use crate::stream::{BufferedStream, StreamState};
 
 const MAX_CONNECTIONS: usize = 4_000;
+/// Largest request that is buffered.
 const MAX_INPUT_BYTES: usize = MAX_BODY_BYTES + 32 * 1024;
+/// Connections of clients that leave more unread are closed.
 const MAX_OUTPUT_BYTES: usize = 16 * 1024 * 1024;
-const IDLE_MS: u64 = 120_000;
+const IDLE_TIMEOUT_MS: u64 = 120_000;
 
 /// Which of the server's addresses a request came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ListenerId(pub usize);
 
-/// A request that waits for its answer.
+/// The connection of a request that waits for its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(usize);
 
+/// A request that came in.
 #[derive(Debug)]
 pub struct IncomingRequest {
     pub connection: ConnectionId,
@@ -37,12 +40,13 @@
 struct Connection {
     stream: BufferedStream,
     listener: ListenerId,
-    /// A request is out; further ones wait in the buffer.
+    /// A request waits for its response; further ones stay in the buffer.
     request_in_flight: bool,
     keep_alive: bool,
     last_active_ms: u64,
 }
 
+/// Listeners and their connections.
 pub struct HttpServer {
     poller: Arc<EventPoller>,
     listeners: HashMap<usize, (Registration<TcpListener>, ListenerId)>,
@@ -50,11 +54,15 @@
 }
 
 impl HttpServer {
-    pub fn new(gate: &Arc<EventPoller>) -> HttpServer {
-        HttpServer { poller: gate.clone(), listeners: HashMap::new(), connections: HashMap::new() }
+    /// A server without listeners.
+    pub fn new(poller: &Arc<EventPoller>) -> HttpServer {
+        HttpServer { poller: poller.clone(), listeners: HashMap::new(), connections: HashMap::new() }
     }
 
-    /// Serves an address; the port 0 takes a free one. Returns the address it got.
+    /// Serves an address, with port 0 on a free port, and returns the address with its port.
+    ///
+    /// # Errors
+    /// The address can't be listened on.
     pub fn listen(
         &mut self,
         keys: &mut KeyAllocator,
@@ -65,22 +73,24 @@
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
         let key = keys.next_key();
-        let watch = Registration::new(&self.poller, listener, Event::readable(key))?;
-        self.listeners.insert(key, (watch, listener_id));
+        let registration = Registration::new(&self.poller, listener, Event::readable(key))?;
+        self.listeners.insert(key, (registration, listener_id));
         Ok(addr)
     }
 
-    /// Stops serving a port and closes its connections.
+    /// Stops serving an address and closes its connections.
     pub fn close_listener(&mut self, listener: ListenerId) {
         self.listeners.retain(|_, (_, other)| *other != listener);
         self.connections.retain(|_, connection| connection.listener != listener);
     }
 
+    /// Whether events with this key are for [`HttpServer::handle_event`].
     pub fn owns_key(&self, key: usize) -> bool {
         self.listeners.contains_key(&key) || self.connections.contains_key(&key)
     }
 
-    /// Takes what came in; at most one request a connection is out at a time.
+    /// Handles an event, and returns a request if one is complete. Each connection has at most one request waiting for
+    /// its response.
     pub fn handle_event(
         &mut self,
         keys: &mut KeyAllocator,
@@ -105,8 +115,8 @@
     }
 
     fn accept(&mut self, keys: &mut KeyAllocator, key: usize, now_ms: u64) {
-        let Some((watch, port)) = self.listeners.get(&key) else { return };
-        while let Ok((socket, _)) = watch.source().accept() {
+        let Some((registration, listener)) = self.listeners.get(&key) else { return };
+        while let Ok((socket, _)) = registration.source().accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
                 continue;
             }
@@ -114,7 +124,7 @@
             if let Ok(stream) = BufferedStream::from_accepted(&self.poller, socket, key) {
                 let connection = Connection {
                     stream,
-                    listener: *port,
+                    listener: *listener,
                     request_in_flight: false,
                     keep_alive: true,
                     last_active_ms: now_ms,
@@ -122,8 +132,8 @@
                 self.connections.insert(key, connection);
             }
         }
-        // A listener that cannot be watched any more serves nobody; those who call see it.
-        let _ = watch.set_interest(true, false);
+        // A listener that cannot be polled any more accepts nobody, which clients see.
+        let _ = registration.set_interest(true, false);
     }
 
     fn next_request(&mut self, key: usize) -> Option<IncomingRequest> {
@@ -134,13 +144,13 @@
             parse_request(&connection.stream.input)
         };
         match parsed {
-            Parsed::Complete(request, taken) => {
-                connection.stream.consume_input(taken);
+            Parsed::Complete(request, consumed) => {
+                connection.stream.consume_input(consumed);
                 connection.request_in_flight = true;
                 connection.keep_alive &= request.keep_alive;
-                let port = connection.listener;
+                let listener = connection.listener;
                 self.flush_output(key);
-                Some(IncomingRequest { connection: ConnectionId(key), listener: port, request })
+                Some(IncomingRequest { connection: ConnectionId(key), listener, request })
             }
             Parsed::Partial => {
                 self.flush_output(key);
@@ -155,7 +165,7 @@
         }
     }
 
-    /// Answers a request; if the next one is there already, it comes out.
+    /// Sends the response to a request, and returns the connection's next request if it is complete already.
     pub fn respond(&mut self, id: ConnectionId, status: u16, body: &[u8]) -> Option<IncomingRequest> {
         let connection = self.connections.get_mut(&id.0)?;
         let mut bytes = Vec::with_capacity(body.len() + 200);
@@ -172,26 +182,27 @@
 
     fn flush_output(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        let mut flow = connection.stream.flush();
+        let mut state = connection.stream.flush();
         let pending = connection.stream.pending_output();
         if pending > MAX_OUTPUT_BYTES
             || (pending == 0 && !connection.request_in_flight && !connection.keep_alive)
         {
-            flow = StreamState::Closed;
+            state = StreamState::Closed;
         }
-        if flow == StreamState::Open {
-            flow = connection
+        if state == StreamState::Open {
+            state = connection
                 .stream
                 .rearm(!connection.request_in_flight && connection.stream.input.len() < MAX_INPUT_BYTES);
         }
-        if flow == StreamState::Closed {
+        if state == StreamState::Closed {
             self.connections.remove(&key);
         }
     }
 
-    /// Closes connections that have said nothing for long.
+    /// Closes connections that have been idle for long.
     pub fn close_idle(&mut self, now_ms: u64) {
-        self.connections
-            .retain(|_, c| c.request_in_flight || now_ms.saturating_sub(c.last_active_ms) < IDLE_MS);
+        self.connections.retain(|_, connection| {
+            connection.request_in_flight || now_ms.saturating_sub(connection.last_active_ms) < IDLE_TIMEOUT_MS
+        });
     }
 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,7 @@
-//! A non-blocking TCP connection with bounded buffers.
+//! A non-blocking TCP connection with an input and an output buffer.
+//!
+//! The caller bounds the input buffer by what it passes to [`BufferedStream::read_available`], and the output buffer by
+//! closing connections whose [`BufferedStream::pending_output`] grows too large.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,19 +12,24 @@
 
 use crate::poller::{EventPoller, Registration};
 
-const READ_CHUNK: usize = 16 * 1024;
-/// An idle connection keeps no more than this for each direction.
+/// Bytes that one system call reads at most.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Capacity that an idle connection keeps for each direction.
 const IDLE_BUFFER_BYTES: usize = 2 * 1024;
 
+/// A connection with its buffers.
 pub struct BufferedStream {
-    watch: Registration<TcpStream>,
+    registration: Registration<TcpStream>,
+    /// Received and not yet consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
+    /// How much of `output` has been written.
     written: usize,
+    /// The connection is not established yet.
     pub connecting: bool,
 }
 
-/// What a read or write came to.
+/// Whether a connection can still be used after a read or write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamState {
     Open,
@@ -29,19 +37,27 @@
 }
 
 impl BufferedStream {
+    /// Wraps a connection that a listener accepted.
+    ///
+    /// # Errors
+    /// The socket can't be configured or registered.
     pub fn from_accepted(
-        gate: &Arc<EventPoller>,
+        poller: &Arc<EventPoller>,
         socket: TcpStream,
         key: usize,
     ) -> io::Result<BufferedStream> {
         socket.set_nonblocking(true)?;
-        // Small answers must not wait for one another.
+        // Small responses must not be delayed to be sent together.
         socket.set_nodelay(true)?;
-        let watch = Registration::new(gate, socket, Event::readable(key))?;
-        Ok(BufferedStream::new(watch, false))
+        let registration = Registration::new(poller, socket, Event::readable(key))?;
+        Ok(BufferedStream::new(registration, false))
     }
 
-    pub fn connect(gate: &Arc<EventPoller>, addr: SocketAddr, key: usize) -> io::Result<BufferedStream> {
+    /// Starts to connect. The first event tells whether that succeeded.
+    ///
+    /// # Errors
+    /// The socket can't be created, registered or connected; for some addresses that is known at once.
+    pub fn connect(poller: &Arc<EventPoller>, addr: SocketAddr, key: usize) -> io::Result<BufferedStream> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -52,39 +68,41 @@
                 return Err(error);
             }
         }
-        let watch = Registration::new(gate, socket.into(), Event::writable(key))?;
-        Ok(BufferedStream::new(watch, true))
+        let registration = Registration::new(poller, socket.into(), Event::writable(key))?;
+        Ok(BufferedStream::new(registration, true))
     }
 
-    fn new(watch: Registration<TcpStream>, connecting: bool) -> BufferedStream {
-        BufferedStream { watch, input: Vec::new(), output: Vec::new(), written: 0, connecting }
+    fn new(registration: Registration<TcpStream>, connecting: bool) -> BufferedStream {
+        BufferedStream { registration, input: Vec::new(), output: Vec::new(), written: 0, connecting }
     }
 
+    /// Adds bytes to the output buffer.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Nothing more is sent; the peer sees that and closes.
+    /// Closes the sending side; the peer sees the end of the stream.
     pub fn shutdown_write(&self) {
-        // A connection that is gone already needs no end.
-        let _ = self.watch.source().shutdown(Shutdown::Write);
+        // Fails only if the connection is closed already.
+        let _ = self.registration.source().shutdown(Shutdown::Write);
     }
 
+    /// Bytes of the output buffer that are not written yet.
     pub fn pending_output(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Bytes that its buffers take.
+    /// Memory that the buffers take, in bytes.
     pub fn buffer_capacity(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Reads what there is, until `most` is held.
+    /// Reads what is available, until the input buffer holds `max_input` bytes.
     pub fn read_available(&mut self, max_input: usize) -> StreamState {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         while self.input.len() < max_input {
-            let wanted = READ_CHUNK.min(max_input - self.input.len());
-            match self.watch.read(&mut chunk[..wanted]) {
+            let wanted = READ_CHUNK_BYTES.min(max_input - self.input.len());
+            match self.registration.read(&mut chunk[..wanted]) {
                 Ok(0) => return StreamState::Closed,
                 Ok(n) => {
                     self.input.extend_from_slice(&chunk[..n]);
@@ -100,19 +118,20 @@
         StreamState::Open
     }
 
+    /// Writes what the socket takes of the output buffer; finishes connecting first.
     pub fn flush(&mut self) -> StreamState {
         if self.connecting {
-            match self.watch.source().take_error() {
+            match self.registration.source().take_error() {
                 Ok(None) => {}
                 _ => return StreamState::Closed,
             }
-            if self.watch.source().peer_addr().is_err() {
+            if self.registration.source().peer_addr().is_err() {
                 return StreamState::Open;
             }
             self.connecting = false;
         }
         while self.pending_output() > 0 {
-            match self.watch.write(&self.output[self.written..]) {
+            match self.registration.write(&self.output[self.written..]) {
                 Ok(0) => return StreamState::Closed,
                 Ok(n) => self.written += n,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return StreamState::Open,
@@ -126,15 +145,16 @@
         StreamState::Open
     }
 
-    /// Registrations are one-shot; called after each event.
+    /// Asks for the next event, for reading only if `readable`. To be called after each event.
     pub fn rearm(&self, readable: bool) -> StreamState {
         let writable = self.connecting || self.pending_output() > 0;
-        match self.watch.set_interest(readable && !self.connecting, writable) {
+        match self.registration.set_interest(readable && !self.connecting, writable) {
             Ok(()) => StreamState::Open,
             Err(_) => StreamState::Closed,
         }
     }
 
+    /// Removes bytes from the front of the input buffer.
     pub fn consume_input(&mut self, consumed: usize) {
         self.input.drain(..consumed);
         if self.input.is_empty() {
@@ -143,5 +163,5 @@
     }
 }
 
-/// The number Linux gives a connection attempt that goes on in the background.
+/// Linux' error number for a connection that is being established in the background.
 const EINPROGRESS: i32 = 115;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -10,7 +10,7 @@
 pub mod kv;
 pub mod operators;
 pub mod peer;
-mod query_params;
+pub(crate) mod query_params;
 pub mod users;
 pub mod workers;
 
--- a/src/protocol/query_params.rs
+++ b/src/protocol/query_params.rs
@@ -73,6 +73,6 @@
 }
 
 /// Parses a job's name from a path. A name of another form was never accepted, so that no such job exists.
-pub(super) fn parse_job_id(text: &str) -> Result<JobId, HttpResponse> {
+pub(crate) fn parse_job_id(text: &str) -> Result<JobId, HttpResponse> {
     JobId::parse(text).ok_or_else(|| HttpResponse::error(404, "no such job"))
 }
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -1,15 +1,19 @@
-//! Our own calls: to the state service, the cloud and the workers.
+//! Requests of our own: to the key-value store, the cloud and the workers.
+//!
+//! It owns the connections, the queues and the deadlines of these requests, and reports exactly one outcome for each. The
+//! number of sockets and the size of responses are bounded.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use super::{ByKey, TransportContext};
+use super::context::{ByKey, TransportContext};
 use crate::coordination::{Event, OutboundId};
 use crate::ids::Millis;
 use crate::protocol::{HttpOutcome, HttpRequest};
-use olivelatch_net::http::{Parsed, parse_response, write_request};
+use olivelatch_net::http::{Parsed, Response, parse_response, write_request};
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
+/// Whom a request goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Target {
     KvStore,
@@ -17,8 +21,8 @@
     Worker(SocketAddr),
 }
 
-/// Connections to one target at once. The state service gets enough that a
-/// renewal does not wait behind a transaction.
+/// Most connections to one target. The store gets enough of them that the renewal of a lease does not wait behind a
+/// transaction.
 fn max_connections(target: Target) -> usize {
     match target {
         Target::KvStore => 6,
@@ -27,51 +31,79 @@
     }
 }
 
+/// An idle connection is closed after this.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
-/// Idle connections are looked for that often, as there are hundreds of them.
+/// Time between two searches for idle connections, as there are hundreds of them.
 const IDLE_CHECK_INTERVAL_MS: u64 = 1_000;
-/// The part of the settings' memory that one answer may take: it is held three times while
-/// it is read. Pages of the state service and the cloud's lists are far smaller.
+/// The part of the controller's memory that one response may take: there are three copies of it while it is parsed. Pages
+/// of the store and the cloud's lists are far smaller.
 const RESPONSE_MEMORY_SHARE: f64 = 0.1;
-/// Idle connections that give way at once when sockets run short.
+/// Idle connections that are closed at once when sockets run out.
 const MAX_EVICTED_IDLE: usize = 64;
-/// Room for an answer's head and chunks.
-const HEADER_ROOM: usize = 1024 * 1024;
+/// Buffer space for the head and the chunk sizes of a response, beside its body.
+const RESPONSE_HEAD_ROOM_BYTES: usize = 1024 * 1024;
+/// Space for the head of a request.
+const REQUEST_HEAD_BYTES: usize = 200;
+const BYTES_PER_MB: usize = 1024 * 1024;
 
 struct ClientConnection {
     stream: BufferedStream,
     target: Target,
+    /// The request that waits for its response.
     outbound: Option<OutboundId>,
     last_active: Millis,
 }
 
+/// The connections to one target.
 #[derive(Default)]
 struct ConnectionPool {
+    /// Keys of connections without a request.
     idle: Vec<usize>,
+    /// Number of connections, idle or not.
     open: usize,
+    /// Requests that wait for a connection.
     queue: VecDeque<(OutboundId, HttpRequest)>,
 }
 
+/// A request without an outcome.
+#[derive(Clone, Copy)]
+struct Outstanding {
+    target: Target,
+    /// The connection over which it was sent; None while it is queued.
+    connection: Option<usize>,
+}
+
+/// The result of looking for a connection.
+enum Acquired {
+    Connection(usize),
+    /// All connections that the target may have are in use.
+    Busy,
+    /// There is none, and none can be opened.
+    Unavailable,
+}
+
+/// The requests of our own and their connections.
 pub struct ClientConnections {
     connections: ByKey<ClientConnection>,
     pools: HashMap<Target, ConnectionPool>,
-    outstanding: HashMap<OutboundId, (Target, Option<usize>)>,
+    outstanding: HashMap<OutboundId, Outstanding>,
     deadlines: BTreeSet<(Millis, OutboundId)>,
     idle_checked_at: Millis,
     kv_addr: SocketAddr,
     cloud_addr: SocketAddr,
     max_response_bytes: usize,
-    /// Sockets that the whole process may have, and has beside these.
+    /// Sockets that the whole process may have.
     max_sockets: usize,
+    /// Sockets that it has beside these.
     pub other_sockets: usize,
 }
 
 impl ClientConnections {
-    /// On a machine with so much memory, in a process with `most` sockets.
+    /// For a controller that has `memory_mb` megabytes and may have `max_sockets` sockets.
     pub fn new(
         kv_addr: SocketAddr,
         cloud_addr: SocketAddr,
-        mem_mb: f64,
+        memory_mb: f64,
         max_sockets: usize,
     ) -> ClientConnections {
         ClientConnections {
@@ -84,18 +116,21 @@
             idle_checked_at: Millis::default(),
             kv_addr,
             cloud_addr,
-            max_response_bytes: ((mem_mb * RESPONSE_MEMORY_SHARE) as usize).max(1) * 1024 * 1024,
+            max_response_bytes: ((memory_mb * RESPONSE_MEMORY_SHARE) as usize).max(1) * BYTES_PER_MB,
         }
     }
 
+    /// Whether a key belongs to one of these connections.
     pub fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
+    /// Whether a connection goes to a worker.
     pub fn is_worker(&self, key: usize) -> bool {
         self.connections.get(&key).is_some_and(|client| matches!(client.target, Target::Worker(_)))
     }
 
+    /// Sends a request to the key-value store.
     pub fn request_kv_store(
         &mut self,
         context: &mut TransportContext,
@@ -106,6 +141,7 @@
         self.enqueue_request(context, Target::KvStore, outbound, request, timeout_ms);
     }
 
+    /// Sends a request to the cloud.
     pub fn request_cloud(
         &mut self,
         context: &mut TransportContext,
@@ -116,6 +152,7 @@
         self.enqueue_request(context, Target::Cloud, outbound, request, timeout_ms);
     }
 
+    /// Sends a request to a worker. It is reported as not sent if the endpoint is not an address.
     pub fn request_worker(
         &mut self,
         context: &mut TransportContext,
@@ -138,13 +175,13 @@
         &mut self,
         context: &mut TransportContext,
         target: Target,
-        ask: OutboundId,
+        outbound: OutboundId,
         request: HttpRequest,
         timeout_ms: u64,
     ) {
-        self.deadlines.insert((context.now().saturating_add(timeout_ms), ask));
-        self.outstanding.insert(ask, (target, None));
-        self.pools.entry(target).or_default().queue.push_back((ask, request));
+        self.deadlines.insert((context.now().saturating_add(timeout_ms), outbound));
+        self.outstanding.insert(outbound, Outstanding { target, connection: None });
+        self.pools.entry(target).or_default().queue.push_back((outbound, request));
         self.dispatch_queued(context, target);
     }
 
@@ -156,36 +193,39 @@
         }
     }
 
-    /// No socket is left in the process.
+    /// Whether the process may open no further socket.
     pub fn is_out_of_sockets(&self) -> bool {
         self.connections.len() + self.other_sockets >= self.max_sockets
     }
 
-    /// Connections to workers that wait for their next call give way, the longest idle first. A new leader greets every
-    /// machine while all of them report to it: with half as many again there were not sockets for both, and users were
-    /// refused.
+    /// Closes idle connections to workers, the longest idle first. A new leader announces itself to every machine while all
+    /// of them send it heartbeats: without this there were too few sockets for both, and users were rejected.
     pub fn evict_idle_workers(&mut self, context: &mut TransportContext) {
-        let idle = |client: &ClientConnection| {
+        let is_idle_worker = |client: &ClientConnection| {
             client.outbound.is_none() && matches!(client.target, Target::Worker(_))
         };
-        let idle = self.connections.iter().filter(|(_, client)| idle(client));
-        let mut idle: Vec<(Millis, usize)> = idle.map(|(key, client)| (client.last_active, *key)).collect();
+        let mut idle: Vec<(Millis, usize)> = self
+            .connections
+            .iter()
+            .filter(|(_, client)| is_idle_worker(client))
+            .map(|(key, client)| (client.last_active, *key))
+            .collect();
         idle.sort_unstable();
         for (_, key) in idle.into_iter().take(MAX_EVICTED_IDLE) {
             self.close(context, key);
         }
     }
 
-    /// Hands waiting calls to idle or new connections.
+    /// Sends queued requests over idle or new connections, as far as there are any.
     fn dispatch_queued(&mut self, context: &mut TransportContext, target: Target) {
-        let worker = matches!(target, Target::Worker(_));
-        if worker && self.is_out_of_sockets() && self.pools.get(&target).is_some_and(|pool| pool.open == 0) {
+        let is_worker = matches!(target, Target::Worker(_));
+        let has_no_connection = self.pools.get(&target).is_some_and(|pool| pool.open == 0);
+        if is_worker && has_no_connection && self.is_out_of_sockets() {
             self.evict_idle_workers(context);
         }
-        // The state service and the cloud have theirs whatever happens.
-        let out_of_sockets = worker && self.is_out_of_sockets();
+        // The store and the cloud get their connections in any case.
+        let out_of_sockets = is_worker && self.is_out_of_sockets();
         loop {
-            let addr = self.target_addr(target);
             let Some(pool) = self.pools.get_mut(&target) else {
                 return;
             };
@@ -195,39 +235,43 @@
             if !self.outstanding.contains_key(&outbound) {
                 continue;
             }
-            let key = match pool.idle.pop() {
-                Some(key) => key,
-                None if out_of_sockets && pool.open == 0 => {
-                    self.complete_request(context, outbound, HttpOutcome::NotSent);
-                    continue;
-                }
-                None if pool.open < max_connections(target) => {
-                    let key = context.allocate_key();
-                    match BufferedStream::connect(&context.poller, addr, key) {
-                        Ok(stream) => {
-                            pool.open += 1;
-                            let client = ClientConnection {
-                                stream,
-                                target,
-                                outbound: None,
-                                last_active: context.now(),
-                            };
-                            self.connections.insert(key, client);
-                            key
-                        }
-                        Err(_) => {
-                            self.complete_request(context, outbound, HttpOutcome::NotSent);
-                            continue;
-                        }
-                    }
-                }
-                None => {
-                    pool.queue.push_front((outbound, request));
+            match self.acquire_connection(context, target, out_of_sockets) {
+                Acquired::Connection(key) => self.send_request(context, key, outbound, &request),
+                Acquired::Unavailable => self.complete_request(context, outbound, HttpOutcome::NotSent),
+                Acquired::Busy => {
+                    self.pools.entry(target).or_default().queue.push_front((outbound, request));
                     return;
                 }
-            };
-            self.send_request(context, key, outbound, &request, addr);
+            }
+        }
+    }
+
+    /// An idle connection, or a new one if the target may have another.
+    fn acquire_connection(
+        &mut self,
+        context: &mut TransportContext,
+        target: Target,
+        out_of_sockets: bool,
+    ) -> Acquired {
+        let addr = self.target_addr(target);
+        let pool = self.pools.entry(target).or_default();
+        if let Some(key) = pool.idle.pop() {
+            return Acquired::Connection(key);
+        }
+        if out_of_sockets && pool.open == 0 {
+            return Acquired::Unavailable;
         }
+        if pool.open >= max_connections(target) {
+            return Acquired::Busy;
+        }
+        let key = context.allocate_key();
+        let Ok(stream) = BufferedStream::connect(&context.poller, addr, key) else {
+            return Acquired::Unavailable;
+        };
+        pool.open += 1;
+        let client = ClientConnection { stream, target, outbound: None, last_active: context.now() };
+        self.connections.insert(key, client);
+        Acquired::Connection(key)
     }
 
     fn send_request(
@@ -236,17 +280,20 @@
         key: usize,
         outbound: OutboundId,
         request: &HttpRequest,
-        addr: SocketAddr,
     ) {
+        let Some(target) = self.connections.get(&key).map(|client| client.target) else {
+            return;
+        };
+        let host = self.target_addr(target).to_string();
         let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
-        let mut bytes = Vec::with_capacity(request.body.len() + 200);
-        write_request(&mut bytes, request.method, &request.path, &addr.to_string(), &request.body);
+        let mut bytes = Vec::with_capacity(request.body.len() + REQUEST_HEAD_BYTES);
+        write_request(&mut bytes, request.method, &request.path, &host, &request.body);
         client.stream.queue(&bytes);
         client.outbound = Some(outbound);
-        if let Some(entry) = self.outstanding.get_mut(&outbound) {
-            entry.1 = Some(key);
+        if let Some(outstanding) = self.outstanding.get_mut(&outbound) {
+            outstanding.connection = Some(key);
         }
         if !client.stream.connecting {
             self.flush(context, key);
@@ -262,47 +309,59 @@
         }
     }
 
+    /// Writes to or reads from a connection; a complete response is the outcome of its request.
     pub fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
         let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
         client.last_active = context.now();
-        let target = client.target;
         if client.stream.connecting {
             self.flush(context, key);
             return;
         }
-        let read = client.stream.read_available(self.max_response_bytes + HEADER_ROOM);
+        let read = client.stream.read_available(self.max_response_bytes + RESPONSE_HEAD_ROOM_BYTES);
         match parse_response(&client.stream.input, self.max_response_bytes) {
-            Parsed::Complete(response, taken) if client.outbound.is_some() => {
-                client.stream.consume_input(taken);
-                let outbound = client.outbound.take();
-                let keep = response.keep_alive && read == StreamState::Open && client.stream.input.is_empty();
-                if let Some(outbound) = outbound {
-                    let outcome = HttpOutcome::Response { status: response.status, body: response.body };
-                    self.complete_request(context, outbound, outcome);
-                }
-                if keep {
-                    self.pools.entry(target).or_default().idle.push(key);
-                    self.flush(context, key);
-                } else {
-                    self.close(context, key);
-                }
-                self.dispatch_queued(context, target);
+            Parsed::Complete(response, consumed) if client.outbound.is_some() => {
+                client.stream.consume_input(consumed);
+                self.receive_response(context, key, response, read);
             }
             Parsed::Partial if read == StreamState::Open => self.flush(context, key),
             Parsed::TooLong => {
-                let outbound = client.outbound.take();
-                if let Some(outbound) = outbound {
+                if let Some(outbound) = client.outbound.take() {
                     self.complete_request(context, outbound, HttpOutcome::TooLarge);
                 }
                 self.close(context, key);
             }
-            // Closed, garbage, or an answer to nothing.
+            // Closed, malformed, or a response without a request.
             _ => self.close(context, key),
         }
     }
 
+    fn receive_response(
+        &mut self,
+        context: &mut TransportContext,
+        key: usize,
+        response: Response,
+        read: StreamState,
+    ) {
+        let Some(client) = self.connections.get_mut(&key) else {
+            return;
+        };
+        let target = client.target;
+        let is_reusable = response.keep_alive && read == StreamState::Open && client.stream.input.is_empty();
+        if let Some(outbound) = client.outbound.take() {
+            let outcome = HttpOutcome::Response { status: response.status, body: response.body };
+            self.complete_request(context, outbound, outcome);
+        }
+        if is_reusable {
+            self.pools.entry(target).or_default().idle.push(key);
+            self.flush(context, key);
+        } else {
+            self.close(context, key);
+        }
+        self.dispatch_queued(context, target);
+    }
+
     fn close(&mut self, context: &mut TransportContext, key: usize) {
         let Some(client) = self.connections.remove(&key) else {
             return;
@@ -311,7 +370,7 @@
         pool.open = pool.open.saturating_sub(1);
         pool.idle.retain(|idle| *idle != key);
         if let Some(outbound) = client.outbound {
-            // A connection that was given up before it stood never completes later.
+            // Nothing was sent over a connection that was never established.
             let lost = if client.stream.connecting { HttpOutcome::NotSent } else { HttpOutcome::Unknown };
             self.complete_request(context, outbound, lost);
         }
@@ -330,34 +389,44 @@
         &mut self,
         context: &mut TransportContext,
         outbound: OutboundId,
-        result: HttpOutcome,
+        outcome: HttpOutcome,
     ) {
-        if let Some((target, _)) = self.outstanding.remove(&outbound) {
-            context.pending_events.push_back(outcome_event(target, outbound, result));
+        if let Some(outstanding) = self.outstanding.remove(&outbound) {
+            context.pending_events.push_back(outcome_event(outstanding.target, outbound, outcome));
         }
     }
 
+    /// Ends requests whose deadline has passed, and closes connections that are idle for too long.
     pub fn expire(&mut self, context: &mut TransportContext) {
+        self.expire_requests(context);
+        self.close_idle(context);
+    }
+
+    fn expire_requests(&mut self, context: &mut TransportContext) {
         let now = context.now();
-        while let Some((at, outbound)) = self.deadlines.first().copied()
-            && at <= now
+        while let Some((deadline, outbound)) = self.deadlines.first().copied()
+            && deadline <= now
         {
             self.deadlines.pop_first();
-            match self.outstanding.get(&outbound).copied() {
-                Some((_, Some(key))) => self.close(context, key),
-                Some((_, None)) => self.complete_request(context, outbound, HttpOutcome::NotSent),
+            match self.outstanding.get(&outbound).map(|outstanding| outstanding.connection) {
+                Some(Some(key)) => self.close(context, key),
+                Some(None) => self.complete_request(context, outbound, HttpOutcome::NotSent),
                 None => {}
             }
         }
+    }
+
+    fn close_idle(&mut self, context: &mut TransportContext) {
+        let now = context.now();
         if now.saturating_since(self.idle_checked_at) < IDLE_CHECK_INTERVAL_MS {
             return;
         }
         self.idle_checked_at = now;
-        let idle = |client: &ClientConnection| {
+        let is_stale = |client: &ClientConnection| {
             client.outbound.is_none() && now.saturating_since(client.last_active) > IDLE_TIMEOUT_MS
         };
         let stale: Vec<usize> =
-            self.connections.iter().filter(|(_, client)| idle(client)).map(|(key, _)| *key).collect();
+            self.connections.iter().filter(|(_, client)| is_stale(client)).map(|(key, _)| *key).collect();
         for key in stale {
             self.close(context, key);
         }
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -1,58 +1,69 @@
-//! Connections between controllers. Each node opens one to each other for what it says.
+//! Connections between controllers: each opens one to every other, over which it sends and never receives.
+//!
+//! It owns these connections. Messages are dropped rather than queued without bound: the peers repeat what matters.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 
-use super::{ByKey, TransportContext};
+use super::context::{ByKey, TransportContext};
 use crate::coordination::Event;
 use crate::ids::Millis;
-use crate::protocol::peer::{MAX_FRAME_BYTES, PeerMessage, decode, encode};
+use crate::protocol::peer::{FRAME_HEADER_BYTES, MAX_FRAME_BYTES, PeerMessage, decode, encode};
 use crate::settings::Settings;
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
-/// A peer that takes nothing gets no more than this kept for it.
+/// Most output that is buffered for a peer; the connection to one that reads more slowly is closed.
 const MAX_PENDING_BYTES: usize = 256 * 1024;
+/// Most connections that other controllers may have open.
 const MAX_INCOMING: usize = 64;
+/// Shortest time between two log lines about rejected messages.
 const ERROR_LOG_INTERVAL_MS: u64 = 10_000;
+/// Shortest time between two attempts to connect to a peer.
 const RECONNECT_DELAY_MS: u64 = 500;
-/// A connection that does not stand by then is tried anew: one to a machine without power hangs for as long as that lasts,
-/// and long after.
+/// A connection that is not established by then is tried again: one to a machine without power hangs for as long as that
+/// lasts, and long after.
 const CONNECT_TIMEOUT_MS: u64 = 2_000;
-/// A peer that said nothing for so long and calls again may be another process: what goes to the one before is lost.
+/// A peer that sent nothing for so long and connects again may be another process: our connection to the former one is
+/// replaced.
 const PEER_SILENT_MS: u64 = 3_000;
 
+/// A connection over which a peer sends.
 struct IncomingConnection {
     stream: BufferedStream,
-    /// Known once it has said hello.
+    /// Known once the hello has arrived.
     controller: Option<String>,
     opened_at: Millis,
 }
 
+/// A connection over which we send.
 struct OutgoingConnection {
     stream: BufferedStream,
     controller: String,
     opened_at: Millis,
 }
 
+/// The connections to and from all other controllers.
 pub struct Mesh {
     own_name: String,
     addrs: HashMap<String, SocketAddr>,
     incoming: ByKey<IncomingConnection>,
     outgoing: ByKey<OutgoingConnection>,
     outgoing_by_controller: HashMap<String, usize>,
+    /// When we last tried to connect to each peer.
     last_attempts: HashMap<String, Millis>,
     last_error_logged_at: Millis,
-    /// When each node last said anything.
+    /// When each peer last sent a message.
     last_received: HashMap<String, Millis>,
-    /// Frames that were not taken: garbage, strangers, what came over a connection that another has replaced.
+    /// Messages and connections that were rejected: garbage, unknown peers, connections that newer ones replaced.
     pub dropped: u64,
 }
 
 impl Mesh {
+    /// A mesh without connections, to the peers of the settings.
     pub fn new(settings: &Settings) -> Mesh {
         Mesh {
             own_name: settings.controller.clone(),
-            addrs: settings.peers.iter().map(|other| (other.controller.clone(), other.addr)).collect(),
+            addrs: settings.peers.iter().map(|peer| (peer.controller.clone(), peer.addr)).collect(),
             incoming: HashMap::new(),
             outgoing: HashMap::new(),
             outgoing_by_controller: HashMap::new(),
@@ -63,10 +74,11 @@
         }
     }
 
+    /// Takes a connection that a peer has opened.
     pub fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
         if self.incoming.len() >= MAX_INCOMING {
             self.count_and_log_drop(context, "too many mesh connections");
-            // One that has not said who it is for longest gives way: whoever opens many and says nothing keeps nobody out.
+            // The oldest one that is not identified gives way, so that opening many of them keeps no peer out.
             let unidentified = self.incoming.iter().filter(|(_, peer)| peer.controller.is_none());
             let Some(oldest) = unidentified.min_by_key(|(_, peer)| peer.opened_at).map(|(key, _)| *key)
             else {
@@ -81,40 +93,54 @@
         }
     }
 
-    /// A node calls. It has one connection: whatever came before is of a former process, or of one that gave it up, and
-    /// late words on it are not taken. Two that replace each other settle, as the one that lives calls again.
+    /// A peer has sent its hello. It has one connection: an earlier one belongs to a former process or was given up, and
+    /// late messages on it are dropped. Two that replace each other settle, as the live one connects again.
     fn identify_peer(&mut self, context: &TransportContext, key: usize, controller: &str) {
         let now = context.now();
-        let was_silent = self
-            .last_received
-            .insert(controller.into(), now)
-            .is_none_or(|at| now.saturating_since(at) > PEER_SILENT_MS);
-        let others = self
+        let last_received = self.last_received.insert(controller.into(), now);
+        let was_silent = last_received.is_none_or(|last| now.saturating_since(last) > PEER_SILENT_MS);
+        self.close_other_incoming(key, controller);
+        if let Some(peer) = self.incoming.get_mut(&key) {
+            peer.controller = Some(controller.into());
+        }
+        if was_silent {
+            self.close_old_outgoing(now, controller);
+        }
+    }
+
+    fn close_other_incoming(&mut self, key: usize, controller: &str) {
+        let is_same_peer = |other: &usize, peer: &IncomingConnection| {
+            *other != key && peer.controller.as_deref() == Some(controller)
+        };
+        let others: Vec<usize> = self
             .incoming
             .iter()
-            .filter(|(other, peer)| **other != key && peer.controller.as_deref() == Some(controller));
-        for other in others.map(|(other, _)| *other).collect::<Vec<usize>>() {
+            .filter(|(other, peer)| is_same_peer(other, peer))
+            .map(|(other, _)| *other)
+            .collect();
+        for other in others {
             self.dropped += 1;
             self.close(other);
         }
-        if let Some(peer) = self.incoming.get_mut(&key) {
-            peer.controller = Some(controller.into());
-        }
-        let ours = self.outgoing_by_controller.get(controller).copied();
-        let old = |key: &usize| {
+    }
+
+    fn close_old_outgoing(&mut self, now: Millis, controller: &str) {
+        let is_old = |key: &usize| {
             self.outgoing.get(key).is_some_and(|peer| now.saturating_since(peer.opened_at) > PEER_SILENT_MS)
         };
-        if let Some(ours) = ours.filter(|key| was_silent && old(key)) {
-            self.close(ours);
+        let outgoing = self.outgoing_by_controller.get(controller).copied();
+        if let Some(key) = outgoing.filter(is_old) {
+            self.close(key);
             self.last_attempts.remove(controller);
         }
     }
 
+    /// Number of connections, in both directions.
     pub fn open_connections(&self) -> usize {
         self.incoming.len() + self.outgoing.len()
     }
 
-    /// Garbage on the mesh is worth a line, but not a flood of them.
+    /// Counts what was rejected, and logs it unless something was logged recently.
     fn count_and_log_drop(&mut self, context: &TransportContext, reason: &str) {
         self.dropped += 1;
         let now = context.now();
@@ -124,6 +150,7 @@
         }
     }
 
+    /// Sends a message, over a new connection if necessary. It is lost if there can be none.
     pub fn send(&mut self, context: &mut TransportContext, controller: &str, message: &PeerMessage) {
         let is_stuck_connecting = |peer: &OutgoingConnection| {
             peer.stream.connecting && context.now().saturating_since(peer.opened_at) > CONNECT_TIMEOUT_MS
@@ -157,7 +184,10 @@
     fn connect(&mut self, context: &mut TransportContext, controller: &str) -> Option<usize> {
         let addr = *self.addrs.get(controller)?;
         let now = context.now();
-        if self.last_attempts.get(controller).is_some_and(|at| now.saturating_since(*at) < RECONNECT_DELAY_MS)
+        if self
+            .last_attempts
+            .get(controller)
+            .is_some_and(|last| now.saturating_since(*last) < RECONNECT_DELAY_MS)
         {
             return None;
         }
@@ -187,9 +217,10 @@
         self.incoming.remove(&key);
     }
 
+    /// Writes to or reads from a connection; messages become events.
     pub fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
         if let Some(peer) = self.outgoing.get_mut(&key) {
-            // Nothing is ever said on this side; reading only shows that the peer has gone.
+            // The peer never sends on this connection; reading only shows that it has closed it.
             let peer_closed = !peer.stream.connecting && peer.stream.read_available(1) == StreamState::Closed;
             if peer_closed || !peer.stream.input.is_empty() {
                 self.close(key);
@@ -201,24 +232,25 @@
         let Some(peer) = self.incoming.get_mut(&key) else {
             return;
         };
-        let read = peer.stream.read_available(MAX_FRAME_BYTES + 4);
-        let trusted = self.read_frames(context, key);
+        let read = peer.stream.read_available(FRAME_HEADER_BYTES + MAX_FRAME_BYTES);
+        let is_valid = self.read_frames(context, key);
         let Some(peer) = self.incoming.get_mut(&key) else {
             return;
         };
-        if !trusted || read == StreamState::Closed || peer.stream.rearm(true) == StreamState::Closed {
+        if !is_valid || read == StreamState::Closed || peer.stream.rearm(true) == StreamState::Closed {
             self.close(key);
         }
     }
 
-    /// Takes whole frames; false if the peer cannot be trusted with any more.
+    /// Handles complete frames; false if the connection is to be closed.
     fn read_frames(&mut self, context: &mut TransportContext, key: usize) -> bool {
         loop {
             let Some(peer) = self.incoming.get_mut(&key) else {
                 return false;
             };
             let input = &peer.stream.input;
-            let Some(length) = input.first_chunk::<4>().map(|bytes| u32::from_le_bytes(*bytes) as usize)
+            let Some(length) =
+                input.first_chunk::<FRAME_HEADER_BYTES>().map(|bytes| u32::from_le_bytes(*bytes) as usize)
             else {
                 return true;
             };
@@ -226,30 +258,39 @@
                 self.count_and_log_drop(context, "a frame is too long");
                 return false;
             }
-            let Some(message) = input.get(4..4 + length).map(decode) else {
+            let Some(message) = input.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length).map(decode) else {
                 return true;
             };
-            peer.stream.consume_input(4 + length);
-            let problem = match (message, &peer.controller) {
-                (Some(PeerMessage::Hello { controller: node }), None) if self.addrs.contains_key(&node) => {
-                    self.identify_peer(context, key, &node);
-                    continue;
-                }
-                // A second hello of one connection is a copy.
-                (Some(PeerMessage::Hello { .. }), Some(_)) => {
-                    self.dropped += 1;
-                    continue;
-                }
-                (Some(message), Some(node)) => {
-                    self.last_received.insert(node.clone(), context.now());
-                    context.pending_events.push_back(Event::Peer { controller: node.clone(), message });
-                    continue;
-                }
-                (Some(_), None) => "a node that is not in the settings",
-                (None, _) => "a message that does not validate",
-            };
-            self.count_and_log_drop(context, problem);
-            return false;
+            peer.stream.consume_input(FRAME_HEADER_BYTES + length);
+            let sender = peer.controller.clone();
+            if let Err(reason) = self.receive_message(context, key, sender, message) {
+                self.count_and_log_drop(context, reason);
+                return false;
+            }
+        }
+    }
+
+    /// Handles a frame's message; the error says why the connection is to be closed.
+    fn receive_message(
+        &mut self,
+        context: &mut TransportContext,
+        key: usize,
+        sender: Option<String>,
+        message: Option<PeerMessage>,
+    ) -> Result<(), &'static str> {
+        match (message, sender) {
+            (Some(PeerMessage::Hello { controller }), None) if self.addrs.contains_key(&controller) => {
+                self.identify_peer(context, key, &controller);
+            }
+            // A second hello on one connection is a duplicate.
+            (Some(PeerMessage::Hello { .. }), Some(_)) => self.dropped += 1,
+            (Some(message), Some(controller)) => {
+                self.last_received.insert(controller.clone(), context.now());
+                context.pending_events.push_back(Event::Peer { controller, message });
+            }
+            (Some(_), None) => return Err("a controller that is not in the settings"),
+            (None, _) => return Err("a message that does not validate"),
         }
+        Ok(())
     }
 }
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -1,4 +1,6 @@
-//! This controller's figures as OpenMetrics text: names with units, one line of help, few labels.
+//! The metrics of this controller as OpenMetrics text.
+//!
+//! Names and help texts are an interface to scrapers and dashboards: they stay as they are.
 
 use std::collections::BTreeMap;
 use std::fmt::Error;
@@ -14,32 +16,35 @@
 use super::timings::DurationHistogram;
 use crate::protocol::operators::{ControllerStatus, LeaderStatus};
 
-/// What one scrape shows.
+/// The values of one scrape.
 #[derive(Debug)]
 pub struct MetricsSnapshot {
     pub status: ControllerStatus,
-    /// Answers by their status.
+    /// Number of responses by their status.
     pub responses_by_status: BTreeMap<u16, u64>,
-    /// How long each kind of event was worked on.
+    /// Durations by kind of work.
     pub event_durations: Vec<(&'static str, DurationHistogram)>,
     pub connections: u64,
-    /// What other controllers said that was not taken.
+    /// Messages of other controllers that were rejected.
     pub mesh_dropped: u64,
 }
 
-pub fn render_openmetrics(scrape: MetricsSnapshot) -> String {
+/// Renders a scrape.
+pub fn render_openmetrics(snapshot: MetricsSnapshot) -> String {
     let mut registry = Registry::default();
-    registry.register_collector(Box::new(scrape));
+    registry.register_collector(Box::new(snapshot));
     let mut text = String::new();
     match encode(&mut text, &registry) {
         Ok(()) => text,
-        // Writing to a string does not fail; half a scrape would be worse than none.
+        // Writing to a string does not fail. A partial scrape would be worse than none.
         Err(_) => String::new(),
     }
 }
 
 /// Name, help, value.
 type Gauge = (&'static str, &'static str, f64);
+/// Name, help, value.
+type Counter = (&'static str, &'static str, u64);
 
 fn bool_gauge(value: bool) -> f64 {
     f64::from(u8::from(value))
@@ -76,48 +81,52 @@
     ]
 }
 
-fn leader_gauges(work: &LeaderStatus) -> Vec<Gauge> {
+fn leader_gauges(leader: &LeaderStatus) -> Vec<Gauge> {
     vec![
-        ("olivelatch_machines_up", "Machines that report", work.machines_up as f64),
-        ("olivelatch_machines_booting", "Machines rented and not heard of yet", work.machines_booting as f64),
-        ("olivelatch_machines_silent", "Machines whose lease has ended", work.machines_unreachable as f64),
-        ("olivelatch_cpus", "CPUs of machines that are up", work.cpus),
-        ("olivelatch_cpus_used", "CPUs bound to tasks on them", work.cpus_used),
-        ("olivelatch_queued_shared_tasks", "Tasks in shared queues", work.queued_shared as f64),
-        ("olivelatch_queued_dedicated_tasks", "Tasks in dedicated queues", work.queued_dedicated as f64),
+        ("olivelatch_machines_up", "Machines that report", leader.machines_up as f64),
+        (
+            "olivelatch_machines_booting",
+            "Machines rented and not heard of yet",
+            leader.machines_booting as f64,
+        ),
+        ("olivelatch_machines_silent", "Machines whose lease has ended", leader.machines_unreachable as f64),
+        ("olivelatch_cpus", "CPUs of machines that are up", leader.cpus),
+        ("olivelatch_cpus_used", "CPUs bound to tasks on them", leader.cpus_used),
+        ("olivelatch_queued_shared_tasks", "Tasks in shared queues", leader.queued_shared as f64),
+        ("olivelatch_queued_dedicated_tasks", "Tasks in dedicated queues", leader.queued_dedicated as f64),
         (
             "olivelatch_queued_nowhere_tasks",
             "Tasks that no present machine may take",
-            work.queued_backlog as f64,
+            leader.queued_backlog as f64,
         ),
-        ("olivelatch_gangs_waiting", "Gangs and services with tasks to place", work.gangs_waiting as f64),
-        ("olivelatch_tasks_out", "Tasks that may be on machines", work.tasks_placed as f64),
-        ("olivelatch_log_parts", "Parts of the log in the state service", work.log_segments as f64),
+        ("olivelatch_gangs_waiting", "Gangs and services with tasks to place", leader.gangs_waiting as f64),
+        ("olivelatch_tasks_out", "Tasks that may be on machines", leader.tasks_placed as f64),
+        ("olivelatch_log_parts", "Parts of the log in the state service", leader.log_segments as f64),
     ]
 }
 
-fn leader_counters(work: &LeaderStatus) -> Vec<(&'static str, &'static str, u64)> {
+fn leader_counters(leader: &LeaderStatus) -> Vec<Counter> {
     vec![
-        ("olivelatch_starts", "Tasks bound to machines in this leadership", work.tasks_bound),
-        ("olivelatch_steals", "Steals that found something", work.steals),
-        ("olivelatch_stolen_tasks", "Tasks moved by steals and earlier turns", work.stolen_tasks),
-        ("olivelatch_spilled_tasks", "Tasks moved from dedicated to shared queues", work.spilled_tasks),
-        ("olivelatch_preempted_tasks", "Tasks stopped to make room", work.preempted_tasks),
-        ("olivelatch_machines_lost", "Machines lost with what was on them", work.machines_lost),
-        ("olivelatch_state_changes", "Changes asked of the state service", work.kv_mutations),
+        ("olivelatch_starts", "Tasks bound to machines in this leadership", leader.tasks_bound),
+        ("olivelatch_steals", "Steals that found something", leader.steals),
+        ("olivelatch_stolen_tasks", "Tasks moved by steals and earlier turns", leader.stolen_tasks),
+        ("olivelatch_spilled_tasks", "Tasks moved from dedicated to shared queues", leader.spilled_tasks),
+        ("olivelatch_preempted_tasks", "Tasks stopped to make room", leader.preempted_tasks),
+        ("olivelatch_machines_lost", "Machines lost with what was on them", leader.machines_lost),
+        ("olivelatch_state_changes", "Changes asked of the state service", leader.kv_mutations),
     ]
 }
 
 impl Collector for MetricsSnapshot {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), Error> {
-        let work = self.status.leader_status.as_ref();
+        let leader = self.status.leader_status.as_ref();
         let mut gauges = controller_gauges(&self.status, self.connections);
-        gauges.extend(work.map(leader_gauges).unwrap_or_default());
+        gauges.extend(leader.map(leader_gauges).unwrap_or_default());
         for (name, help, value) in gauges {
             let gauge = ConstGauge::new(value);
             gauge.encode(encoder.encode_descriptor(name, help, None, MetricType::Gauge)?)?;
         }
-        let mut counters = work.map(leader_counters).unwrap_or_default();
+        let mut counters = leader.map(leader_counters).unwrap_or_default();
         counters.push(("olivelatch_takeovers", "Times that it began to lead", self.status.failovers));
         let help =
             "Late, doubled or foreign words of other controllers, and connections that newer ones replaced";
@@ -166,11 +175,11 @@
     }
 
     fn encode_teams(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
-        let Some(work) = &self.status.leader_status else { return Ok(()) };
+        let Some(leader) = &self.status.leader_status else { return Ok(()) };
         let help = "CPUs that a team's tasks take";
         let mut family =
             encoder.encode_descriptor("olivelatch_team_cpus_used", help, None, MetricType::Gauge)?;
-        for team in &work.teams {
+        for team in &leader.teams {
             family.encode_family(&[("team", team.team.as_str())])?.encode_gauge(&team.used_cpus)?;
         }
         Ok(())
@@ -179,10 +188,15 @@
     fn encode_events(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
         let (name, help) = ("olivelatch_event_seconds", "How long an event was worked on, by kind");
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Histogram)?;
-        for (kind, spread) in &self.event_durations {
+        for (kind, durations) in &self.event_durations {
             let labels = [("kind", *kind)];
-            let mut one = family.encode_family(&labels)?;
-            one.encode_histogram::<NoLabelSet>(spread.sum_s, spread.count, &spread.buckets, None)?;
+            let mut member = family.encode_family(&labels)?;
+            member.encode_histogram::<NoLabelSet>(
+                durations.sum_s,
+                durations.count,
+                &durations.buckets,
+                None,
+            )?;
         }
         Ok(())
     }
--- a/src/transport/router.rs
+++ b/src/transport/router.rs
@@ -1,26 +1,32 @@
-//! From a request's method and path to what is asked.
+//! Routes HTTP requests: from method, path and body to a typed request.
+//!
+//! Paths of interfaces that are turned off do not exist. Nothing is looked up here: whether a job exists is decided
+//! later.
 
 use crate::ids::JobId;
 use crate::protocol::HttpResponse;
 use crate::protocol::config::{ConfigRequest, parse_config_request};
 use crate::protocol::graphs::{DagRequest, GraphRouteRequest, parse_graph_request};
 use crate::protocol::operators::{OperatorRequest, parse_operator_request};
+use crate::protocol::query_params::parse_job_id;
 use crate::protocol::users::{UserRequest, parse_submission};
 use crate::protocol::workers::{Heartbeat, parse_heartbeat};
 use olivelatch_net::http::Request;
 
+/// Where a request goes.
 pub enum Route {
+    /// The health check.
     Ready,
     User(UserRequest),
     Heartbeat(Box<Heartbeat>),
     Operator(OperatorRequest),
     Graph(Box<DagRequest>),
     Config(Box<ConfigRequest>),
-    /// Answered without further ado.
+    /// The response is known already: the request is not valid.
     Respond(HttpResponse),
 }
 
-/// Which interfaces are turned on beside the protocol's own.
+/// Which optional interfaces are enabled.
 #[derive(Debug, Clone, Copy)]
 pub struct EnabledApis {
     pub operators: bool,
@@ -28,6 +34,7 @@
     pub config: bool,
 }
 
+/// Routes a request.
 pub fn route(request: &Request, enabled_apis: EnabledApis) -> Route {
     let EnabledApis { operators, graphs, config } = enabled_apis;
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
@@ -40,16 +47,16 @@
     if operators && let Some(routed) = route_operator(request, path, query) {
         return routed;
     }
-    let parts: Vec<&str> = path.split('/').skip(1).collect();
-    let (method, action): (&str, &dyn Fn() -> Route) = match parts.as_slice() {
+    let segments: Vec<&str> = path.split('/').skip(1).collect();
+    let (method, action): (&str, &dyn Fn() -> Route) = match segments.as_slice() {
         ["ready"] => ("GET", &|| Route::Ready),
         ["v1", "report"] => ("POST", &|| match parse_heartbeat(&request.body) {
-            Some(report) => Route::Heartbeat(Box::new(report)),
+            Some(heartbeat) => Route::Heartbeat(Box::new(heartbeat)),
             None => Route::Respond(HttpResponse::error(400, "not a report")),
         }),
         ["work"] => ("POST", &|| match parse_submission(&request.body) {
             Ok(submission) => Route::User(submission),
-            Err(answer) => Route::Respond(answer),
+            Err(response) => Route::Respond(response),
         }),
         ["work", id] => ("GET", &|| with_job_id(id, |id| UserRequest::Poll { id })),
         ["work", id, "abort"] => ("POST", &|| with_job_id(id, |id| UserRequest::Cancel { id })),
@@ -66,7 +73,7 @@
     Some(match parsed {
         Ok(GraphRouteRequest::Query(request)) => Route::Operator(request),
         Ok(GraphRouteRequest::Modify(request)) => Route::Graph(Box::new(request)),
-        Err(answer) => Route::Respond(answer),
+        Err(response) => Route::Respond(response),
     })
 }
 
@@ -74,7 +81,7 @@
     let parsed = parse_config_request(&request.method, path.strip_prefix("/v1/")?, query, &request.body)?;
     Some(match parsed {
         Ok(request) => Route::Config(Box::new(request)),
-        Err(answer) => Route::Respond(answer),
+        Err(response) => Route::Respond(response),
     })
 }
 
@@ -85,15 +92,14 @@
     };
     Some(match parsed {
         _ if request.method != "GET" => Route::Respond(HttpResponse::error(405, "wrong method")),
-        Ok(asked) => Route::Operator(asked),
-        Err(answer) => Route::Respond(answer),
+        Ok(request) => Route::Operator(request),
+        Err(response) => Route::Respond(response),
     })
 }
 
-/// A name of another form was never accepted.
-fn with_job_id(id: &str, make: impl Fn(JobId) -> UserRequest) -> Route {
-    match JobId::parse(id) {
-        Some(id) => Route::User(make(id)),
-        None => Route::Respond(HttpResponse::error(404, "no such job")),
+fn with_job_id(id: &str, build: impl Fn(JobId) -> UserRequest) -> Route {
+    match parse_job_id(id) {
+        Ok(id) => Route::User(build(id)),
+        Err(response) => Route::Respond(response),
     }
 }
--- a/src/transport/servers.rs
+++ b/src/transport/servers.rs
@@ -1,71 +1,59 @@
-//! Connections of users, workers and health checks.
+//! Connections of users, workers, operators and health checks.
+//!
+//! It owns these connections and the requests that wait for a response. The number of connections and the memory of all
+//! their buffers are bounded; heartbeats have a budget of their own.
 
 use std::collections::HashMap;
 use std::net::TcpStream;
 
+use super::context::{ByKey, TransportContext};
 use super::router::{EnabledApis, Route, route};
-use super::{ByKey, TransportContext, next_inbound_id};
+use super::server_connection::{MAX_INPUT_BYTES, NextRequest, ServerConnection};
 use crate::coordination::{Event, InboundId};
 use crate::ids::Millis;
 use crate::protocol::HttpResponse;
-use olivelatch_net::http::{
-    JSON_CONTENT_TYPE, MAX_BODY_BYTES, OPENMETRICS_CONTENT_TYPE, Parsed, parse_request, write_response,
-};
+use olivelatch_net::http::Request;
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
-/// A request that is not whole by then, and a connection that says nothing.
+/// A connection whose request is incomplete for longer is closed.
 const PARTIAL_REQUEST_TIMEOUT_MS: u64 = 10_000;
+/// A connection without a request for longer is closed.
 const IDLE_TIMEOUT_MS: u64 = 120_000;
-const MAX_INPUT_BYTES: usize = MAX_BODY_BYTES + 32 * 1024;
-/// An answer that nobody takes is not kept beyond this.
+/// Time between two searches for connections to close.
+const IDLE_CHECK_INTERVAL_MS: u64 = 1_000;
+/// Connections that leave more of their responses unread are closed.
 const MAX_OUTPUT_BYTES: usize = 256 * 1024;
-/// While all buffers together hold too much, a connection gets no more than this for each
-/// direction. What fits is served as ever.
+/// Limit of a connection's buffers, for each direction, while all buffers together exceed the budget. Requests that fit
+/// are served as usual.
 const SCARCE_BUFFER_BYTES: usize = 4 * 1024;
-/// The part of the settings' memory that the buffers may hold; workers' reports may take as
-/// much again, so that a flood from users does not cost the machines.
+/// The part of the controller's memory that the buffers may take. Heartbeats may take as much again, so that a flood of
+/// users' requests does not make workers' leases expire.
 const BUFFER_MEMORY_SHARE: f64 = 0.25;
 
-/// How a worker's report begins.
-const HEARTBEAT_PREFIX: &[u8] = b"POST /v1/report ";
-
-struct ServerConnection {
-    stream: BufferedStream,
-    /// The request being worked on; further ones wait in the buffer.
-    inbound: Option<InboundId>,
-    keep_alive: bool,
-    closing: bool,
-    /// Its last request was a report.
-    is_worker: bool,
-    /// Answered before it was whole: the rest is thrown away, as closing at once could take
-    /// the answer from a user who is still sending.
-    discard_input: bool,
-    last_active: Millis,
-    /// What its buffers held when last counted.
-    buffered_bytes: usize,
-}
-
-/// What the node shows to whoever asks.
+/// What the controller serves at the moment.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointState {
+    /// Whether health checks succeed.
     pub ready: bool,
     pub enabled_apis: EnabledApis,
 }
 
+/// All connections that were accepted.
 pub struct ServerConnections {
     connections: ByKey<ServerConnection>,
     pending_requests: HashMap<InboundId, usize>,
     last_inbound: u64,
     max_connections: usize,
     idle_checked_at: Millis,
-    /// Bytes that all buffers hold, and may hold.
+    /// Memory of all buffers, in bytes.
     buffered_bytes: usize,
+    /// What it should not exceed.
     buffer_budget: usize,
 }
 
 impl ServerConnections {
-    /// At most so many connections, on a machine with so much memory.
-    pub fn new(max_connections: usize, mem_mb: f64) -> ServerConnections {
+    /// At most `max_connections`, in a controller that has `memory_mb` megabytes.
+    pub fn new(max_connections: usize, memory_mb: f64) -> ServerConnections {
         ServerConnections {
             connections: HashMap::new(),
             pending_requests: HashMap::new(),
@@ -73,41 +61,32 @@
             max_connections,
             idle_checked_at: Millis::default(),
             buffered_bytes: 0,
-            buffer_budget: (mem_mb * 1024.0 * 1024.0 * BUFFER_MEMORY_SHARE) as usize,
+            buffer_budget: (memory_mb * 1024.0 * 1024.0 * BUFFER_MEMORY_SHARE) as usize,
         }
     }
 
+    /// Whether a key belongs to one of these connections.
     pub fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Its last request was a report.
+    /// Whether the last request of a connection was a heartbeat.
     pub fn is_worker(&self, key: usize) -> bool {
         self.connections.get(&key).is_some_and(|server| server.is_worker)
     }
 
+    /// Takes a new connection; the one that is idle for longest gives way if there are too many.
     pub fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
         if self.connections.len() >= self.max_connections {
             self.close_most_idle();
         }
         let key = context.allocate_key();
         if let Ok(stream) = BufferedStream::from_accepted(&context.poller, socket, key) {
-            let active = context.now();
-            let server = ServerConnection {
-                stream,
-                inbound: None,
-                keep_alive: true,
-                closing: false,
-                is_worker: false,
-                discard_input: false,
-                last_active: active,
-                buffered_bytes: 0,
-            };
-            self.connections.insert(key, server);
+            self.connections.insert(key, ServerConnection::new(stream, context.now()));
         }
     }
 
-    /// Slow or silent connections must not keep others out.
+    /// Slow or idle connections must not keep others out.
     fn close_most_idle(&mut self) {
         let idlest =
             self.connections.iter().min_by_key(|(_, server)| (server.inbound.is_some(), server.last_active));
@@ -125,12 +104,12 @@
         }
     }
 
-    /// Each connection is bounded, but a thousand of them together are more than there is.
+    /// Counts a connection's buffers: each is bounded, but all together could exceed the memory.
     fn update_buffered_bytes(&mut self, key: usize) {
         if let Some(server) = self.connections.get_mut(&key) {
-            let held = server.stream.buffer_capacity();
-            self.buffered_bytes = self.buffered_bytes - server.buffered_bytes + held;
-            server.buffered_bytes = held;
+            let capacity = server.stream.buffer_capacity();
+            self.buffered_bytes = self.buffered_bytes - server.buffered_bytes + capacity;
+            server.buffered_bytes = capacity;
         }
     }
 
@@ -138,22 +117,22 @@
         self.buffered_bytes > self.buffer_budget
     }
 
-    /// How much of a request may be held now.
+    /// How many bytes of a request may be buffered now.
     fn max_input_bytes(&self, key: usize) -> usize {
         if !self.is_memory_scarce() {
             return MAX_INPUT_BYTES;
         }
-        let report = |server: &ServerConnection| server.stream.input.starts_with(HEARTBEAT_PREFIX);
-        let reserved =
-            self.buffered_bytes <= 2 * self.buffer_budget && self.connections.get(&key).is_some_and(report);
-        if reserved { MAX_INPUT_BYTES } else { SCARCE_BUFFER_BYTES }
+        let is_within_reserve = self.buffered_bytes <= 2 * self.buffer_budget;
+        let is_heartbeat = self.connections.get(&key).is_some_and(ServerConnection::is_sending_heartbeat);
+        if is_within_reserve && is_heartbeat { MAX_INPUT_BYTES } else { SCARCE_BUFFER_BYTES }
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn open_connections(&self) -> u64 {
         self.connections.len() as u64
     }
 
+    /// Reads from a connection, handles its requests and writes its responses.
     pub fn handle_socket_event(
         &mut self,
         context: &mut TransportContext,
@@ -167,31 +146,31 @@
         let Some(server) = self.connections.get_mut(&key) else {
             return;
         };
-        // A peer that has closed may still read what is on its way.
-        let finished = read == StreamState::Closed && server.inbound.is_none();
-        if finished || read == StreamState::Closed && server.stream.pending_output() == 0 && server.closing {
-            self.close(key);
-            return;
-        }
+        // A peer that has closed its sending side may still read responses.
         if read == StreamState::Closed {
+            let is_flushed = server.closing && server.stream.pending_output() == 0;
+            if server.inbound.is_none() || is_flushed {
+                self.close(key);
+                return;
+            }
             server.keep_alive = false;
         }
         self.flush(key);
     }
 
-    /// Reads what may be held. What a request wants is known by its first bytes.
+    /// Reads what may be buffered. The limit can rise with the first bytes, which tell whether it is a heartbeat.
     fn read_input(&mut self, key: usize) -> Option<StreamState> {
-        let most = self.max_input_bytes(key);
-        let mut read = self.connections.get_mut(&key)?.stream.read_available(most);
-        let more = self.max_input_bytes(key);
-        if more > most {
-            read = self.connections.get_mut(&key)?.stream.read_available(more);
+        let limit = self.max_input_bytes(key);
+        let mut read = self.connections.get_mut(&key)?.stream.read_available(limit);
+        let new_limit = self.max_input_bytes(key);
+        if new_limit > limit {
+            read = self.connections.get_mut(&key)?.stream.read_available(new_limit);
         }
         self.update_buffered_bytes(key);
         Some(read)
     }
 
-    /// Takes requests from the buffer until one has to wait for its answer.
+    /// Handles requests in the buffer until one has to wait for its response.
     fn process_requests(
         &mut self,
         context: &mut TransportContext,
@@ -199,7 +178,7 @@
         endpoint_state: EndpointState,
     ) {
         loop {
-            let most = self.max_input_bytes(key);
+            let max_input = self.max_input_bytes(key);
             let Some(server) = self.connections.get_mut(&key) else {
                 return;
             };
@@ -209,115 +188,109 @@
             if server.inbound.is_some() || server.closing {
                 return;
             }
-            let request = match parse_request(&server.stream.input) {
-                Parsed::Partial if server.stream.input.len() >= MAX_INPUT_BYTES => None,
-                Parsed::Partial if server.stream.input.len() >= most => {
+            match server.next_request(max_input) {
+                NextRequest::Incomplete => return,
+                NextRequest::OutOfMemory => {
                     server.keep_alive = false;
                     server.discard_input = true;
-                    Self::respond(server, &HttpResponse::retry_later("out of memory for requests", 1));
+                    server.respond(&HttpResponse::retry_later("out of memory for requests", 1));
                     return;
                 }
-                Parsed::Partial => return,
-                Parsed::Malformed | Parsed::TooLong => None,
-                Parsed::Complete(request, taken) => {
-                    server.stream.consume_input(taken);
-                    Some(request)
-                }
-            };
-            server.last_active = context.now();
-            let Some(request) = request else {
-                server.keep_alive = false;
-                Self::respond(server, &HttpResponse::error(400, "malformed request"));
-                return;
-            };
-            server.keep_alive = request.keep_alive;
-            let routed = route(&request, endpoint_state.enabled_apis);
-            server.is_worker = matches!(routed, Route::Heartbeat(_));
-            match routed {
-                Route::Respond(answer) => Self::respond(server, &answer),
-                Route::Ready if endpoint_state.ready => {
-                    Self::respond(server, &HttpResponse::json(200, &"ready"))
-                }
-                Route::Ready => Self::respond(server, &HttpResponse::retry_later("not ready", 1)),
-                Route::User(request) => {
-                    let inbound = next_inbound_id(&mut self.last_inbound);
-                    server.inbound = Some(inbound);
-                    self.pending_requests.insert(inbound, key);
-                    context.pending_events.push_back(Event::User { inbound, request });
-                }
-                Route::Operator(request) => {
-                    let inbound = next_inbound_id(&mut self.last_inbound);
-                    server.inbound = Some(inbound);
-                    self.pending_requests.insert(inbound, key);
-                    context.pending_events.push_back(Event::Operator { inbound, request });
-                }
-                Route::Graph(request) => {
-                    let inbound = next_inbound_id(&mut self.last_inbound);
-                    server.inbound = Some(inbound);
-                    self.pending_requests.insert(inbound, key);
-                    context.pending_events.push_back(Event::Graph { inbound, request: *request });
-                }
-                Route::Config(request) => {
-                    let inbound = next_inbound_id(&mut self.last_inbound);
-                    server.inbound = Some(inbound);
-                    self.pending_requests.insert(inbound, key);
-                    context.pending_events.push_back(Event::Config { inbound, request: *request });
+                NextRequest::Malformed => {
+                    server.last_active = context.now();
+                    server.keep_alive = false;
+                    server.respond(&HttpResponse::error(400, "malformed request"));
+                    return;
                 }
-                Route::Heartbeat(report) => {
-                    let inbound = next_inbound_id(&mut self.last_inbound);
-                    server.inbound = Some(inbound);
-                    self.pending_requests.insert(inbound, key);
-                    context.pending_events.push_back(Event::Heartbeat { inbound, heartbeat: *report });
+                NextRequest::Complete(request) => {
+                    server.last_active = context.now();
+                    self.dispatch(context, key, &request, endpoint_state);
                 }
             }
         }
     }
 
-    fn respond(server: &mut ServerConnection, response: &HttpResponse) {
-        let mut bytes = Vec::with_capacity(response.body.len() + 200);
-        let content_type = if response.is_text { OPENMETRICS_CONTENT_TYPE } else { JSON_CONTENT_TYPE };
-        write_response(
-            &mut bytes,
-            response.status,
-            content_type,
-            response.retry_after_s,
-            &response.body,
-            server.keep_alive,
-        );
-        server.stream.queue(&bytes);
-        server.inbound = None;
-        server.closing = !server.keep_alive;
+    /// Responds to a request at once, or passes it to the controller.
+    fn dispatch(
+        &mut self,
+        context: &mut TransportContext,
+        key: usize,
+        request: &Request,
+        endpoint_state: EndpointState,
+    ) {
+        let Some(server) = self.connections.get_mut(&key) else {
+            return;
+        };
+        server.keep_alive = request.keep_alive;
+        let routed = route(request, endpoint_state.enabled_apis);
+        server.is_worker = matches!(routed, Route::Heartbeat(_));
+        match routed {
+            Route::Respond(response) => server.respond(&response),
+            Route::Ready if endpoint_state.ready => server.respond(&HttpResponse::json(200, &"ready")),
+            Route::Ready => server.respond(&HttpResponse::retry_later("not ready", 1)),
+            Route::User(request) => self.forward(context, key, |inbound| Event::User { inbound, request }),
+            Route::Operator(request) => {
+                self.forward(context, key, |inbound| Event::Operator { inbound, request });
+            }
+            Route::Graph(request) => {
+                self.forward(context, key, |inbound| Event::Graph { inbound, request: *request });
+            }
+            Route::Config(request) => {
+                self.forward(context, key, |inbound| Event::Config { inbound, request: *request });
+            }
+            Route::Heartbeat(heartbeat) => {
+                self.forward(context, key, |inbound| Event::Heartbeat { inbound, heartbeat: *heartbeat });
+            }
+        }
+    }
+
+    /// Queues a request for the controller.
+    fn forward(
+        &mut self,
+        context: &mut TransportContext,
+        key: usize,
+        to_event: impl FnOnce(InboundId) -> Event,
+    ) {
+        let Some(server) = self.connections.get_mut(&key) else {
+            return;
+        };
+        self.last_inbound += 1;
+        let inbound = InboundId(self.last_inbound);
+        server.inbound = Some(inbound);
+        self.pending_requests.insert(inbound, key);
+        context.pending_events.push_back(to_event(inbound));
     }
 
-    /// Sends what is pending and waits for what comes next.
+    /// Writes pending output and asks for the next event.
     fn flush(&mut self, key: usize) {
-        let most = if self.is_memory_scarce() { SCARCE_BUFFER_BYTES } else { MAX_OUTPUT_BYTES };
+        let max_output = if self.is_memory_scarce() { SCARCE_BUFFER_BYTES } else { MAX_OUTPUT_BYTES };
         let Some(server) = self.connections.get_mut(&key) else {
             return;
         };
-        let mut flow = server.stream.flush();
+        let mut state = server.stream.flush();
         let pending = server.stream.pending_output();
-        if pending > most || (server.closing && pending == 0 && !server.discard_input) {
-            flow = StreamState::Closed;
+        if pending > max_output || (server.closing && pending == 0 && !server.discard_input) {
+            state = StreamState::Closed;
         }
         if server.discard_input && pending == 0 {
             server.stream.shutdown_write();
         }
-        if flow == StreamState::Open {
-            let room = server.stream.input.len() < MAX_INPUT_BYTES && server.inbound.is_none();
-            flow = server.stream.rearm(room);
+        if state == StreamState::Open {
+            let can_read = server.stream.input.len() < MAX_INPUT_BYTES && server.inbound.is_none();
+            state = server.stream.rearm(can_read);
         }
         self.update_buffered_bytes(key);
-        if flow == StreamState::Closed {
+        if state == StreamState::Closed {
             self.close(key);
         }
     }
 
+    /// Sends the controller's response to a request, unless its connection is gone.
     pub fn send_response(
         &mut self,
         context: &mut TransportContext,
         inbound: InboundId,
-        answer: &HttpResponse,
+        response: &HttpResponse,
     ) {
         let Some(key) = self.pending_requests.remove(&inbound) else {
             return;
@@ -326,19 +299,20 @@
             return;
         };
         server.last_active = context.now();
-        Self::respond(server, answer);
+        server.respond(response);
         self.flush(key);
     }
 
+    /// Closes connections that are idle for too long.
     pub fn expire(&mut self, context: &mut TransportContext) {
         let now = context.now();
-        if now.saturating_since(self.idle_checked_at) < 1000 {
+        if now.saturating_since(self.idle_checked_at) < IDLE_CHECK_INTERVAL_MS {
             return;
         }
         self.idle_checked_at = now;
         let is_expired = |server: &ServerConnection| {
-            let half = server.discard_input || !server.stream.input.is_empty();
-            let limit = if half { PARTIAL_REQUEST_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
+            let is_partial = server.discard_input || !server.stream.input.is_empty();
+            let limit = if is_partial { PARTIAL_REQUEST_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
             server.inbound.is_none() && now.saturating_since(server.last_active) > limit
         };
         let stale: Vec<usize> =
--- a/src/transport/tests/metrics.rs
+++ b/src/transport/tests/metrics.rs
@@ -3,14 +3,14 @@
 use super::*;
 use crate::protocol::operators::JobCountersView;
 
-/// A follower shows no leader's figures; each line is one that a scraper takes.
+/// A follower shows none of the leader's metrics; each line is valid for a scraper.
 #[test]
 fn a_scrape_has_names_help_and_an_end() {
-    let spread = DurationHistogram { sum_s: 0.5, count: 3, buckets: vec![(0.001, 2), (f64::INFINITY, 1)] };
-    let scrape = |work| MetricsSnapshot {
+    let durations = DurationHistogram { sum_s: 0.5, count: 3, buckets: vec![(0.001, 2), (f64::INFINITY, 1)] };
+    let snapshot = |leader_status| MetricsSnapshot {
         status: ControllerStatus {
             ready: true,
-            leader_status: work,
+            leader_status,
             job_counters: vec![JobCountersView {
                 team: "core".into(),
                 class: "work".into(),
@@ -20,11 +20,12 @@
             ..ControllerStatus::default()
         },
         responses_by_status: BTreeMap::from([(200, 4), (503, 1)]),
-        event_durations: vec![("report", spread.clone())],
+        event_durations: vec![("report", durations.clone())],
         connections: 7,
         mesh_dropped: 2,
     };
-    let leader = render_openmetrics(scrape(Some(LeaderStatus { tasks_bound: 9, ..LeaderStatus::default() })));
+    let leader =
+        render_openmetrics(snapshot(Some(LeaderStatus { tasks_bound: 9, ..LeaderStatus::default() })));
     for line in [
         "olivelatch_ready 1.0",
         "olivelatch_starts_total 9",
@@ -36,5 +37,5 @@
     ] {
         assert!(leader.lines().any(|found| found == line), "{line} in\n{leader}");
     }
-    assert!(!render_openmetrics(scrape(None)).contains("olivelatch_starts"));
+    assert!(!render_openmetrics(snapshot(None)).contains("olivelatch_starts"));
 }
