--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -24,7 +24,7 @@
     pub status: u16,
     pub body: Vec<u8>,
     pub keep_alive: bool,
-    /// Seconds after which to retry, if the response says so.
+    /// Seconds after which to retry, if the response has that header.
     pub retry_after_s: Option<u32>,
 }
 
@@ -99,7 +99,7 @@
     ParsedHead::Complete(head)
 }
 
-/// Takes over what a header says; false if it is malformed.
+/// Applies one header; false if it is malformed.
 fn apply_header(head: &mut MessageHead<'_>, name: &str, value: &str) -> bool {
     if name.is_empty() || name.ends_with([' ', '\t']) {
         return false;
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -76,7 +76,7 @@
     /// Registers a socket under the key of `interest`.
     ///
     /// # Errors
-    /// The poller does not take the socket.
+    /// The poller rejects the socket.
     pub fn new(poller: &Arc<EventPoller>, source: S, interest: Event) -> io::Result<Registration<S>> {
         // SAFETY: `Registration` owns the source and deletes it from the poller in `drop`,
         // before the source itself is closed.
@@ -88,7 +88,7 @@
     /// Asks for the next event. Registrations are one-shot: each event needs a new interest.
     ///
     /// # Errors
-    /// The poller does not take the change.
+    /// The poller rejects the change.
     pub fn set_interest(&self, readable: bool, writable: bool) -> io::Result<()> {
         increment(&self.poller.syscalls.registrations);
         self.poller.poller.modify(self.source.as_fd(), Event::new(self.key, readable, writable))
@@ -101,10 +101,10 @@
 }
 
 impl Registration<TcpStream> {
-    /// Reads what is there.
+    /// Reads what is available.
     ///
     /// # Errors
-    /// As the socket's; `WouldBlock` if there is nothing.
+    /// Those of the socket; `WouldBlock` if there is nothing.
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         increment(&self.poller.syscalls.reads);
         let read = (&self.source).read(buffer)?;
@@ -112,10 +112,10 @@
         Ok(read)
     }
 
-    /// Writes what the socket takes.
+    /// Writes as much as the socket accepts.
     ///
     /// # Errors
-    /// As the socket's; `WouldBlock` if it takes nothing.
+    /// Those of the socket; `WouldBlock` if it accepts nothing.
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         increment(&self.poller.syscalls.writes);
         let written = (&self.source).write(bytes)?;
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -118,7 +118,7 @@
         StreamState::Open
     }
 
-    /// Writes what the socket takes of the output buffer; finishes connecting first.
+    /// Writes as much of the output buffer as the socket accepts; finishes connecting first.
     pub fn flush(&mut self) -> StreamState {
         if self.connecting {
             match self.registration.source().take_error() {
--- a/src/ids/resources.rs
+++ b/src/ids/resources.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The amount that `count` times as much takes.
+    /// The amount of `count` of these.
     pub fn saturating_mul(&self, count: u64) -> Resources {
         Resources {
             cpu: self.cpu.saturating_mul(count),
--- a/src/protocol/config.rs
+++ b/src/protocol/config.rs
@@ -238,7 +238,7 @@
     pub entries: Vec<ConfigEntryView>,
 }
 
-/// Parses a request whose path starts with `/v1/config`; `path` is what follows `/v1/`. None: there is no such path.
+/// Parses a request whose path starts with `/v1/config`; `path` is what follows `/v1/`. None if there is no such path.
 ///
 /// # Errors
 /// The response to send if the path exists but the request is not valid.
--- a/src/protocol/graphs/requests.rs
+++ b/src/protocol/graphs/requests.rs
@@ -79,7 +79,7 @@
     pub limit: usize,
 }
 
-/// What a request to the graphs' interface asks for.
+/// A parsed request to the graphs' interface.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GraphRouteRequest {
     /// Changes a run.
@@ -116,7 +116,7 @@
     }
 }
 
-/// Parses a request whose path starts with `/v1/graphs`; `path` is what follows `/v1/`. None: there is no such path.
+/// Parses a request whose path starts with `/v1/graphs`; `path` is what follows `/v1/`. None if there is no such path.
 ///
 /// # Errors
 /// The response to send if the path exists but the request is not valid.
--- a/src/protocol/operators/requests.rs
+++ b/src/protocol/operators/requests.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Parses what follows `/v1/` in a request's path, and its query. None: the operators' interface has no such path.
+/// Parses what follows `/v1/` in a request's path, and its query. None if the operators' interface has no such path.
 ///
 /// # Errors
 /// The response to send if the path exists but the request is not valid.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -50,7 +50,7 @@
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskPhase,
-    /// Of a task that is done: the attempt whose output was published, if the worker says so.
+    /// Of a task that is done: the attempt whose output was published, if the worker reports it.
     pub published_attempt: Option<Attempt>,
     /// Length of the list that it published.
     pub output_list_len: Option<u32>,
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     pub machine: String,
-    /// Address at which the worker takes commands; may be empty.
+    /// Address at which the worker accepts commands; may be empty.
     pub endpoint: String,
     pub machine_type: String,
     pub zone: String,
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -3,9 +3,10 @@
 //! It owns the connections, the queues and the deadlines of these requests, and reports exactly one outcome for each. The
 //! number of sockets and the size of responses are bounded.
 
-use std::collections::{BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
+use super::client_connection::{Acquired, ClientConnection, ConnectionPool, Outstanding, Target};
 use super::context::{ByKey, TransportContext};
 use crate::coordination::{Event, OutboundId};
 use crate::ids::Millis;
@@ -13,24 +14,6 @@
 use olivelatch_net::http::{Parsed, Response, parse_response, write_request};
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
-/// Whom a request goes to.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Target {
-    KvStore,
-    Cloud,
-    Worker(SocketAddr),
-}
-
-/// Most connections to one target. The store gets enough of them that the renewal of a lease does not wait behind a
-/// transaction.
-fn max_connections(target: Target) -> usize {
-    match target {
-        Target::KvStore => 6,
-        Target::Cloud => 2,
-        Target::Worker(_) => 1,
-    }
-}
-
 /// An idle connection is closed after this.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
 /// Time between two searches for idle connections, as there are hundreds of them.
@@ -46,44 +29,8 @@
 const REQUEST_HEAD_BYTES: usize = 200;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-struct ClientConnection {
-    stream: BufferedStream,
-    target: Target,
-    /// The request that waits for its response.
-    outbound: Option<OutboundId>,
-    last_active: Millis,
-}
-
-/// The connections to one target.
-#[derive(Default)]
-struct ConnectionPool {
-    /// Keys of connections without a request.
-    idle: Vec<usize>,
-    /// Number of connections, idle or not.
-    open: usize,
-    /// Requests that wait for a connection.
-    queue: VecDeque<(OutboundId, HttpRequest)>,
-}
-
-/// A request without an outcome.
-#[derive(Clone, Copy)]
-struct Outstanding {
-    target: Target,
-    /// The connection over which it was sent; None while it is queued.
-    connection: Option<usize>,
-}
-
-/// The result of looking for a connection.
-enum Acquired {
-    Connection(usize),
-    /// All connections that the target may have are in use.
-    Busy,
-    /// There is none, and none can be opened.
-    Unavailable,
-}
-
 /// The requests of our own and their connections.
-pub struct ClientConnections {
+pub(super) struct ClientConnections {
     connections: ByKey<ClientConnection>,
     pools: HashMap<Target, ConnectionPool>,
     outstanding: HashMap<OutboundId, Outstanding>,
@@ -95,12 +42,12 @@
     /// Sockets that the whole process may have.
     max_sockets: usize,
     /// Sockets that it has beside these.
-    pub other_sockets: usize,
+    pub(super) other_sockets: usize,
 }
 
 impl ClientConnections {
     /// For a controller that has `memory_mb` megabytes and may have `max_sockets` sockets.
-    pub fn new(
+    pub(super) fn new(
         kv_addr: SocketAddr,
         cloud_addr: SocketAddr,
         memory_mb: f64,
@@ -121,17 +68,17 @@
     }
 
     /// Whether a key belongs to one of these connections.
-    pub fn has_connection(&self, key: usize) -> bool {
+    pub(super) fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
     /// Whether a connection goes to a worker.
-    pub fn is_worker(&self, key: usize) -> bool {
+    pub(super) fn is_worker(&self, key: usize) -> bool {
         self.connections.get(&key).is_some_and(|client| matches!(client.target, Target::Worker(_)))
     }
 
     /// Sends a request to the key-value store.
-    pub fn request_kv_store(
+    pub(super) fn request_kv_store(
         &mut self,
         context: &mut TransportContext,
         outbound: OutboundId,
@@ -142,7 +89,7 @@
     }
 
     /// Sends a request to the cloud.
-    pub fn request_cloud(
+    pub(super) fn request_cloud(
         &mut self,
         context: &mut TransportContext,
         outbound: OutboundId,
@@ -153,7 +100,7 @@
     }
 
     /// Sends a request to a worker. It is reported as not sent if the endpoint is not an address.
-    pub fn request_worker(
+    pub(super) fn request_worker(
         &mut self,
         context: &mut TransportContext,
         outbound: OutboundId,
@@ -163,11 +110,9 @@
     ) {
         match endpoint.parse() {
             Ok(addr) => self.enqueue_request(context, Target::Worker(addr), outbound, request, timeout_ms),
-            Err(_) => context.pending_events.push_back(outcome_event(
-                Target::Worker(self.cloud_addr),
-                outbound,
-                HttpOutcome::NotSent,
-            )),
+            Err(_) => context
+                .pending_events
+                .push_back(Event::WorkerCommands { outbound, outcome: HttpOutcome::NotSent }),
         }
     }
 
@@ -194,13 +139,13 @@
     }
 
     /// Whether the process may open no further socket.
-    pub fn is_out_of_sockets(&self) -> bool {
+    pub(super) fn is_out_of_sockets(&self) -> bool {
         self.connections.len() + self.other_sockets >= self.max_sockets
     }
 
     /// Closes idle connections to workers, the longest idle first. A new leader announces itself to every machine while all
     /// of them send it heartbeats: without this there were too few sockets for both, and users were rejected.
-    pub fn evict_idle_workers(&mut self, context: &mut TransportContext) {
+    pub(super) fn evict_idle_workers(&mut self, context: &mut TransportContext) {
         let is_idle_worker = |client: &ClientConnection| {
             client.outbound.is_none() && matches!(client.target, Target::Worker(_))
         };
@@ -261,7 +206,7 @@
         if out_of_sockets && pool.open == 0 {
             return Acquired::Unavailable;
         }
-        if pool.open >= max_connections(target) {
+        if pool.open >= target.max_connections() {
             return Acquired::Busy;
         }
         let key = context.allocate_key();
@@ -310,7 +255,7 @@
     }
 
     /// Writes to or reads from a connection; a complete response is the outcome of its request.
-    pub fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
+    pub(super) fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
         let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
@@ -392,12 +337,12 @@
         outcome: HttpOutcome,
     ) {
         if let Some(outstanding) = self.outstanding.remove(&outbound) {
-            context.pending_events.push_back(outcome_event(outstanding.target, outbound, outcome));
+            context.pending_events.push_back(outstanding.target.outcome_event(outbound, outcome));
         }
     }
 
     /// Ends requests whose deadline has passed, and closes connections that are idle for too long.
-    pub fn expire(&mut self, context: &mut TransportContext) {
+    pub(super) fn expire(&mut self, context: &mut TransportContext) {
         self.expire_requests(context);
         self.close_idle(context);
     }
@@ -432,11 +377,3 @@
         }
     }
 }
-
-fn outcome_event(target: Target, outbound: OutboundId, outcome: HttpOutcome) -> Event {
-    match target {
-        Target::KvStore => Event::Kv { outbound, outcome },
-        Target::Cloud => Event::Cloud { outbound, outcome },
-        Target::Worker(_) => Event::WorkerCommands { outbound, outcome },
-    }
-}
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -43,7 +43,7 @@
 }
 
 /// The connections to and from all other controllers.
-pub struct Mesh {
+pub(super) struct Mesh {
     own_name: String,
     addrs: HashMap<String, SocketAddr>,
     incoming: ByKey<IncomingConnection>,
@@ -55,12 +55,12 @@
     /// When each peer last sent a message.
     last_received: HashMap<String, Millis>,
     /// Messages and connections that were rejected: garbage, unknown peers, connections that newer ones replaced.
-    pub dropped: u64,
+    pub(super) dropped: u64,
 }
 
 impl Mesh {
     /// A mesh without connections, to the peers of the settings.
-    pub fn new(settings: &Settings) -> Mesh {
+    pub(super) fn new(settings: &Settings) -> Mesh {
         Mesh {
             own_name: settings.controller.clone(),
             addrs: settings.peers.iter().map(|peer| (peer.controller.clone(), peer.addr)).collect(),
@@ -75,7 +75,7 @@
     }
 
     /// Takes a connection that a peer has opened.
-    pub fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
+    pub(super) fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
         if self.incoming.len() >= MAX_INCOMING {
             self.count_and_log_drop(context, "too many mesh connections");
             // The oldest one that is not identified gives way, so that opening many of them keeps no peer out.
@@ -136,7 +136,7 @@
     }
 
     /// Number of connections, in both directions.
-    pub fn open_connections(&self) -> usize {
+    pub(super) fn open_connections(&self) -> usize {
         self.incoming.len() + self.outgoing.len()
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Sends a message, over a new connection if necessary. It is lost if there can be none.
-    pub fn send(&mut self, context: &mut TransportContext, controller: &str, message: &PeerMessage) {
+    pub(super) fn send(&mut self, context: &mut TransportContext, controller: &str, message: &PeerMessage) {
         let is_stuck_connecting = |peer: &OutgoingConnection| {
             peer.stream.connecting && context.now().saturating_since(peer.opened_at) > CONNECT_TIMEOUT_MS
         };
@@ -218,7 +218,7 @@
     }
 
     /// Writes to or reads from a connection; messages become events.
-    pub fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
+    pub(super) fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
         if let Some(peer) = self.outgoing.get_mut(&key) {
             // The peer never sends on this connection; reading only shows that it has closed it.
             let peer_closed = !peer.stream.connecting && peer.stream.read_available(1) == StreamState::Closed;
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -18,19 +18,19 @@
 
 /// The values of one scrape.
 #[derive(Debug)]
-pub struct MetricsSnapshot {
-    pub status: ControllerStatus,
+pub(super) struct MetricsSnapshot {
+    pub(super) status: ControllerStatus,
     /// Number of responses by their status.
-    pub responses_by_status: BTreeMap<u16, u64>,
+    pub(super) responses_by_status: BTreeMap<u16, u64>,
     /// Durations by kind of work.
-    pub event_durations: Vec<(&'static str, DurationHistogram)>,
-    pub connections: u64,
+    pub(super) event_durations: Vec<(&'static str, DurationHistogram)>,
+    pub(super) connections: u64,
     /// Messages of other controllers that were rejected.
-    pub mesh_dropped: u64,
+    pub(super) mesh_dropped: u64,
 }
 
 /// Renders a scrape.
-pub fn render_openmetrics(snapshot: MetricsSnapshot) -> String {
+pub(super) fn render_openmetrics(snapshot: MetricsSnapshot) -> String {
     let mut registry = Registry::default();
     registry.register_collector(Box::new(snapshot));
     let mut text = String::new();
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -3,6 +3,7 @@
 //! The transport moves bytes, passes events to the controller and performs the actions that it returns. It decides
 //! nothing about jobs and machines. All buffers and the number of sockets are bounded by the settings' limits.
 
+mod client_connection;
 mod clients;
 mod context;
 mod mesh;
--- a/src/transport/router.rs
+++ b/src/transport/router.rs
@@ -13,8 +13,8 @@
 use crate::protocol::workers::{Heartbeat, parse_heartbeat};
 use olivelatch_net::http::Request;
 
-/// Where a request goes.
-pub enum Route {
+/// The handler of a request, with its typed form.
+pub(super) enum Route {
     /// The health check.
     Ready,
     User(UserRequest),
@@ -28,14 +28,14 @@
 
 /// Which optional interfaces are enabled.
 #[derive(Debug, Clone, Copy)]
-pub struct EnabledApis {
-    pub operators: bool,
-    pub graphs: bool,
-    pub config: bool,
+pub(super) struct EnabledApis {
+    pub(super) operators: bool,
+    pub(super) graphs: bool,
+    pub(super) config: bool,
 }
 
 /// Routes a request.
-pub fn route(request: &Request, enabled_apis: EnabledApis) -> Route {
+pub(super) fn route(request: &Request, enabled_apis: EnabledApis) -> Route {
     let EnabledApis { operators, graphs, config } = enabled_apis;
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
     if graphs && let Some(routed) = route_graph(request, path, query) {
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -29,20 +29,19 @@
 use crate::tunables::Tunables;
 use olivelatch_net::poller::{EventPoller, Registration};
 
+/// Keys of the two listeners; those of connections come after them.
 const FRONT_KEY: usize = 0;
 const MESH_KEY: usize = 1;
-
 /// Longest time between two ticks of the controller.
 const TICK_MS: u64 = 50;
 /// The same while nothing waits for the controller: waking up was half of what a follower did.
 const IDLE_TICK_MS: u64 = 200;
 /// Socket events that one system call returns at most.
 const EVENT_CAPACITY: usize = 256;
-/// Sockets beside all that are counted: two listeners, the poller, standard streams, what an operator's shell opens.
+/// File descriptors reserved beside the counted sockets: two listeners, the poller, standard streams, an operator's shell.
 const RESERVED_SOCKETS: usize = 20;
-/// Sockets that connections of users, workers and operators leave free for requests of our own: so many, and one in so
-/// many of all.
-const CLIENT_SOCKETS: usize = 100;
+/// Sockets that users, workers and operators leave free for requests of our own: this number and a tenth of all.
+const MIN_CLIENT_SOCKETS: usize = 100;
 const CLIENT_SOCKET_DIVISOR: usize = 10;
 /// Connections of users, workers and operators that are allowed in any case.
 const MIN_SERVER_CONNECTIONS: usize = 50;
@@ -78,7 +77,7 @@
 
 /// Most connections of users, workers and operators.
 fn max_server_connections(limits: ControllerLimits) -> usize {
-    let reserved = CLIENT_SOCKETS + limits.max_connections / CLIENT_SOCKET_DIVISOR;
+    let reserved = MIN_CLIENT_SOCKETS + limits.max_connections / CLIENT_SOCKET_DIVISOR;
     limits.max_connections.saturating_sub(reserved).max(MIN_SERVER_CONNECTIONS)
 }
 
--- a/src/transport/servers.rs
+++ b/src/transport/servers.rs
@@ -32,14 +32,14 @@
 
 /// What the controller serves at the moment.
 #[derive(Debug, Clone, Copy)]
-pub struct EndpointState {
+pub(super) struct EndpointState {
     /// Whether health checks succeed.
-    pub ready: bool,
-    pub enabled_apis: EnabledApis,
+    pub(super) ready: bool,
+    pub(super) enabled_apis: EnabledApis,
 }
 
 /// All connections that were accepted.
-pub struct ServerConnections {
+pub(super) struct ServerConnections {
     connections: ByKey<ServerConnection>,
     pending_requests: HashMap<InboundId, usize>,
     last_inbound: u64,
@@ -53,7 +53,7 @@
 
 impl ServerConnections {
     /// At most `max_connections`, in a controller that has `memory_mb` megabytes.
-    pub fn new(max_connections: usize, memory_mb: f64) -> ServerConnections {
+    pub(super) fn new(max_connections: usize, memory_mb: f64) -> ServerConnections {
         ServerConnections {
             connections: HashMap::new(),
             pending_requests: HashMap::new(),
@@ -66,17 +66,17 @@
     }
 
     /// Whether a key belongs to one of these connections.
-    pub fn has_connection(&self, key: usize) -> bool {
+    pub(super) fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
     /// Whether the last request of a connection was a heartbeat.
-    pub fn is_worker(&self, key: usize) -> bool {
+    pub(super) fn is_worker(&self, key: usize) -> bool {
         self.connections.get(&key).is_some_and(|server| server.is_worker)
     }
 
     /// Takes a new connection; the one that is idle for longest gives way if there are too many.
-    pub fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
+    pub(super) fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
         if self.connections.len() >= self.max_connections {
             self.close_most_idle();
         }
@@ -128,12 +128,12 @@
     }
 
     /// Number of open connections.
-    pub fn open_connections(&self) -> u64 {
+    pub(super) fn open_connections(&self) -> u64 {
         self.connections.len() as u64
     }
 
     /// Reads from a connection, handles its requests and writes its responses.
-    pub fn handle_socket_event(
+    pub(super) fn handle_socket_event(
         &mut self,
         context: &mut TransportContext,
         key: usize,
@@ -286,7 +286,7 @@
     }
 
     /// Sends the controller's response to a request, unless its connection is gone.
-    pub fn send_response(
+    pub(super) fn send_response(
         &mut self,
         context: &mut TransportContext,
         inbound: InboundId,
@@ -304,7 +304,7 @@
     }
 
     /// Closes connections that are idle for too long.
-    pub fn expire(&mut self, context: &mut TransportContext) {
+    pub(super) fn expire(&mut self, context: &mut TransportContext) {
         let now = context.now();
         if now.saturating_since(self.idle_checked_at) < IDLE_CHECK_INTERVAL_MS {
             return;
--- a/src/transport/timings.rs
+++ b/src/transport/timings.rs
@@ -13,8 +13,9 @@
 use crate::ids::Millis;
 use olivelatch_net::poller::SyscallCounters;
 
+/// Time between two log lines of one kind.
 const LOG_INTERVAL_MS: u64 = 30_000;
-/// Longest duration that is told apart, in microseconds: ten seconds.
+/// Longest duration that is recorded, in microseconds; longer ones count as this one.
 const MAX_US: u64 = 10_000_000;
 
 /// Upper bounds of the buckets of a scrape, in microseconds.
@@ -22,11 +23,11 @@
 
 /// The durations of one kind as a scrape shows them.
 #[derive(Debug, Clone)]
-pub struct DurationHistogram {
-    pub sum_s: f64,
-    pub count: u64,
+pub(super) struct DurationHistogram {
+    pub(super) sum_s: f64,
+    pub(super) count: u64,
     /// Upper bound in seconds, and how many durations lie between the bound before and this one.
-    pub buckets: Vec<(f64, u64)>,
+    pub(super) buckets: Vec<(f64, u64)>,
 }
 
 /// Significant decimal digits of the histograms.
@@ -42,7 +43,7 @@
 
 /// The durations of all kinds.
 #[derive(Default)]
-pub struct Timings {
+pub(super) struct Timings {
     /// Since they were last logged.
     recent: ByKind,
     last_logged_at: Millis,
@@ -77,23 +78,23 @@
 
 impl Timings {
     /// With `keep_totals` durations are also kept since the start, for scrapes.
-    pub fn new(keep_totals: bool) -> Timings {
+    pub(super) fn new(keep_totals: bool) -> Timings {
         Timings { totals: keep_totals.then(BTreeMap::new), ..Timings::default() }
     }
 
     /// Begins a measurement; None if nothing is measured.
-    pub fn start(&self) -> Option<Instant> {
+    pub(super) fn start(&self) -> Option<Instant> {
         (self.totals.is_some() || log::log_enabled!(log::Level::Debug)).then(Instant::now)
     }
 
     /// The durations of each kind since the start.
-    pub fn duration_histograms(&self) -> Vec<(&'static str, DurationHistogram)> {
+    pub(super) fn duration_histograms(&self) -> Vec<(&'static str, DurationHistogram)> {
         let totals = self.totals.iter().flatten();
         totals.map(|(kind, durations)| (*kind, duration_histogram(durations))).collect()
     }
 
     /// Ends a measurement.
-    pub fn stop(&mut self, kind: &'static str, started: Option<Instant>) {
+    pub(super) fn stop(&mut self, kind: &'static str, started: Option<Instant>) {
         let Some(started) = started else { return };
         let us = (started.elapsed().as_micros() as u64).clamp(1, MAX_US);
         if let Some(totals) = &mut self.totals {
@@ -105,7 +106,7 @@
     }
 
     /// Logs the durations and system calls since the last time, once in [`LOG_INTERVAL_MS`].
-    pub fn log_recent(&mut self, now: Millis, syscalls: &SyscallCounters) {
+    pub(super) fn log_recent(&mut self, now: Millis, syscalls: &SyscallCounters) {
         if self.recent.is_empty() || now.saturating_since(self.last_logged_at) < LOG_INTERVAL_MS {
             return;
         }
