--- /dev/null
+++ b/tests/simulation/actions/faults.rs
@@ -0,0 +1,132 @@
+//! Faults of the kv store, the cloud, machines, and messages.
+
+use olivelatch::coordination::Event;
+use olivelatch_worker::{TaskWork, Worker};
+
+use super::super::{MeshMode, SimulatedCluster, TxnMode};
+use super::requests::parse_job;
+use super::{ActionResult, parse_seconds, usage_error};
+
+impl SimulatedCluster {
+    pub(super) fn set_kv_outage(&mut self, words: &[&str]) -> ActionResult {
+        self.kv_outage = words == ["on"];
+        if !self.kv_outage {
+            self.kv_store.renew_all_leases(self.now);
+        }
+        Ok(())
+    }
+
+    pub(super) fn set_cloud_outage(&mut self, words: &[&str]) -> ActionResult {
+        self.cloud_down = words == ["down"];
+        Ok(())
+    }
+
+    pub(super) fn hang_machines(&mut self, words: &[&str]) -> ActionResult {
+        let [host] = words else { return usage_error("HOST") };
+        self.hung_machines.insert((*host).into());
+        Ok(())
+    }
+
+    pub(super) fn resume_machines(&mut self, words: &[&str]) -> ActionResult {
+        let [host] = words else { return usage_error("HOST") };
+        self.hung_machines.remove(*host);
+        Ok(())
+    }
+
+    fn worker(&mut self, host: &str) -> Result<&mut Worker, String> {
+        self.workers.iter_mut().find(|worker| worker.machine.name == host).ok_or(format!("no worker {host}"))
+    }
+
+    pub(super) fn make_sick(&mut self, words: &[&str]) -> ActionResult {
+        let [host] = words else { return usage_error("HOST") };
+        self.worker(host)?.fails_tasks = true;
+        Ok(())
+    }
+
+    /// The job's tasks do not fail any more.
+    pub(super) fn stop_task_failures(&mut self, words: &[&str]) -> ActionResult {
+        let [id] = words else { return usage_error("JOB") };
+        let (id, _) = parse_job(id)?;
+        match self.jobs.get_mut(&id).map(|job| &mut job.work) {
+            Some(TaskWork::Simulated { fails, .. }) => *fails = false,
+            _ => return Err("an unknown job".into()),
+        }
+        Ok(())
+    }
+
+    pub(super) fn slow_machine(&mut self, words: &[&str]) -> ActionResult {
+        let [host, times] = words else { return usage_error("HOST TIMES") };
+        self.worker(host)?.slowdown_factor = times.parse().map_err(|_| "a number")?;
+        Ok(())
+    }
+
+    pub(super) fn announce_spot_reclaim(&mut self, words: &[&str]) -> ActionResult {
+        let [host, seconds] = words else { return usage_error("HOST SECONDS") };
+        let until = self.deadline_in(seconds)?;
+        let worker = self.worker(host)?;
+        worker.termination_at = Some(until);
+        worker.has_unreported_change = true;
+        Ok(())
+    }
+
+    pub(super) fn remove_machine(&mut self, words: &[&str]) -> ActionResult {
+        let [host] = words else { return usage_error("HOST") };
+        self.cloud.machines.retain(|machine| machine.name != *host);
+        Ok(())
+    }
+
+    pub(super) fn set_long_changes(&mut self, words: &[&str]) -> ActionResult {
+        self.changes_too_long = words == ["long"];
+        Ok(())
+    }
+
+    pub(super) fn set_direct_commands(&mut self, words: &[&str]) -> ActionResult {
+        self.direct_commands_lost = words == ["lost"];
+        Ok(())
+    }
+
+    pub(super) fn set_txn_mode(&mut self, words: &[&str]) -> ActionResult {
+        self.faults.txn_delay_ms = match words {
+            ["late", seconds] => Some((parse_seconds(seconds)? * 1000.0) as u64),
+            _ => None,
+        };
+        self.txn_mode = match words {
+            ["lost"] => TxnMode::ResponseLost,
+            ["late", ..] => TxnMode::Delayed,
+            _ => TxnMode::Normal,
+        };
+        Ok(())
+    }
+
+    pub(super) fn set_mesh_mode(&mut self, words: &[&str]) -> ActionResult {
+        self.mesh_mode = match words {
+            ["held"] => MeshMode::Delayed,
+            ["twice"] => MeshMode::Duplicated,
+            ["fine"] => MeshMode::Normal,
+            _ => return usage_error("held, twice or fine"),
+        };
+        Ok(())
+    }
+
+    /// Messages that are held back arrive.
+    pub(super) fn deliver_held(&mut self, _: &[&str]) -> ActionResult {
+        for body in std::mem::take(&mut self.held_txns) {
+            self.kv_store.handle_request("POST", "/txn", &body, self.now);
+        }
+        for (worker, body) in std::mem::take(&mut self.held_commands) {
+            self.workers[worker].handle_direct_command(&body, self.now, &self.jobs);
+        }
+        for (to, sender, message) in std::mem::take(&mut self.held_mesh) {
+            self.send_event(to, Event::Peer { controller: sender, message });
+        }
+        Ok(())
+    }
+
+    /// Messages that are held back are lost.
+    pub(super) fn drop_held(&mut self, _: &[&str]) -> ActionResult {
+        self.held_txns.clear();
+        self.held_commands.clear();
+        self.held_mesh.clear();
+        Ok(())
+    }
+}
--- /dev/null
+++ b/tests/simulation/actions/mod.rs
@@ -0,0 +1,111 @@
+//! The actions of scenarios: a line begins with the name of one, and its other words are the arguments.
+
+mod controllers;
+mod faults;
+mod requests;
+mod setup;
+mod timing;
+
+use super::SimulatedCluster;
+
+impl SimulatedCluster {
+    /// Carries out one line. Fails if it cannot be done, or if a rule was broken meanwhile.
+    pub fn run_action(&mut self, words: &[&str]) -> Result<(), String> {
+        let (name, arguments) = words.split_first().ok_or("an empty line")?;
+        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown command")?;
+        action(self, arguments)?;
+        match self.violations.first() {
+            Some(violation) => Err(format!("rule broken: {violation}")),
+            None => Ok(()),
+        }
+    }
+}
+
+/// What was expected or does not hold, for the author of the scenario.
+pub type ActionResult = Result<(), String>;
+type Action = fn(&mut SimulatedCluster, &[&str]) -> ActionResult;
+
+/// The actions by their names in scenarios.
+const ACTIONS: &[(&str, Action)] = &[
+    ("settings", SimulatedCluster::set_settings),
+    ("tunable", SimulatedCluster::set_tunable),
+    ("operators", SimulatedCluster::set_operators),
+    ("list", SimulatedCluster::start_list),
+    ("config", SimulatedCluster::enable_config),
+    ("set", SimulatedCluster::set_config),
+    ("graphs", SimulatedCluster::set_graphs),
+    ("node", SimulatedCluster::add_node),
+    ("fan", SimulatedCluster::add_fan_out),
+    ("upload", SimulatedCluster::upload_graph),
+    ("commit", SimulatedCluster::commit_graph),
+    ("cancel-run", SimulatedCluster::cancel_run),
+    ("redo", SimulatedCluster::rerun),
+    ("team", SimulatedCluster::add_team),
+    ("objective", SimulatedCluster::add_objective),
+    ("kind", SimulatedCluster::add_machine_type),
+    ("nodes", SimulatedCluster::start_controllers),
+    ("machine", SimulatedCluster::add_machine_of),
+    ("machines", SimulatedCluster::add_machines),
+    ("record", SimulatedCluster::put_record),
+    ("known", SimulatedCluster::mark_accepted),
+    ("submit", |cluster, arguments| {
+        cluster.submit_job(arguments);
+        Ok(())
+    }),
+    ("raw", SimulatedCluster::submit_raw),
+    ("poll", SimulatedCluster::poll_expecting),
+    ("abort", SimulatedCluster::cancel),
+    ("advance", SimulatedCluster::advance),
+    ("until", SimulatedCluster::until),
+    ("expect", SimulatedCluster::expect),
+    ("never", SimulatedCluster::never),
+    ("kill", SimulatedCluster::kill_controller),
+    ("start", SimulatedCluster::start_controller),
+    ("start-all", SimulatedCluster::start_all_controllers),
+    ("processor", SimulatedCluster::set_controller_capacity),
+    ("cut", SimulatedCluster::cut_link),
+    ("uncut", SimulatedCluster::restore_links),
+    ("heal", SimulatedCluster::restore_all_links),
+    ("part", SimulatedCluster::partition_zones),
+    ("outage", SimulatedCluster::set_kv_outage),
+    ("cloud", SimulatedCluster::set_cloud_outage),
+    ("hang", SimulatedCluster::hang_machines),
+    ("unhang", SimulatedCluster::resume_machines),
+    ("sick", SimulatedCluster::make_sick),
+    ("slow", SimulatedCluster::slow_machine),
+    ("mend", SimulatedCluster::stop_task_failures),
+    ("notice", SimulatedCluster::announce_spot_reclaim),
+    ("take", SimulatedCluster::remove_machine),
+    ("changes", SimulatedCluster::set_long_changes),
+    ("direct", SimulatedCluster::set_direct_commands),
+    ("txns", SimulatedCluster::set_txn_mode),
+    ("deliver", SimulatedCluster::deliver_held),
+    ("lose", SimulatedCluster::drop_held),
+    ("mesh", SimulatedCluster::set_mesh_mode),
+    ("flash", SimulatedCluster::restart_at_once),
+    ("asks", SimulatedCluster::poll_repeatedly),
+    ("deaf", SimulatedCluster::set_receive_path_down),
+    ("mute", SimulatedCluster::set_send_path_down),
+    ("calm", SimulatedCluster::expect_prompt_starts),
+    ("cloud-answers", SimulatedCluster::set_cloud_delay),
+    ("close-looks", SimulatedCluster::set_close_polling),
+    ("stream", SimulatedCluster::set_stream),
+    ("cancels-at-end", SimulatedCluster::set_cancels_at_end),
+    ("copies", SimulatedCluster::set_heartbeat_copies),
+    ("state", SimulatedCluster::set_kv_delay),
+    ("freeze", SimulatedCluster::freeze_controller),
+    ("thaw", SimulatedCluster::thaw_controllers),
+    ("clock", SimulatedCluster::set_clock),
+];
+
+pub fn usage_error(expected: &str) -> ActionResult {
+    Err(format!("expected {expected}"))
+}
+
+pub fn parse_seconds(text: &str) -> Result<f64, String> {
+    text.parse().map_err(|_| format!("expected seconds, not {text}"))
+}
+
+pub fn parse_status(text: &str) -> Result<u16, String> {
+    text.parse().map_err(|_| format!("expected a status, not {text}"))
+}
--- /dev/null
+++ b/tests/simulation/actions/timing.rs
@@ -0,0 +1,51 @@
+//! Letting time pass, until or while a condition holds.
+
+use super::super::SimulatedCluster;
+use super::{ActionResult, parse_seconds, usage_error};
+
+impl SimulatedCluster {
+    pub(super) fn advance(&mut self, words: &[&str]) -> ActionResult {
+        let [seconds] = words else { return usage_error("SECONDS") };
+        let until = self.deadline_in(seconds)?;
+        while self.now < until {
+            self.step();
+        }
+        Ok(())
+    }
+
+    pub(super) fn until(&mut self, words: &[&str]) -> ActionResult {
+        let (seconds, condition) = words.split_first().ok_or("SECONDS CONDITION")?;
+        let until = self.deadline_in(seconds)?;
+        while !self.condition_holds(condition) {
+            if self.now >= until {
+                return Err(format!("not within {seconds} s{}", self.dag_runs.responses_text()));
+            }
+            self.step();
+        }
+        Ok(())
+    }
+
+    pub(super) fn expect(&mut self, condition: &[&str]) -> ActionResult {
+        if self.condition_holds(condition) {
+            Ok(())
+        } else {
+            Err(format!("does not hold {:?}", self.counters))
+        }
+    }
+
+    pub(super) fn never(&mut self, words: &[&str]) -> ActionResult {
+        let (seconds, condition) = words.split_first().ok_or("SECONDS CONDITION")?;
+        let until = self.deadline_in(seconds)?;
+        while self.now < until {
+            self.step();
+            if self.condition_holds(condition) {
+                return Err("it did".into());
+            }
+        }
+        Ok(())
+    }
+
+    pub(super) fn deadline_in(&self, seconds: &str) -> Result<u64, String> {
+        Ok(self.now + (parse_seconds(seconds)? * 1000.0) as u64)
+    }
+}
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -1,4 +1,5 @@
-//! What scenarios wait for and expect.
+//! The conditions that scenarios wait for and expect, one function for each subject. A condition on a job or a run starts
+//! the requests that show whether it holds.
 
 use olivelatch::coordination::controller::Controller;
 use olivelatch_worker::Worker;
@@ -8,42 +9,93 @@
 use super::operator_queries::job_name;
 use super::{ControllerSlot, PendingRequest, SimulatedCluster};
 
+const POLL_INTERVAL_MS: u64 = 500;
+/// An answer about a job counts as recent for so long.
+const RECENT_MS: u64 = 5_000;
+
+fn compare(value: u64, operator: &str, right: &str) -> bool {
+    let right: u64 = right.parse().expect("a number");
+    match operator {
+        ">=" => value >= right,
+        "<=" => value <= right,
+        "=" => value == right,
+        _ => panic!("unknown comparison {operator}"),
+    }
+}
+
+/// Tasks that the worker runs, without those that wait for their image.
+fn running_tasks(worker: &Worker) -> u64 {
+    worker.attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended()).count() as u64
+}
+
 impl SimulatedCluster {
     pub fn condition_holds(&mut self, words: &[&str]) -> bool {
-        let compare = |value: u64, op: &str, right: &str| {
-            let right: u64 = right.parse().expect("a number");
-            match op {
-                ">=" => value >= right,
-                "<=" => value <= right,
-                "=" => value == right,
-                _ => panic!("unknown comparison {op}"),
-            }
-        };
-        let name = |word: &str| format!("job-{:06}", word.parse::<u64>().expect("a job number"));
-        let on =
-            |worker: &Worker| worker.attempts.iter().filter(|p| p.has_image && !p.is_ended()).count() as u64;
-        match words {
+        self.job_condition(words)
+            .or_else(|| self.operator_condition(words))
+            .or_else(|| self.graph_condition(words))
+            .or_else(|| self.record_condition(words))
+            .or_else(|| self.machine_condition(words))
+            .or_else(|| self.controller_condition(words))
+            .unwrap_or_else(|| panic!("unknown condition {words:?}"))
+    }
+
+    fn poll_until_final(&mut self, id: &str) {
+        if !self.final_states.contains_key(id) && self.now % POLL_INTERVAL_MS == 0 {
+            self.poll_job(id);
+        }
+    }
+
+    /// What users know of jobs, and what became of cancelled ones.
+    fn job_condition(&mut self, words: &[&str]) -> Option<bool> {
+        Some(match words {
             [status @ ("done" | "withdrawn"), id] => {
-                let id = name(id);
-                if !self.final_states.contains_key(&id) && self.now % 500 == 0 {
-                    self.poll_job(&id);
-                }
+                let id = job_name(id);
+                self.poll_until_final(&id);
                 self.final_states.get(&id).is_some_and(|known| known == status)
             }
             ["ended", id] => {
-                let id = name(id);
-                if !self.final_states.contains_key(&id) && self.now % 500 == 0 {
-                    self.poll_job(&id);
-                }
+                let id = job_name(id);
+                self.poll_until_final(&id);
                 self.final_states.contains_key(&id)
             }
-            // Every job of the stream has been told to be over.
+            // The users know the final state of every job of the stream.
             ["streamed"] => self.job_stream.as_ref().is_some_and(JobStream::is_finished),
-            // The longest time from the end of a job's last task until that was told, in milliseconds.
+            // The longest time, in ms, from the end of a job's last task until its user knew of it.
             ["told_late", op, right] => self
                 .job_stream
                 .as_ref()
                 .is_some_and(|stream| compare(stream.max_notification_delay_ms, op, right)),
+            ["known", ids @ ..] => {
+                let ids: Vec<String> = ids.iter().map(|id| job_name(id)).collect();
+                if self.now % POLL_INTERVAL_MS == 0 {
+                    ids.iter().for_each(|id| self.poll_job(id));
+                }
+                let known = |id: &String| {
+                    self.faults.last_answered_at.get(id).is_some_and(|at| self.now <= at + RECENT_MS)
+                };
+                ids.iter().all(known)
+            }
+            ["confirmed", op, right] => compare(self.cancelled.len() as u64, op, right),
+            // The longest time, in ms, that a task ran after its user knew of the cancellation.
+            ["stayed", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
+            ["accepted", id] => self.accepted_jobs.contains(&job_name(id)),
+            // Tasks that started after their user knew of the cancellation.
+            ["started_cancelled", op, right] => compare(self.faults.started_cancelled, op, right),
+            // Tasks that ended with the lease of their worker.
+            ["lost_with_lease", op, right] => compare(self.faults.lost_with_lease, op, right),
+            ["running", id, op, right] => {
+                let id = job_name(id);
+                let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
+                let count = attempts.filter(|p| p.job_name() == id && p.has_image && !p.is_ended()).count();
+                compare(count as u64, op, right)
+            }
+            _ => return None,
+        })
+    }
+
+    /// What operators are shown.
+    fn operator_condition(&mut self, words: &[&str]) -> Option<bool> {
+        Some(match words {
             ["explained", id, word] => {
                 self.operator_queries.start_query("explain", &job_name(id));
                 self.operator_queries.response_contains("explain", &job_name(id), word)
@@ -74,24 +126,17 @@
                     .and_then(|body| body.pointer(pointer));
                 found.and_then(Value::as_f64).is_some_and(|found| compare(found as u64, op, right))
             }
-            ["known", ids @ ..] => {
-                let ids: Vec<String> = ids.iter().map(|id| name(id)).collect();
-                if self.now % 500 == 0 {
-                    ids.iter().for_each(|id| self.poll_job(id));
-                }
-                let known = |id: &String| {
-                    self.faults.last_answered_at.get(id).is_some_and(|at| self.now <= at + 5_000)
-                };
-                ids.iter().all(known)
-            }
-            ["confirmed", op, right] => compare(self.cancelled.len() as u64, op, right),
-            // In milliseconds, after its user had been told.
-            ["stayed", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
-            ["accepted", id] => self.accepted_jobs.contains(&name(id)),
-            ["record", key, op @ ("has" | "lacks"), word] => {
-                let value = self.kv_store.get(key).map(Value::to_string);
-                value.is_some_and(|value| value.contains(word) == (*op == "has"))
+            ["listed", op, right] => {
+                self.operator_queries.pagination_length().is_some_and(|rows| compare(rows as u64, op, right))
             }
+            ["config", rest @ ..] => self.config_condition_holds(rest),
+            _ => return None,
+        })
+    }
+
+    /// Runs of graphs.
+    fn graph_condition(&mut self, words: &[&str]) -> Option<bool> {
+        Some(match words {
             ["node", run, node, state] => {
                 self.dag_runs.node_view(run, node).is_some_and(|found| found["state"] == **state)
             }
@@ -106,49 +151,67 @@
             }
             ["sent"] => {
                 self.dag_runs.is_idle()
-                    && !self.requests_in_flight.values().any(|call| matches!(call, PendingRequest::Graph(_)))
+                    && !self
+                        .requests_in_flight
+                        .values()
+                        .any(|request| matches!(request, PendingRequest::Graph(_)))
+            }
+            _ => return None,
+        })
+    }
+
+    /// Records in the kv store.
+    fn record_condition(&self, words: &[&str]) -> Option<bool> {
+        Some(match words {
+            ["record", key, op @ ("has" | "lacks"), word] => {
+                let value = self.kv_store.get(key).map(Value::to_string);
+                value.is_some_and(|value| value.contains(word) == (*op == "has"))
             }
             ["keys", prefix, op, right] => {
                 let count = self.kv_store.keys().filter(|key| key.starts_with(prefix)).count();
                 compare(count as u64, op, right)
             }
-            ["listed", op, right] => {
-                self.operator_queries.pagination_length().is_some_and(|rows| compare(rows as u64, op, right))
-            }
-            ["running", id, op, right] => {
-                let id = name(id);
-                let pieces = self.workers.iter().flat_map(|worker| &worker.attempts);
-                let count = pieces.filter(|p| p.job_name() == id && p.has_image && !p.is_ended()).count();
-                compare(count as u64, op, right)
-            }
-            ["counter", name, op, right] => {
-                compare(self.counters.get(*name).copied().unwrap_or(0), op, right)
-            }
+            ["grants", op, right] => compare(self.kv_store.granted_lease_count(), op, right),
+            ["records", op, right] => compare(self.kv_store.len() as u64, op, right),
+            _ => return None,
+        })
+    }
+
+    /// Machines and what runs on them.
+    fn machine_condition(&self, words: &[&str]) -> Option<bool> {
+        Some(match words {
             ["on", host, op, right] => {
                 let worker = self.workers.iter().find(|worker| worker.machine.name == *host);
-                worker.is_some_and(|worker| compare(on(worker), op, right))
+                worker.is_some_and(|worker| compare(running_tasks(worker), op, right))
             }
-            // Tasks that started after their user had been told that the job is cancelled.
-            ["started_cancelled", op, right] => compare(self.faults.started_cancelled, op, right),
-            // Tasks that ended with the lease of their worker.
-            ["lost_with_lease", op, right] => compare(self.faults.lost_with_lease, op, right),
             ["machines", op, right] => compare(self.cloud.machines.len() as u64, op, right),
             ["workers", op, right] => compare(self.workers.len() as u64, op, right),
-            ["tasks", op, right] => compare(self.workers.iter().map(on).sum(), op, right),
+            ["tasks", op, right] => compare(self.workers.iter().map(running_tasks).sum(), op, right),
+            ["released", host] => self.cloud.released.iter().any(|name| name == host),
+            _ => return None,
+        })
+    }
+
+    /// Controllers and the counters of their leaders.
+    fn controller_condition(&self, words: &[&str]) -> Option<bool> {
+        Some(match words {
+            ["counter", name, op, right] => {
+                compare(self.counters.get(*name).copied().unwrap_or(0), op, right)
+            }
             ["leader", op, node] => {
-                let leads_any = self
+                let leads = self
                     .controllers
                     .iter()
                     .any(|slot| slot.is_leader() && (*node == "any" || slot.name == *node));
-                (*op == "=") == leads_any
+                (*op == "=") == leads
             }
             ["leaders", op, right] => {
                 compare(self.controllers.iter().filter(|slot| slot.is_leader()).count() as u64, op, right)
             }
             ["quiet", op, right] => {
-                let quiet =
+                let is_idle =
                     |slot: &&ControllerSlot| slot.controller.as_ref().is_some_and(Controller::is_idle);
-                compare(self.controllers.iter().filter(quiet).count() as u64, op, right)
+                compare(self.controllers.iter().filter(is_idle).count() as u64, op, right)
             }
             ["ready", node] => {
                 let slot = self.controllers.iter().find(|slot| slot.name == *node).expect("a node");
@@ -157,12 +220,8 @@
             ["unready", "any"] => self
                 .controllers
                 .iter()
-                .any(|slot| slot.controller.as_ref().is_some_and(|node| !node.is_ready())),
-            ["released", host] => self.cloud.released.iter().any(|name| name == host),
-            ["grants", op, right] => compare(self.kv_store.granted_lease_count(), op, right),
-            ["config", rest @ ..] => self.config_condition_holds(rest),
-            ["records", op, right] => compare(self.kv_store.len() as u64, op, right),
-            _ => panic!("unknown condition {words:?}"),
-        }
+                .any(|slot| slot.controller.as_ref().is_some_and(|controller| !controller.is_ready())),
+            _ => return None,
+        })
     }
 }
--- /dev/null
+++ b/tests/simulation/deliveries.rs
@@ -0,0 +1,137 @@
+//! Carries out the controllers' actions: requests to the kv store, the cloud and the workers, and messages to each other,
+//! unless a fault of the scenario is in the way.
+
+use olivelatch::coordination::{Action, Event, OutboundId};
+use olivelatch::protocol::cloud::CloudRequest;
+use olivelatch::protocol::kv::KvRequest;
+use olivelatch::protocol::peer::PeerMessage;
+use olivelatch::protocol::{HttpOutcome, HttpRequest};
+use serde_json::Value;
+
+use super::SimulatedCluster;
+
+/// What happens to transactions.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum TxnMode {
+    Normal,
+    /// Carried out, but the response is lost.
+    ResponseLost,
+    /// Without a response, and carried out only when they are delivered.
+    Delayed,
+}
+
+/// What happens to messages between controllers.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum MeshMode {
+    Normal,
+    /// Delivered later, perhaps after the sender has ended.
+    Delayed,
+    /// Delivered, and once more later.
+    Duplicated,
+}
+
+fn unavailable(body: &[u8]) -> HttpOutcome {
+    HttpOutcome::Response { status: 503, body: body.to_vec() }
+}
+
+fn response(status: u16, body: &Value) -> HttpOutcome {
+    HttpOutcome::Response { status, body: body.to_string().into_bytes() }
+}
+
+impl SimulatedCluster {
+    pub(super) fn perform_action(&mut self, from: usize, action: Action) {
+        match action {
+            Action::Respond { inbound, response } => self.handle_response(from, inbound, &response),
+            Action::CallKv { outbound, request, timeout_ms } => {
+                self.call_kv(from, outbound, &request, timeout_ms);
+            }
+            Action::CallCloud { outbound, request, timeout_ms } => {
+                let outcome = self.cloud_outcome(&request);
+                self.deliver_cloud_response(from, outbound, outcome, timeout_ms);
+            }
+            Action::SendWorkerCommands { outbound, endpoint, request, .. } => {
+                self.controllers[from].event_queue.charge_command();
+                let outcome = self.worker_outcome(from, &endpoint, &request);
+                self.send_event(from, Event::WorkerCommands { outbound, outcome });
+            }
+            Action::SendPeerMessage { controller, message } => {
+                self.send_peer_message(from, &controller, message);
+            }
+        }
+    }
+
+    fn call_kv(&mut self, from: usize, outbound: OutboundId, request: &KvRequest, timeout_ms: u64) {
+        let poll_cut = self.is_cut(from, "polls") && matches!(request, KvRequest::PollChanges { .. });
+        let outcome = if self.kv_outage || poll_cut || self.is_cut(from, "state") {
+            unavailable(b"")
+        } else {
+            let request = request.to_http_request();
+            let mode = if request.path == "/txn" { self.txn_mode } else { TxnMode::Normal };
+            if mode == TxnMode::Delayed {
+                match self.faults.txn_delay_ms {
+                    Some(delay_ms) => self.delay_txn(delay_ms, request.body),
+                    None => self.held_txns.push(request.body),
+                }
+                self.send_event(from, Event::Kv { outbound, outcome: HttpOutcome::Unknown });
+                return;
+            }
+            self.kv_outcome(&request, mode)
+        };
+        self.deliver_kv_response(from, outbound, outcome, timeout_ms);
+    }
+
+    fn kv_outcome(&mut self, request: &HttpRequest, mode: TxnMode) -> HttpOutcome {
+        let (status, body) =
+            self.kv_store.handle_request(request.method, &request.path, &request.body, self.now);
+        if request.path == "/txn" && status == 200 {
+            let txn: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
+            self.kv_mutations += txn["then"].as_array().map_or(0, |mutations| mutations.len() as u64);
+        }
+        match mode {
+            _ if self.changes_too_long && request.path.starts_with("/changes") => HttpOutcome::TooLarge,
+            TxnMode::ResponseLost => HttpOutcome::Unknown,
+            _ => response(status, &body),
+        }
+    }
+
+    fn cloud_outcome(&mut self, request: &CloudRequest) -> HttpOutcome {
+        if self.cloud_down {
+            return unavailable(b"{\"error\":\"trouble\"}");
+        }
+        let request = request.to_http_request();
+        let (status, body) =
+            self.cloud.handle_request(request.method, &request.path, &request.body, self.now);
+        response(status, &body)
+    }
+
+    /// The worker at the endpoint carries out a command, if it can be reached.
+    fn worker_outcome(&mut self, from: usize, endpoint: &str, request: &HttpRequest) -> HttpOutcome {
+        let worker = self.workers.iter().position(|worker| worker.machine.endpoint == endpoint);
+        let reachable = |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "orders");
+        let Some(worker) = worker.filter(reachable) else { return HttpOutcome::NotSent };
+        if self.faults.receive_path_down.contains(&self.workers[worker].machine.name) {
+            return HttpOutcome::Unknown;
+        }
+        if self.direct_commands_lost {
+            self.held_commands.push((worker, request.body.clone()));
+            return HttpOutcome::Unknown;
+        }
+        let (status, body) = self.workers[worker].handle_direct_command(&request.body, self.now, &self.jobs);
+        response(status, &body)
+    }
+
+    fn send_peer_message(&mut self, from: usize, controller: &str, message: PeerMessage) {
+        let Some(to) = self.controllers.iter().position(|slot| slot.name == controller) else { return };
+        let partitioned = self.are_zones_cut(&self.controllers[from].zone, &self.controllers[to].zone);
+        if partitioned || self.is_cut(from, "mesh") || self.is_cut(to, "mesh") {
+            return;
+        }
+        let sender = self.controllers[from].name.clone();
+        if self.mesh_mode != MeshMode::Normal {
+            self.held_mesh.push((to, sender.clone(), message.clone()));
+        }
+        if self.mesh_mode != MeshMode::Delayed {
+            self.send_event(to, Event::Peer { controller: sender, message });
+        }
+    }
+}
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -10,7 +10,7 @@
 use olivelatch_worker::Worker;
 
 use super::actions::{ActionResult, parse_seconds, usage_error};
-use super::{ControllerSlot, START_MS, STEP_MS, SimulatedCluster};
+use super::{START_MS, STEP_MS, SimulatedCluster};
 
 /// Copies of reports that are kept for the next leader at most.
 const MAX_KEPT_HEARTBEATS: usize = 40;
@@ -154,11 +154,7 @@
     /// Another leader begins: what was kept arrives at every controller, at once and once more later.
     pub fn deliver_kept_heartbeats(&mut self) {
         let Some(before) = self.faults.kept_for_next_leader else { return };
-        let leads = self
-            .controllers
-            .iter()
-            .position(ControllerSlot::is_leader)
-            .map(|at| (at, self.controllers[at].incarnation));
+        let leads = self.current_leader();
         if leads.is_none() || leads == before {
             return;
         }
@@ -229,11 +225,7 @@
     }
 
     pub fn set_heartbeat_copies(&mut self, words: &[&str]) -> ActionResult {
-        let leads = self
-            .controllers
-            .iter()
-            .position(ControllerSlot::is_leader)
-            .map(|at| (at, self.controllers[at].incarnation));
+        let leads = self.current_leader();
         self.faults.kept_for_next_leader = if words == ["next"] { Some(leads) } else { None };
         if words == ["next"] {
             return Ok(());
--- a/tests/simulation/graph_actions.rs
+++ b/tests/simulation/graph_actions.rs
@@ -25,7 +25,7 @@
     pub fn add_node(&mut self, words: &[&str]) -> ActionResult {
         let [run, name, rest @ ..] = words else { return usage_error("RUN NAME JOB ...") };
         let job: u64 = rest.first().and_then(|job| job.parse().ok()).ok_or("a job's number")?;
-        let (_, mut spec, _) = self.describe_job(rest);
+        let mut spec = self.describe_job(rest).spec;
         spec["uid"] = json!("");
         let template = json!({"spec": spec, "rule": named_argument(rest, "rule").unwrap_or("all_success"),
             "tries": numeric_argument(rest, "tries", 1.0) as u32, "wait_s": numeric_argument(rest, "wait", 1.0),
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -27,7 +27,7 @@
 
     /// Also of machines that hang: what is on them may go on at any moment.
     pub fn check_cancelled(&mut self, at: usize) {
-        let limit = (self.config["cluster"]["workers"]["cancel_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64;
+        let limit = self.worker_setting_ms("cancel_s", 0.0);
         for piece in self.workers[at].attempts.iter().filter(|piece| piece.has_image && !piece.is_ended()) {
             let Some(told) = self.cancelled.get(piece.job_name()) else { continue };
             self.faults.longest_cancelled_stay_ms =
--- /dev/null
+++ b/tests/simulation/job_arguments.rs
@@ -0,0 +1,97 @@
+//! Jobs as lines of a scenario describe them: `NUMBER name=value flag ...`.
+
+use std::collections::BTreeMap;
+
+use olivelatch_worker::{JobDescription, TaskWork};
+use serde_json::{Value, json};
+
+use super::SimulatedCluster;
+use super::users::ResponseCheck;
+
+/// The run time of a service's tasks, which do not end by themselves.
+const ENDLESS_MS: u64 = u64::MAX / 4;
+
+/// The value of `name=value` among the words.
+pub(super) fn named_argument<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
+    words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
+}
+
+pub(super) fn numeric_argument(words: &[&str], name: &str, default: f64) -> f64 {
+    named_argument(words, name)
+        .map_or(default, |text| text.parse().unwrap_or_else(|_| panic!("{name}={text}")))
+}
+
+/// A job that a scenario describes.
+pub(super) struct JobArguments {
+    pub(super) id: String,
+    /// As it is submitted.
+    pub(super) spec: Value,
+    /// What the response to the submission is held against.
+    pub(super) check: ResponseCheck,
+}
+
+/// The job's shape, as it is on the wire.
+fn shape(words: &[&str]) -> &'static str {
+    if words.contains(&"gang") {
+        "gang"
+    } else if words.contains(&"service") {
+        "daemon"
+    } else {
+        "array"
+    }
+}
+
+fn submission(id: &str, words: &[&str]) -> Value {
+    let text = |name, default| named_argument(words, name).unwrap_or(default);
+    let number = |name, default| numeric_argument(words, name, default);
+    let flag = |name| words.contains(&name);
+    json!({"uid": id, "jobclass": text("class", "work"), "owner": text("team", "core"), "shape": shape(words),
+        "urgency": text("urgency", "normal"), "pieces": number("tasks", 1.0) as u64,
+        "vcpus": number("cpus", 1.0), "accelerators": number("gpus", 0.0), "memory_gb": number("memory", 1.0),
+        "bundle": text("image", "img-1"), "size_gb": number("size", 0.1),
+        "boxkinds": named_argument(words, "kinds").map(|kinds| kinds.split(',').collect::<Vec<_>>()),
+        "hall": named_argument(words, "zone"), "together": flag("together"), "scatter": flag("scatter"),
+        "loaners": flag("spot"), "guess_s": number("guess", number("run", 5.0)),
+        "snapshot_s": number("checkpoint", 0.0), "flush_s": number("save", 1.0),
+        "due_s": named_argument(words, "due").map(|due| due.parse::<f64>().expect("due"))})
+}
+
+/// What the workers know of the job, and how its simulated tasks behave.
+fn job_description(words: &[&str]) -> JobDescription {
+    let number = |name, default| numeric_argument(words, name, default);
+    let shape = shape(words);
+    JobDescription {
+        cpus: number("cpus", 1.0),
+        gpus: number("gpus", 0.0),
+        memory_gb: number("memory", 1.0),
+        image: named_argument(words, "image").unwrap_or("img-1").into(),
+        image_gb: number("size", 0.1),
+        gang: shape == "gang",
+        tasks: number("tasks", 1.0) as u32,
+        can_checkpoint: number("checkpoint", 0.0) > 0.0,
+        checkpoint_save_ms: (number("save", 1.0) * 1000.0) as u64,
+        work: TaskWork::Simulated {
+            run_ms: if shape == "daemon" { ENDLESS_MS } else { (number("run", 5.0) * 1000.0) as u64 },
+            fails: words.contains(&"fails"),
+            list_len: named_argument(words, "gives").map(|len| len.parse().expect("gives")),
+        },
+        inputs: BTreeMap::new(),
+        map_source: None,
+    }
+}
+
+impl SimulatedCluster {
+    /// Reads a job. Unless its submission is expected to be refused, the workers and the rules know it from now on.
+    pub(super) fn describe_job(&mut self, words: &[&str]) -> JobArguments {
+        let id = format!("job-{:06}", words[0].parse::<u64>().expect("a job number"));
+        let spec = submission(&id, words);
+        let expected: Option<u16> =
+            named_argument(words, "expect").map(|code| code.parse().expect("a status"));
+        if expected.is_none_or(|status| status < 300) {
+            self.jobs.insert(id.clone(), job_description(words));
+            self.submissions.insert(id.clone(), spec.clone());
+        }
+        let check = expected.map_or(ResponseCheck::Rules, ResponseCheck::RulesAndStatus);
+        JobArguments { id, spec, check }
+    }
+}
--- a/tests/simulation/job_stream.rs
+++ b/tests/simulation/job_stream.rs
@@ -5,9 +5,9 @@
 
 use olivelatch::protocol::users::parse_submission;
 
-use super::SimulatedCluster;
 use super::actions::{ActionResult, parse_seconds, usage_error};
 use super::status_polls::done_attempts;
+use super::{JobArguments, ResponseCheck, SimulatedCluster};
 
 const POLL_INTERVAL_MS: u64 = 1_000;
 const CANCEL_AFTER_MS: u64 = 2_000;
@@ -62,9 +62,9 @@
             let words: Vec<&str> = std::iter::once(number.as_str())
                 .chain(stream.job_arguments.iter().map(String::as_str))
                 .collect();
-            let (id, spec, _) = self.describe_job(&words);
+            let JobArguments { id, spec, .. } = self.describe_job(&words);
             let request = parse_submission(spec.to_string().as_bytes()).expect("a submission");
-            self.send_user_request(request, &id, None, false);
+            self.send_user_request(request, &id, ResponseCheck::Rules);
             if stream.cancel_every > 0 && stream.next_job % stream.cancel_every == 0 {
                 self.pending_cancels.insert(id.clone(), now + CANCEL_AFTER_MS);
             }
--- /dev/null
+++ b/tests/simulation/requests.rs
@@ -0,0 +1,149 @@
+//! Requests to controllers that have no response yet, and what is checked when the response comes.
+
+use olivelatch::coordination::{Event, InboundId};
+use olivelatch::protocol::HttpResponse;
+use olivelatch::protocol::graphs::GraphRouteRequest;
+use serde_json::Value;
+
+use super::dag_runs::{GraphRequest, parse_route};
+use super::operator_queries::QuerySubject;
+use super::users::ResponseCheck;
+use super::{ControllerSlot, SimulatedCluster};
+
+/// Who waits for a response.
+pub(super) enum PendingRequest {
+    User {
+        id: String,
+        check: ResponseCheck,
+    },
+    Heartbeat {
+        worker: usize,
+        sent_at: u64,
+        epoch: u64,
+    },
+    Operator(QuerySubject),
+    Graph(GraphRequest),
+    /// A view of a run, by its path.
+    DagRunView(String),
+    /// A change of the configuration, by its name.
+    Config(String),
+}
+
+impl SimulatedCluster {
+    /// One of the controllers that meet a condition, in turn.
+    pub(super) fn pick_controller(
+        &self,
+        is_candidate: impl Fn(&SimulatedCluster, usize) -> bool,
+    ) -> Option<usize> {
+        let candidates: Vec<usize> =
+            (0..self.controllers.len()).filter(|index| is_candidate(self, *index)).collect();
+        candidates.get(self.next_request as usize % candidates.len().max(1)).copied()
+    }
+
+    /// A controller that is ready and reachable for users, as the load balancer would pick it.
+    pub(super) fn pick_ready_controller(&self) -> Option<usize> {
+        self.pick_controller(|cluster, index| {
+            !cluster.is_cut(index, "users") && cluster.controllers[index].is_ready()
+        })
+    }
+
+    /// A controller that runs, ready or not.
+    fn pick_running_controller(&self) -> Option<usize> {
+        self.pick_controller(|cluster, index| cluster.controllers[index].controller.is_some())
+    }
+
+    pub(super) fn track_request(&mut self, controller: usize, request: PendingRequest) -> InboundId {
+        self.next_request += 1;
+        self.requests_in_flight.insert((controller, self.next_request), request);
+        InboundId(self.next_request)
+    }
+
+    /// Operators query any controller that runs.
+    pub(super) fn send_operator_queries(&mut self) {
+        for (subject, request) in self.operator_queries.due_queries(self.now) {
+            let Some(controller) = self.pick_running_controller() else { return };
+            let inbound = self.track_request(controller, PendingRequest::Operator(subject));
+            self.known_at_request.insert((controller, inbound.0), self.final_states.clone());
+            self.send_event(controller, Event::Operator { inbound, request });
+        }
+    }
+
+    /// Clients of graphs: changes go to a ready controller, queries to any that runs.
+    pub(super) fn send_graph_requests(&mut self) {
+        for graph_request in self.dag_runs.due_requests(self.now) {
+            let route = parse_route("POST", &graph_request.path, &graph_request.body);
+            let GraphRouteRequest::Modify(request) = route else { continue };
+            match self.pick_ready_controller() {
+                Some(controller) => {
+                    let inbound = self.track_request(controller, PendingRequest::Graph(graph_request));
+                    self.send_event(controller, Event::Graph { inbound, request });
+                }
+                None => drop(self.dag_runs.handle_response(graph_request, None, self.now)),
+            }
+        }
+        for path in self.dag_runs.due_polls(self.now) {
+            let GraphRouteRequest::Query(request) = parse_route("GET", &path, &Value::Null) else { continue };
+            let Some(controller) = self.pick_running_controller() else { return };
+            let inbound = self.track_request(controller, PendingRequest::DagRunView(path));
+            self.send_event(controller, Event::Operator { inbound, request });
+        }
+    }
+
+    /// A controller has answered; a response to a request that was given up is ignored.
+    pub(super) fn handle_response(&mut self, from: usize, inbound: InboundId, response: &HttpResponse) {
+        let Some(request) = self.requests_in_flight.remove(&(from, inbound.0)) else { return };
+        match request {
+            PendingRequest::Heartbeat { worker, sent_at, epoch } => {
+                self.handle_heartbeat_response(worker, sent_at, epoch, response);
+            }
+            PendingRequest::Operator(subject) => {
+                let known = self.known_at_request.remove(&(from, inbound.0)).unwrap_or_default();
+                let contradiction = self.operator_queries.find_contradiction(&subject, response, &known);
+                let violation = contradiction
+                    .or(self.operator_queries.handle_response(&subject, response, self.now).err());
+                self.violations.extend(violation);
+            }
+            PendingRequest::Graph(graph_request) => {
+                let violation = self.dag_runs.handle_response(graph_request, Some(response), self.now).err();
+                self.violations.extend(violation);
+                self.accepted_jobs.extend(std::mem::take(&mut self.dag_runs.accepted));
+            }
+            PendingRequest::Config(name) => self.handle_config_response(&name, Some(response)),
+            PendingRequest::DagRunView(path) => {
+                let violation = self.dag_runs.handle_poll_response(&path, response).err();
+                self.violations.extend(violation);
+            }
+            PendingRequest::User { id, check } => self.handle_user_response(&id, check, response),
+        }
+    }
+
+    /// The controller has ended: nobody answers its requests any more.
+    pub(super) fn abandon_requests(&mut self, controller: usize) {
+        let open: Vec<(usize, u64)> =
+            self.requests_in_flight.keys().filter(|(to, _)| *to == controller).copied().collect();
+        for key in open {
+            match self.requests_in_flight.remove(&key) {
+                Some(PendingRequest::Heartbeat { worker, .. }) => {
+                    self.retarget_heartbeats(worker, controller);
+                }
+                // The client sends it to another controller.
+                Some(PendingRequest::Graph(graph_request)) => {
+                    drop(self.dag_runs.handle_response(graph_request, None, self.now));
+                }
+                Some(PendingRequest::Config(name)) => self.handle_config_response(&name, None),
+                Some(PendingRequest::User { id, check })
+                    if check.follows_rules() && self.is_unacknowledged(&id) =>
+                {
+                    self.resubmit_later(&id);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// The leader, by its position and incarnation.
+    pub(super) fn current_leader(&self) -> Option<(usize, u64)> {
+        let index = self.controllers.iter().position(ControllerSlot::is_leader)?;
+        Some((index, self.controllers[index].incarnation))
+    }
+}
--- a/tests/simulation/status_polls.rs
+++ b/tests/simulation/status_polls.rs
@@ -9,7 +9,7 @@
 use olivelatch_worker::{AttemptPhase, TaskAttempt, Worker};
 
 use super::actions::{ActionResult, usage_error};
-use super::{PendingRequest, SimulatedCluster};
+use super::{PendingRequest, ResponseCheck, SimulatedCluster};
 
 /// After what looked closely at: how much later each of the looks comes.
 const POLL_DELAYS_MS: [u64; 12] = [0, 20, 40, 60, 100, 160, 260, 400, 700, 1_100, 1_600, 2_400];
@@ -94,7 +94,8 @@
         if self.controllers[at].controller.is_none() || self.is_cut(at, "users") {
             return;
         }
-        let call = self.track_request(at, PendingRequest::User { id: id.into(), expect: None, raw: false });
+        let call =
+            self.track_request(at, PendingRequest::User { id: id.into(), check: ResponseCheck::Rules });
         self.send_event(at, Event::User { inbound: call, request });
     }
 }
