--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -57,12 +57,13 @@
     tasks.map(|task| task.path().join("bill")).filter(|bill| bill.exists()).collect()
 }
 
-/// Looks at what is published again and again: every bill whole, all five of them, and never another in their place.
-fn watch(published: PathBuf, stop: Arc<AtomicBool>) -> Result<usize, String> {
+/// Reads the published files again and again until it is stopped: every bill is whole, there are all five of them, and none
+/// is ever replaced. Returns how many outputs were checked.
+fn watch(published: &Path, stop: &AtomicBool) -> Result<usize, String> {
     let mut shown: BTreeMap<PathBuf, PathBuf> = BTreeMap::new();
-    let mut looks = 0;
+    let mut checked = 0;
     while !stop.load(Ordering::Relaxed) {
-        for run in fs::read_dir(&published).into_iter().flatten().flatten() {
+        for run in fs::read_dir(published).into_iter().flatten().flatten() {
             for node in ["bill", "office"] {
                 let name = run.path().join(node);
                 let Ok(target) = fs::read_link(&name) else { continue };
@@ -82,12 +83,12 @@
                         name.display()
                     ));
                 }
-                looks += 1;
+                checked += 1;
             }
         }
         thread::sleep(Duration::from_millis(10));
     }
-    Ok(looks)
+    Ok(checked)
 }
 
 fn run_detail(region: &TestCluster, run: &str) -> Value {
@@ -137,7 +138,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let watcher = thread::spawn({
         let (published, stop) = (region.folder.join("published"), stop.clone());
-        move || watch(published, stop)
+        move || watch(&published, &stop)
     });
     let clients: Vec<_> = (0..4)
         .map(|client| {
@@ -189,8 +190,8 @@
     );
 
     stop.store(true, Ordering::Relaxed);
-    let looks = watcher.join().expect("the watcher").expect("whole files");
-    assert!(looks > 20, "it looked {looks} times");
+    let checked = watcher.join().expect("the watcher").expect("whole files");
+    assert!(checked > 20, "only {checked} outputs were checked");
     for (run, _) in &submitted {
         check_order(&region, &run_detail(&region, run));
         let office = fs::read_to_string(region.folder.join("published").join(run).join("office/bill"));
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: shown, changed by what was seen, waited for, and laid down in files.
+//! Entries of the configuration: read, changed on condition of the version that was read, waited for, and kept in files.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,30 +10,55 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::client::{Client, ClientError};
+use crate::client::Client;
+use crate::exchange::ClientError;
 
-/// Between two questions whether a change is in force.
+/// Between two requests whether a change is in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
+/// What is wrong with a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
+    /// It cannot be read.
     #[error("{file}: {error}")]
-    Read { file: String, error: std::io::Error },
+    Read {
+        /// Its path.
+        file: String,
+        /// Why not.
+        error: std::io::Error,
+    },
+    /// It is not HCL, or has unknown names in it.
     #[error("{file}: {problem}")]
-    Hcl { file: String, problem: String },
+    Hcl {
+        /// Its path.
+        file: String,
+        /// With the line, where it is known.
+        problem: String,
+    },
+    /// A team has no values.
     #[error("{file}: team {team}: expected limit_cpus, guaranteed_cpus or both")]
-    Empty { file: String, team: String },
+    Empty {
+        /// Its path.
+        file: String,
+        /// The team.
+        team: String,
+    },
 }
 
-/// A file with entries: what it does not name is left as it is.
+/// A file with entries; entries that it does not name are left as they are.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigFile {
+    /// The values of teams, by name.
     #[serde(default)]
     pub team: BTreeMap<String, TeamQuota>,
 }
 
 impl ConfigFile {
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// It cannot be read, or is wrong.
     pub fn load(path: &Path) -> Result<ConfigFile, ConfigFileError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -41,6 +66,10 @@
         ConfigFile::parse(&file, &text)
     }
 
+    /// Reads the text of a file; `file` is its name in errors.
+    ///
+    /// # Errors
+    /// It is not HCL, or a team has no values.
     pub fn parse(file: &str, text: &str) -> Result<ConfigFile, ConfigFileError> {
         let entries: ConfigFile = hcl::from_str(text).map_err(|error| ConfigFileError::Hcl {
             file: file.into(),
@@ -52,16 +81,18 @@
         Ok(entries)
     }
 
-    /// What would change: the entry as it is, and the value that the file gives it.
+    /// The entries that the file would change, with their present and their new values.
     pub fn differences<'a>(&self, list: &'a ConfigEntryList) -> Vec<ConfigDifference<'a>> {
-        let known = |team: &str| list.entries.iter().find(|entry| entry.key == format!("team/{team}"));
-        let pairs = self.team.iter().map(|(team, value)| ConfigDifference {
+        let current = |team: &str| list.entries.iter().find(|entry| entry.key == format!("team/{team}"));
+        let entries = self.team.iter().map(|(team, value)| ConfigDifference {
             entry: format!("team/{team}"),
-            current: known(team),
+            current: current(team),
             wanted: *value,
         });
-        pairs
-            .filter(|difference| difference.current.is_none_or(|now| now.configured != difference.wanted))
+        entries
+            .filter(|difference| {
+                difference.current.is_none_or(|current| current.configured != difference.wanted)
+            })
             .collect()
     }
 }
@@ -69,30 +100,45 @@
 /// An entry that a file would change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigDifference<'a> {
+    /// The entry's key, like `team/NAME`.
     pub entry: String,
-    /// None: the region has no such team.
+    /// `None`: the region has no such team.
     pub current: Option<&'a ConfigEntryView>,
+    /// The value in the file.
     pub wanted: TeamQuota,
 }
 
-/// Who changes, and why.
+/// Who changes an entry, and why; both are kept with it.
 #[derive(Debug, Clone)]
 pub struct ChangeAuthor {
+    /// The operator's name.
     pub name: String,
+    /// May be empty.
     pub reason: String,
 }
 
 impl Client {
+    /// All entries.
+    ///
+    /// # Errors
+    /// The configuration is off, or no controller answers in time.
     pub fn config_list(&mut self) -> Result<ConfigEntryList, ClientError> {
         self.get("/v1/config")
     }
 
+    /// One entry by its key.
+    ///
+    /// # Errors
+    /// There is no such entry, or no controller answers in time.
     pub fn config_get(&mut self, entry: &str) -> Result<ConfigEntryView, ClientError> {
         self.get(&format!("/v1/config/{entry}"))
     }
 
-    /// Changes an entry whose version was seen; another version by now is a conflict (status 409). The request is
-    /// repeated until it is answered: it has a number of its own, so that it is carried out once.
+    /// Changes an entry if it still has the expected version. The request carries an id of its own, so that it is carried
+    /// out once however often it is repeated.
+    ///
+    /// # Errors
+    /// The entry has another version (status 409), the value is refused, or no controller answers in time.
     pub fn config_set(
         &mut self,
         entry: &str,
@@ -100,21 +146,24 @@
         expected: Option<u64>,
         author: &ChangeAuthor,
     ) -> Result<ConfigEntryView, ClientError> {
-        let change = format!("{:032x}", rand::rng().random::<u128>());
+        let change_id = format!("{:032x}", rand::rng().random::<u128>());
         let request = ConfigChangeRequest {
             quota: value,
             expected_version: expected,
             changed_by: author.name.clone(),
             reason: author.reason.clone(),
-            change_id: change,
+            change_id,
         };
         let body = serde_json::to_vec(&request)?;
-        // Changes are spread over the controllers: each has a part of what the state service takes.
+        // Changes are spread over the controllers, as each has a share of the kv store's rate limit.
         self.prefer_next_controller();
         Ok(serde_json::from_slice(&self.request("PUT", &format!("/v1/config/{entry}"), &body)?)?)
     }
 
-    /// Waits until a version is in force, for so long at most; the entry as it was last shown.
+    /// Polls an entry until a version is in force or `within` has passed, and returns it as it was last.
+    ///
+    /// # Errors
+    /// There is no such entry, or no controller answers in time.
     pub fn config_wait(
         &mut self,
         entry: &str,
--- a/crates/client/src/contexts.rs
+++ b/crates/client/src/contexts.rs
@@ -1,4 +1,4 @@
-//! Which controllers a client asks: an HCL file with named contexts.
+//! Contexts: named sets of controllers that a client may talk to, in an HCL file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,40 +8,73 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+/// What is wrong with a contexts file.
 #[derive(Debug, Error)]
 pub enum ContextsError {
+    /// It cannot be read.
     #[error("{file}: {error}")]
-    Read { file: String, error: std::io::Error },
+    Read {
+        /// Its path.
+        file: String,
+        /// Why not.
+        error: std::io::Error,
+    },
+    /// It is not HCL, or has unknown names in it.
     #[error("{file}: {problem}")]
-    Hcl { file: String, problem: String },
+    Hcl {
+        /// Its path.
+        file: String,
+        /// The parser's message.
+        problem: String,
+    },
+    /// It has no context of that name.
     #[error("{file}: there is no context {name:?}; it has {known}")]
-    Unknown { file: String, name: String, known: String },
+    Unknown {
+        /// Its path.
+        file: String,
+        /// The name that was asked for.
+        name: String,
+        /// The names that it has.
+        known: String,
+    },
+    /// The context has no controllers.
     #[error("{file}: context {name:?} names no controllers")]
-    Empty { file: String, name: String },
+    Empty {
+        /// Its path.
+        file: String,
+        /// The context.
+        name: String,
+    },
 }
 
+/// Where a client sends its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Context {
-    /// Where users' requests go; any of them serves.
+    /// The controllers; any of them serves any request.
     pub controllers: Vec<SocketAddr>,
-    /// Where descriptions are uploaded and logs are read.
-    #[serde(default)]
-    #[serde(rename = "desk")]
+    /// The service that keeps descriptions and logs.
+    #[serde(default, rename = "desk")]
     pub job_store: Option<SocketAddr>,
 }
 
+/// The contents of a contexts file.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contexts {
-    /// The one that counts if none is asked for.
+    /// The context that is used if none is named.
     #[serde(default)]
     pub current: Option<String>,
+    /// The contexts by name.
     #[serde(default)]
     pub context: BTreeMap<String, Context>,
 }
 
 impl Contexts {
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// It cannot be read, or is wrong.
     pub fn load(path: &Path) -> Result<Contexts, ContextsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -50,7 +83,10 @@
             .map_err(|error| ContextsError::Hcl { file, problem: collapse_whitespace(&error.to_string()) })
     }
 
-    /// One context, by name or the current one; the only one needs no name.
+    /// One context: the named one, else the current one, else the only one. `file` is the file's name in errors.
+    ///
+    /// # Errors
+    /// There is no such context, or it has no controllers.
     pub fn select(&self, file: &str, name: Option<&str>) -> Result<Context, ContextsError> {
         let only = if self.context.len() == 1 { self.context.keys().next().cloned() } else { None };
         let name = name.map(String::from).or(self.current.clone()).or(only).unwrap_or_default();
@@ -66,9 +102,10 @@
     /// The text of a file with one context.
     pub fn to_hcl(name: &str, context: &Context) -> String {
         let controllers: Vec<String> = context.controllers.iter().map(|addr| format!("\"{addr}\"")).collect();
-        let desk = context.job_store.map_or(String::new(), |desk| format!("  desk        = \"{desk}\"\n"));
+        let job_store =
+            context.job_store.map_or(String::new(), |addr| format!("  desk        = \"{addr}\"\n"));
         format!(
-            "current = \"{name}\"\n\ncontext \"{name}\" {{\n  controllers = [{}]\n{desk}}}\n",
+            "current = \"{name}\"\n\ncontext \"{name}\" {{\n  controllers = [{}]\n{job_store}}}\n",
             controllers.join(", ")
         )
     }
--- /dev/null
+++ b/crates/client/src/exchange.rs
@@ -0,0 +1,109 @@
+//! One HTTP request over a connection of its own, and the errors that requests end with.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+use olivelatch_net::http::{Parsed, Response, parse_response, write_request};
+use serde_json::Value;
+use thiserror::Error;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
+
+/// Why a request has no result.
+#[derive(Debug, Error)]
+pub enum ClientError {
+    /// No controller answered within the deadline; the request may have been carried out.
+    #[error("no answer within {seconds:.0} s from {tried}")]
+    NoResponse {
+        /// The deadline, in seconds.
+        seconds: f64,
+        /// The addresses that were tried.
+        tried: String,
+    },
+    /// A controller answered with an error.
+    #[error("{status}: {text}")]
+    Refused {
+        /// The HTTP status.
+        status: u16,
+        /// The `error` of the body, or else the whole body.
+        text: String,
+        /// The body as it came.
+        body: Vec<u8>,
+    },
+    /// The response is not what the protocol says.
+    #[error("an answer that is not as expected: {0}")]
+    InvalidResponse(#[from] serde_json::Error),
+    /// The context has no job store.
+    #[error("the context names no desk: descriptions and logs have no place to go")]
+    NoJobStore,
+}
+
+impl ClientError {
+    /// The HTTP status, if a controller refused the request.
+    pub fn status(&self) -> Option<u16> {
+        match self {
+            ClientError::Refused { status, .. } => Some(*status),
+            _ => None,
+        }
+    }
+
+    /// Whether the same request may succeed later: no controller answered, or the one that did cannot serve it now.
+    pub fn is_unavailable(&self) -> bool {
+        matches!(self, ClientError::NoResponse { .. } | ClientError::Refused { status: 503, .. })
+    }
+
+    pub(crate) fn refused(response: &Response) -> ClientError {
+        ClientError::Refused {
+            status: response.status,
+            text: error_text(&response.body),
+            body: response.body.clone(),
+        }
+    }
+}
+
+fn error_text(body: &[u8]) -> String {
+    let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+    value["error"].as_str().map_or_else(|| String::from_utf8_lossy(body).into_owned(), String::from)
+}
+
+/// A request that is sent again as it is to each controller that is tried.
+#[derive(Clone, Copy)]
+pub(crate) struct Request<'a> {
+    pub(crate) method: &'a str,
+    pub(crate) path: &'a str,
+    pub(crate) body: &'a [u8],
+}
+
+impl Request<'_> {
+    /// Sends the request and reads the response; `None` if the connection fails or the timeout passes first.
+    pub(crate) fn send(&self, addr: SocketAddr, timeout: Duration) -> Option<Response> {
+        let end = Instant::now() + timeout;
+        let mut stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT.min(timeout)).ok()?;
+        let mut bytes = Vec::new();
+        write_request(&mut bytes, self.method, self.path, &addr.to_string(), self.body);
+        stream.set_write_timeout(Some(timeout)).ok()?;
+        stream.write_all(&bytes).ok()?;
+        read_response(&mut stream, end)
+    }
+}
+
+fn read_response(stream: &mut TcpStream, end: Instant) -> Option<Response> {
+    let mut input = Vec::new();
+    let mut chunk = vec![0; CHUNK_BYTES];
+    loop {
+        let remaining =
+            end.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())?;
+        stream.set_read_timeout(Some(remaining)).ok()?;
+        let count = stream.read(&mut chunk).ok().filter(|count| *count > 0)?;
+        input.extend_from_slice(&chunk[..count]);
+        match parse_response(&input, MAX_RESPONSE_BYTES) {
+            Parsed::Complete(response, _) => return Some(response),
+            // Headers come on top of the body.
+            Parsed::Partial if input.len() <= MAX_RESPONSE_BYTES + CHUNK_BYTES => {}
+            _ => return None,
+        }
+    }
+}
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,18 +1,22 @@
-//! The client library: asks olivelatch's controllers, and says truly what came of it.
+//! The client library: sends requests to olivelatch's controllers, and reports truly what came of them.
 //!
-//! `Tries` decides which controller is asked next and when, within one deadline; it does no I/O and reads no clock. `Client`
-//! carries that out over plain connections and holds no session: every request can be asked again of any controller, and a
-//! repeated submission is the same submission. `JobFile` and `Contexts` read what people write. docs/client.md argues for it.
+//! `RetryState` decides which controller is tried next and when, within one deadline; it does no I/O and reads no clock.
+//! `Client` carries that out over plain connections and holds no session: every request can be sent again to any controller,
+//! and a repeated submission is the same submission. `JobFile`, `ConfigFile` and `Contexts` read what people write.
+//! docs/client.md gives the reasons.
 
 mod client;
 mod config;
 mod contexts;
+mod exchange;
 mod graphs;
+mod job_requests;
 mod jobs;
 mod retry;
 
-pub use client::{Client, ClientError, SubmissionStatus, TaskLogs};
+pub use client::Client;
 pub use config::{ChangeAuthor, ConfigDifference, ConfigFile, ConfigFileError};
 pub use contexts::{Context, Contexts, ContextsError};
-pub use jobs::{JobEntry, JobFile, JobFileError, PreparedJob, new_id};
-pub use retry::{AttemptOutcome, RetryDecision, RetryState};
+pub use exchange::ClientError;
+pub use job_requests::{AttemptLog, SubmissionStatus, TaskLogs};
+pub use jobs::{JobEntry, JobEntryError, JobFile, JobFileError, JobFileFormat, PreparedJob};
--- a/crates/client/src/tests/jobs.rs
+++ b/crates/client/src/tests/jobs.rs
@@ -6,9 +6,9 @@
 fn files_of_both_forms_say_the_same() {
     let hcl = "job \"a\" {\n  tasks = 3\n  command = [\"echo\", \"hi\"]\n  env = { X = \"1\" }\n}\n";
     let json = r#"{"job": {"a": {"tasks": 3, "command": ["echo", "hi"], "env": {"X": "1"}}}}"#;
-    let read = |text, json| JobFile::parse("f", text, json).expect("a file").jobs;
-    assert_eq!(read(hcl, false), read(json, true));
-    let prepared = JobFile::parse("f", hcl, false).expect("a file").prepare().expect("jobs");
+    let read = |text, format| JobFile::parse("f", text, format).expect("a file").jobs;
+    assert_eq!(read(hcl, JobFileFormat::Hcl), read(json, JobFileFormat::Json));
+    let prepared = JobFile::parse("f", hcl, JobFileFormat::Hcl).expect("a file").prepare().expect("jobs");
     assert_eq!(prepared[0].spec["pieces"], 3);
     assert_eq!(prepared[0].description.as_ref().map(|d| d["run"]["env"]["X"].clone()), Some(json!("1")));
 }
@@ -29,7 +29,7 @@
 #[test]
 fn mistakes_are_named() {
     let problem = |text: &str| {
-        let file = JobFile::parse("f.hcl", text, false);
+        let file = JobFile::parse("f.hcl", text, JobFileFormat::Hcl);
         file.and_then(|file| file.prepare().map(drop)).expect_err("a problem").to_string()
     };
     assert!(problem("job \"a\" {\n  task = 3\n}\n").contains("line 2"));
--- a/crates/client/tests/golden.rs
+++ b/crates/client/tests/golden.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use olivelatch_client::{Client, ClientError, ConfigFile, Context, JobFile, PreparedJob};
+use olivelatch_client::{Client, ClientError, ConfigFile, Context, JobFile, JobFileFormat, PreparedJob};
 use serde_json::{Value, json};
 use support::Golden;
 
@@ -77,9 +77,13 @@
     let mut golden = golden("jobs");
     let batch = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/batch.hcl");
     add(&mut golden, "batch", &JobFile::load(&batch).expect("the example"));
-    add(&mut golden, "everything", &JobFile::parse("jobs.hcl", EVERYTHING, false).expect("jobs"));
+    add(
+        &mut golden,
+        "everything",
+        &JobFile::parse("jobs.hcl", EVERYTHING, JobFileFormat::Hcl).expect("jobs"),
+    );
     let json = json!({"job": {"one": {"tasks": 2, "cpus": 0.25}}}).to_string();
-    add(&mut golden, "as JSON", &JobFile::parse("jobs.json", &json, true).expect("jobs"));
+    add(&mut golden, "as JSON", &JobFile::parse("jobs.json", &json, JobFileFormat::Json).expect("jobs"));
     let mistakes = [
         ("a word", "job \"a\" {\n  colour = 1\n}\n"),
         ("a shape", "job \"a\" {\n  shape = \"daemon\"\n}\n"),
@@ -89,7 +93,7 @@
         ("nothing", ""),
     ];
     for (name, text) in mistakes {
-        let wrong = JobFile::parse("jobs.hcl", text, false).and_then(|file| file.prepare());
+        let wrong = JobFile::parse("jobs.hcl", text, JobFileFormat::Hcl).and_then(|file| file.prepare());
         golden.case(&format!("wrong: {name}"), wrong.err().map(|error| error.to_string()));
     }
     golden.check();
--- a/crates/dag-files/src/lib.rs
+++ b/crates/dag-files/src/lib.rs
@@ -1,10 +1,16 @@
-//! What people write and look at: graph files (HCL, with variables and `minijinja` templates in their strings), refused with
-//! file and line before anything is sent, and pictures of runs as text, DOT and SVG. docs/flows.md has the format.
+//! Graph files and pictures of runs.
+//!
+//! `DagFile` reads a file (HCL, with variables and `minijinja` templates in its strings) and refuses what is wrong with file
+//! and line before anything is sent; `PreparedRun` and `Rerun` are what is sent; `RunView` draws a run as text, DOT or SVG.
+//! Nothing here talks to a controller. docs/flows.md has the format.
 
+mod builder;
 mod file;
 mod prepare;
 mod render;
+mod source;
+mod template;
 
-pub use file::{DagFile, DagFileError};
+pub use file::{DagFile, DagFileError, DagFileNode, NodeAttributes};
 pub use prepare::{PreparedRun, Rerun};
-pub use render::{RunView, critical_path};
+pub use render::{RenderError, RunView, critical_path};
--- a/crates/dag-files/src/render.rs
+++ b/crates/dag-files/src/render.rs
@@ -1,9 +1,10 @@
-//! A run as a picture: text for a terminal, DOT for other tools, SVG for a browser. The last two are templates.
+//! Pictures of a run: text for a terminal, DOT for other tools, SVG for a browser. The last two are templates.
 
 use minijinja::{Environment, context};
 use olivelatch::protocol::graphs::{DagNodeState, DagNodeView, DagRunDetail};
-use olivelatch_dag::{DagTopology, NodeIx};
+use olivelatch_dag::{DagTopology, NodeIx, TopologyError};
 use serde::Serialize;
+use thiserror::Error;
 
 use crate::prepare::graph_shape;
 
@@ -37,17 +38,27 @@
 </svg>
 "##;
 
+/// Lengths in the SVG picture, in its units.
 const BOX_WIDTH: usize = 150;
 const BOX_HEIGHT: usize = 38;
 const GAP_X: usize = 60;
 const GAP_Y: usize = 12;
+const MARGIN: usize = 10;
+/// Characters of a name that fit into a box.
+const MAX_NAME_CHARS: usize = 20;
 
-/// All nodes of a run as they were shown.
+/// A picture that cannot be drawn.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub struct RenderError(#[from] minijinja::Error);
+
+/// A run with all its nodes, laid out in layers.
 pub struct RunView<'a> {
     detail: &'a DagRunDetail,
-    shape: DagTopology,
+    topology: DagTopology,
     layers: Vec<u32>,
-    critical: Vec<u32>,
+    /// Positions of the nodes on the critical path.
+    critical_path: Vec<u32>,
 }
 
 #[derive(Serialize)]
@@ -92,82 +103,108 @@
     }
 }
 
-fn tasks(node: &DagNodeView) -> String {
+fn tasks_text(node: &DagNodeView) -> String {
     match node.tasks {
         Some(tasks) => format!("{} of {tasks} done", node.done),
         None => "as many as its list has".into(),
     }
 }
 
-/// The longest way through the graph by estimated run times: positions, first to last.
-pub fn critical_path(nodes: &[DagNodeView], shape: &DagTopology) -> Vec<u32> {
-    let total = |at: usize| nodes[at].estimated_run_s + nodes[at].downstream_path_s;
-    let longest = |of: &mut dyn Iterator<Item = usize>| of.max_by(|a, b| total(*a).total_cmp(&total(*b)));
-    let mut first = (0..nodes.len()).filter(|at| shape.in_degree(NodeIx(*at as u32)) == 0);
+/// The longest path through the graph by estimated run times: positions, first to last.
+pub fn critical_path(nodes: &[DagNodeView], topology: &DagTopology) -> Vec<u32> {
+    let path_s = |index: usize| nodes[index].estimated_run_s + nodes[index].downstream_path_s;
+    let longest =
+        |nodes: &mut dyn Iterator<Item = usize>| nodes.max_by(|a, b| path_s(*a).total_cmp(&path_s(*b)));
+    let mut roots = (0..nodes.len()).filter(|index| topology.in_degree(NodeIx(*index as u32)) == 0);
     let mut path = Vec::new();
-    let mut next = longest(&mut first);
-    while let Some(at) = next {
-        path.push(at as u32);
-        next = longest(&mut shape.downstream(NodeIx(at as u32)).map(NodeIx::index));
+    let mut next = longest(&mut roots);
+    while let Some(index) = next {
+        path.push(index as u32);
+        next = longest(&mut topology.downstream(NodeIx(index as u32)).map(NodeIx::index));
     }
     path
 }
 
+fn short_name(name: &str) -> String {
+    if name.chars().count() > MAX_NAME_CHARS {
+        name.chars().take(MAX_NAME_CHARS - 1).chain(['…']).collect()
+    } else {
+        name.into()
+    }
+}
+
 impl<'a> RunView<'a> {
-    /// `detail` holds every node of the run.
-    pub fn new(detail: &'a DagRunDetail) -> Result<RunView<'a>, String> {
-        let shape = graph_shape(&detail.nodes)?;
-        let layers = shape.layers();
-        let critical = critical_path(&detail.nodes, &shape);
-        Ok(RunView { detail, shape, layers, critical })
+    /// A view of a run; `detail` must hold every node of it.
+    ///
+    /// # Errors
+    /// The nodes are not those of a graph.
+    pub fn new(detail: &'a DagRunDetail) -> Result<RunView<'a>, TopologyError> {
+        let topology = graph_shape(&detail.nodes)?;
+        let layers = topology.layers();
+        let critical_path = critical_path(&detail.nodes, &topology);
+        Ok(RunView { detail, topology, layers, critical_path })
     }
 
-    /// Layer by layer, what did not go well first where there are many.
+    /// The run as text, layer by layer. Of many nodes those that need attention are listed.
     pub fn render_text(&self) -> String {
-        let row = &self.detail.summary;
-        let counts: Vec<String> =
-            row.node_states.iter().map(|(state, count)| format!("{count} {state}")).collect();
-        let mut text = format!(
-            "{}  of graph {}: {}  ({} nodes: {})\n",
-            row.run,
-            row.graph,
-            row.state.as_str(),
-            row.nodes,
-            counts.join(", ")
-        );
-        let mut order: Vec<usize> = (0..self.detail.nodes.len()).collect();
-        if order.len() > MAX_LISTED_NODES {
-            order.sort_by_key(|at| (self.is_unremarkable(*at), *at));
-            order.truncate(MAX_LISTED_NODES);
-        }
-        order.sort_by_key(|at| (self.layers[*at], *at));
-        let widest = order.iter().map(|at| self.detail.nodes[*at].name.len()).max().unwrap_or(0);
+        let mut text = self.summary_line();
+        let listed = self.listed_nodes();
+        let name_width = listed.iter().map(|index| self.detail.nodes[*index].name.len()).max().unwrap_or(0);
         let mut layer = None;
-        for at in order {
-            if layer != Some(self.layers[at]) {
-                layer = Some(self.layers[at]);
-                text.push_str(&format!("layer {}\n", self.layers[at]));
+        for index in listed {
+            if layer != Some(self.layers[index]) {
+                layer = Some(self.layers[index]);
+                text.push_str(&format!("layer {}\n", self.layers[index]));
             }
-            self.write_node_line(&mut text, at, widest);
+            self.write_node_line(&mut text, index, name_width);
         }
-        let left = self.detail.nodes.len().saturating_sub(MAX_LISTED_NODES);
-        if left > 0 {
-            text.push_str(&format!("and {left} more, all alike: --json lists them\n"));
+        let omitted = self.detail.nodes.len().saturating_sub(MAX_LISTED_NODES);
+        if omitted > 0 {
+            text.push_str(&format!("and {omitted} more, all alike: --json lists them\n"));
         }
         text.push_str(&self.critical_path_text());
         text
     }
 
+    fn summary_line(&self) -> String {
+        let summary = &self.detail.summary;
+        let counts: Vec<String> =
+            summary.node_states.iter().map(|(state, count)| format!("{count} {state}")).collect();
+        format!(
+            "{}  of graph {}: {}  ({} nodes: {})\n",
+            summary.run,
+            summary.graph,
+            summary.state.as_str(),
+            summary.nodes,
+            counts.join(", ")
+        )
+    }
+
+    /// The nodes that the text lists, by layers.
+    fn listed_nodes(&self) -> Vec<usize> {
+        let mut listed: Vec<usize> = (0..self.detail.nodes.len()).collect();
+        if listed.len() > MAX_LISTED_NODES {
+            listed.sort_by_key(|index| (self.is_unremarkable(*index), *index));
+            listed.truncate(MAX_LISTED_NODES);
+        }
+        listed.sort_by_key(|index| (self.layers[*index], *index));
+        listed
+    }
+
     /// Nodes that are listed last when there are too many.
-    fn is_unremarkable(&self, at: usize) -> bool {
+    fn is_unremarkable(&self, index: usize) -> bool {
         matches!(
-            self.detail.nodes[at].state,
+            self.detail.nodes[index].state,
             DagNodeState::Success | DagNodeState::Waiting | DagNodeState::Ready
-        ) && !self.critical.contains(&(at as u32))
+        ) && !self.is_critical(index)
+    }
+
+    fn is_critical(&self, index: usize) -> bool {
+        self.critical_path.contains(&(index as u32))
     }
 
-    fn write_node_line(&self, text: &mut String, at: usize, widest: usize) {
-        let node = &self.detail.nodes[at];
+    fn write_node_line(&self, text: &mut String, index: usize, name_width: usize) {
+        let node = &self.detail.nodes[index];
         let rule = if node.upstream.is_empty() {
             String::new()
         } else {
@@ -176,77 +213,78 @@
         let attempt =
             node.published_attempt.map_or(String::new(), |attempt| format!("  output of attempt {attempt}"));
         text.push_str(&format!(
-            "  {} {:widest$}  {:15}  {}  {}{rule}{attempt}\n",
+            "  {} {:name_width$}  {:15}  {}  {}{rule}{attempt}\n",
             state_symbol(node.state),
             node.name,
             node.state.as_str(),
             node.job,
-            tasks(node),
+            tasks_text(node),
         ));
-        for one in &node.failed_attempts {
-            let failure = &one.failure;
+        for attempt in &node.failed_attempts {
+            let failure = &attempt.failure;
             text.push_str(&format!(
                 "      task {} attempt {} on {}: {}\n",
-                one.task, failure.attempt, failure.machine, failure.cause
+                attempt.task, failure.attempt, failure.machine, failure.cause
             ));
         }
     }
 
     fn critical_path_text(&self) -> String {
-        let names: Vec<String> = self
-            .critical
-            .iter()
-            .map(|at| &self.detail.nodes[*at as usize])
-            .map(|node| format!("{} {} s", node.name, node.estimated_run_s))
-            .collect();
-        let all: f64 = self.critical.iter().map(|at| self.detail.nodes[*at as usize].estimated_run_s).sum();
-        if names.is_empty() {
-            String::new()
-        } else {
-            format!("critical path: {} ({all} s)\n", names.join(" -> "))
+        if self.critical_path.is_empty() {
+            return String::new();
         }
+        let nodes = self.critical_path.iter().map(|index| &self.detail.nodes[*index as usize]);
+        let total_s: f64 = nodes.clone().map(|node| node.estimated_run_s).sum();
+        let names: Vec<String> =
+            nodes.map(|node| format!("{} {} s", node.name, node.estimated_run_s)).collect();
+        format!("critical path: {} ({total_s} s)\n", names.join(" -> "))
     }
 
     fn layout_nodes(&self) -> Vec<DrawnNode<'a>> {
-        let mut rows = vec![0; self.layers.iter().max().map_or(0, |most| *most as usize + 1)];
-        let one = |(at, node): (usize, &'a DagNodeView)| {
-            let layer = self.layers[at] as usize;
-            let row: &mut usize = &mut rows[layer];
-            *row += 1;
+        let mut rows_of_layer = vec![0; self.layers.iter().max().map_or(0, |last| *last as usize + 1)];
+        let draw = |(index, node): (usize, &'a DagNodeView)| {
+            let layer = self.layers[index] as usize;
+            let row: usize = rows_of_layer[layer];
+            rows_of_layer[layer] += 1;
             DrawnNode {
-                index: at,
+                index,
                 name: &node.name,
-                short: if node.name.chars().count() > 20 {
-                    node.name.chars().take(19).chain(['…']).collect()
-                } else {
-                    node.name.clone()
-                },
+                short: short_name(&node.name),
                 state: node.state.as_str(),
-                tasks: tasks(node),
+                tasks: tasks_text(node),
                 colour: state_colour(node.state),
-                critical: self.critical.contains(&(at as u32)),
-                x: 10 + layer * (BOX_WIDTH + GAP_X),
-                y: 10 + (*row - 1) * (BOX_HEIGHT + GAP_Y),
+                critical: self.is_critical(index),
+                x: MARGIN + layer * (BOX_WIDTH + GAP_X),
+                y: MARGIN + row * (BOX_HEIGHT + GAP_Y),
             }
         };
-        self.detail.nodes.iter().take(MAX_DRAWN_NODES).enumerate().map(one).collect()
+        self.detail.nodes.iter().take(MAX_DRAWN_NODES).enumerate().map(draw).collect()
     }
 
+    /// The edges between the first `drawn` nodes.
     fn visible_edges(&self, drawn: usize) -> Vec<(usize, usize)> {
-        let all = (0..drawn)
-            .flat_map(|at| self.shape.downstream(NodeIx(at as u32)).map(move |next| (at, next.index())));
-        all.filter(|(_, next)| *next < drawn).collect()
+        let edges = (0..drawn)
+            .flat_map(|from| self.topology.downstream(NodeIx(from as u32)).map(move |to| (from, to.index())));
+        edges.filter(|(_, to)| *to < drawn).collect()
     }
 
-    pub fn render_dot(&self) -> Result<String, String> {
+    /// The run in the language of graphviz.
+    ///
+    /// # Errors
+    /// The template fails, which is a fault of this crate.
+    pub fn render_dot(&self) -> Result<String, RenderError> {
         let nodes = self.layout_nodes();
         let edges = self.visible_edges(nodes.len());
         let run = &self.detail.summary.run;
         let environment = Environment::new();
-        environment.render_str(DOT, context! { run, nodes, edges }).map_err(|error| error.to_string())
+        Ok(environment.render_str(DOT, context! { run, nodes, edges })?)
     }
 
-    pub fn render_svg(&self) -> Result<String, String> {
+    /// The run as an SVG picture.
+    ///
+    /// # Errors
+    /// The template fails, which is a fault of this crate.
+    pub fn render_svg(&self) -> Result<String, RenderError> {
         let nodes = self.layout_nodes();
         let line = |(from, to): (usize, usize)| {
             let (from, to) = (&nodes[from], &nodes[to]);
@@ -254,13 +292,13 @@
             [from.x + BOX_WIDTH, from.y + half, to.x, to.y + half]
         };
         let lines: Vec<[usize; 4]> = self.visible_edges(nodes.len()).into_iter().map(line).collect();
-        let width = nodes.iter().map(|node| node.x).max().unwrap_or(0) + BOX_WIDTH + 10;
-        let height = nodes.iter().map(|node| node.y).max().unwrap_or(0) + BOX_HEIGHT + 10;
+        let width = nodes.iter().map(|node| node.x).max().unwrap_or(0) + BOX_WIDTH + MARGIN;
+        let height = nodes.iter().map(|node| node.y).max().unwrap_or(0) + BOX_HEIGHT + MARGIN;
         let (run, state) = (&self.detail.summary.run, self.detail.summary.state.as_str());
         let environment = Environment::new();
         let (box_width, box_height) = (BOX_WIDTH, BOX_HEIGHT);
-        let all = context! { run, state, nodes, lines, width, height, box_width, box_height };
-        environment.render_str(SVG, all).map_err(|error| error.to_string())
+        let context = context! { run, state, nodes, lines, width, height, box_width, box_height };
+        Ok(environment.render_str(SVG, context)?)
     }
 }
 
--- a/crates/dag-files/src/tests/render.rs
+++ b/crates/dag-files/src/tests/render.rs
@@ -1,4 +1,4 @@
-//! Tests of `picture`.
+//! Tests of `render`.
 
 use super::*;
 use serde_json::json;
