--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,7 +1,7 @@
 //! The leader: everything that only one controller at a time knows and does. It places tasks, scales the cluster out and
 //! in, and keeps the records that let the next leader take over.
 //!
-//! [`Leader`] owns its state in parts: the leadership [term](term), the [machines](cluster), the [jobs](workload), the
+//! [`Leader`] owns its state in parts: the leadership [term], the [machines](cluster), the [jobs](workload), the
 //! [team quotas](quotas), [placement](placement::state), the [provisioner](machines::provisioner), the
 //! [assignment log](records::assignment_log) and the [write pipeline](records::store_writer). It does no I/O and reads no
 //! clock: events and the time come in, actions go out. All of it is rebuilt from the records at failover, except what is
--- a/tests/watermarks.rs
+++ b/tests/watermarks.rs
@@ -1,4 +1,4 @@
-//! When an end may be told: the watermarks of docs/design.md, "Terminal states are told".
+//! When an end may be told: the watermarks of docs/design.md, "Terminal states are reported".
 
 use olivelatch::bookkeeping::store_cache::{NewTerminal, ObservedLeader};
 use olivelatch::coordination::read_watermarks::ReadWatermarks;
