--- a/deploy/graphs.hcl
+++ b/deploy/graphs.hcl
@@ -1,4 +1,4 @@
-# Graphs, with the operators' interface that they are asked about over (docs/flows.md). To be turned on at all
+# Graphs, with the operators' interface through which they are queried (docs/flows.md). To be turned on at all
 # controllers, and only when all of them have a version that knows graphs.
 
 operators {
@@ -7,9 +7,9 @@
 
 graphs {
   enabled   = true
-  kept_runs = 50 # ended runs that can be looked at and done over
+  kept_runs = 50 # ended runs that can be shown and rerun
 
-  # Tasks at a time of nodes that name the pool.
+  # Slots: tasks at a time of nodes that name the pool.
   pools = {
     billing = 8
   }
--- a/deploy/operators.hcl
+++ b/deploy/operators.hcl
@@ -3,8 +3,8 @@
 
 operators {
   enabled        = true
-  events_per_job = 32 # decisions remembered of each job, in the leader's memory
-  explains_per_s = 20 # lists, inspections and explanations worked out a second
+  events_per_job = 32 # events kept for each job, in the leader's memory
+  explains_per_s = 20 # lists, inspections and explanations computed a second
 }
 
 log {
--- a/deploy/overload.hcl
+++ b/deploy/overload.hcl
@@ -3,9 +3,9 @@
 #     target/release/olivelatch serve --tunables deploy/overload.hcl --config settings.json
 
 overload {
-  order    = true # late jobs put off, floors, small gangs first, machines of scarce types kept for gangs
-  pressure = true # a controller behind its events leaves planning and direct starts
-  headroom = true # work that nobody waits for leaves room for what others asked for lately
-  claims   = true # arrays stop long tasks that are less urgent, or what others have borrowed
-  trials   = true # jobs that fail wherever they are tried go on one task at a time
+  order    = true # past-SLO jobs put off, minimum shares, small gangs first, machines of scarce types reserved for gangs
+  pressure = true # load shedding: a controller behind its events plans less often and sends no direct starts
+  headroom = true # best-effort work leaves capacity for what others asked for lately
+  claims   = true # arrays preempt long tasks of lower priority, or what others have borrowed
+  trials   = true # probation: jobs that fail wherever they are tried run one task at a time
 }
