--- a/src/coordination/controller/job_counters.rs
+++ b/src/coordination/controller/job_counters.rs
@@ -33,8 +33,8 @@
         for (index, view) in job_counter_views(cache).iter().enumerate() {
             if self.logged.get(index) != counters.get(index) {
                 log::info!(
-                    event = "account", team = view.team.as_str(), class = view.class.as_str();
-                    "account {}/{}: accepted {}, started {}, done {}, withdrawn {}, told here {}",
+                    event = "job_counters", team = view.team.as_str(), class = view.class.as_str();
+                    "job counters {}/{}: accepted {}, started {}, done {}, cancelled {}, completions reported here {}",
                     view.team, view.class, view.accepted, view.started, view.done, view.cancelled, view.completions_reported
                 );
             }
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -78,8 +78,8 @@
             Clock { now: at.max(clock.now), ..clock },
         );
         log::info!(
-            event = "leads", token = token.0;
-            "leads with token {}: {} jobs, {} machines on record",
+            event = "became_leader", token = token.0;
+            "leader with fencing token {}: {} jobs, {} machines on record",
             token.0,
             leader.workload.jobs.len(),
             leader.cluster.machines.len()
@@ -123,7 +123,9 @@
         if !is_cut_off(all, silent, misdirected) {
             return;
         }
-        log::info!("resigns: {silent} of {all} workers are silent, {misdirected} of them seen elsewhere");
+        log::info!(
+            "stepping down: {silent} of {all} workers are silent, {misdirected} of them report to other controllers"
+        );
         if let Some((controller, _)) = candidate {
             out.push(Action::SendPeerMessage { controller, message: PeerMessage::TransferLeadership });
         }
--- a/src/coordination/controller/peer_messages.rs
+++ b/src/coordination/controller/peer_messages.rs
@@ -28,7 +28,7 @@
                 );
             }
             PeerMessage::TransferLeadership => {
-                log::info!("{controller} would like this node to lead");
+                log::info!("{controller} proposes that this controller takes over as leader");
                 self.peers.preferred_until = clock.now.saturating_add(PREFERRED_LEADER_MS);
                 self.kv_client.poll_now();
             }
--- a/src/coordination/controller/workers.rs
+++ b/src/coordination/controller/workers.rs
@@ -57,7 +57,7 @@
         let is_outdated =
             self.state.leader.as_ref().is_some_and(|leader| heartbeat.token > leader.term.token());
         if is_outdated {
-            log::info!("{} has heard of a later leader", heartbeat.machine);
+            log::info!("worker {} has acknowledged a later leader", heartbeat.machine);
             self.step_down();
         }
         is_outdated
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -261,7 +261,7 @@
         out: &mut Vec<Action>,
     ) {
         if self.may_request(clock.now, kv) {
-            log::info!("ends the lead of a former process of this name");
+            log::info!("revoking the leader lease of a former process of this controller");
             self.former_lease_revoked_at = Some(clock.now);
             self.send_request(clock, KvRequest::RevokeLease { lease }, kv, out);
         }
--- a/src/coordination/user_requests/writes.rs
+++ b/src/coordination/user_requests/writes.rs
@@ -232,7 +232,7 @@
                 out.push(Action::respond(inbound, status_response(201, id, JobStatus::Pending, None)));
             }
             JobWrite::Cancel { .. } => {
-                log::info!(event = "withdrawn", job:% = id; "withdrawn {id}");
+                log::info!(event = "cancellation_accepted", job:% = id; "cancellation of {id} accepted");
                 self.awaiting_stability.push(write.into_request(clock.now));
             }
         }
