--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Worker`] decides what a heartbeat, its response and a direct command do to the tasks of its machine, by the rules
 //! of epochs, fencing tokens and leases. It does no I/O and reads no clock, and so serves virtual time as well as real
 //! machines. [`processes`] runs the commands that a `Worker` asks for. CPU and memory are accounted, not enforced.
-//! docs/region.md argues for both.
+//! docs/local-cluster.md argues for both.
 
 mod attempt;
 mod commands;
--- a/src/bookkeeping/job_counters.rs
+++ b/src/bookkeeping/job_counters.rs
@@ -2,7 +2,7 @@
 //!
 //! Every controller counts the same from the records; only `notified` is its own. A process that starts counts the jobs
 //! that still have a record, and what ends from then on: earlier jobs are unknown to it, as a terminal record need not
-//! name the team. Memory is bounded by [`MAX_TEAM_CLASSES`] entries.
+//! name the team. Memory is bounded by `MAX_TEAM_CLASSES` entries.
 
 use std::collections::BTreeMap;
 
