--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -33,6 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamState {
     Open,
+    /// By the peer or by an error: the connection is to be dropped.
     Closed,
 }
 
--- a/src/ids/resources.rs
+++ b/src/ids/resources.rs
@@ -4,8 +4,11 @@
 /// exact.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Resources {
+    /// Thousandths of a CPU.
     pub cpu: u64,
+    /// Thousandths of an accelerator.
     pub gpu: u64,
+    /// Thousandths of a GB.
     pub mem: u64,
 }
 
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -36,30 +36,17 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
     /// Keys with a prefix, in their order, those behind `after`.
-    ListPage {
-        prefix: String,
-        after: Option<String>,
-        limit: u32,
-    },
+    ListPage { prefix: String, after: Option<String>, limit: u32 },
     /// Changes of keys with a prefix after a revision; the reply does not wait for any.
-    PollChanges {
-        prefix: String,
-        after: Revision,
-    },
+    PollChanges { prefix: String, after: Revision },
     /// Compare-and-swap: all mutations if all preconditions hold, else none.
-    Transaction {
-        preconditions: Vec<Precondition>,
-        mutations: Vec<KvMutation>,
-    },
-    GrantLease {
-        ttl_ms: u64,
-    },
-    RenewLease {
-        lease: LeaseId,
-    },
-    RevokeLease {
-        lease: LeaseId,
-    },
+    Transaction { preconditions: Vec<Precondition>, mutations: Vec<KvMutation> },
+    /// Create a lease that expires unless it is renewed within its time to live.
+    GrantLease { ttl_ms: u64 },
+    /// Start the lease's time to live anew.
+    RenewLease { lease: LeaseId },
+    /// End a lease, which deletes its keys.
+    RevokeLease { lease: LeaseId },
 }
 
 /// A key and its value at a revision.
@@ -79,13 +66,16 @@
         has_more: bool,
         revision: Revision,
     },
+    /// The changes up to a revision.
     ChangedEntries {
         entries: Vec<KvEntry>,
         revision: Revision,
     },
+    /// The transaction was carried out at this revision.
     Committed {
         revision: Revision,
     },
+    /// The transaction was not carried out: the conditions on these keys do not hold.
     PreconditionFailed {
         failed_keys: Vec<String>,
     },
@@ -94,6 +84,7 @@
     },
     /// The lease was renewed or revoked.
     LeaseUpdated,
+    /// The lease has expired or was revoked.
     LeaseNotFound,
     /// Changes since the requested revision are no longer available: the keys have to be listed again.
     Compacted,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -38,6 +38,7 @@
 /// An objective for the jobs of a class, or of all classes.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceLevelObjective {
+    /// What has to happen within the target; only `finished` is acted on.
     pub kind: String,
     #[serde(default, rename = "class")]
     pub job_class: Option<String>,
@@ -94,6 +95,7 @@
 /// A team's quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamSettings {
+    /// The team's name, as in jobs' manifests.
     pub name: String,
     pub guaranteed: Resources,
     /// The limit by the settings; 0 of a resource is no limit.
@@ -137,11 +139,15 @@
     pub http_addr: SocketAddr,
     /// Where other controllers connect.
     pub peer_addr: SocketAddr,
+    /// The other controllers of the cluster.
     pub peers: Vec<PeerController>,
+    /// Address of the cloud.
     pub cloud_addr: SocketAddr,
+    /// Address of the key-value store.
     pub kv_addr: SocketAddr,
     /// Number of controllers in the cluster, this one included.
     pub controller_count: usize,
+    /// All zones of the cluster.
     pub zones: Vec<String>,
     pub teams: Vec<TeamSettings>,
     pub objectives: Vec<ServiceLevelObjective>,
