--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: operators that set, repeat and watch them, and the limit that must hold at every moment.
+//! Changes of the configuration: operators that send, repeat and watch them, and the limits that must hold at every moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,19 +14,19 @@
 
 const RETRY_MS: u64 = 300;
 
-/// A change that an operator has asked for.
+/// A change that an operator wants.
 struct ConfigChange {
     entry: ConfigKey,
     change: ConfigChangeRequest,
-    /// Asked of this controller only.
+    /// Sent to this controller only.
     only_controller: Option<String>,
     requested_at: u64,
     next_attempt: Option<u64>,
-    /// The final answer's status.
+    /// The status of the final response to the change.
     status: Option<u16>,
     version: Option<u64>,
     in_force_at: Option<u64>,
-    /// As it was last shown.
+    /// The entry as it was last shown.
     view: Option<ConfigEntryView>,
 }
 
@@ -44,33 +44,34 @@
     pub disabled_controllers: BTreeSet<String>,
     changes: BTreeMap<String, ConfigChange>,
     active_limits: BTreeMap<String, ActiveLimit>,
-    /// CPUs of each team at each leading node when that was last looked at, with its process's number.
+    /// CPUs of each team at each leader at the last check, by the leader's position and incarnation.
     last_usage: BTreeMap<(usize, u32, String), f64>,
 }
 
 impl ConfigChanges {
-    /// The most that a team may start up to: by what is in force, or by a later change that may be acted by already.
+    /// The highest limit that a team may start tasks under: the one in force, or that of a later change which a leader may
+    /// already follow.
     fn highest_allowed(&self, team: &str) -> Option<f64> {
-        let holds = self.active_limits.get(team)?;
-        let later = self.changes.values().filter(|sent| {
-            let may_hold = sent.status.is_none_or(|status| status == 200);
-            let newer = sent.version.is_none_or(|version| version > holds.version);
-            sent.entry.team() == team && may_hold && newer
+        let active = self.active_limits.get(team)?;
+        let later = self.changes.values().filter(|change| {
+            let may_be_stored = change.status.is_none_or(|status| status == 200);
+            let newer = change.version.is_none_or(|version| version > active.version);
+            change.entry.team() == team && may_be_stored && newer
         });
-        let later = later.map(|sent| sent.change.quota.limit_cpus.unwrap_or(f64::INFINITY));
-        Some(later.fold(holds.limit_cpus, f64::max))
+        let later = later.map(|change| change.change.quota.limit_cpus.unwrap_or(f64::INFINITY));
+        Some(later.fold(active.limit_cpus, f64::max))
     }
 }
 
 impl SimulatedCluster {
-    /// Turns the configuration on, but not at the controllers named.
+    /// Enables the configuration, but not at the named controllers.
     pub fn enable_config(&mut self, words: &[&str]) -> ActionResult {
         self.config_changes.enabled = true;
         self.config_changes.disabled_controllers = words.iter().map(|word| (*word).to_string()).collect();
         Ok(())
     }
 
-    /// NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]: without values, what was set is taken back.
+    /// NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]: without values the entry is unset.
     pub fn set_config(&mut self, words: &[&str]) -> ActionResult {
         let [name, team, rest @ ..] = words else {
             return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=]");
@@ -84,7 +85,7 @@
             reason: String::new(),
             change_id: (*name).into(),
         };
-        let sent = ConfigChange {
+        let wanted = ConfigChange {
             entry,
             change,
             only_controller: named_argument(rest, "via").map(String::from),
@@ -95,7 +96,7 @@
             in_force_at: None,
             view: None,
         };
-        self.config_changes.changes.insert((*name).into(), sent);
+        self.config_changes.changes.insert((*name).into(), wanted);
         Ok(())
     }
 
@@ -103,12 +104,12 @@
         if !self.config_changes.enabled {
             return;
         }
-        let due = |sent: &ConfigChange| sent.next_attempt.is_some_and(|next| next <= self.now);
+        let is_due = |change: &ConfigChange| change.next_attempt.is_some_and(|next| next <= self.now);
         let due: Vec<String> = self
             .config_changes
             .changes
             .iter()
-            .filter(|(_, s)| due(s))
+            .filter(|(_, change)| is_due(change))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
@@ -118,119 +119,124 @@
     }
 
     fn send_config_request(&mut self, name: &str) {
-        let Some(sent) = self.config_changes.changes.get(name) else { return };
-        let via = sent.only_controller.clone();
-        let request = match sent.version {
-            Some(version) => ConfigRequest::Get { key: sent.entry.clone(), min_version: Some(version) },
-            None => ConfigRequest::Set { key: sent.entry.clone(), change: sent.change.clone() },
+        let Some(change) = self.config_changes.changes.get(name) else { return };
+        let only_controller = change.only_controller.clone();
+        let request = match change.version {
+            Some(version) => ConfigRequest::Get { key: change.entry.clone(), min_version: Some(version) },
+            None => ConfigRequest::Set { key: change.entry.clone(), change: change.change.clone() },
         };
-        let serves = |world: &SimulatedCluster, at: usize| {
-            let slot = &world.controllers[at];
-            let asked = via.as_ref().is_none_or(|via| *via == slot.name);
+        let controller = self.pick_controller(|cluster, index| {
+            let slot = &cluster.controllers[index];
+            let wanted = only_controller.as_ref().is_none_or(|name| *name == slot.name);
             let serves = slot.controller.as_ref().is_some_and(Controller::serves_config);
-            asked && serves && !world.is_cut(at, "users") && !slot.clock_fault.frozen
-        };
-        let at = self.pick_controller(serves);
+            wanted && serves && !cluster.is_cut(index, "users") && !slot.clock_fault.frozen
+        });
         let now = self.now;
-        if let Some(sent) = self.config_changes.changes.get_mut(name) {
-            sent.next_attempt = at.is_none().then_some(now + RETRY_MS);
+        if let Some(change) = self.config_changes.changes.get_mut(name) {
+            change.next_attempt = controller.is_none().then_some(now + RETRY_MS);
         }
-        if let Some(at) = at {
-            let call = self.track_request(at, PendingRequest::Config(name.into()));
-            self.send_event(at, Event::Config { inbound: call, request });
+        if let Some(controller) = controller {
+            let inbound = self.track_request(controller, PendingRequest::Config(name.into()));
+            self.send_event(controller, Event::Config { inbound, request });
         }
     }
 
-    /// An answer, or none.
-    pub fn handle_config_response(&mut self, name: &str, answer: Option<&HttpResponse>) {
+    /// A response, or none as the controller has ended.
+    pub fn handle_config_response(&mut self, name: &str, response: Option<&HttpResponse>) {
         let now = self.now;
-        let Some(sent) = self.config_changes.changes.get_mut(name) else { return };
-        sent.next_attempt = Some(now + RETRY_MS);
-        let Some(answer) = answer.filter(|answer| answer.status != 503) else { return };
-        let view: Option<ConfigEntryView> = serde_json::from_slice(&answer.body).ok();
-        if sent.version.is_none() {
-            sent.status = Some(answer.status);
+        let Some(change) = self.config_changes.changes.get_mut(name) else { return };
+        change.next_attempt = Some(now + RETRY_MS);
+        let Some(response) = response.filter(|response| response.status != 503) else { return };
+        let view: Option<ConfigEntryView> = serde_json::from_slice(&response.body).ok();
+        if change.version.is_none() {
+            change.status = Some(response.status);
         }
-        sent.view.clone_from(&view);
-        let Some(view) = view.filter(|_| answer.status == 200) else {
-            sent.next_attempt = None;
+        change.view.clone_from(&view);
+        let Some(view) = view.filter(|_| response.status == 200) else {
+            change.next_attempt = None;
             return;
         };
-        let version = *sent.version.get_or_insert(view.version);
-        // A later change may be shown by now: it is in force only if this one is.
-        if view.is_effective && sent.in_force_at.is_none() {
-            sent.in_force_at = Some(now);
-            sent.next_attempt = None;
-            let holds =
-                ActiveLimit { version, limit_cpus: sent.change.quota.limit_cpus.unwrap_or(f64::INFINITY) };
-            let team = sent.entry.team().to_string();
-            let known = self.config_changes.active_limits.entry(team).or_insert(holds);
+        let version = *change.version.get_or_insert(view.version);
+        // The view may be of a later change, which is in force only if this one is.
+        if view.is_effective && change.in_force_at.is_none() {
+            change.in_force_at = Some(now);
+            change.next_attempt = None;
+            let active =
+                ActiveLimit { version, limit_cpus: change.change.quota.limit_cpus.unwrap_or(f64::INFINITY) };
+            let team = change.entry.team().to_string();
+            let known = self.config_changes.active_limits.entry(team).or_insert(active);
             if known.version < version {
-                *known = holds;
+                *known = active;
             }
         }
     }
 
-    /// Where the configuration is on, nothing starts above a limit that is in force. What runs above it may stay.
+    /// Where the configuration is enabled, no task starts above a limit in force. Tasks that run above it may stay.
     fn check_limits(&mut self) {
-        let mut seen = BTreeMap::new();
-        for at in 0..self.controllers.len() {
-            let (clock, slot) = (self.controller_clock(at), &self.controllers[at]);
+        let mut usage = BTreeMap::new();
+        for index in 0..self.controllers.len() {
+            let (clock, slot) = (self.controller_clock(index), &self.controllers[index]);
             if self.config_changes.disabled_controllers.contains(&slot.name) || !slot.is_leader() {
                 continue;
             }
-            let Some(work) = slot.controller.as_ref().and_then(|node| node.status(clock).leader_status)
+            let Some(status) =
+                slot.controller.as_ref().and_then(|controller| controller.status(clock).leader_status)
             else {
                 continue;
             };
-            for team in work.teams {
-                let key = (at, slot.incarnation as u32, team.team.clone());
+            for team in status.teams {
+                let key = (index, slot.incarnation as u32, team.team.clone());
                 let before = self.config_changes.last_usage.get(&key).copied();
                 let allowed = self.config_changes.highest_allowed(&team.team);
-                let grown = before.is_some_and(|before| team.used_cpus > before + 1e-6);
-                if grown && allowed.is_some_and(|allowed| team.used_cpus > allowed + 1e-6) {
+                let has_grown = before.is_some_and(|before| team.used_cpus > before + 1e-6);
+                if has_grown && allowed.is_some_and(|allowed| team.used_cpus > allowed + 1e-6) {
                     let problem = format!(
                         "limit: {} starts up to {} CPUs at {}, {:?} in force",
                         team.team, team.used_cpus, slot.name, allowed
                     );
                     self.violations.push(problem);
                 }
-                seen.insert(key, team.used_cpus);
+                usage.insert(key, team.used_cpus);
             }
         }
-        self.config_changes.last_usage = seen;
+        self.config_changes.last_usage = usage;
     }
 
     pub fn config_condition_holds(&self, words: &[&str]) -> bool {
-        let sent = |name: &str| self.config_changes.changes.get(name).expect("a change");
+        let change = |name: &str| self.config_changes.changes.get(name).expect("a change");
         match words {
-            ["stored", name] => sent(name).version.is_some(),
-            ["answered", name, status] => sent(name).status.is_some_and(|found| found.to_string() == *status),
-            ["pending", name] => sent(name).in_force_at.is_none(),
-            // Changes that were answered so.
+            ["stored", name] => change(name).version.is_some(),
+            ["answered", name, status] => {
+                change(name).status.is_some_and(|found| found.to_string() == *status)
+            }
+            ["pending", name] => change(name).in_force_at.is_none(),
+            // How many changes have a final response of this status.
             ["count", status, "=", count] => {
-                let so = |sent: &&ConfigChange| sent.status.is_some_and(|found| found.to_string() == *status);
-                self.config_changes.changes.values().filter(so).count().to_string() == *count
+                let has_status =
+                    |change: &&ConfigChange| change.status.is_some_and(|found| found.to_string() == *status);
+                self.config_changes.changes.values().filter(has_status).count().to_string() == *count
             }
-            // In force, or refused for good.
+            // In force, or refused.
             ["over", name] => {
-                let sent = sent(name);
-                sent.in_force_at.is_some() || sent.status.is_some_and(|status| status != 200)
+                let change = change(name);
+                change.in_force_at.is_some() || change.status.is_some_and(|status| status != 200)
             }
-            ["in-force", name] => sent(name).in_force_at.is_some(),
-            // Milliseconds from the wish to the answer that it is in force.
+            ["in-force", name] => change(name).in_force_at.is_some(),
+            // Milliseconds from the request until the operator knew that it is in force.
             ["took", name, "<=", most] => {
-                let sent = sent(name);
+                let change = change(name);
                 let most: u64 = most.parse().expect("milliseconds");
-                sent.in_force_at.is_some_and(|at| at - sent.requested_at <= most)
+                change.in_force_at.is_some_and(|in_force_at| in_force_at - change.requested_at <= most)
             }
             ["waits", name, reason] => {
-                let waits = sent(name).view.as_ref().and_then(|view| view.pending_on.as_ref());
-                waits.is_some_and(|waits| serde_json::to_value(waits.cause).is_ok_and(|word| word == *reason))
+                let pending = change(name).view.as_ref().and_then(|view| view.pending_on.as_ref());
+                pending.is_some_and(|pending| {
+                    serde_json::to_value(pending.cause).is_ok_and(|word| word == *reason)
+                })
             }
             ["above", name, "=", cpus] => {
                 let cpus: f64 = cpus.parse().expect("CPUs");
-                sent(name).view.as_ref().is_some_and(|view| (view.cpus_over_limit - cpus).abs() < 1e-6)
+                change(name).view.as_ref().is_some_and(|view| (view.cpus_over_limit - cpus).abs() < 1e-6)
             }
             _ => panic!("unknown condition config {words:?}"),
         }
--- a/tests/simulation/dag_runs.rs
+++ b/tests/simulation/dag_runs.rs
@@ -1,4 +1,5 @@
-//! Graphs in scenarios: drafts that are uploaded in parts, runs that are watched, and what must hold of every start.
+//! Clients of graphs: drafts that are uploaded in parts, runs that are polled, and the rule that a node starts only after
+//! its trigger rule holds.
 
 use std::collections::BTreeMap;
 
@@ -11,6 +12,8 @@
 
 const POLL_INTERVAL_MS: u64 = 500;
 const RETRY_MS: u64 = 1_000;
+const PARTS_PER_REQUEST: usize = 7;
+const MAX_RERUN_PART_BYTES: usize = 3_000;
 
 /// A graph as a scenario describes it.
 #[derive(Default)]
@@ -18,33 +21,36 @@
     templates: Vec<NodeTemplate>,
     pub nodes: Vec<DagNodeRecord>,
     edges: Vec<(u32, u32, u32)>,
-    /// The parts that do nodes over, so far.
+    /// The parts that rerun nodes, so far.
     rerun_parts: Vec<GraphPart>,
     next_part: u32,
 }
 
-/// What goes to a controller next, and which answer is expected (else it is repeated until it is taken).
+/// A request on a run. Without an expected status it is repeated until it is accepted.
 #[derive(Clone)]
 pub struct GraphRequest {
     pub run: String,
     pub path: String,
     pub body: Value,
     pub expect: Option<u16>,
-    /// A commit: what it names is accepted with the answer.
+    /// A commit: with its response the jobs of the run are accepted.
     pub is_commit: bool,
 }
 
+/// The clients of all runs.
 #[derive(Default)]
 pub struct DagRuns {
     drafts: BTreeMap<String, GraphDraft>,
+    /// Requests that are to be sent, and when.
     queue: Vec<(u64, GraphRequest)>,
-    /// Runs with a request on its way.
+    /// Runs with a request in flight.
     in_flight: Vec<String>,
-    /// The last answers, by path.
+    /// The last responses, by path.
     responses: BTreeMap<String, Value>,
     next_poll: BTreeMap<String, u64>,
-    /// Final states of nodes that were told, by job.
+    /// Final states of nodes that were shown, by job.
     final_states: BTreeMap<String, String>,
+    /// Jobs that were accepted since this was last taken.
     pub accepted: Vec<String>,
 }
 
@@ -66,42 +72,48 @@
             as u32
     }
 
-    /// `after`: names, or `prefix*` for all nodes that begin so.
+    /// Adds a node. `after`: names, or `prefix*` for all nodes whose names begin so.
     pub fn add(&mut self, name: &str, job: u64, template: NodeTemplate, after: &[&str], map: Option<&str>) {
         let known = self.templates.iter().position(|other| *other == template);
         let template = known.unwrap_or_else(|| {
             self.templates.push(template);
             self.templates.len() - 1
         }) as u32;
-        let at = self.nodes.len() as u32;
-        for before in after {
-            match before.strip_suffix('*') {
+        let index = self.nodes.len() as u32;
+        for upstream in after {
+            match upstream.strip_suffix('*') {
                 Some(prefix) => {
-                    let ours = |node: &&DagNodeRecord| node.name.starts_with(prefix);
-                    let first = self.nodes.iter().position(|node| ours(&node)).expect("nodes") as u32;
-                    self.edges.push((at, first, self.nodes.iter().filter(ours).count() as u32));
+                    let matches = |node: &&DagNodeRecord| node.name.starts_with(prefix);
+                    let first = self.nodes.iter().position(|node| matches(&node)).expect("nodes") as u32;
+                    self.edges.push((index, first, self.nodes.iter().filter(matches).count() as u32));
                 }
-                None => self.edges.push((at, self.position(before), 1)),
+                None => self.edges.push((index, self.position(upstream), 1)),
             }
         }
         let map = map.map(|map| self.position(map));
         self.nodes.push(DagNodeRecord { name: name.into(), job, template, mapped_from: map });
     }
 
-    fn parts(&self, largest: usize) -> Vec<GraphPart> {
-        split_into_parts(self.templates.clone(), self.nodes.clone(), self.edges.clone(), Vec::new(), largest)
+    fn parts(&self, max_bytes: usize) -> Vec<GraphPart> {
+        split_into_parts(
+            self.templates.clone(),
+            self.nodes.clone(),
+            self.edges.clone(),
+            Vec::new(),
+            max_bytes,
+        )
     }
 
     fn upstream(&self, node: u32) -> Vec<u32> {
-        let ours = self.edges.iter().filter(|(to, ..)| *to == node);
-        ours.flat_map(|(_, first, count)| *first..first + count).collect()
+        let ranges = self.edges.iter().filter(|(to, ..)| *to == node);
+        ranges.flat_map(|(_, first, count)| *first..first + count).collect()
     }
 
     fn downstream(&self, node: u32) -> Vec<u32> {
         let mut found = vec![node];
-        for at in node + 1..self.nodes.len() as u32 {
-            if self.upstream(at).iter().any(|up| found.contains(up)) {
-                found.push(at);
+        for index in node + 1..self.nodes.len() as u32 {
+            if self.upstream(index).iter().any(|upstream| found.contains(upstream)) {
+                found.push(index);
             }
         }
         found
@@ -117,120 +129,123 @@
         self.queue.push((now, GraphRequest { run: run.into(), path, body, expect, is_commit: false }));
     }
 
-    /// Uploads the first `most` parts, a few in a request.
-    pub fn upload(&mut self, now: u64, run: &str, largest: usize, most: usize) -> u32 {
-        let parts = self.draft(run).parts(largest);
-        for (at, few) in parts.iter().take(most).collect::<Vec<_>>().chunks(7).enumerate() {
-            self.push(now, run, format!("graphs/{run}/parts"), json!({"first": at * 7, "parts": few}), None);
+    /// Uploads at most `max_parts` of the parts, several in a request. Returns how many parts the run has.
+    pub fn upload(&mut self, now: u64, run: &str, max_part_bytes: usize, max_parts: usize) -> u32 {
+        let parts = self.draft(run).parts(max_part_bytes);
+        let uploaded: Vec<_> = parts.iter().take(max_parts).collect();
+        for (index, batch) in uploaded.chunks(PARTS_PER_REQUEST).enumerate() {
+            let body = json!({"first": index * PARTS_PER_REQUEST, "parts": batch});
+            self.push(now, run, format!("graphs/{run}/parts"), body, None);
         }
         parts.len() as u32
     }
 
+    /// Commits the parts that were uploaded. `expect`: the status that the response must have.
     pub fn commit(
         &mut self,
         now: u64,
         run: &str,
         graph: &str,
         parts: u32,
-        most_runs: u64,
+        max_active_runs: u64,
         expect: Option<u16>,
     ) {
         let draft = self.draft(run);
         draft.next_part = parts;
         let body =
-            json!({"graph": graph, "parts": parts, "nodes": draft.nodes.len(), "most_runs": most_runs});
-        let send = GraphRequest {
+            json!({"graph": graph, "parts": parts, "nodes": draft.nodes.len(), "most_runs": max_active_runs});
+        let request = GraphRequest {
             run: run.into(),
             path: format!("graphs/{run}"),
             body,
             expect,
             is_commit: expect.is_none(),
         };
-        self.queue.push((now, send));
+        self.queue.push((now, request));
     }
 
     pub fn cancel(&mut self, now: u64, run: &str) {
         self.push(now, run, format!("graphs/{run}/cancel"), json!({}), None);
     }
 
-    /// Does a node and all behind it over, with jobs from `job` on. Returns the old and the new jobs.
+    /// Reruns a node and all downstream of it, with jobs from `job` on. Returns the old and the new job of each node.
     pub fn rerun(&mut self, now: u64, run: &str, node: &str, job: u64) -> Vec<(String, String)> {
         let draft = self.draft(run);
         let nodes = draft.downstream(draft.position(node));
         let rows: Vec<_> = nodes.iter().zip(job..).map(|(node, job)| (*node, 1, job)).collect();
-        let mut names = Vec::new();
+        let mut jobs = Vec::new();
         for (node, _, job) in &rows {
             let row = &mut draft.nodes[*node as usize];
-            names.push((job_name(row.job), job_name(*job)));
+            jobs.push((job_name(row.job), job_name(*job)));
             row.job = *job;
         }
-        let parts = split_into_parts(Vec::new(), Vec::new(), Vec::new(), rows, 3_000);
+        let parts = split_into_parts(Vec::new(), Vec::new(), Vec::new(), rows, MAX_RERUN_PART_BYTES);
         let (from, count) = (draft.next_part, parts.len() as u32);
         draft.next_part += count;
         draft.rerun_parts.extend(parts.clone());
         self.push(now, run, format!("graphs/{run}/parts"), json!({"first": from, "parts": parts}), None);
         self.push(now, run, format!("graphs/{run}/redo"), json!({"from": from, "parts": count}), None);
-        names
+        jobs
     }
 
-    /// What is sent now: of each run one request at a time, in order.
+    /// The requests that are due: of each run one at a time, in order.
     pub fn due_requests(&mut self, now: u64) -> Vec<GraphRequest> {
         let mut due: Vec<GraphRequest> = Vec::new();
-        let mut rest = Vec::new();
-        let mut waits: Vec<String> = self.in_flight.clone();
-        for (at, send) in std::mem::take(&mut self.queue) {
-            if at <= now && !waits.contains(&send.run) {
-                waits.push(send.run.clone());
-                due.push(send);
+        let mut later = Vec::new();
+        let mut blocked_runs: Vec<String> = self.in_flight.clone();
+        for (due_at, request) in std::mem::take(&mut self.queue) {
+            let is_due = due_at <= now && !blocked_runs.contains(&request.run);
+            blocked_runs.push(request.run.clone());
+            if is_due {
+                due.push(request);
             } else {
-                waits.push(send.run.clone());
-                rest.push((at, send));
+                later.push((due_at, request));
             }
         }
-        self.queue = rest;
-        self.in_flight.extend(due.iter().map(|send| send.run.clone()));
+        self.queue = later;
+        self.in_flight.extend(due.iter().map(|request| request.run.clone()));
         due
     }
 
-    /// An answer to what was sent; None: there was none. Err names what must not be.
+    /// Takes the response to a request, or `None` if there is none. An error names the rule that it breaks.
     pub fn handle_response(
         &mut self,
-        send: GraphRequest,
-        answer: Option<&HttpResponse>,
+        request: GraphRequest,
+        response: Option<&HttpResponse>,
         now: u64,
     ) -> Result<(), String> {
-        self.in_flight.retain(|run| *run != send.run);
-        let status = answer.map_or(503, |answer| answer.status);
-        if let Some(expect) = send.expect {
+        self.in_flight.retain(|run| *run != request.run);
+        let status = response.map_or(503, |response| response.status);
+        if let Some(expect) = request.expect {
             return match status {
                 503 => {
-                    self.queue.insert(0, (now + RETRY_MS, send));
+                    self.queue.insert(0, (now + RETRY_MS, request));
                     Ok(())
                 }
                 _ if status == expect => Ok(()),
-                _ => Err(format!("{}: answered {status} instead of {expect}", send.path)),
+                _ => Err(format!("{}: answered {status} instead of {expect}", request.path)),
             };
         }
         if status < 300 {
-            if send.is_commit {
+            if request.is_commit {
                 let jobs: Vec<String> =
-                    self.draft(&send.run).nodes.iter().map(|node| job_name(node.job)).collect();
+                    self.draft(&request.run).nodes.iter().map(|node| job_name(node.job)).collect();
                 self.accepted.extend(jobs);
             }
             return Ok(());
         }
         if status != 503 {
-            let text =
-                answer.map_or(String::new(), |answer| String::from_utf8_lossy(&answer.body).into_owned());
-            return Err(format!("{}: answered {status}: {text}", send.path));
+            let text = response
+                .map_or(String::new(), |response| String::from_utf8_lossy(&response.body).into_owned());
+            return Err(format!("{}: answered {status}: {text}", request.path));
         }
-        self.queue.insert(0, (now + RETRY_MS, send));
+        self.queue.insert(0, (now + RETRY_MS, request));
         Ok(())
     }
 
-    /// What was last told of runs, for failures.
+    /// What was last shown of runs, for messages of failures.
     pub fn responses_text(&self) -> String {
-        self.responses.values().map(|answer| format!("\n  {} {}", answer["row"], answer["nodes"])).collect()
+        self.responses.values().map(|body| format!("\n  {} {}", body["row"], body["nodes"])).collect()
     }
 
     pub fn is_idle(&self) -> bool {
@@ -238,8 +253,8 @@
     }
 
     fn path_of(&mut self, run: &str, node: &str) -> String {
-        let at = self.draft(run).position(node);
-        let after = at.checked_sub(1).map_or(String::new(), |after| format!("after={after}&"));
+        let index = self.draft(run).position(node);
+        let after = index.checked_sub(1).map_or(String::new(), |after| format!("after={after}&"));
         format!("graphs/{run}?{after}limit=1")
     }
 
@@ -247,20 +262,20 @@
         self.next_poll.entry(path.into()).or_insert(0);
     }
 
-    /// Pages that are due to be asked for.
+    /// The paths of pages that are due to be polled.
     pub fn due_polls(&mut self, now: u64) -> Vec<String> {
-        let due = self.next_poll.iter_mut().filter(|(_, at)| **at <= now);
-        due.map(|(path, at)| {
-            *at = now + POLL_INTERVAL_MS;
+        let due = self.next_poll.iter_mut().filter(|(_, due_at)| **due_at <= now);
+        due.map(|(path, due_at)| {
+            *due_at = now + POLL_INTERVAL_MS;
             path.clone()
         })
         .collect()
     }
 
-    /// A page came. Err: it contradicts one before.
-    pub fn handle_poll_response(&mut self, path: &str, answer: &HttpResponse) -> Result<(), String> {
-        let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-        if answer.status != 200 {
+    /// Takes a page. An error says that it contradicts an earlier one.
+    pub fn handle_poll_response(&mut self, path: &str, response: &HttpResponse) -> Result<(), String> {
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        if response.status != 200 {
             self.responses.remove(path);
             return Ok(());
         }
@@ -290,22 +305,22 @@
         Some(&self.responses.get(&path)?["row"])
     }
 
-    /// A task of a job got its image: did its node's rule hold, by the ends that are stored?
-    pub fn find_early_start(&self, job: &str, state: &KvEngine) -> Option<String> {
-        let of = |draft: &GraphDraft| draft.nodes.iter().position(|node| job_name(node.job) == job);
-        let (draft, at) = self.drafts.values().find_map(|draft| Some((draft, of(draft)?)))?;
-        let rule = draft.templates[draft.nodes[at].template as usize].trigger_rule.as_str();
-        let end = |up: u32| {
-            let value = state.get(&format!("olivelatch/end/{}", job_name(draft.nodes[up as usize].job)))?;
-            Some(value["end"] == "done")
+    /// A task of a job has started: names the violation if its node's trigger rule does not hold by the terminal records.
+    pub fn find_early_start(&self, job: &str, kv_store: &KvEngine) -> Option<String> {
+        let find = |draft: &GraphDraft| draft.nodes.iter().position(|node| job_name(node.job) == job);
+        let (draft, index) = self.drafts.values().find_map(|draft| Some((draft, find(draft)?)))?;
+        let rule = draft.templates[draft.nodes[index].template as usize].trigger_rule.as_str();
+        let succeeded = |upstream: u32| {
+            let job = job_name(draft.nodes[upstream as usize].job);
+            Some(kv_store.get(&format!("olivelatch/end/{job}"))?["end"] == "done")
         };
-        let ends: Vec<Option<bool>> = draft.upstream(at as u32).into_iter().map(end).collect();
+        let outcomes: Vec<Option<bool>> = draft.upstream(index as u32).into_iter().map(succeeded).collect();
         let holds = match rule {
-            "all_success" => ends.iter().all(|end| *end == Some(true)),
-            "one_success" => ends.contains(&Some(true)),
-            "one_failed" => ends.contains(&Some(false)),
-            _ => ends.iter().all(Option::is_some),
+            "all_success" => outcomes.iter().all(|outcome| *outcome == Some(true)),
+            "one_success" => outcomes.contains(&Some(true)),
+            "one_failed" => outcomes.contains(&Some(false)),
+            _ => outcomes.iter().all(Option::is_some),
         };
-        (!holds && !ends.is_empty()).then(|| format!("{job} started before {rule} held"))
+        (!holds && !outcomes.is_empty()).then(|| format!("{job} started before {rule} held"))
     }
 }
--- a/tests/simulation/event_queue.rs
+++ b/tests/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! Controllers with limited processor time: what workers say waits its turn, as it does in the program's loop.
+//! Controllers with limited processor time: heartbeats and the outcomes of commands are queued, as in the program's loop.
 
 use std::collections::VecDeque;
 
@@ -7,16 +7,19 @@
 
 use super::{STEP_MS, SimulatedCluster};
 
-/// What a report, or what came of a command, costs a controller.
+/// What a heartbeat or the outcome of a command costs a controller, in units.
 const EVENT_COST: f64 = 1.0;
-/// A command straight to a worker costs a connection.
+/// What a direct command to a worker costs, as it takes a connection.
 const COMMAND_COST: f64 = 3.0;
 
+/// The events that wait for a controller, and how many of them it can handle.
 #[derive(Default)]
 pub struct EventQueue {
-    /// Units a step; none: all there is to do is done at once.
+    /// Units per step; none: every event is handled at once.
     units_per_step: Option<f64>,
+    /// Units that are left; below 0 it is a debt.
     budget: f64,
+    /// Events, and since when they wait.
     waiting: VecDeque<(u64, Event)>,
 }
 
@@ -25,14 +28,14 @@
         EventQueue { units_per_step: Some(units_per_s * STEP_MS as f64 / 1000.0), ..EventQueue::default() }
     }
 
-    /// Gives the event back if it need not wait.
-    pub fn take_or_queue(&mut self, now: u64, input: Event) -> Option<Event> {
+    /// Returns the event if it need not wait.
+    pub fn take_or_queue(&mut self, now: u64, event: Event) -> Option<Event> {
         let waits = self.units_per_step.is_some()
-            && matches!(input, Event::Heartbeat { .. } | Event::WorkerCommands { .. });
+            && matches!(event, Event::Heartbeat { .. } | Event::WorkerCommands { .. });
         if !waits {
-            return Some(input);
+            return Some(event);
         }
-        self.waiting.push_back((now, input));
+        self.waiting.push_back((now, event));
         None
     }
 
@@ -51,18 +54,18 @@
 }
 
 impl SimulatedCluster {
-    /// As much of what waits as a step's time allows; a debt is worked off first.
-    pub fn drain_event_queue(&mut self, at: usize) {
-        let Some(rate) = self.controllers[at].event_queue.units_per_step else { return };
-        let load = &mut self.controllers[at].event_queue;
-        load.budget = (load.budget + rate).min(rate);
+    /// Handles as many waiting events as a step's time allows; a debt is paid off first.
+    pub fn drain_event_queue(&mut self, controller: usize) {
+        let Some(units) = self.controllers[controller].event_queue.units_per_step else { return };
+        let queue = &mut self.controllers[controller].event_queue;
+        queue.budget = (queue.budget + units).min(units);
         let now = self.now;
-        let oldest = load.waiting.front().map_or(0, |(since, _)| now - since);
-        if let Some(node) = self.controllers[at].controller.as_mut() {
-            node.record_event_wait(Millis(now), oldest);
+        let oldest = queue.waiting.front().map_or(0, |(since, _)| now - since);
+        if let Some(running) = self.controllers[controller].controller.as_mut() {
+            running.record_event_wait(Millis(now), oldest);
         }
-        while let Some((_, input)) = self.controllers[at].event_queue.pop_due() {
-            self.handle_event_now(at, input);
+        while let Some((_, event)) = self.controllers[controller].event_queue.pop_due() {
+            self.handle_event_now(controller, event);
         }
     }
 }
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -1,5 +1,5 @@
-//! What goes wrong around controllers beside cuts and ends: machines that hear nothing, reports and transactions that come
-//! late, controllers that stand still, clocks that run apart, a state service that answers slowly.
+//! Faults other than cut links and killed controllers: machines whose messages are lost in one direction, heartbeats that
+//! arrive again, delayed transactions and responses, frozen controllers, and clocks that drift.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -12,55 +12,60 @@
 use super::actions::{ActionResult, parse_seconds, usage_error};
 use super::{START_MS, STEP_MS, SimulatedCluster};
 
-/// Copies of reports that are kept for the next leader at most.
+/// Heartbeats that are kept for the next leader at most.
 const MAX_KEPT_HEARTBEATS: usize = 40;
+/// After how long each kept heartbeat arrives.
+const KEPT_DELAYS_MS: [u64; 3] = [0, 100, 3_000];
+/// The wall clock when simulated time was 0, as Unix time in ms.
+const WALL_CLOCK_BASE_MS: u64 = 1_700_000_000_000;
 
-/// What is on its way, with the time when it arrives.
+/// The faults that are set, what is delayed by them, and figures on their effects.
 #[derive(Default)]
 pub struct Faults {
-    /// Machines whose reports arrive, but nothing that they are told.
+    /// Machines whose heartbeats arrive, but which receive nothing.
     pub receive_path_down: HashSet<String>,
-    /// Machines whose reports reach nobody, while direct commands reach them.
+    /// Machines whose heartbeats are lost, while direct commands reach them.
     pub send_path_down: HashSet<String>,
-    /// After how long copies of reports arrive again, in turn; none: they do not.
+    /// After how long copies of heartbeats arrive, in turn; none: there are no copies.
     copy_delays_ms: Vec<u64>,
+    /// When they arrive, at which controller, and the heartbeats.
     heartbeat_copies: Vec<(u64, usize, Vec<u8>)>,
-    /// Copies of reports are kept for the next leader, and who led when they were.
+    /// Set while heartbeats are kept for the next leader: who led when that began.
     kept_for_next_leader: Option<Option<(usize, u64)>>,
     kept_heartbeats: VecDeque<Vec<u8>>,
-    /// How long the cloud takes to answer what it has carried out.
+    /// How long the cloud takes to respond.
     cloud_delay_ms: u64,
-    /// Starts of tasks whose users had been told that their jobs are cancelled.
+    /// Starts of tasks whose users knew that their jobs are cancelled.
     pub started_cancelled: u64,
-    /// How long the state service takes to answer.
+    /// How long the kv store takes to respond.
     pub kv_delay_ms: u64,
-    /// It takes unlike times, so that an answer to an earlier question may come after one to a later.
+    /// It takes different times, so that responses may come out of order.
     pub kv_delay_varies: bool,
-    /// Answers on their way: when they arrive, at which life of which controller.
+    /// Delayed responses: when they arrive, at which controller, in which incarnation of it.
     delayed_responses: Vec<(u64, usize, u64, Event)>,
-    /// Transactions without an answer are carried out so much later.
+    /// Transactions without a response are carried out so much later.
     pub txn_delay_ms: Option<u64>,
     delayed_txns: Vec<(u64, Vec<u8>)>,
-    /// How long a withdrawn job's task was there at most after its user had been told.
+    /// The longest time that a task ran after its user knew of the cancellation.
     pub longest_cancelled_stay_ms: u64,
-    /// Tasks that were killed as their worker's lease ended.
+    /// Tasks that were killed when their worker's lease expired.
     pub lost_with_lease: u64,
-    /// When a question about a job was last answered.
+    /// When a request about a job was last answered.
     pub last_answered_at: BTreeMap<String, u64>,
 }
 
-/// What a controller makes of time.
+/// What is wrong with a controller's clocks, or that it is frozen.
 #[derive(Default)]
 pub struct ClockFault {
-    /// Its steady clock runs fast by this share.
+    /// Its monotonic clock runs fast by this share.
     drift: f64,
     wall_offset_ms: i64,
     pub frozen: bool,
-    /// What came in while it stood still.
+    /// Events that came while it was frozen.
     pub missed_events: Vec<Event>,
 }
 
-/// Machines by name, `all` or `none` of them.
+/// Adds machines to a selection: by name, `all`, or `none` to clear it.
 fn select_machines(named: &mut HashSet<String>, workers: &[Worker], words: &[&str]) {
     for host in words {
         match *host {
@@ -71,74 +76,83 @@
     }
 }
 
+/// Removes and returns the items that are due, in their order.
+fn take_due<T>(items: &mut Vec<T>, is_due: impl Fn(&T) -> bool) -> Vec<T> {
+    let (due, later) = std::mem::take(items).into_iter().partition(is_due);
+    *items = later;
+    due
+}
+
 impl SimulatedCluster {
     pub fn longest_cancelled_stay_ms(&self) -> u64 {
         self.faults.longest_cancelled_stay_ms
     }
 
-    pub fn controller_clock(&self, at: usize) -> Clock {
-        let pace = &self.controllers[at].clock_fault;
-        let gone = (self.now - START_MS) as f64 * (1.0 + pace.drift);
-        let wall = 1_700_000_000_000_u64 + self.now;
+    /// The clocks as a controller reads them.
+    pub fn controller_clock(&self, controller: usize) -> Clock {
+        let fault = &self.controllers[controller].clock_fault;
+        let elapsed_ms = (self.now - START_MS) as f64 * (1.0 + fault.drift);
+        let wall_ms = WALL_CLOCK_BASE_MS + self.now;
         Clock {
-            now: Millis(START_MS + gone as u64),
-            wall_ms: wall.saturating_add_signed(pace.wall_offset_ms),
+            now: Millis(START_MS + elapsed_ms as u64),
+            wall_ms: wall_ms.saturating_add_signed(fault.wall_offset_ms),
         }
     }
 
-    /// An answer of the state service, at once or after its time.
+    /// A response of the kv store, at once or after its delay.
     pub fn deliver_kv_response(
         &mut self,
-        at: usize,
+        controller: usize,
         outbound: OutboundId,
         outcome: HttpOutcome,
         timeout_ms: u64,
     ) {
-        // Now and then a few hundred milliseconds, otherwise at once.
-        let now_and_then = match (outbound.0 * 7 + at as u64 * 3) % 11 {
+        // Now and then a few hundred milliseconds, otherwise one step.
+        let varying_ms = match (outbound.0 * 7 + controller as u64 * 3) % 11 {
             0 => 300,
             4 => 900,
             8 => 150,
             _ => STEP_MS,
         };
-        let slow = if self.faults.kv_delay_varies { now_and_then } else { self.faults.kv_delay_ms };
-        if slow == 0 {
-            return self.send_event(at, Event::Kv { outbound, outcome });
+        let delay_ms = if self.faults.kv_delay_varies { varying_ms } else { self.faults.kv_delay_ms };
+        if delay_ms == 0 {
+            return self.send_event(controller, Event::Kv { outbound, outcome });
         }
-        let outcome = if slow < timeout_ms { outcome } else { HttpOutcome::Unknown };
-        let due = self.now + slow.min(timeout_ms);
-        let life = self.controllers[at].incarnation;
-        self.faults.delayed_responses.push((due, at, life, Event::Kv { outbound, outcome }));
+        let outcome = if delay_ms < timeout_ms { outcome } else { HttpOutcome::Unknown };
+        let due = self.now + delay_ms.min(timeout_ms);
+        let incarnation = self.controllers[controller].incarnation;
+        self.faults.delayed_responses.push((due, controller, incarnation, Event::Kv { outbound, outcome }));
     }
 
-    /// The cloud has carried a request out; its answer comes at once or after its time.
+    /// A response of the cloud, at once or after its delay; the request was carried out.
     pub fn deliver_cloud_response(
         &mut self,
-        at: usize,
+        controller: usize,
         outbound: OutboundId,
         outcome: HttpOutcome,
         timeout_ms: u64,
     ) {
-        let late = self.faults.cloud_delay_ms;
-        if late == 0 {
-            return self.send_event(at, Event::Cloud { outbound, outcome });
+        let delay_ms = self.faults.cloud_delay_ms;
+        if delay_ms == 0 {
+            return self.send_event(controller, Event::Cloud { outbound, outcome });
         }
-        let outcome = if late < timeout_ms { outcome } else { HttpOutcome::Unknown };
-        let due = self.now + late.min(timeout_ms);
+        let outcome = if delay_ms < timeout_ms { outcome } else { HttpOutcome::Unknown };
+        let due = self.now + delay_ms.min(timeout_ms);
         self.faults.delayed_responses.push((
             due,
-            at,
-            self.controllers[at].incarnation,
+            controller,
+            self.controllers[controller].incarnation,
             Event::Cloud { outbound, outcome },
         ));
     }
 
-    /// A transaction that is carried out later, without an answer.
-    pub fn delay_txn(&mut self, late_ms: u64, body: Vec<u8>) {
-        self.faults.delayed_txns.push((self.now + late_ms, body));
+    /// A transaction that is carried out later, without a response.
+    pub fn delay_txn(&mut self, delay_ms: u64, body: Vec<u8>) {
+        self.faults.delayed_txns.push((self.now + delay_ms, body));
     }
 
-    pub fn copy_heartbeat(&mut self, node: usize, body: &[u8]) {
+    /// Keeps a heartbeat for the next leader, or delivers a copy later, if that is set.
+    pub fn copy_heartbeat(&mut self, controller: usize, body: &[u8]) {
         if self.faults.kept_for_next_leader.is_some() {
             if self.faults.kept_heartbeats.len() >= MAX_KEPT_HEARTBEATS {
                 self.faults.kept_heartbeats.pop_front();
@@ -147,59 +161,52 @@
         }
         let delays = &self.faults.copy_delays_ms;
         if let Some(delay) = delays.get(self.next_request as usize % delays.len().max(1)) {
-            self.faults.heartbeat_copies.push((self.now + delay, node, body.to_vec()));
+            self.faults.heartbeat_copies.push((self.now + delay, controller, body.to_vec()));
         }
     }
 
-    /// Another leader begins: what was kept arrives at every controller, at once and once more later.
+    /// When there is another leader, the kept heartbeats arrive at every controller: at once, and twice more later.
     pub fn deliver_kept_heartbeats(&mut self) {
         let Some(before) = self.faults.kept_for_next_leader else { return };
-        let leads = self.current_leader();
-        if leads.is_none() || leads == before {
+        let leader = self.current_leader();
+        if leader.is_none() || leader == before {
             return;
         }
-        self.faults.kept_for_next_leader = Some(leads);
+        self.faults.kept_for_next_leader = Some(leader);
         if before.is_none() {
             return;
         }
         let now = self.now;
         for body in std::mem::take(&mut self.faults.kept_heartbeats) {
-            for (node, later) in (0..self.controllers.len()).flat_map(|at| [(at, 0), (at, 100), (at, 3_000)])
+            for (controller, delay_ms) in
+                (0..self.controllers.len()).flat_map(|index| KEPT_DELAYS_MS.map(|delay_ms| (index, delay_ms)))
             {
-                self.faults.heartbeat_copies.push((now + later, node, body.clone()));
+                self.faults.heartbeat_copies.push((now + delay_ms, controller, body.clone()));
             }
         }
     }
 
-    /// What has been on its way for long enough arrives.
+    /// Delivers what has been delayed for long enough.
     pub fn deliver_delayed(&mut self) {
         let now = self.now;
-        let txns = std::mem::take(&mut self.faults.delayed_txns);
-        let (due, rest): (Vec<_>, Vec<_>) = txns.into_iter().partition(|(at, _)| *at <= now);
-        self.faults.delayed_txns = rest;
-        if !self.kv_outage {
-            due.into_iter()
-                .for_each(|(_, body)| drop(self.kv_store.handle_request("POST", "/txn", &body, now)));
+        for (_, body) in take_due(&mut self.faults.delayed_txns, |(due, _)| *due <= now) {
+            if !self.kv_outage {
+                self.kv_store.handle_request("POST", "/txn", &body, now);
+            }
         }
-        let answers = std::mem::take(&mut self.faults.delayed_responses);
-        let (due, rest): (Vec<_>, Vec<_>) = answers.into_iter().partition(|(at, ..)| *at <= now);
-        self.faults.delayed_responses = rest;
-        for (_, at, life, answer) in due {
-            if self.controllers[at].incarnation == life {
-                self.send_event(at, answer);
+        for (_, controller, incarnation, response) in
+            take_due(&mut self.faults.delayed_responses, |(due, ..)| *due <= now)
+        {
+            if self.controllers[controller].incarnation == incarnation {
+                self.send_event(controller, response);
             }
         }
-        let copied = std::mem::take(&mut self.faults.heartbeat_copies);
-        let (due, rest): (Vec<_>, Vec<_>) = copied.into_iter().partition(|(at, ..)| *at <= now);
-        self.faults.heartbeat_copies = rest;
-        for (_, node, body) in due {
-            let report = parse_heartbeat(&body).expect("a report of the protocol's form");
+        for (_, controller, body) in take_due(&mut self.faults.heartbeat_copies, |(due, ..)| *due <= now) {
+            let heartbeat = parse_heartbeat(&body).expect("a heartbeat of the protocol's form");
+            // Nobody waits for the response.
             self.next_request += 1;
-            // Nobody waits for the answer.
-            self.send_event(
-                node,
-                Event::Heartbeat { inbound: InboundId(self.next_request), heartbeat: report },
-            );
+            let inbound = InboundId(self.next_request);
+            self.send_event(controller, Event::Heartbeat { inbound, heartbeat });
         }
     }
 
@@ -225,8 +232,8 @@
     }
 
     pub fn set_heartbeat_copies(&mut self, words: &[&str]) -> ActionResult {
-        let leads = self.current_leader();
-        self.faults.kept_for_next_leader = if words == ["next"] { Some(leads) } else { None };
+        let leader = self.current_leader();
+        self.faults.kept_for_next_leader = (words == ["next"]).then_some(leader);
         if words == ["next"] {
             return Ok(());
         }
@@ -247,35 +254,36 @@
         Ok(())
     }
 
-    /// The controller stands still while its clocks run on.
+    /// The controller is frozen while its clocks run on.
     pub fn freeze_controller(&mut self, words: &[&str]) -> ActionResult {
         let [node] = words else { return usage_error("NODE") };
-        let Some(at) = self.find_controller(node).filter(|at| self.controllers[*at].controller.is_some())
+        let Some(controller) =
+            self.find_controller(node).filter(|index| self.controllers[*index].controller.is_some())
         else {
             return Ok(());
         };
-        self.controllers[at].clock_fault.frozen = true;
+        self.controllers[controller].clock_fault.frozen = true;
         Ok(())
     }
 
-    /// It goes on with all that has come in meanwhile; who had sent that may have given up.
+    /// Frozen controllers go on with all events that came meanwhile, though their senders may have given up.
     pub fn thaw_controllers(&mut self, _: &[&str]) -> ActionResult {
-        for at in 0..self.controllers.len() {
-            self.controllers[at].clock_fault.frozen = false;
-            for input in std::mem::take(&mut self.controllers[at].clock_fault.missed_events) {
-                self.send_event(at, input);
+        for controller in 0..self.controllers.len() {
+            self.controllers[controller].clock_fault.frozen = false;
+            for event in std::mem::take(&mut self.controllers[controller].clock_fault.missed_events) {
+                self.send_event(controller, event);
             }
         }
         Ok(())
     }
 
-    /// Its clocks run apart from the others': steady clock in parts of a million, time of day in milliseconds.
+    /// Sets a controller's clocks off: the drift of its monotonic clock in ppm, the offset of its wall clock in ms.
     pub fn set_clock(&mut self, words: &[&str]) -> ActionResult {
         let [node, ppm, wall] = words else { return usage_error("NODE PPM MILLISECONDS") };
-        let at = self.controller_index(node);
-        let pace = &mut self.controllers[at].clock_fault;
-        pace.drift = ppm.parse::<f64>().map_err(|_| "a number")? / 1e6;
-        pace.wall_offset_ms = wall.parse().map_err(|_| "a number")?;
+        let controller = self.controller_index(node);
+        let fault = &mut self.controllers[controller].clock_fault;
+        fault.drift = ppm.parse::<f64>().map_err(|_| "a number")? / 1e6;
+        fault.wall_offset_ms = wall.parse().map_err(|_| "a number")?;
         Ok(())
     }
 }
--- a/tests/simulation/graph_actions.rs
+++ b/tests/simulation/graph_actions.rs
@@ -1,4 +1,4 @@
-//! Verbs about graphs.
+//! Actions on graphs: drafting nodes, uploading, committing, cancelling and rerunning.
 
 use olivelatch_worker::TaskWork;
 use serde_json::json;
@@ -6,8 +6,10 @@
 use super::actions::{ActionResult, parse_status, usage_error};
 use super::{SimulatedCluster, named_argument, numeric_argument};
 
+const DEFAULT_PART_BYTES: f64 = 3_900.0;
+
 impl SimulatedCluster {
-    /// Turns the graphs' interface on, with the operators': pool:NAME=SLOTS, other settings as they are.
+    /// Enables the interface of graphs, and that of operators: pool:NAME=SLOTS, other settings as they are.
     pub fn set_graphs(&mut self, words: &[&str]) -> ActionResult {
         let (pools, settings): (Vec<&str>, Vec<&str>) =
             words.iter().partition(|word| word.starts_with("pool:"));
@@ -44,8 +46,8 @@
             return usage_error("RUN PREFIX JOB COUNT ...");
         };
         let job: u64 = job.parse().map_err(|_| "a job's number")?;
-        for at in 0..count.parse::<u64>().map_err(|_| "a count")? {
-            let (name, job) = (format!("{prefix}{at}"), (job + at).to_string());
+        for index in 0..count.parse::<u64>().map_err(|_| "a count")? {
+            let (name, job) = (format!("{prefix}{index}"), (job + index).to_string());
             let words: Vec<&str> =
                 [*run, name.as_str(), job.as_str()].into_iter().chain(rest.iter().copied()).collect();
             self.add_node(&words)?;
@@ -56,17 +58,22 @@
     /// Uploads the first parts of a run and no more: RUN COUNT [bytes=].
     pub fn upload_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, count, rest @ ..] = words else { return usage_error("RUN COUNT [bytes=]") };
-        let most = count.parse().map_err(|_| "a count")?;
-        self.dag_runs.upload(self.now, run, numeric_argument(rest, "bytes", 3_900.0) as usize, most);
+        let max_parts = count.parse().map_err(|_| "a count")?;
+        self.dag_runs.upload(
+            self.now,
+            run,
+            numeric_argument(rest, "bytes", DEFAULT_PART_BYTES) as usize,
+            max_parts,
+        );
         Ok(())
     }
 
     /// Uploads and commits: RUN GRAPH [most=] [bytes=] [expect=]; `alone`: without the upload.
     pub fn commit_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, graph, rest @ ..] = words else { return usage_error("RUN GRAPH ...") };
-        let bytes = numeric_argument(rest, "bytes", 3_900.0) as usize;
-        let most = if rest.contains(&"alone") { 0 } else { usize::MAX };
-        let parts = self.dag_runs.upload(self.now, run, bytes, most);
+        let bytes = numeric_argument(rest, "bytes", DEFAULT_PART_BYTES) as usize;
+        let max_parts = if rest.contains(&"alone") { 0 } else { usize::MAX };
+        let parts = self.dag_runs.upload(self.now, run, bytes, max_parts);
         let expect = named_argument(rest, "expect").map(parse_status).transpose()?;
         self.dag_runs.commit(self.now, run, graph, parts, numeric_argument(rest, "most", 1.0) as u64, expect);
         Ok(())
@@ -78,18 +85,18 @@
         Ok(())
     }
 
-    /// Does a node and all behind it over: RUN NODE FIRST-JOB; the new jobs fail no more.
+    /// Reruns a node and all downstream of it: RUN NODE FIRST-JOB; the new jobs do not fail.
     pub fn rerun(&mut self, words: &[&str]) -> ActionResult {
         let [run, node, job] = words else { return usage_error("RUN NODE JOB") };
         let job = job.parse().map_err(|_| "a job's number")?;
         for (old, new) in self.dag_runs.rerun(self.now, run, node, job) {
-            if let (Some(mut facts), Some(spec)) =
+            if let (Some(mut description), Some(spec)) =
                 (self.jobs.get(&old).cloned(), self.submissions.get(&old).cloned())
             {
-                if let TaskWork::Simulated { fails, .. } = &mut facts.work {
+                if let TaskWork::Simulated { fails, .. } = &mut description.work {
                     *fails = false;
                 }
-                self.jobs.insert(new.clone(), facts);
+                self.jobs.insert(new.clone(), description);
                 self.submissions.insert(new, spec);
             }
         }
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,16 +1,21 @@
-//! What must hold.
+//! The rules that must hold at every start of a task and at every moment. A broken rule is a violation, which fails the
+//! scenario.
 
 use serde_json::json;
 
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
-    /// The rules, at every start of a task and at every moment.
+    /// Checks the tasks of a worker, and those that it has just started.
     pub fn check_tasks(&mut self, at: usize) {
         let started = std::mem::take(&mut self.workers[at].started_tasks);
         for task in started {
             let elsewhere = self.workers.iter().enumerate().any(|(other, worker)| {
-                other != at && worker.attempts.iter().any(|p| p.task == task && p.has_image && !p.is_ended())
+                other != at
+                    && worker
+                        .attempts
+                        .iter()
+                        .any(|attempt| attempt.task == task && attempt.has_image && !attempt.is_ended())
             });
             if elsewhere {
                 self.violations.push(format!("ran_twice: {task}"));
@@ -25,15 +30,17 @@
         self.check_cancelled(at);
     }
 
-    /// Also of machines that hang: what is on them may go on at any moment.
+    /// Checks that cancelled tasks stop in time, also on machines that hang, where they may go on at any moment.
     pub fn check_cancelled(&mut self, at: usize) {
-        let limit = self.worker_setting_ms("cancel_s", 0.0);
-        for piece in self.workers[at].attempts.iter().filter(|piece| piece.has_image && !piece.is_ended()) {
-            let Some(told) = self.cancelled.get(piece.job_name()) else { continue };
+        let limit_ms = self.worker_setting_ms("cancel_s", 0.0);
+        for attempt in
+            self.workers[at].attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended())
+        {
+            let Some(cancelled_at) = self.cancelled.get(attempt.job_name()) else { continue };
             self.faults.longest_cancelled_stay_ms =
-                self.faults.longest_cancelled_stay_ms.max(self.now - told);
-            if self.now > told + limit {
-                self.violations.push(format!("ran_cancelled: {}", piece.task));
+                self.faults.longest_cancelled_stay_ms.max(self.now - cancelled_at);
+            if self.now > cancelled_at + limit_ms {
+                self.violations.push(format!("ran_cancelled: {}", attempt.task));
             }
         }
     }
@@ -48,8 +55,8 @@
         let zones: Vec<&str> = self
             .workers
             .iter()
-            .flat_map(|worker| worker.attempts.iter().map(move |piece| (worker, piece)))
-            .filter(|(_, piece)| piece.job_name() == job && piece.has_image && !piece.is_ended())
+            .flat_map(|worker| worker.attempts.iter().map(move |attempt| (worker, attempt)))
+            .filter(|(_, attempt)| attempt.job_name() == job && attempt.has_image && !attempt.is_ended())
             .map(|(worker, _)| worker.machine.zone.as_str())
             .collect();
         let here = zones.iter().filter(|zone| **zone == worker.machine.zone).count();
@@ -68,11 +75,11 @@
             .workers
             .iter()
             .flat_map(|worker| &worker.attempts)
-            .filter(|piece| piece.has_image && !piece.is_ended())
-            .filter(|piece| {
-                self.submissions.get(piece.job_name()).is_some_and(|other| other["owner"] == json!(team))
+            .filter(|attempt| attempt.has_image && !attempt.is_ended())
+            .filter(|attempt| {
+                self.submissions.get(attempt.job_name()).is_some_and(|other| other["owner"] == json!(team))
             })
-            .filter_map(|piece| self.jobs.get(piece.job_name()).map(|job| job.cpus))
+            .filter_map(|attempt| self.jobs.get(attempt.job_name()).map(|job| job.cpus))
             .sum();
         if limit > 0.0 && used > limit + 1e-6 {
             self.violations.push(format!("quota: {team} uses {used}"));
--- a/tests/simulation/job_stream.rs
+++ b/tests/simulation/job_stream.rs
@@ -1,9 +1,10 @@
-//! Jobs that come one after the other for minutes: submitted, asked about once a second until their end is known, some of
-//! them cancelled.
+//! A stream of jobs for minutes: each is submitted, polled once a second until its final state is known, and some are
+//! cancelled.
 
 use std::collections::BTreeMap;
 
 use olivelatch::protocol::users::parse_submission;
+use olivelatch_worker::Worker;
 
 use super::actions::{ActionResult, parse_seconds, usage_error};
 use super::status_polls::done_attempts;
@@ -12,24 +13,47 @@
 const POLL_INTERVAL_MS: u64 = 1_000;
 const CANCEL_AFTER_MS: u64 = 2_000;
 
+/// The jobs that are left to submit, and those whose users still wait.
 pub struct JobStream {
     next_job: u64,
-    last: u64,
-    every_ms: u64,
+    last_job: u64,
+    interval_ms: u64,
     next_submission: u64,
+    /// One of so many jobs is cancelled; 0: none.
     cancel_every: u64,
     job_arguments: Vec<String>,
-    /// Jobs whose end is not known yet: when they came, when they are next asked about.
-    unfinished_jobs: BTreeMap<String, (u64, u64)>,
+    /// Jobs whose final state is not known yet, and when they are polled next.
+    unfinished_jobs: BTreeMap<String, u64>,
     /// When the last task of each of them ended.
     last_task_finished: BTreeMap<String, u64>,
-    /// The longest time from there until a user was told.
+    /// The longest time from there until a user knew of it.
     pub max_notification_delay_ms: u64,
 }
 
 impl JobStream {
     pub fn is_finished(&self) -> bool {
-        self.next_job > self.last && self.unfinished_jobs.is_empty()
+        self.next_job > self.last_job && self.unfinished_jobs.is_empty()
+    }
+}
+
+impl JobStream {
+    /// Remembers when the first done attempt of each job was seen.
+    fn record_last_tasks(&mut self, workers: &[Worker], now: u64) {
+        for attempt in done_attempts(workers) {
+            let job = attempt.job_name();
+            if self.unfinished_jobs.contains_key(job) && !self.last_task_finished.contains_key(job) {
+                self.last_task_finished.insert(job.into(), now);
+            }
+        }
+    }
+
+    fn take_due_polls(&mut self, now: u64) -> Vec<String> {
+        let due = self.unfinished_jobs.iter_mut().filter(|(_, due_at)| **due_at <= now);
+        due.map(|(id, due_at)| {
+            *due_at = now + POLL_INTERVAL_MS;
+            id.clone()
+        })
+        .collect()
     }
 }
 
@@ -42,8 +66,8 @@
         let first = number(first)?;
         self.job_stream = Some(JobStream {
             next_job: first,
-            last: first + number(count)? - 1,
-            every_ms: (parse_seconds(every)? * 1000.0) as u64,
+            last_job: first + number(count)? - 1,
+            interval_ms: (parse_seconds(every)? * 1000.0) as u64,
             next_submission: self.now,
             cancel_every: number(cancel)?,
             job_arguments: rest.iter().map(|word| (*word).to_string()).collect(),
@@ -54,53 +78,41 @@
         Ok(())
     }
 
+    /// Submits the jobs that are due, and polls those whose final state is not known.
     pub fn step_stream(&mut self) {
         let Some(mut stream) = self.job_stream.take() else { return };
-        let now = self.now;
-        while stream.next_submission <= now && stream.next_job <= stream.last {
-            let number = stream.next_job.to_string();
-            let words: Vec<&str> = std::iter::once(number.as_str())
-                .chain(stream.job_arguments.iter().map(String::as_str))
-                .collect();
-            let JobArguments { id, spec, .. } = self.describe_job(&words);
-            let request = parse_submission(spec.to_string().as_bytes()).expect("a submission");
-            self.send_user_request(request, &id, ResponseCheck::Rules);
-            if stream.cancel_every > 0 && stream.next_job % stream.cancel_every == 0 {
-                self.pending_cancels.insert(id.clone(), now + CANCEL_AFTER_MS);
-            }
-            stream.unfinished_jobs.insert(id, (now, now + POLL_INTERVAL_MS));
-            stream.next_job += 1;
-            stream.next_submission += stream.every_ms;
-        }
-        for piece in done_attempts(&self.workers) {
-            if stream.unfinished_jobs.contains_key(piece.job_name())
-                && !stream.last_task_finished.contains_key(piece.job_name())
-            {
-                stream.last_task_finished.insert(piece.job_name().into(), now);
-            }
+        while stream.next_submission <= self.now && stream.next_job <= stream.last_job {
+            self.submit_next_of(&mut stream);
         }
-        let (told, open): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut stream.unfinished_jobs)
+        stream.record_last_tasks(&self.workers, self.now);
+        let (known, unknown): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut stream.unfinished_jobs)
             .into_iter()
             .partition(|(id, _)| self.final_states.contains_key(id));
-        for id in told.keys() {
-            let late = stream.last_task_finished.remove(id).map_or(0, |ended| now - ended);
-            stream.max_notification_delay_ms = stream.max_notification_delay_ms.max(late);
+        stream.unfinished_jobs = unknown;
+        for id in known.keys() {
+            let delay_ms = stream.last_task_finished.remove(id).map_or(0, |ended| self.now - ended);
+            stream.max_notification_delay_ms = stream.max_notification_delay_ms.max(delay_ms);
         }
-        stream.unfinished_jobs = open;
-        let due: Vec<String> = stream
-            .unfinished_jobs
-            .iter()
-            .filter(|(_, (_, due))| *due <= now)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in due {
-            if let Some((_, next)) = stream.unfinished_jobs.get_mut(&id) {
-                *next = now + POLL_INTERVAL_MS;
-            }
+        for id in stream.take_due_polls(self.now) {
             if self.accepted_jobs.contains(&id) {
                 self.poll_job(&id);
             }
         }
         self.job_stream = Some(stream);
     }
+
+    fn submit_next_of(&mut self, stream: &mut JobStream) {
+        let number = stream.next_job.to_string();
+        let words: Vec<&str> =
+            std::iter::once(number.as_str()).chain(stream.job_arguments.iter().map(String::as_str)).collect();
+        let JobArguments { id, spec, .. } = self.describe_job(&words);
+        let request = parse_submission(spec.to_string().as_bytes()).expect("a submission");
+        self.send_user_request(request, &id, ResponseCheck::Rules);
+        if stream.cancel_every > 0 && stream.next_job % stream.cancel_every == 0 {
+            self.pending_cancels.insert(id.clone(), self.now + CANCEL_AFTER_MS);
+        }
+        stream.unfinished_jobs.insert(id, self.now + POLL_INTERVAL_MS);
+        stream.next_job += 1;
+        stream.next_submission += stream.interval_ms;
+    }
 }
--- a/tests/simulation/operator_queries.rs
+++ b/tests/simulation/operator_queries.rs
@@ -1,4 +1,4 @@
-//! Operators in scenarios: questions asked again and again, and lists walked page by page.
+//! Operators: queries that are repeated at an interval, and lists that are read page by page.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,8 +8,10 @@
 use serde_json::Value;
 
 const QUERY_INTERVAL_MS: u64 = 500;
+/// A page without a response is requested again after this.
+const PAGE_TIMEOUT_MS: u64 = 3_000;
 
-/// What an open question is for.
+/// What a query in flight is about.
 pub enum QuerySubject {
     Job(String),
     ListPage,
@@ -17,13 +19,13 @@
 
 #[derive(Default)]
 pub struct OperatorQueries {
-    /// The last answers, by `explain/job-000001` and the like.
+    /// The last responses, by `explain/job-000001` and the like.
     responses: BTreeMap<String, Value>,
     next_query: BTreeMap<String, u64>,
     pagination: Option<ListPagination>,
 }
 
-/// A list on its way.
+/// A list that is read page by page.
 struct ListPagination {
     query: String,
     pause_ms: u64,
@@ -35,7 +37,7 @@
 
 fn request(path: &str) -> OperatorRequest {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    parse_operator_request(path, query).expect("a path of the interface").expect("a question")
+    parse_operator_request(path, query).expect("a path of the interface").expect("a query")
 }
 
 fn path_of(what: &str, id: &str) -> String {
@@ -46,7 +48,7 @@
 }
 
 impl OperatorQueries {
-    /// A condition about a job is asked about from now on.
+    /// Repeats a query about a job from now on.
     pub fn start_query(&mut self, what: &str, id: &str) {
         self.next_query.entry(path_of(what, id)).or_insert(0);
     }
@@ -55,11 +57,11 @@
         self.responses.get(&path_of(what, id))
     }
 
-    /// Is this word among the reasons, or the events?
+    /// Whether this name is among the reasons, or the events.
     pub fn response_contains(&self, what: &str, id: &str, word: &str) -> bool {
-        let Some(answer) = self.response(what, id) else { return false };
+        let Some(response) = self.response(what, id) else { return false };
         let (list, name) = if what == "events" { ("events", "event") } else { ("reasons", "reason") };
-        answer[list].as_array().is_some_and(|all| all.iter().any(|one| one[name] == word))
+        response[list].as_array().is_some_and(|items| items.iter().any(|item| item[name] == word))
     }
 
     pub fn start_pagination(&mut self, now: u64, limit: u64, pause_ms: u64, filters: &str) {
@@ -74,80 +76,85 @@
         });
     }
 
-    /// Rows listed so far; None while the walk goes on.
+    /// The length of the list; `None` until its last page was read.
     pub fn pagination_length(&self) -> Option<usize> {
-        self.pagination.as_ref().filter(|walk| walk.finished).map(|walk| walk.seen.len())
+        self.pagination
+            .as_ref()
+            .filter(|pagination| pagination.finished)
+            .map(|pagination| pagination.seen.len())
     }
 
-    /// Questions that are due.
+    /// Queries that are due.
     pub fn due_queries(&mut self, now: u64) -> Vec<(QuerySubject, OperatorRequest)> {
         let mut due = Vec::new();
-        for (path, at) in self.next_query.iter_mut().filter(|(_, at)| **at <= now) {
-            *at = now + QUERY_INTERVAL_MS;
+        for (path, due_at) in self.next_query.iter_mut().filter(|(_, due_at)| **due_at <= now) {
+            *due_at = now + QUERY_INTERVAL_MS;
             due.push((QuerySubject::Job(path.clone()), request(path)));
         }
-        if let Some(walk) = self.pagination.as_mut().filter(|walk| !walk.finished && walk.due <= now) {
-            walk.due = now + 3_000;
-            let after = walk.after.as_ref().map_or(String::new(), |after| format!("&after={after}"));
-            due.push((QuerySubject::ListPage, request(&format!("jobs?{}{after}", walk.query))));
+        if let Some(pagination) =
+            self.pagination.as_mut().filter(|pagination| !pagination.finished && pagination.due <= now)
+        {
+            pagination.due = now + PAGE_TIMEOUT_MS;
+            let after = pagination.after.as_ref().map_or(String::new(), |after| format!("&after={after}"));
+            due.push((QuerySubject::ListPage, request(&format!("jobs?{}{after}", pagination.query))));
         }
         due
     }
 
-    /// An answer; Err names what must not be.
+    /// Takes a response. An error names the rule that it breaks.
     pub fn handle_response(
         &mut self,
-        about: &QuerySubject,
-        answer: &HttpResponse,
+        subject: &QuerySubject,
+        response: &HttpResponse,
         now: u64,
     ) -> Result<(), String> {
-        let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-        match about {
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        match subject {
             QuerySubject::Job(path) => {
-                if answer.status == 200 {
+                if response.status == 200 {
                     self.responses.insert(path.clone(), body);
                 } else {
                     self.responses.remove(path);
                 }
                 Ok(())
             }
-            QuerySubject::ListPage => self.handle_page(answer.status, &body, now),
+            QuerySubject::ListPage => self.handle_page(response.status, &body, now),
         }
     }
 
     fn handle_page(&mut self, status: u16, body: &Value, now: u64) -> Result<(), String> {
-        let Some(walk) = &mut self.pagination else { return Ok(()) };
-        walk.due = now + walk.pause_ms.max(1);
+        let Some(pagination) = &mut self.pagination else { return Ok(()) };
+        pagination.due = now + pagination.pause_ms.max(1);
         if status != 200 {
             return Ok(());
         }
         let rows = body["jobs"].as_array().ok_or("a page without jobs")?;
-        walk.seen.extend(rows.iter().filter_map(|row| row["id"].as_str()).map(String::from));
-        walk.after = body["next"].as_str().map(String::from);
-        walk.finished = walk.after.is_none();
-        let distinct: BTreeSet<&String> = walk.seen.iter().collect();
-        if distinct.len() < walk.seen.len() {
-            return Err(format!("listed twice: {:?}", walk.seen));
+        pagination.seen.extend(rows.iter().filter_map(|row| row["id"].as_str()).map(String::from));
+        pagination.after = body["next"].as_str().map(String::from);
+        pagination.finished = pagination.after.is_none();
+        let distinct: BTreeSet<&String> = pagination.seen.iter().collect();
+        if distinct.len() < pagination.seen.len() {
+            return Err(format!("listed twice: {:?}", pagination.seen));
         }
         Ok(())
     }
 
-    /// A list must not contradict what users were told.
+    /// What an operator is shown must not contradict what users knew when the query was sent.
     pub fn find_contradiction(
         &self,
-        about: &QuerySubject,
-        answer: &HttpResponse,
-        finals: &BTreeMap<String, String>,
+        subject: &QuerySubject,
+        response: &HttpResponse,
+        final_states: &BTreeMap<String, String>,
     ) -> Option<String> {
-        let body: Value = serde_json::from_slice(&answer.body).ok()?;
-        let rows: Vec<&Value> = match about {
+        let body: Value = serde_json::from_slice(&response.body).ok()?;
+        let rows: Vec<&Value> = match subject {
             QuerySubject::ListPage => body["jobs"].as_array()?.iter().collect(),
             QuerySubject::Job(_) if body["row"].is_object() => vec![&body["row"]],
             QuerySubject::Job(_) => return None,
         };
         rows.into_iter().find_map(|row| {
             let id = row["id"].as_str()?;
-            let known = finals.get(id).filter(|known| row["state"].as_str() != Some(known.as_str()))?;
+            let known = final_states.get(id).filter(|known| row["state"].as_str() != Some(known.as_str()))?;
             Some(format!("went_back: {id} was {known}, an operator was told {}", row["state"]))
         })
     }
--- a/tests/simulation/status_polls.rs
+++ b/tests/simulation/status_polls.rs
@@ -1,5 +1,5 @@
-//! Users that look closely: right after a job was accepted, ended or confirmed as cancelled they ask all nodes, again and
-//! again within milliseconds, and repeat the submission. Whatever a node then says is judged like any other answer.
+//! Users that poll closely: right after a job was accepted, ended or reported as cancelled they poll all controllers, again
+//! and again within milliseconds, and repeat the submission. These responses are checked like any other.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -11,7 +11,7 @@
 use super::actions::{ActionResult, usage_error};
 use super::{PendingRequest, ResponseCheck, SimulatedCluster};
 
-/// After what looked closely at: how much later each of the looks comes.
+/// When the polls come, in ms after the event.
 const POLL_DELAYS_MS: [u64; 12] = [0, 20, 40, 60, 100, 160, 260, 400, 700, 1_100, 1_600, 2_400];
 
 #[derive(Default)]
@@ -20,14 +20,14 @@
     /// Every so many of the jobs are cancelled as their last task ends; 0: none.
     cancel_every: u64,
     due: BTreeSet<(u64, String)>,
-    /// Tasks of each job that have ended well.
+    /// Tasks of each job that are done.
     done_tasks: BTreeMap<String, HashSet<String>>,
 }
 
-/// Tasks that have ended well and are still shown.
+/// Attempts that ended in success and are still reported.
 pub fn done_attempts(workers: &[Worker]) -> impl Iterator<Item = &TaskAttempt> {
-    let pieces = workers.iter().flat_map(|worker| &worker.attempts);
-    pieces.filter(|piece| matches!(piece.phase, AttemptPhase::Ended { cause: "done", .. }))
+    let attempts = workers.iter().flat_map(|worker| &worker.attempts);
+    attempts.filter(|attempt| matches!(attempt.phase, AttemptPhase::Ended { cause: "done", .. }))
 }
 
 impl SimulatedCluster {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Jobs whose last task has just ended, and looks that are due.
+    /// Jobs whose last task has just ended, and polls that are due.
     pub fn step_status_polls(&mut self) {
         if self.status_polls.enabled || self.status_polls.cancel_every > 0 {
             self.observe_terminal_states();
@@ -62,25 +62,26 @@
             let (_, id) = self.status_polls.due.pop_first().expect("one that is due");
             let job = JobId::parse(&id).expect("a job");
             let submission = self.submissions[&id].to_string();
-            for at in 0..self.controllers.len() {
-                let again = parse_submission(submission.as_bytes()).expect("a submission");
-                for request in [UserRequest::Poll { id: job }, again] {
-                    self.send_request_to(at, request, &id);
+            for controller in 0..self.controllers.len() {
+                let resubmission = parse_submission(submission.as_bytes()).expect("a submission");
+                for request in [UserRequest::Poll { id: job }, resubmission] {
+                    self.send_request_to(controller, request, &id);
                 }
             }
         }
     }
 
     fn observe_terminal_states(&mut self) {
-        let mut over = Vec::new();
-        for piece in done_attempts(&self.workers) {
-            let Some(spec) = self.submissions.get(piece.job_name()) else { continue };
-            let done = self.status_polls.done_tasks.entry(piece.job_name().into()).or_default();
-            if done.insert(piece.task.clone()) && done.len() as u64 == spec["pieces"].as_u64().unwrap_or(0) {
-                over.push(piece.job_name().to_string());
+        let mut finished = Vec::new();
+        for attempt in done_attempts(&self.workers) {
+            let Some(spec) = self.submissions.get(attempt.job_name()) else { continue };
+            let done = self.status_polls.done_tasks.entry(attempt.job_name().into()).or_default();
+            if done.insert(attempt.task.clone()) && done.len() as u64 == spec["pieces"].as_u64().unwrap_or(0)
+            {
+                finished.push(attempt.job_name().to_string());
             }
         }
-        for id in over {
+        for id in finished {
             let job = JobId::parse(&id).expect("a job");
             if self.status_polls.cancel_every > 0 && job.0 % self.status_polls.cancel_every == 0 {
                 self.pending_cancels.insert(id.clone(), self.now);
@@ -89,13 +90,13 @@
         }
     }
 
-    /// Asks one node, if it is there and its users reach it.
-    fn send_request_to(&mut self, at: usize, request: UserRequest, id: &str) {
-        if self.controllers[at].controller.is_none() || self.is_cut(at, "users") {
+    /// Sends a request to this controller, if it runs and users can reach it.
+    fn send_request_to(&mut self, controller: usize, request: UserRequest, id: &str) {
+        if self.controllers[controller].controller.is_none() || self.is_cut(controller, "users") {
             return;
         }
-        let call =
-            self.track_request(at, PendingRequest::User { id: id.into(), check: ResponseCheck::Rules });
-        self.send_event(at, Event::User { inbound: call, request });
+        let inbound = self
+            .track_request(controller, PendingRequest::User { id: id.into(), check: ResponseCheck::Rules });
+        self.send_event(controller, Event::User { inbound, request });
     }
 }
--- a/tests/simulation/stored.rs
+++ b/tests/simulation/stored.rs
@@ -1,4 +1,4 @@
-//! A region whose state service keeps a file: written in the middle of the work, and taken up by another region.
+//! A region whose kv store has a file, which is written while jobs run and recovered by another region.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use super::SimulatedCluster;
 
-/// What lies beside the service's own: the cloud as its stand-in keeps it, and the time.
+/// Auxiliary records in the file: the simulated cloud, and the time.
 const CLOUD: &str = "cloud";
 const TIME: &str = "time";
 
@@ -15,36 +15,36 @@
     AuxiliaryRecord { name: name.into(), bytes: Some(bytes) }
 }
 
-fn bytes<'a>(beside: &'a [AuxiliaryRecord], name: &str) -> &'a [u8] {
-    let found = beside.iter().find(|saved| saved.name == name);
+fn bytes<'a>(auxiliary: &'a [AuxiliaryRecord], name: &str) -> &'a [u8] {
+    let found = auxiliary.iter().find(|saved| saved.name == name);
     found.and_then(|saved| saved.bytes.as_deref()).expect(name)
 }
 
 impl SimulatedCluster {
-    /// From now on the state service notes what a file has to keep.
+    /// From now on the kv store records the changes that a file must keep.
     pub fn durable(&mut self) {
         self.kv_store = KvEngine::restore(&[], self.now);
     }
 
-    /// Everything is written as the state service and the region write it.
+    /// Writes the file as the kv store and the region write it.
     pub fn write_file(&mut self, path: &Path) {
         let (file, _, _) = StoreFile::open(path).expect("a new state file");
-        let beside = [
+        let auxiliary = [
             saved(CLOUD, serde_json::to_vec(&self.cloud).expect("JSON")),
             saved(TIME, self.now.to_string().into_bytes()),
         ];
-        file.commit(&self.kv_store.take_deltas(), &beside).expect("a commit");
+        file.commit(&self.kv_store.take_deltas(), &auxiliary).expect("a commit");
     }
 
-    /// Before any controller is there: records, machines and time as a file has them.
+    /// Recovers records, machines and time from a file, before any controller starts.
     pub fn read_file(&mut self, path: &Path) {
-        let (_, deltas, beside) = StoreFile::open(path).expect("the state file");
-        self.now = serde_json::from_slice(bytes(&beside, TIME)).expect("a time");
+        let (_, deltas, auxiliary) = StoreFile::open(path).expect("the state file");
+        self.now = serde_json::from_slice(bytes(&auxiliary, TIME)).expect("a time");
         self.kv_store = KvEngine::restore(&deltas, self.now);
-        self.cloud = serde_json::from_slice(bytes(&beside, CLOUD)).expect("the cloud");
+        self.cloud = serde_json::from_slice(bytes(&auxiliary, CLOUD)).expect("the cloud");
     }
 
-    /// Once there are controllers: the machines run these tasks, by machine: task and attempt.
+    /// The machines run these tasks again, once there are controllers: machine, task, attempt.
     pub fn resume(&mut self, tasks: &[(String, String, u64)]) {
         self.boot_machines();
         for (machine, task, attempt) in tasks {
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Attempts that are on machines and have not ended: machine, task, attempt.
+    /// Attempts on machines that have not ended: machine, task, attempt.
     pub fn attempts(&self) -> Vec<(String, String, u64)> {
-        let of = |worker: &olivelatch_worker::Worker| {
+        let live_attempts = |worker: &olivelatch_worker::Worker| {
             let live = worker.attempts.iter().filter(|attempt| !attempt.is_ended());
             let name = worker.machine.name.clone();
             live.map(|live| (name.clone(), live.task.clone(), live.attempt)).collect::<Vec<_>>()
         };
-        self.workers.iter().flat_map(of).collect()
+        self.workers.iter().flat_map(live_attempts).collect()
     }
 
     /// Machines that the cloud has.
--- a/tests/simulation/trace.rs
+++ b/tests/simulation/trace.rs
@@ -25,51 +25,51 @@
         Trace(Some(BufWriter::new(file)))
     }
 
-    /// What a controller is given.
-    pub fn event(&mut self, now: u64, node: &str, event: &Event) {
+    /// An event that a controller handles.
+    pub fn event(&mut self, now: u64, controller: &str, event: &Event) {
         let Some(file) = &mut self.0 else { return };
         let text = match event {
             Event::Tick => return,
-            Event::Kv { outbound: ask, outcome }
-            | Event::Cloud { outbound: ask, outcome }
-            | Event::WorkerCommands { outbound: ask, outcome } => {
-                format!("{} {} {}", event.name(), ask.0, outcome_text(outcome))
+            Event::Kv { outbound, outcome }
+            | Event::Cloud { outbound, outcome }
+            | Event::WorkerCommands { outbound, outcome } => {
+                format!("{} {} {}", event.name(), outbound.0, outcome_text(outcome))
             }
-            Event::Peer { controller: node, message } => format!("mesh {node} {}", mesh_text(message)),
-            Event::User { inbound: call, .. }
-            | Event::Heartbeat { inbound: call, .. }
-            | Event::Operator { inbound: call, .. }
-            | Event::Graph { inbound: call, .. }
-            | Event::Config { inbound: call, .. } => format!("{} {}", event.name(), call.0),
+            Event::Peer { controller, message } => format!("mesh {controller} {}", mesh_text(message)),
+            Event::User { inbound, .. }
+            | Event::Heartbeat { inbound, .. }
+            | Event::Operator { inbound, .. }
+            | Event::Graph { inbound, .. }
+            | Event::Config { inbound, .. } => format!("{} {}", event.name(), inbound.0),
         };
-        writeln!(file, "{now} {node} < {text}").expect("a trace");
+        writeln!(file, "{now} {controller} < {text}").expect("a trace");
     }
 
-    /// What a controller does.
-    pub fn action(&mut self, now: u64, node: &str, action: &Action) {
+    /// An action of a controller.
+    pub fn action(&mut self, now: u64, controller: &str, action: &Action) {
         let Some(file) = &mut self.0 else { return };
         let text = match action {
-            Action::Respond { inbound: call, response: answer } => {
-                let body = String::from_utf8_lossy(&answer.body);
+            Action::Respond { inbound, response } => {
+                let body = String::from_utf8_lossy(&response.body);
                 format!(
                     "answer {} {} {:?} {} {body}",
-                    call.0, answer.status, answer.retry_after_s, answer.is_text
+                    inbound.0, response.status, response.retry_after_s, response.is_text
                 )
             }
-            Action::CallKv { outbound: ask, request, timeout_ms } => {
-                format!("state {} {timeout_ms} {}", ask.0, call_text(&request.to_http_request()))
+            Action::CallKv { outbound, request, timeout_ms } => {
+                format!("state {} {timeout_ms} {}", outbound.0, call_text(&request.to_http_request()))
             }
-            Action::CallCloud { outbound: ask, request, timeout_ms } => {
-                format!("cloud {} {timeout_ms} {}", ask.0, call_text(&request.to_http_request()))
+            Action::CallCloud { outbound, request, timeout_ms } => {
+                format!("cloud {} {timeout_ms} {}", outbound.0, call_text(&request.to_http_request()))
             }
-            Action::SendWorkerCommands { outbound: ask, endpoint, request: call, timeout_ms } => {
-                format!("orders {} {endpoint} {timeout_ms} {}", ask.0, call_text(call))
+            Action::SendWorkerCommands { outbound, endpoint, request: call, timeout_ms } => {
+                format!("orders {} {endpoint} {timeout_ms} {}", outbound.0, call_text(call))
             }
             Action::SendPeerMessage { controller: node, message } => {
                 format!("mesh {node} {}", mesh_text(message))
             }
         };
-        writeln!(file, "{now} {node} > {text}").expect("a trace");
+        writeln!(file, "{now} {controller} > {text}").expect("a trace");
     }
 }
 
--- a/tests/simulation/waiting.rs
+++ b/tests/simulation/waiting.rs
@@ -1,5 +1,5 @@
-//! Nobody waits for no reason: once the troubles are over, no job has a task waiting for 90 s while a machine that fits has
-//! room for it and its team is under its limit.
+//! No job waits without a reason: once the faults are over, no job has a task waiting for 90 s while its team is under its
+//! limit and machines that it may use have free capacity for it.
 
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 
 #[derive(Default)]
 pub struct WaitingCheck {
-    /// Since when there are no troubles.
+    /// The faults are over.
     enabled: bool,
-    /// Since when each job waits although it need not.
+    /// Since when each job waits although it could start.
     waiting_since: BTreeMap<String, u64>,
 }
 
-/// What a machine has, in thousandths: CPUs and memory.
+/// CPUs and memory in thousandths, so that sums are exact.
 type FreeCapacity = [i64; 2];
 
 fn to_thousandths(value: f64) -> i64 {
@@ -47,13 +47,13 @@
             return;
         };
         let mut could_start = Vec::new();
-        for work in leader.jobs.values().filter(|work| work.waiting_tasks() > 0 && !work.finishing) {
-            let id = work.spec.id.to_string();
-            // What fails wherever it is tried waits for longer and longer.
-            let fails = work.probation.is_some() || work.retried_exclusions > 0;
+        for job in leader.jobs.values().filter(|job| job.waiting_tasks() > 0 && !job.finishing) {
+            let id = job.spec.id.to_string();
+            // A job that fails wherever it is tried backs off for longer and longer.
+            let fails = job.probation.is_some() || job.retried_exclusions > 0;
             let Some(spec) = self.submissions.get(&id).filter(|_| !fails) else { continue };
             let gang = spec["shape"] == json!("gang");
-            let tasks = if gang { work.spec.tasks as usize } else { 1 };
+            let tasks = if gang { job.spec.tasks as usize } else { 1 };
             if self.could_start(spec, tasks) {
                 could_start.push(id);
             }
@@ -61,7 +61,7 @@
         let now = self.now;
         let before = std::mem::take(&mut self.waiting_check.waiting_since);
         for id in could_start {
-            // A job that has started something since does not stand still.
+            // A job that started a task since then makes progress.
             let started = self.last_start.get(&id).copied().unwrap_or(0);
             let since = before.get(&id).copied().filter(|since| *since > started).unwrap_or(now);
             if now - since > MAX_WAIT_MS {
@@ -72,30 +72,31 @@
     }
 
     fn could_start(&self, spec: &Value, tasks: usize) -> bool {
-        let need: FreeCapacity =
+        let request: FreeCapacity =
             ["vcpus", "memory_gb"].map(|name| to_thousandths(spec[name].as_f64().unwrap_or(0.0)));
-        if !self.is_under_limit(spec, need[0] * tasks as i64) {
+        if !self.is_under_limit(spec, request[0] * tasks as i64) {
             return false;
         }
-        let mut fit: BTreeMap<&str, i64> = BTreeMap::new();
+        let mut fitting_by_zone: BTreeMap<&str, i64> = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| self.accepts_job(worker, spec)) {
             let free = self.free_capacity(worker);
-            let most = (0..2).filter(|at| need[*at] > 0).map(|at| free[at] / need[at]).min().unwrap_or(0);
-            *fit.entry(worker.machine.zone.as_str()).or_default() += most.max(0);
+            let requested = (0..request.len()).filter(|resource| request[*resource] > 0);
+            let fitting = requested.map(|resource| free[resource] / request[resource]).min().unwrap_or(0);
+            *fitting_by_zone.entry(worker.machine.zone.as_str()).or_default() += fitting.max(0);
         }
-        let room = if spec["together"] == json!(true) {
-            fit.values().copied().max().unwrap_or(0)
+        let fitting = if spec["together"] == json!(true) {
+            fitting_by_zone.values().copied().max().unwrap_or(0)
         } else {
-            fit.values().sum()
+            fitting_by_zone.values().sum()
         };
-        // How the halves of a scattered job fall is not looked at.
-        spec["scatter"] != json!(true) && room >= tasks as i64
+        // Jobs that must be spread over zones are not checked.
+        spec["scatter"] != json!(true) && fitting >= tasks as i64
     }
 
     fn accepts_job(&self, worker: &Worker, spec: &Value) -> bool {
         let machine = &worker.machine;
         let kinds = spec["boxkinds"].as_array();
-        self.cloud.machines.iter().any(|there| there.name == machine.name)
+        self.cloud.machines.iter().any(|known| known.name == machine.name)
             && !worker.fails_tasks
             && kinds.is_none_or(|kinds| kinds.contains(&json!(machine.machine_type)))
             && spec["hall"].as_str().is_none_or(|zone| zone == machine.zone)
@@ -106,26 +107,25 @@
         let kind = self.cloud.machine_types.iter().find(|kind| kind.name == worker.machine.machine_type);
         let mut free =
             kind.map_or([0, 0], |kind| [to_thousandths(kind.cpus), to_thousandths(kind.memory_gb)]);
-        for job in
-            worker.attempts.iter().filter(|p| !p.is_ended()).filter_map(|p| self.jobs.get(p.job_name()))
-        {
+        let live = worker.attempts.iter().filter(|attempt| !attempt.is_ended());
+        for job in live.filter_map(|attempt| self.jobs.get(attempt.job_name())) {
             free[0] -= to_thousandths(job.cpus);
             free[1] -= to_thousandths(job.memory_gb);
         }
         free
     }
 
-    fn is_under_limit(&self, spec: &Value, more: i64) -> bool {
+    fn is_under_limit(&self, spec: &Value, requested_cpus: i64) -> bool {
         let teams = self.config["cluster"]["teams"].as_array();
         let team = teams.and_then(|teams| teams.iter().find(|team| team["name"] == spec["owner"]));
         let limit = team.and_then(|team| team["cpus_max"].as_f64()).unwrap_or(0.0);
         let of_team =
             |id: &str| self.submissions.get(id).is_some_and(|other| other["owner"] == spec["owner"]);
-        let pieces = self.workers.iter().flat_map(|worker| &worker.attempts);
-        let used: i64 = pieces
-            .filter(|piece| !piece.is_ended() && of_team(piece.job_name()))
-            .filter_map(|piece| self.jobs.get(piece.job_name()).map(|job| to_thousandths(job.cpus)))
+        let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
+        let used: i64 = attempts
+            .filter(|attempt| !attempt.is_ended() && of_team(attempt.job_name()))
+            .filter_map(|attempt| self.jobs.get(attempt.job_name()).map(|job| to_thousandths(job.cpus)))
             .sum();
-        limit == 0.0 || used + more <= to_thousandths(limit)
+        limit == 0.0 || used + requested_cpus <= to_thousandths(limit)
     }
 }
