--- a/src/bookkeeping/dag/mod.rs
+++ b/src/bookkeeping/dag/mod.rs
@@ -50,11 +50,7 @@
     ///
     /// # Errors
     /// What is wrong with the parts, as users see it.
-    pub fn from_parts<'a>(parts: impl Iterator<Item = &'a GraphPart>) -> Result<Dag, String> {
-        Dag::build(parts).map_err(|error| error.to_string())
-    }
-
-    fn build<'a>(parts: impl Iterator<Item = &'a GraphPart>) -> Result<Dag, DagError> {
+    pub fn from_parts<'a>(parts: impl Iterator<Item = &'a GraphPart>) -> Result<Dag, DagError> {
         let (mut templates, mut records, mut edges) = (Vec::new(), Vec::new(), Vec::new());
         for part in parts {
             templates.extend(part.templates.iter().cloned());
@@ -120,11 +116,7 @@
     ///
     /// # Errors
     /// What is wrong with the rows, as users see it.
-    pub fn rerun_jobs(&self, rows: &[(u32, u32, u64)]) -> Result<BTreeMap<NodeIx, JobId>, String> {
-        self.checked_rerun_jobs(rows).map_err(|error| error.to_string())
-    }
-
-    fn checked_rerun_jobs(&self, rows: &[(u32, u32, u64)]) -> Result<BTreeMap<NodeIx, JobId>, DagError> {
+    pub fn rerun_jobs(&self, rows: &[(u32, u32, u64)]) -> Result<BTreeMap<NodeIx, JobId>, DagError> {
         let mut jobs = BTreeMap::new();
         for (first, count, first_job) in rows.iter().copied() {
             let end = first.checked_add(count).filter(|end| *end as usize <= self.nodes.len());
--- a/src/bookkeeping/tests/dag.rs
+++ b/src/bookkeeping/tests/dag.rs
@@ -19,7 +19,7 @@
 }
 
 fn error_text(nodes: &[(&str, u64, Option<u32>)], edges: &[(u32, u32, u32)]) -> String {
-    Dag::from_parts([part(nodes, edges)].iter()).map(|_| ()).expect_err("an error")
+    Dag::from_parts([part(nodes, edges)].iter()).map(|_| ()).expect_err("an error").to_string()
 }
 
 #[test]
@@ -50,7 +50,7 @@
     assert_eq!(dag.downstream_path_ms, [4000, 2000, 0]);
     let jobs = dag.rerun_jobs(&[(1, 2, 50)]).expect("two nodes");
     assert_eq!(jobs.values().copied().collect::<Vec<_>>(), [JobId(50), JobId(51)]);
-    assert!(dag.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").contains("c comes after"));
+    assert!(dag.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").to_string().contains("c comes after"));
     for wrong in [&[(1, 9, 50)][..], &[], &[(1, 2, 50), (2, 1, 60)], &[(1, 1, 50), (2, 1, 50)]] {
         assert!(dag.rerun_jobs(wrong).is_err(), "{wrong:?}");
     }
