--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -29,3 +29,7 @@
 const MILLI: u64 = 1000;
 /// Bound of the tasks that a machine is expected to run at once: tasks without resources would fit any number of times.
 const MAX_EXPECTED_SLOTS: u64 = 1_000;
+
+#[cfg(test)]
+#[path = "tests/job_specs.rs"]
+mod job_specs;
--- a/src/coordination/leader/placement/queues.rs
+++ b/src/coordination/leader/placement/queues.rs
@@ -124,3 +124,7 @@
         self.take_from_back(self.len, |_| true)
     }
 }
+
+#[cfg(test)]
+#[path = "tests/queues.rs"]
+mod tests;
--- /dev/null
+++ b/src/coordination/leader/placement/tests/job_specs.rs
@@ -0,0 +1,17 @@
+//! Job specifications for the tests of placement.
+
+use crate::bookkeeping::jobs::{JobSpec, NameRegistry};
+use crate::ids::{JobId, Revision};
+
+/// An array job of one task, accepted so many seconds after the first that could be. The index gives its identity and the
+/// order of acceptance.
+pub(super) fn array_job(index: u32, urgency: &str, ready_s: u64) -> JobSpec {
+    let spec = serde_json::json!({"uid": "job-000001", "jobclass": "c", "owner": "o", "shape": "array",
+            "urgency": urgency, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
+            "size_gb": 0.0, "together": false, "scatter": false, "loaners": false, "guess_s": 0.0, "snapshot_s": 0.0,
+            "flush_s": 0.0});
+    let spec = serde_json::from_value(spec).expect("a specification");
+    let accepted = Revision(u64::from(index));
+    let accepted_wall_ms = 1_000_000 + ready_s * 1000;
+    JobSpec::new(JobId(u64::from(index)), &spec, accepted_wall_ms, accepted, &mut NameRegistry::default())
+}
--- a/src/coordination/leader/placement/tests/policy.rs
+++ b/src/coordination/leader/placement/tests/policy.rs
@@ -1,8 +1,8 @@
 //! Tests of the order of service.
 
 use super::*;
-use crate::bookkeeping::jobs::{NameRegistry, NodeSpec};
-use crate::ids::JobId;
+use crate::bookkeeping::jobs::NodeSpec;
+use crate::coordination::leader::placement::job_specs::array_job;
 use crate::protocol::graphs::DagRunName;
 use std::sync::Arc;
 
@@ -36,15 +36,7 @@
     PriorityInputs { below_minimum_share: true, ..PAST_SLO_MUCH_LEFT };
 
 fn queue_order(index: u32, candidate: Candidate) -> QueueOrder {
-    let spec = serde_json::json!({"uid": "job-000001", "jobclass": "c", "owner": "o", "shape": "array",
-            "urgency": candidate.urgency, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
-            "size_gb": 0.0, "together": false, "scatter": false, "loaners": false, "guess_s": 0.0, "snapshot_s": 0.0,
-            "flush_s": 0.0});
-    let spec = serde_json::from_value(spec).expect("a specification");
-    let mut names = NameRegistry::default();
-    let accepted = Revision(u64::from(index));
-    let accepted_wall_ms = 1_000_000 + candidate.ready_s * 1000;
-    let mut spec = JobSpec::new(JobId(u64::from(index)), &spec, accepted_wall_ms, accepted, &mut names);
+    let mut spec = array_job(index, candidate.urgency, candidate.ready_s);
     spec.node = candidate.downstream_s.map(|downstream_s| {
         Arc::new(NodeSpec {
             run: DagRunName::parse("r").expect("a name"),
