--- a/src/coordination/leader/machines/capacity_plan/gang_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/gang_demand.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::CapacityPlan;
-use super::MILLI_PER_CPU;
+use super::planned_machines::cpu_ms;
 use super::zone_demand::ZoneDemand;
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{JobIx, MachineIx, ZoneIx};
@@ -43,8 +43,7 @@
                 self.gang_machines.insert(planned.ix);
                 self.needed_machines.insert(planned.ix);
                 planned.reserved_cpu_ms +=
-                    job_state.spec.task_resources.cpu * assigned * job_state.expected_run_ms()
-                        / MILLI_PER_CPU;
+                    cpu_ms(job_state.spec.task_resources.cpu * assigned, job_state.expected_run_ms());
             }
         }
     }
@@ -62,8 +61,8 @@
         }
     }
 
-    /// The zone for a job that must be in a single one: the one with most capacity for it among those that have or can get
-    /// enough.
+    /// The zone for a job that must be in a single one: the one with most capacity for it among those that
+    /// have or can get enough.
     fn choose_zone(&self, ix: JobIx, job_state: &JobState) -> Option<ZoneIx> {
         let mut slots_by_zone: BTreeMap<ZoneIx, u64> = BTreeMap::new();
         for planned in &self.planned_machines {
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -1,8 +1,8 @@
-//! Machines whose heartbeats stop, or whom our commands do not reach: when they are certainly empty, and what is done until
-//! then.
+//! Machines whose heartbeats stop, or that our commands do not reach: when they are certainly empty, and what
+//! is done until then.
 //!
-//! A machine is lost only when its worker's lease has certainly expired, whichever leader renewed it last. Until then
-//! its tasks stay bound to it.
+//! A machine is lost only when its worker's lease has certainly expired, whichever leader renewed it last.
+//! Until then its tasks stay bound to it.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, DispatchState, Leader, Machine, MachineState};
@@ -18,12 +18,13 @@
 const SILENT_MARGIN_MS: u64 = 2_000;
 /// Margin, in addition to two and a quarter heartbeat intervals, before a worker counts as overdue.
 const OVERDUE_MARGIN_MS: u64 = 500;
-/// So many silent machines, or a third of those up, may have been reclaimed by the cloud; more hint at a partition.
+/// So many silent machines, or a third of those up, may have been reclaimed by the cloud; more hint at a
+/// partition.
 const MAX_RECLAIMED_AT_ONCE: usize = 2;
 
 impl Leader {
     /// The number of workers that should send us heartbeats, and how many of them are overdue.
-    pub fn count_overdue_workers(&self, now: Millis) -> (usize, usize) {
+    pub(in crate::coordination) fn count_overdue_workers(&self, now: Millis) -> (usize, usize) {
         let timeout_ms = self.settings.worker_timings.heartbeat_interval_ms * 9 / 4 + OVERDUE_MARGIN_MS;
         self.cluster
             .machines
@@ -34,10 +35,10 @@
             .fold((0, 0), |(workers, overdue), is_overdue| (workers + 1, overdue + usize::from(is_overdue)))
     }
 
-    /// Returns spot machines that are silent while most others are not. The cloud reclaims spot machines without notice, and
-    /// its response to the release makes certain at once that nothing runs there, long before the worker's lease, or after
-    /// a failover the recovery period, has expired.
-    pub fn return_silent_spot_machines(&mut self, clock: Clock) {
+    /// Returns spot machines that are silent while most others are not. The cloud reclaims spot machines
+    /// without notice, and its response to the release makes certain at once that nothing runs there, long
+    /// before the worker's lease, or after a failover the recovery period, has expired.
+    pub(in crate::coordination) fn return_silent_spot_machines(&mut self, clock: Clock) {
         for ix in self.silent_machines(clock.now) {
             let machine = &self.cluster.machines[ix.index()];
             let saved_ms = self.lease_expires_at(machine).saturating_since(clock.now);
@@ -49,22 +50,22 @@
         }
     }
 
-    /// Machines that are up and have missed several heartbeats; none if so many have that a partition or this controller is
-    /// the likely cause.
+    /// Machines that are up and have missed several heartbeats; none if so many have that a partition or this
+    /// controller is the likely cause.
     fn silent_machines(&self, now: Millis) -> Vec<MachineIx> {
         let heartbeat_ms = self.settings.worker_timings.heartbeat_interval_ms;
         let timeout_ms = SILENT_HEARTBEATS * heartbeat_ms + SILENT_MARGIN_MS;
         let first_expected_at = self.term.acquired_at().saturating_add(LEADER_DISCOVERY_MS);
         let mut up = 0;
         let mut silent = Vec::new();
-        for (index, machine) in self.cluster.machines.iter().enumerate() {
+        for (ix, machine) in self.cluster.machine_indices().zip(&self.cluster.machines) {
             if machine.state != MachineState::Up || machine.returning {
                 continue;
             }
             up += 1;
             let since = machine.last_answered_heartbeat_at.unwrap_or(first_expected_at);
             if now.saturating_since(since) > timeout_ms {
-                silent.push(MachineIx(index as u32));
+                silent.push(ix);
             }
         }
         if silent.len() > MAX_RECLAIMED_AT_ONCE && silent.len() * 3 > up {
@@ -73,9 +74,9 @@
         silent
     }
 
-    /// When a machine that stays silent is certainly empty: a lease duration after the latest time at which a lease may have
-    /// begun. An answered heartbeat begins one, and so does a new agent epoch, in which direct commands start tasks although
-    /// they renew no lease.
+    /// When a machine that stays silent is certainly empty: a lease duration after the latest time at which a
+    /// lease may have begun. An answered heartbeat begins one, and so does a new agent epoch, in which direct
+    /// commands start tasks although they renew no lease.
     fn lease_expires_at(&self, machine: &Machine) -> Millis {
         let lease_ms = self.settings.worker_timings.lease_duration_ms;
         let expiry = |began: Millis| began.saturating_add(lease_ms + clock_slack_ms(lease_ms));
@@ -83,9 +84,9 @@
         match last_renewal.max(machine.epoch_first_seen) {
             // No other leader's response to a heartbeat sent after the acknowledgement renews the lease.
             Some(began) if machine.token_acknowledged => expiry(began),
-            // An earlier leader, or our own first responses, may have renewed the lease. We have sent no task there, and an
-            // earlier leader's commands were for the epoch it knew: the epochs of a machine that receives nothing do
-            // not count.
+            // An earlier leader, or our own first responses, may have renewed the lease. We have sent no task
+            // there, and an earlier leader's commands were for the epoch it knew: the epochs of a machine
+            // that receives nothing do not count.
             _ => last_renewal.map_or(self.term.recovery_until(), |renewed_at| {
                 expiry(renewed_at).max(self.term.recovery_until())
             }),
@@ -94,9 +95,9 @@
 
     /// Takes in a new heartbeat without our token, and returns whether it must not be answered any more.
     ///
-    /// When such a heartbeat was sent, the worker had received none of our responses, so none of them renews its lease.
-    /// Leases of other origin have expired after a lease duration: from then on only our own responses could make us wait
-    /// for its tasks.
+    /// When such a heartbeat was sent, the worker had received none of our responses, so none of them renews
+    /// its lease. Leases of other origin have expired after a lease duration: from then on only our own
+    /// responses could make us wait for its tasks.
     pub(super) fn check_unacknowledged_timeout(&mut self, ix: MachineIx, clock: Clock) -> bool {
         let lease_ms = self.settings.worker_timings.lease_duration_ms;
         let machine = &mut self.cluster.machines[ix.index()];
@@ -109,8 +110,8 @@
         timed_out && !machine.bindings.is_empty()
     }
 
-    /// Counts a response with commands that the heartbeat with this sequence proves lost, and returns whether the receive
-    /// path of the machine is down.
+    /// Counts a response with commands that the heartbeat with this sequence proves lost, and returns whether
+    /// the receive path of the machine is down.
     pub(super) fn detect_dropped_response(&mut self, ix: MachineIx, sequence: u64) -> bool {
         let is_lost = |binding: &Binding| matches!(binding.dispatch, DispatchState::SentInResponse { sequence: answered } if answered < sequence);
         if self.cluster.machines[ix.index()].bindings.iter().any(is_lost) {
@@ -134,11 +135,11 @@
     }
 
     /// Removes all tasks from machines whose worker's lease has certainly expired.
-    pub fn expire_machine_leases(&mut self, clock: Clock) {
-        for index in 0..self.cluster.machines.len() {
-            let machine = &self.cluster.machines[index];
+    pub(in crate::coordination) fn expire_machine_leases(&mut self, clock: Clock) {
+        for ix in self.cluster.machine_indices() {
+            let machine = &self.cluster.machines[ix.index()];
             if machine.state == MachineState::Up && clock.now >= self.lease_expires_at(machine) {
-                self.remove_lost_machine(MachineIx(index as u32), clock);
+                self.remove_lost_machine(ix, clock);
             }
         }
     }
--- a/src/coordination/leader/machines/provisioner/requests.rs
+++ b/src/coordination/leader/machines/provisioner/requests.rs
@@ -1,7 +1,7 @@
 //! Scale-out requests, from the record in the key-value store to the listing of their machines.
 //!
-//! A request is recorded before it is sent, under a name that identifies it to the cloud: after a failover the next leader
-//! sends it again and learns which machines it yielded.
+//! A request is recorded before it is sent, under a name that identifies it to the cloud: after a failover
+//! the next leader sends it again and learns which machines it yielded.
 
 use crate::bookkeeping::records::{ProvisioningRecord, RecordKey};
 use crate::bookkeeping::store_cache::StoreCache;
@@ -80,8 +80,8 @@
         // With the fencing token in it, no other leader ever uses the name.
         let name = format!("r-{}-{}", provisioner.token.0, provisioner.request_counter);
         let record = ProvisioningRecord {
-            machine_type: cache.names.machine_types.name_or_unknown(offer.machine_type.index()).into(),
-            zone: cache.names.zones.name_or_unknown(offer.zone.index()).into(),
+            machine_type: offer.machine_type_name(cache).into(),
+            zone: offer.zone_name(cache).into(),
             spot: offer.spot,
             count,
         };
@@ -92,7 +92,8 @@
         provisioner.requests.insert(name, request);
     }
 
-    /// Sends the requests that are durable and due, in the order of their names, as far as the rate budget goes.
+    /// Sends the requests that are durable and due, in the order of their names, as far as the rate budget
+    /// goes.
     pub(super) fn send_provisioning_requests(
         &mut self,
         clock: Clock,
@@ -116,15 +117,14 @@
             request.attempts += 1;
             request.sent_at = clock.now;
             let offer = request.offer;
-            let machine_type = cache.names.machine_types.name_or_unknown(offer.machine_type.index());
             let scale_out = CloudRequest::ScaleOut {
-                request_id: name.clone(),
-                machine_type: machine_type.into(),
-                zone: cache.names.zones.name_or_unknown(offer.zone.index()).into(),
+                request_id: name,
+                machine_type: offer.machine_type_name(cache).into(),
+                zone: offer.zone_name(cache).into(),
                 spot: offer.spot,
                 count: request.count,
             };
-            provisioner.send_cloud_request(scale_out, Some(name), actions);
+            provisioner.send_cloud_request(scale_out, actions);
         }
     }
 
