--- a/src/coordination/leader/explain/machine_counts.rs
+++ b/src/coordination/leader/explain/machine_counts.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Explanation;
-use crate::coordination::leader::placement::dispatch::PlacementBlocker;
+use crate::coordination::leader::placement::eligibility::PlacementBlocker;
 use crate::coordination::leader::{JobState, Machine, MachineState};
 use crate::ids::{JobIx, MachineIx, MachineTypeIx, Resources, from_milli};
 use crate::protocol::operators::{MachineTypeCapacity, StateReason};
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -12,7 +12,7 @@
 
 use super::probation::Probation;
 use crate::coordination::Clock;
-use crate::coordination::leader::placement::dispatch::PlacementBlocker;
+use crate::coordination::leader::placement::eligibility::PlacementBlocker;
 use crate::coordination::leader::{Binding, JobState, Leader};
 use crate::ids::{JobId, JobIx, MachineIx, Millis};
 
--- a/src/coordination/leader/placement/dispatch.rs
+++ b/src/coordination/leader/placement/dispatch.rs
@@ -7,15 +7,13 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::Leader;
+use crate::coordination::leader::placement::eligibility::StartCheck;
 use crate::coordination::leader::placement::policy::{QueueOrder, Rank};
 use crate::coordination::leader::placement::queues::{Queue, QueueKind};
 use crate::coordination::leader::placement::reserved_machines::GangDemandByType;
+use crate::coordination::leader::placement::steal::QueuedTask;
 use crate::ids::{MachineIx, Resources};
 
-pub use super::eligibility::PlacementBlocker;
-use super::eligibility::StartCheck;
-use super::steal::QueuedTask;
-
 /// Steal attempts of one machine within one pass.
 const MAX_STEALS_PER_PASS: usize = 4;
 /// Paused thieves that resume at each sweep while tasks wait somewhere.
--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -3,26 +3,26 @@
 //! Placement decides on the leader's state alone: no I/O, the time comes in with each call, and all randomness is drawn
 //! from the seeded generator in [`state`].
 
-pub mod best_effort;
+mod best_effort;
 mod binding;
-pub mod dispatch;
-mod eligibility;
+mod dispatch;
+pub(in crate::coordination::leader) mod eligibility;
 pub(in crate::coordination::leader) mod gang_search;
 mod gang_search_cache;
-pub mod gangs;
+pub(in crate::coordination::leader) mod gangs;
 mod holds;
-pub mod overload;
-pub mod policy;
-pub mod preemption;
+mod overload;
+pub(in crate::coordination::leader) mod policy;
+mod preemption;
 mod preemption_cost;
 mod queue_assignment;
-pub mod queues;
-pub mod reserved_machines;
+pub(in crate::coordination::leader) mod queues;
+mod reserved_machines;
 mod spill;
 pub mod state;
 mod steal;
 mod stop_tasks;
-pub mod team_quota;
+mod team_quota;
 
 const MS_PER_S: f64 = 1000.0;
 /// Thousandths in a CPU, and milliseconds in a second.
