--- a/src/bookkeeping/config.rs
+++ b/src/bookkeeping/config.rs
@@ -42,7 +42,7 @@
                     self.entries.remove(&key);
                 }
                 log::error!(
-                    "configuration: {name} is of a later version and not understood; it is left as it is"
+                    "config entry {name}: unknown name or unsupported format, kept unchanged and ignored"
                 );
                 self.unrecognized.insert(name.into(), version);
             }
--- a/src/coordination/leader/machines/placement_index.rs
+++ b/src/coordination/leader/machines/placement_index.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the sets of schedulable machines, by type and zone, and the machines whose queues are to be filled,
 //! in backoff, or blocked by a quota. What makes a machine schedulable is decided elsewhere and passed to
-//! [`PlacementIndex::update`].
+//! `PlacementIndex::update`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -157,7 +157,7 @@
         let excess_backlog_ms =
             self.gang_backlog_ms(&ranks).filter(|_| self.tunables.overload.overload_ordering);
         let Some(backlog_ms) = excess_backlog_ms else { return ranks };
-        log::debug!("gangs are too many: {backlog_ms} ms ahead of the next");
+        log::debug!("gang backlog exceeds the objective: {backlog_ms} ms");
         ranks.sort_by_cached_key(|rank| {
             let due_ms = self.workload.jobs.get(&rank.job).map_or(0, |job| {
                 let total_run_ms = u64::from(job.unfinished_tasks()).saturating_mul(job.expected_run_ms());
