--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -41,7 +41,7 @@
         if let Some(ix) = ix
             && let Some(job_state) = self.workload.jobs.remove(&ix)
         {
-            self.placement.waiting_gangs.remove(&job_state.queue_order);
+            self.placement.waiting_gangs.remove(&job_state.rank);
             self.remove_queued_tasks(ix);
             self.release_holds_of(ix);
         }
--- a/src/coordination/leader/explain/limits.rs
+++ b/src/coordination/leader/explain/limits.rs
@@ -98,10 +98,10 @@
     }
 
     fn earlier_jobs(&self) -> Vec<EarlierJob<'_>> {
-        let own_order = self.leader.queue_order(&self.job.queue_order);
+        let own_order = self.leader.queue_order(&self.job.rank);
         let others = self.leader.workload.jobs.iter().filter(|(ix, _)| **ix != self.job_ix);
         others
-            .map(|(_, job)| (self.leader.queue_order(&job.queue_order), job))
+            .map(|(_, job)| (self.leader.queue_order(&job.rank), job))
             .filter(|(order, job)| *order < own_order && self.shares_machine_type(job))
             .map(|(order, job)| EarlierJob {
                 order,
--- a/src/coordination/leader/job_tracking.rs
+++ b/src/coordination/leader/job_tracking.rs
@@ -29,8 +29,8 @@
             self.event_log.record_new_job(spec.id);
         }
         self.workload.jobs.entry(ix).or_insert_with(|| {
-            let queue_order = Rank::new(ix, spec, slo_ms, size_penalty_ms);
-            JobState::new(job, queue_order, self.event_log.initial_first_run())
+            let rank = Rank::new(ix, spec, slo_ms, size_penalty_ms);
+            JobState::new(job, rank, self.event_log.initial_first_run())
         });
         self.init_node_state(ix, cache);
     }
@@ -76,7 +76,7 @@
             return;
         }
         if job.spec.is_all_or_nothing() {
-            self.placement.waiting_gangs.insert(job.queue_order);
+            self.placement.waiting_gangs.insert(job.rank);
             self.placement.gang_search_not_before = Millis::default();
         } else {
             let missing = job.finished.iter_missing();
--- a/src/coordination/leader/machine.rs
+++ b/src/coordination/leader/machine.rs
@@ -90,8 +90,8 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// Different jobs failed on it: it gets no tasks and is replaced.
     pub quarantined: bool,
-    /// Runs finished on it, and the sum of the ratios of their run times to their jobs' means.
-    pub run_time_ratio: (u32, f64),
+    /// How its run times compare with those of other machines.
+    pub run_time_ratios: RunTimeRatios,
     /// Its runs take far longer than elsewhere: it gets no tasks and is replaced.
     pub slow: bool,
     /// Not needed by the capacity plan: takes no queued tasks, so that it runs empty.
@@ -102,6 +102,15 @@
     pub recent_finishes: Vec<Millis>,
 }
 
+/// Run times of a machine in proportion to the means of their jobs.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct RunTimeRatios {
+    /// Finished runs that could be compared.
+    pub runs: u32,
+    /// Sum of run time over the job's mean run time.
+    pub sum: f64,
+}
+
 /// What a heartbeat, the cloud's list or a record says of a machine that may be new.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineIdentity<'a> {
@@ -157,7 +166,7 @@
             idle_since: now,
             failed_jobs: BTreeSet::new(),
             quarantined: false,
-            run_time_ratio: (0, 0.0),
+            run_time_ratios: RunTimeRatios::default(),
             slow: false,
             cordoned: false,
             reserved: false,
--- a/src/coordination/leader/machines/capacity_plan/gang_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/gang_demand.rs
@@ -11,7 +11,7 @@
 impl CapacityPlan<'_> {
     /// Assigns a waiting gang to machines, then to pending requests, and requests what is missing.
     pub(super) fn assign_gang(&mut self, ix: JobIx, job_state: &JobState) {
-        if !self.leader.placement.waiting_gangs.contains(&job_state.queue_order) {
+        if !self.leader.placement.waiting_gangs.contains(&job_state.rank) {
             return;
         }
         let mut demand = ZoneDemand::new(job_state);
--- a/src/coordination/leader/machines/task_status.rs
+++ b/src/coordination/leader/machines/task_status.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::machines::faults::ERROR_RETRY_DELAY_MS;
-use crate::coordination::leader::{Binding, DispatchState, JobState, Leader, Machine};
+use crate::coordination::leader::{Binding, DispatchState, JobState, Leader, Machine, RunTimeRatios};
 use crate::ids::{JobIx, MachineIx, TaskId};
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::users::JobKind;
@@ -213,11 +213,11 @@
 fn update_run_time_ratio(machine: &mut Machine, job_state: &JobState, run_ms: u64) {
     if job_state.finished_runs >= MIN_COMPARED_RUNS {
         let mean_ms = (job_state.total_run_ms / u64::from(job_state.finished_runs)).max(1);
-        machine.run_time_ratio.0 += 1;
-        machine.run_time_ratio.1 += run_ms as f64 / mean_ms as f64;
+        machine.run_time_ratios.runs += 1;
+        machine.run_time_ratios.sum += run_ms as f64 / mean_ms as f64;
     }
-    let (runs, ratio_sum) = machine.run_time_ratio;
-    if runs >= MIN_COMPARED_RUNS && ratio_sum > SLOW_RATIO * f64::from(runs) && !machine.slow {
+    let RunTimeRatios { runs, sum } = machine.run_time_ratios;
+    if runs >= MIN_COMPARED_RUNS && sum > SLOW_RATIO * f64::from(runs) && !machine.slow {
         log::info!(event = "machine_slow", machine = machine.name.as_str(); "machine {} is slow, replacing it", machine.name);
         machine.slow = true;
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -41,7 +41,7 @@
 use counters::Counters;
 use event_log::EventLog;
 use job_tracking::DEFAULT_SLO_MS;
-pub use machine::{Machine, MachineIdentity, MachineState};
+pub use machine::{Machine, MachineIdentity, MachineState, RunTimeRatios};
 use machines::provisioner::Provisioner;
 use placement::state::PlacementState;
 use quotas::TeamQuotas;
--- a/src/coordination/leader/placement/preemption.rs
+++ b/src/coordination/leader/placement/preemption.rs
@@ -92,7 +92,7 @@
     fn long_waiting_arrays(&self, clock: Clock) -> Vec<JobIx> {
         let waiting = self.workload.jobs.iter().filter(|(_, job)| is_long_waiting_array(job, clock));
         let mut jobs: Vec<(JobIx, &JobState)> = waiting.map(|(ix, job)| (*ix, job)).collect();
-        jobs.sort_by_key(|(_, job)| self.queue_order(&job.queue_order));
+        jobs.sort_by_key(|(_, job)| self.queue_order(&job.rank));
         jobs.into_iter().map(|(ix, _)| ix).collect()
     }
 
--- a/src/coordination/leader/placement/queue_assignment.rs
+++ b/src/coordination/leader/placement/queue_assignment.rs
@@ -67,7 +67,7 @@
         let Some(job) = self.workload.jobs.get(&job_ix) else {
             return;
         };
-        let rank = job.queue_order;
+        let rank = job.rank;
         let expensive_to_move = self.fetch_to_run_ratio(job) > self.tunables.t;
         let holders = if expensive_to_move { self.image_holders(job) } else { Vec::new() };
         if holders.is_empty() {
--- a/src/coordination/leader/records/requeue.rs
+++ b/src/coordination/leader/records/requeue.rs
@@ -42,7 +42,7 @@
     fn requeue_due_task(&mut self, ix: JobIx, task: u32) {
         let Some(state) = self.workload.jobs.get(&ix).filter(|state| is_waiting(state, task)) else { return };
         if state.spec.is_all_or_nothing() {
-            self.placement.waiting_gangs.insert(state.queue_order);
+            self.placement.waiting_gangs.insert(state.rank);
         } else {
             self.enqueue(ix, &[task]);
         }
--- a/src/coordination/leader/workload.rs
+++ b/src/coordination/leader/workload.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct JobState {
     pub spec: Arc<JobSpec>,
-    pub queue_order: Rank,
+    pub rank: Rank,
     /// Finished tasks, including those whose record is not durable yet.
     pub finished: BitSet,
     /// Where each unfinished task may be; after a failover that can be several machines.
@@ -55,10 +55,10 @@
 
 impl JobState {
     /// A job of which nothing is known but its records.
-    pub(super) fn new(job: &Job, queue_order: Rank, first_run: FirstRun) -> JobState {
+    pub(super) fn new(job: &Job, rank: Rank, first_run: FirstRun) -> JobState {
         JobState {
             spec: job.spec.clone(),
-            queue_order,
+            rank,
             finished: job.finished_tasks.clone(),
             placements: HashMap::new(),
             tasks_per_zone: HashMap::new(),
