--- a/crates/local-cluster/src/cloud.rs
+++ b/crates/local-cluster/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud: machines by booking, a list that says what became of them. It rents what the region has room for.
+//! The cloud, simulated: it provides machines up to its capacity, and lists them with their states. No I/O and no clock:
+//! times are those of the caller's clock, in ms.
 
 use std::collections::BTreeMap;
 
@@ -7,84 +8,105 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// One machine type.
+/// A machine type, and how many machines of it there are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeSpec {
+    /// Its name.
     pub name: String,
+    /// CPUs.
     pub cpus: f64,
+    /// Memory in GB.
     #[serde(rename = "memory")]
     pub memory_gb: f64,
+    /// GPUs.
     pub gpus: f64,
-    /// GB a second.
+    /// How fast it fetches images, in GB per second.
     #[serde(rename = "fetch")]
     pub fetch_gb_per_s: f64,
+    /// How long it boots, in seconds.
     pub boot_s: f64,
+    /// The zones that have it.
     pub zones: Vec<String>,
-    /// Machines of this type in each zone, ordinary and spot.
+    /// On-demand machines in each zone.
     #[serde(rename = "count")]
     pub on_demand_per_zone: usize,
+    /// Spot machines in each zone.
     #[serde(rename = "spot")]
     pub spot_per_zone: usize,
 }
 
-/// Times are milliseconds of the caller's clock.
+/// A machine that was provided.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CloudMachine {
+    /// Its name.
     pub name: String,
+    /// Where its worker listens.
     pub endpoint: String,
+    /// Its type.
     #[serde(rename = "kind")]
     pub machine_type: String,
+    /// Its zone.
     pub zone: String,
+    /// It is a spot machine.
     pub spot: bool,
+    /// When it has booted.
     #[serde(rename = "up_at")]
     pub ready_at: u64,
+    /// When it was provided.
     #[serde(rename = "rented_at")]
     pub provisioned_at: u64,
-    /// It stopped by itself.
+    /// It failed, and is listed so until it is released.
     #[serde(default)]
     pub failed: bool,
 }
 
 impl CloudMachine {
     /// The machine as its worker knows it, served at `endpoint`.
-    pub fn machine(&self, kind: &MachineTypeSpec, endpoint: String) -> Machine {
+    pub fn machine(&self, machine_type: &MachineTypeSpec, endpoint: String) -> Machine {
         Machine {
             name: self.name.clone(),
             endpoint,
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            cpus: kind.cpus,
-            gpus: kind.gpus,
-            memory_gb: kind.memory_gb,
-            image_fetch_gb_per_s: kind.fetch_gb_per_s,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
+            image_fetch_gb_per_s: machine_type.fetch_gb_per_s,
         }
     }
 }
 
+/// The cloud's machines and what is known of requests for them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Cloud {
+    /// The machine types that it has.
     #[serde(rename = "kinds")]
     pub machine_types: Vec<MachineTypeSpec>,
+    /// Machines that were provided and not released.
     pub machines: Vec<CloudMachine>,
+    /// The machines of each request by its id, which makes requests idempotent.
     #[serde(rename = "bookings")]
     provisioning_requests: BTreeMap<String, Vec<String>>,
     #[serde(rename = "next")]
     next_machine: usize,
+    /// Names of machines that were released.
     pub released: Vec<String>,
 }
 
-/// Most machines of one request, and of one page.
+/// Machines of one request at most.
 const MAX_MACHINES_PER_REQUEST: u64 = 50;
+/// Machines of one page at most.
 const MAX_PAGE_MACHINES: usize = 500;
 
 impl Cloud {
+    /// Carries out a request; the HTTP status and the body of the response.
     pub fn handle_request(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> (u16, Value) {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match (method, path.split('?').next().unwrap_or("")) {
             ("GET", "/catalog") => {
-                let kinds: Vec<Value> = self.machine_types.iter().map(catalog_entry).collect();
-                (200, json!({"boxkinds": kinds}))
+                let machine_types: Vec<Value> = self.machine_types.iter().map(catalog_entry).collect();
+                (200, json!({"boxkinds": machine_types}))
             }
             ("POST", "/hosts") => self.provision(&body, now),
             ("POST", "/hosts/release") => {
@@ -105,47 +127,61 @@
             .and_then(|page| page.parse().ok())
             .unwrap_or(MAX_PAGE_MACHINES)
             .min(MAX_PAGE_MACHINES);
-        let mut rest = self.machines.iter().filter(|machine| machine.name.as_str() > after);
-        let boxes: Vec<Value> = rest.by_ref().take(page).map(|machine| machine_entry(machine, now)).collect();
-        (200, json!({"boxes": boxes, "has_next": rest.next().is_some()}))
+        let mut machines = self.machines.iter().filter(|machine| machine.name.as_str() > after);
+        let rows: Vec<Value> =
+            machines.by_ref().take(page).map(|machine| machine_entry(machine, now)).collect();
+        (200, json!({"boxes": rows, "has_next": machines.next().is_some()}))
     }
 
     fn provision(&mut self, body: &Value, now: u64) -> (u16, Value) {
-        let booking = body["booking"].as_str().unwrap_or("").to_string();
-        if let Some(names) = self.provisioning_requests.get(&booking) {
+        let request_id = body["booking"].as_str().unwrap_or("").to_string();
+        if let Some(names) = self.provisioning_requests.get(&request_id) {
             return (200, json!({"boxes": names}));
         }
-        let (kind, zone) = (body["boxkind"].as_str().unwrap_or(""), body["hall"].as_str().unwrap_or(""));
+        let (machine_type, zone) =
+            (body["boxkind"].as_str().unwrap_or(""), body["hall"].as_str().unwrap_or(""));
         let spot = body["loaners"].as_bool().unwrap_or(false);
         let wanted = body["how_many"].as_u64().filter(|count| (1..=MAX_MACHINES_PER_REQUEST).contains(count));
         let spec =
-            self.machine_types.iter().find(|spec| spec.name == kind && spec.zones.iter().any(|z| z == zone));
-        let (Some(spec), Some(wanted), false) = (spec.cloned(), wanted, booking.is_empty()) else {
+            self.machine_type(machine_type).filter(|spec| spec.zones.iter().any(|known| known == zone));
+        let (Some(spec), Some(wanted), false) = (spec.cloned(), wanted, request_id.is_empty()) else {
             return (400, json!({"error": "malformed"}));
         };
-        let most = if spot { spec.spot_per_zone } else { spec.on_demand_per_zone };
-        let alike =
-            |m: &&CloudMachine| m.machine_type == kind && m.zone == zone && m.spot == spot && !m.failed;
-        let there = self.machines.iter().filter(alike).count();
-        let count = (wanted as usize).min(most.saturating_sub(there));
+        let capacity = if spot { spec.spot_per_zone } else { spec.on_demand_per_zone };
+        let same_offer = |machine: &&CloudMachine| {
+            machine.machine_type == spec.name
+                && machine.zone == zone
+                && machine.spot == spot
+                && !machine.failed
+        };
+        let provided = self.machines.iter().filter(same_offer).count();
+        let count = (wanted as usize).min(capacity.saturating_sub(provided));
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
         let boot_ms = (spec.boot_s * 1000.0) as u64;
         let names: Vec<String> =
-            (0..count).map(|_| self.add_machine(kind, zone, spot, now, boot_ms)).collect();
-        self.provisioning_requests.insert(booking, names.clone());
+            (0..count).map(|_| self.add_machine(machine_type, zone, spot, now, boot_ms)).collect();
+        self.provisioning_requests.insert(request_id, names.clone());
         (200, json!({"boxes": names}))
     }
 
-    pub fn add_machine(&mut self, kind: &str, zone: &str, spot: bool, now: u64, boot_ms: u64) -> String {
+    /// Adds a machine beyond any capacity, and returns its name.
+    pub fn add_machine(
+        &mut self,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        now: u64,
+        boot_ms: u64,
+    ) -> String {
         let name = format!("host-{:06}", self.next_machine);
         let endpoint = format!("10.9.{}.{}:9000", self.next_machine / 250, self.next_machine % 250 + 1);
         self.next_machine += 1;
         self.machines.push(CloudMachine {
             name: name.clone(),
             endpoint,
-            machine_type: kind.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             ready_at: now + boot_ms,
@@ -155,7 +191,7 @@
         name
     }
 
-    /// Another life of the region: what was rented is gone, and the list says so until it is deleted.
+    /// The region was started again: its machines are gone, and are listed as failed until they are released.
     pub fn fail_all(&mut self, now: u64) {
         for machine in &mut self.machines {
             machine.failed = true;
@@ -163,6 +199,7 @@
         }
     }
 
+    /// A machine type by its name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineTypeSpec> {
         self.machine_types.iter().find(|spec| spec.name == name)
     }
--- /dev/null
+++ b/crates/local-cluster/src/cluster/mod.rs
@@ -0,0 +1,336 @@
+//! The region's one loop over sockets, processes and time. A response goes out only after everything that it reports is on
+//! disk.
+
+mod requests;
+
+use std::io::{self, Read};
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+use olivelatch_kv_store::{AuxiliaryRecord, Delta, KvEngine, StoreFile};
+use olivelatch_net::client::HttpClient;
+use olivelatch_net::poller::{EventPoller, KeyAllocator, Registration};
+use olivelatch_net::server::{ConnectionId, HttpServer, ListenerId};
+use olivelatch_worker::processes::Processes;
+use polling::{Event, Events};
+use serde_json::Value;
+use signal_hook::consts::{SIGCHLD, SIGINT, SIGTERM};
+
+use self::requests::PendingWatch;
+use crate::addresses::{ClusterAddresses, allocate_addresses, loopback};
+use crate::cloud::{Cloud, MachineTypeSpec};
+use crate::controllers::{ControllerPlan, Controllers};
+use crate::error::{LocalClusterError, io_error};
+use crate::job_store::JobStore;
+use crate::machines::Machines;
+use crate::settings::{Platform, TeamSettings};
+use crate::task_outputs::TaskOutputs;
+
+/// What a region consists of.
+#[derive(Debug, Clone)]
+pub struct ClusterConfig {
+    /// The folder of its state, logs and outputs.
+    pub folder: PathBuf,
+    /// How many controllers it has.
+    pub controllers: usize,
+    /// The machines that its cloud rents.
+    pub machine_types: Vec<MachineTypeSpec>,
+    /// Teams: name, CPUs guaranteed, CPUs at most (0: no limit).
+    pub teams: Vec<(String, f64, f64)>,
+    /// The controllers' program.
+    pub controller_plan: ControllerPlan,
+}
+
+const KV_STORE: ListenerId = ListenerId(0);
+const CLOUD_LISTENER: ListenerId = ListenerId(1);
+const JOB_STORE: ListenerId = ListenerId(2);
+/// Listeners from here on are those of machines.
+const FIRST_MACHINE_LISTENER: usize = 16;
+const TICK_INTERVAL_MS: u64 = 20;
+const CLOUD_NAME: &str = "cloud";
+const SIGNALS_KEY: usize = usize::MAX - 1;
+
+/// A region that serves, in one thread.
+pub struct LocalCluster {
+    folder: PathBuf,
+    poller: Arc<EventPoller>,
+    keys: KeyAllocator,
+    server: HttpServer,
+    http_client: HttpClient,
+    start: Instant,
+    kv_engine: KvEngine,
+    file: StoreFile,
+    cloud: Cloud,
+    cloud_changed: bool,
+    job_store: JobStore,
+    machines: Machines,
+    outputs: TaskOutputs,
+    processes: Processes,
+    controllers: Controllers,
+    addresses: ClusterAddresses,
+    pending_watches: Vec<PendingWatch>,
+    next_listener: usize,
+    signals: Registration<UnixStream>,
+    stop: Arc<AtomicBool>,
+    /// Responses that wait for the next commit.
+    pending_responses: Vec<(ConnectionId, u16, Value)>,
+    requests: u64,
+}
+
+/// Wakes the poller at signals; the first two also set the flag.
+fn register_signals(
+    poller: &Arc<EventPoller>,
+    stop: &Arc<AtomicBool>,
+) -> io::Result<Registration<UnixStream>> {
+    let (reader, writer) = UnixStream::pair()?;
+    reader.set_nonblocking(true)?;
+    writer.set_nonblocking(true)?;
+    for signal in [SIGINT, SIGTERM] {
+        signal_hook::flag::register(signal, stop.clone())?;
+    }
+    for signal in [SIGINT, SIGTERM, SIGCHLD] {
+        signal_hook::low_level::pipe::register(signal, writer.try_clone()?)?;
+    }
+    Registration::new(poller, reader, Event::readable(SIGNALS_KEY))
+}
+
+impl LocalCluster {
+    /// Opens a region's folder, new or old, and listens; `run` serves and starts the controllers.
+    ///
+    /// # Errors
+    /// The folder or its state file cannot be opened (another region may hold it), or an address is taken.
+    pub fn open(config: ClusterConfig) -> Result<LocalCluster, LocalClusterError> {
+        let folder = config.folder;
+        let folder_name = folder.display().to_string();
+        std::fs::create_dir_all(&folder).map_err(io_error(&folder_name))?;
+        let (file, deltas, saved) = StoreFile::open(&folder.join("state.redb"))?;
+        // Not before the file is open: its lock keeps two regions from ending each other's processes.
+        let processes = Processes::open(&folder).map_err(io_error(&folder_name))?;
+        let addresses = allocate_addresses(&folder, config.controllers)?;
+        let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
+        let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
+        for (addr, listener) in [
+            (addresses.kv_store, KV_STORE),
+            (addresses.cloud, CLOUD_LISTENER),
+            (addresses.job_store, JOB_STORE),
+        ] {
+            server.listen(&mut keys, addr, listener).map_err(io_error(format!("listening on {addr}")))?;
+        }
+        let stop = Arc::new(AtomicBool::new(false));
+        let teams = config.teams.into_iter();
+        let teams: Vec<TeamSettings> =
+            teams.map(|(name, guaranteed, limit)| TeamSettings { name, guaranteed, limit }).collect();
+        let platform = Platform::local(teams);
+        let controllers = Controllers::write_settings(&folder, config.controller_plan, &addresses, &platform)
+            .map_err(io_error(&folder_name))?;
+        let mut job_store = JobStore::default();
+        let mut cloud = restore_saved(&saved, &mut job_store);
+        cloud.machine_types = config.machine_types;
+        cloud.fail_all(0);
+        // Outputs whose terminal records were committed just before the region was killed.
+        let outputs = TaskOutputs::new(&folder);
+        for (key, value) in terminal_records(&deltas) {
+            let published =
+                outputs.publish_on_success(&key, &value, &job_store.descriptions, &job_store.results);
+            published.map_err(io_error(format!("publishing {key}")))?;
+        }
+        Ok(LocalCluster {
+            outputs,
+            signals: register_signals(&poller, &stop).map_err(io_error("signals"))?,
+            http_client: HttpClient::new(&poller),
+            machines: Machines::open(&folder, addresses.controllers.clone())
+                .map_err(io_error(&folder_name))?,
+            kv_engine: KvEngine::restore(&deltas, 0),
+            start: Instant::now(),
+            folder,
+            poller,
+            keys,
+            server,
+            file,
+            cloud,
+            cloud_changed: true,
+            job_store,
+            processes,
+            controllers,
+            addresses,
+            pending_watches: Vec::new(),
+            next_listener: FIRST_MACHINE_LISTENER,
+            stop,
+            pending_responses: Vec::new(),
+            requests: 0,
+        })
+    }
+
+    /// Where the parts of the region listen.
+    pub fn addresses(&self) -> &ClusterAddresses {
+        &self.addresses
+    }
+
+    /// A flag that ends `run` once it is set.
+    pub fn stop_flag(&self) -> Arc<AtomicBool> {
+        self.stop.clone()
+    }
+
+    fn elapsed_ms(&self) -> u64 {
+        self.start.elapsed().as_millis() as u64
+    }
+
+    /// Serves until the flag is set or a signal comes; then it ends all processes that it started.
+    ///
+    /// # Errors
+    /// The disk, the poller or the start of a process fails.
+    pub fn run(mut self) -> Result<(), LocalClusterError> {
+        let mut events = Events::new();
+        let mut last_tick = 0;
+        while !self.stop.load(Ordering::Relaxed) {
+            events.clear();
+            match self.poller.wait(&mut events, Duration::from_millis(TICK_INTERVAL_MS)) {
+                Ok(_) => {}
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(io_error("the poller")(error)),
+            }
+            let now = self.elapsed_ms();
+            let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
+            for key in ready {
+                self.handle_event(key, now)?;
+            }
+            self.machines.step_workers(now, &mut self.job_store, &mut self.processes);
+            if now >= last_tick + TICK_INTERVAL_MS {
+                last_tick = now;
+                self.tick(now)?;
+            }
+            self.commit()?;
+            self.machines.send_heartbeats(&mut self.keys, &mut self.http_client, now);
+        }
+        self.controllers.stop_all();
+        self.processes.kill_all();
+        Ok(())
+    }
+
+    fn handle_event(&mut self, key: usize, now: u64) -> Result<(), LocalClusterError> {
+        if key == SIGNALS_KEY {
+            let mut bytes = [0; 64];
+            // Only the wakeup matters, not which signals came.
+            while matches!(self.signals.source().read(&mut bytes), Ok(n) if n > 0) {}
+            return self.signals.set_interest(true, false).map_err(io_error("signals"));
+        }
+        if self.server.owns_key(key) {
+            let mut next = self.server.handle_event(&mut self.keys, key, now);
+            while let Some(incoming) = next {
+                next = self.handle_request(incoming, now);
+            }
+        } else if self.http_client.owns_key(key)
+            && let Some((slot, response)) = self.http_client.handle_event(key)
+        {
+            self.machines.handle_response(slot, response.as_ref(), &self.job_store, now);
+        }
+        Ok(())
+    }
+
+    fn tick(&mut self, now: u64) -> Result<(), LocalClusterError> {
+        self.kv_engine.expire_leases(now);
+        for (slot, response) in self.http_client.expire_calls(now) {
+            self.machines.handle_response(slot, response.as_ref(), &self.job_store, now);
+        }
+        self.server.close_idle(now);
+        self.reconcile_machines(now)?;
+        self.controllers.restart_exited(now, &mut self.processes).map_err(io_error("starting a controller"))
+    }
+
+    /// Starts workers for machines that have booted, and ends those of machines that were released.
+    fn reconcile_machines(&mut self, now: u64) -> Result<(), LocalClusterError> {
+        let booted: Vec<usize> = (0..self.cloud.machines.len())
+            .filter(|index| {
+                let machine = &self.cloud.machines[*index];
+                !machine.failed && machine.ready_at <= now && !self.machines.has_machine(&machine.name)
+            })
+            .collect();
+        for index in booted {
+            let listener = ListenerId(self.next_listener);
+            self.next_listener += 1;
+            let endpoint = self.server.listen(&mut self.keys, loopback(0), listener);
+            let endpoint = endpoint.map_err(io_error("a worker's port"))?;
+            let machine = &mut self.cloud.machines[index];
+            machine.endpoint = endpoint.to_string();
+            let machine = machine.clone();
+            if let Some(machine_type) = self.cloud.machine_type(&machine.machine_type) {
+                self.machines.add_machine(&machine, machine_type, endpoint, listener, &self.job_store, now);
+            }
+        }
+        for name in self.machines.names() {
+            let exists = self.cloud.machines.iter().any(|machine| machine.name == name && !machine.failed);
+            if !exists
+                && let Some(listener) =
+                    self.machines.remove_machine(&name, &mut self.processes, &mut self.http_client)
+            {
+                self.server.close_listener(listener);
+            }
+        }
+        self.cloud.released.clear();
+        Ok(())
+    }
+
+    /// Writes all changes to disk, then sends the responses that report them.
+    fn commit(&mut self) -> Result<(), LocalClusterError> {
+        let now = self.elapsed_ms();
+        self.answer_due_watches(now);
+        let deltas = self.kv_engine.take_deltas();
+        let terminal_records = terminal_records(&deltas);
+        let mut auxiliary = self.job_store.take_unsaved();
+        if std::mem::take(&mut self.cloud_changed) {
+            let bytes = serde_json::to_vec(&self.cloud)
+                .map_err(|error| LocalClusterError::Addresses { file: CLOUD_NAME.into(), error })?;
+            auxiliary.push(AuxiliaryRecord { name: CLOUD_NAME.into(), bytes: Some(bytes) });
+        }
+        self.file.commit(&deltas, &auxiliary)?;
+        for (key, value) in terminal_records {
+            let published = self.outputs.publish_on_success(
+                &key,
+                &value,
+                &self.job_store.descriptions,
+                &self.job_store.results,
+            );
+            published.map_err(io_error(format!("publishing {key}")))?;
+        }
+        for (connection, status, body) in std::mem::take(&mut self.pending_responses) {
+            let bytes = serde_json::to_vec(&body).unwrap_or_default();
+            // The response to the connection's next request, if that is there already, waits for the next commit.
+            let mut next = self.server.respond(connection, status, &bytes);
+            while let Some(incoming) = next {
+                next = self.handle_request(incoming, now);
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The terminal records among changes.
+fn terminal_records(deltas: &[Delta]) -> Vec<(String, Value)> {
+    let records = deltas.iter().filter_map(|delta| match delta {
+        Delta::Put { key, value, .. } if key.starts_with("olivelatch/end/") => {
+            Some((key.clone(), value.clone()))
+        }
+        _ => None,
+    });
+    records.collect()
+}
+
+/// Restores the job store and the cloud as an earlier process of the region left them.
+fn restore_saved(saved: &[AuxiliaryRecord], job_store: &mut JobStore) -> Cloud {
+    let mut cloud = Cloud::default();
+    for record in saved {
+        if job_store.restore(record) {
+            continue;
+        }
+        if record.name == CLOUD_NAME
+            && let Some(restored) =
+                record.bytes.as_deref().and_then(|bytes| serde_json::from_slice(bytes).ok())
+        {
+            cloud = restored;
+        }
+    }
+    cloud
+}
--- a/crates/local-cluster/src/job_store.rs
+++ b/crates/local-cluster/src/job_store.rs
@@ -1,6 +1,8 @@
-//! The desk: what users upload and look up beside the controllers. Descriptions, logs, the region itself.
+//! The job store: descriptions of jobs that users upload and workers read, results of tasks, and logs.
 
 use std::collections::BTreeMap;
+use std::fs::{DirEntry, File};
+use std::io::{self, Read, Seek, SeekFrom};
 use std::path::Path;
 
 use olivelatch_kv_store::AuxiliaryRecord;
@@ -12,8 +14,8 @@
 
 const DESCRIPTION_PREFIX: &str = "description/";
 const RESULT_PREFIX: &str = "result/";
-/// The end of a log that is shown.
-const LOG_TAIL: u64 = 48 * 1024;
+/// Of a longer log only the end is shown.
+const MAX_LOG_BYTES: u64 = 48 * 1024;
 
 /// Descriptions of jobs, and the results of their tasks: both outlive the region's process.
 #[derive(Default)]
@@ -29,12 +31,12 @@
 }
 
 impl JobStore {
-    /// Takes what a file kept; false if it is none of the desk's.
+    /// Restores a record; false if it is none of the job store's.
     pub fn restore(&mut self, saved: &AuxiliaryRecord) -> bool {
         if let Some(task) = saved.name.strip_prefix(RESULT_PREFIX) {
-            // Kept without a word on its attempt by versions before graphs.
-            let made = saved.bytes.as_deref().and_then(|bytes| serde_json::from_slice(bytes).ok());
-            self.results.insert(task.into(), made.unwrap_or_default());
+            // Versions before graphs did not store the attempt.
+            let result = saved.bytes.as_deref().and_then(|bytes| serde_json::from_slice(bytes).ok());
+            self.results.insert(task.into(), result.unwrap_or_default());
             return true;
         }
         let (Some(job), Some(bytes)) = (saved.name.strip_prefix(DESCRIPTION_PREFIX), &saved.bytes) else {
@@ -47,7 +49,7 @@
         true
     }
 
-    /// A description; the same again is fine, another one under the name is not.
+    /// Stores a description. The same again is idempotent, another one under the name is a conflict.
     fn store_description(&mut self, job: &str, bytes: &[u8]) -> (u16, Value) {
         if !is_job_name(job) {
             return (400, json!({"error": format!("expected a name like job-000412, not {job:?}")}));
@@ -68,21 +70,23 @@
         }
     }
 
-    /// A task is done: that must be on disk before a report says so.
-    pub fn record_result(&mut self, task: &str, made: TaskResult) {
-        // The first result counts: another attempt's output must never take its place.
+    /// Records the result of a task, which must be on disk before a heartbeat reports it.
+    pub fn record_result(&mut self, task: &str, result: TaskResult) {
+        // The first result stays: another attempt's output must never replace it.
         if self.results.contains_key(task) {
             return;
         }
-        self.results.insert(task.into(), made);
-        let bytes = serde_json::to_vec(&made).unwrap_or_default();
+        self.results.insert(task.into(), result);
+        let bytes = serde_json::to_vec(&result).unwrap_or_default();
         self.unsaved.push(AuxiliaryRecord { name: format!("{RESULT_PREFIX}{task}"), bytes: Some(bytes) });
     }
 
+    /// The records that the next commit must write.
     pub fn take_unsaved(&mut self) -> Vec<AuxiliaryRecord> {
         std::mem::take(&mut self.unsaved)
     }
 
+    /// A request; `None` if the path is none of the job store's. `folder` is the region's.
     pub fn handle_request(
         &mut self,
         folder: &Path,
@@ -90,8 +94,8 @@
         path: &str,
         body: &[u8],
     ) -> Option<(u16, Value)> {
-        let bare = path.split('?').next().unwrap_or("");
-        let parts: Vec<&str> = bare.split('/').skip(1).collect();
+        let path = path.split('?').next().unwrap_or("");
+        let parts: Vec<&str> = path.split('/').skip(1).collect();
         Some(match (method, parts.as_slice()) {
             ("PUT", ["descriptions", job]) => self.store_description(job, body),
             ("GET", ["descriptions", job]) => match self.uploads.get(*job) {
@@ -106,49 +110,46 @@
     }
 }
 
-/// The output of each attempt of a task, its end if it is long.
+/// The output of each attempt of a task.
 fn read_logs(folder: &Path, job: &str, task: &str) -> (u16, Value) {
-    let mut attempts = Vec::new();
     let prefix = format!("{task}.");
     let files = std::fs::read_dir(folder.join("logs").join(job)).into_iter().flatten().flatten();
-    for file in files {
-        let name = file.file_name();
-        let attempt =
-            name.to_str().and_then(|n| n.strip_prefix(&prefix)?.strip_suffix(".log")?.parse::<u64>().ok());
-        if let Some(attempt) = attempt {
-            attempts.push(attempt);
-        }
-    }
+    let attempt = |file: DirEntry| -> Option<u64> {
+        file.file_name().to_str()?.strip_prefix(&prefix)?.strip_suffix(".log")?.parse().ok()
+    };
+    let mut attempts: Vec<u64> = files.filter_map(attempt).collect();
     attempts.sort_unstable();
     if attempts.is_empty() {
         return (404, json!({"error": "no output: the task has not started, or not in this region"}));
     }
-    let shown: Vec<Value> = attempts
+    let logs: Vec<Value> = attempts
         .iter()
         .map(|attempt| {
             let path = Processes::log_path(folder, &format!("{job}/{task}"), *attempt);
-            let (text, cut) = read_tail(&path);
-            json!({"attempt": attempt, "text": text, "cut": cut})
+            let LogTail { text, truncated } = read_tail(&path);
+            json!({"attempt": attempt, "text": text, "cut": truncated})
         })
         .collect();
-    (200, json!({"task": format!("{job}/{task}"), "attempts": shown}))
+    (200, json!({"task": format!("{job}/{task}"), "attempts": logs}))
 }
 
-fn read_tail(path: &Path) -> (String, bool) {
-    use std::io::{Read, Seek, SeekFrom};
-    let read = || -> std::io::Result<(Vec<u8>, bool)> {
-        let mut file = std::fs::File::open(path)?;
+/// The end of a log, or all of it.
+struct LogTail {
+    text: String,
+    truncated: bool,
+}
+
+fn read_tail(path: &Path) -> LogTail {
+    let read = || -> io::Result<LogTail> {
+        let mut file = File::open(path)?;
         let length = file.metadata()?.len();
-        let cut = length > LOG_TAIL;
-        if cut {
-            file.seek(SeekFrom::Start(length - LOG_TAIL))?;
+        let truncated = length > MAX_LOG_BYTES;
+        if truncated {
+            file.seek(SeekFrom::Start(length - MAX_LOG_BYTES))?;
         }
         let mut bytes = Vec::new();
-        file.take(LOG_TAIL).read_to_end(&mut bytes)?;
-        Ok((bytes, cut))
+        file.take(MAX_LOG_BYTES).read_to_end(&mut bytes)?;
+        Ok(LogTail { text: String::from_utf8_lossy(&bytes).into_owned(), truncated })
     };
-    match read() {
-        Ok((bytes, cut)) => (String::from_utf8_lossy(&bytes).into_owned(), cut),
-        Err(error) => (format!("(unreadable: {error})"), false),
-    }
+    read().unwrap_or_else(|error| LogTail { text: format!("(unreadable: {error})"), truncated: false })
 }
--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -1,20 +1,26 @@
 //! A region on one machine.
 //!
-//! `Cloud` is the stand-in of the cloud, in memory and without a clock of its own: scenarios use it in virtual time, `Region`
-//! behind sockets. `Region` is one thread around `polling`: it serves the state service (`olivelatch-kv-store`), the cloud,
-//! the workers (`olivelatch-worker`) and the descriptions that users upload, and starts the controllers. Loopback only.
-//! What was answered is on disk before the answer goes out. docs/region.md argues for it.
+//! `Cloud` simulates the cloud, in memory and without a clock of its own: scenarios use it in virtual time, `LocalCluster`
+//! behind sockets. `LocalCluster` is one thread around `polling`: it serves the kv store (`olivelatch-kv-store`), the cloud,
+//! the workers (`olivelatch-worker`) and the job store, to which users upload descriptions, and starts the controllers. It
+//! listens on loopback only, and sends a response only after what it reports is on disk. docs/region.md gives the reasons.
 
+mod addresses;
 mod cloud;
 mod cluster;
 mod controllers;
+mod error;
 mod job_store;
 mod machines;
+mod settings;
 mod task_outputs;
 
+pub use addresses::ClusterAddresses;
 pub use cloud::{Cloud, CloudMachine, MachineTypeSpec};
-pub use cluster::{ClusterConfig, LocalCluster, LocalClusterError};
-pub use controllers::{
-    ClusterAddresses, ControllerPlan, ControllerQuota, KvLimits, ObjectivePlan, Platform, TeamSettings,
-    WorkerTimings, controller_index, controller_name, controller_settings,
+pub use cluster::{ClusterConfig, LocalCluster};
+pub use controllers::ControllerPlan;
+pub use error::LocalClusterError;
+pub use settings::{
+    ControllerQuota, KvLimits, ObjectivePlan, Platform, TeamSettings, WorkerTimings, controller_index,
+    controller_name, controller_settings,
 };
--- a/crates/local-cluster/src/machines.rs
+++ b/crates/local-cluster/src/machines.rs
@@ -1,4 +1,4 @@
-//! The region's machines: workers that report to the controllers and run real commands.
+//! The region's machines: workers that send heartbeats to the controllers and run real commands.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -18,11 +18,11 @@
 use serde_json::{Value, json};
 
 use crate::cloud::{CloudMachine, MachineTypeSpec};
-use crate::controllers::{GANG_PEER_S, GANG_WAIT_S, HEARTBEAT_S, LEASE_S, controller_index};
 use crate::job_store::JobStore;
+use crate::settings::{GANG_PEER_S, GANG_WAIT_S, HEARTBEAT_S, LEASE_S, controller_index};
 use crate::task_outputs::TaskOutputs;
 
-/// On one machine reports cost little, so they may follow one another faster than the protocol's half second.
+/// On loopback heartbeats cost little, so they may follow one another faster than the protocol's half second.
 const HEARTBEAT_TIMES: HeartbeatTimes = HeartbeatTimes {
     interval_ms: (HEARTBEAT_S * 1000.0) as u64,
     min_change_interval_ms: 50,
@@ -35,198 +35,208 @@
     (seconds * 1000.0) as u64
 }
 
-/// How a worker's reports go.
+/// A worker's listener, and how its heartbeats are sent.
 struct HeartbeatChannel {
     listener: ListenerId,
     call_slot: CallSlot,
-    reporter: HeartbeatSender,
+    sender: HeartbeatSender,
 }
 
+/// The workers of all machines.
 pub struct Machines {
     workers: Vec<Worker>,
     heartbeat_channels: Vec<HeartbeatChannel>,
-    /// Since when an attempt of a gang lacks a member.
+    /// Attempts of gangs that lack a member, and since when.
     broken_gangs: BTreeMap<(String, u64), u64>,
     controllers: Vec<SocketAddr>,
     outputs: TaskOutputs,
-    /// What was run when, by the workers' own word; written once what it tells is on disk.
+    /// What ran when, by the workers; written after the results that it reports are on disk.
     run_log: File,
     pending_log: String,
 }
 
 impl Machines {
+    /// No machines yet, in a region's folder.
     pub fn open(folder: &Path, controllers: Vec<SocketAddr>) -> io::Result<Machines> {
-        let record = OpenOptions::new().create(true).append(true).open(folder.join("runs.jsonl"))?;
+        let run_log = OpenOptions::new().create(true).append(true).open(folder.join("runs.jsonl"))?;
         Ok(Machines {
             workers: Vec::new(),
             heartbeat_channels: Vec::new(),
             broken_gangs: BTreeMap::new(),
             controllers,
             outputs: TaskOutputs::new(folder),
-            run_log: record,
+            run_log,
             pending_log: String::new(),
         })
     }
 
+    fn worker_index(&self, machine: &str) -> Option<usize> {
+        self.workers.iter().position(|worker| worker.machine.name == machine)
+    }
+
     pub fn has_machine(&self, name: &str) -> bool {
-        self.workers.iter().any(|worker| worker.machine.name == name)
+        self.worker_index(name).is_some()
     }
 
     pub fn names(&self) -> Vec<String> {
         self.workers.iter().map(|worker| worker.machine.name.clone()).collect()
     }
 
-    /// A rented machine comes up; `endpoint` is where its worker is served.
+    /// Starts the worker of a machine that has booted, served at `endpoint`.
     pub fn add_machine(
         &mut self,
-        rented: &CloudMachine,
-        kind: &MachineTypeSpec,
+        machine: &CloudMachine,
+        machine_type: &MachineTypeSpec,
         endpoint: SocketAddr,
-        port: ListenerId,
-        desk: &JobStore,
+        listener: ListenerId,
+        job_store: &JobStore,
         now: u64,
     ) {
-        let machine = rented.machine(kind, endpoint.to_string());
+        let machine = machine.machine(machine_type, endpoint.to_string());
         let mut worker = Worker::new(machine, now);
-        desk.results.iter().for_each(|(task, made)| worker.restore_result(task, *made));
-        let home = port.0 % self.controllers.len().max(1);
+        job_store.results.iter().for_each(|(task, result)| worker.restore_result(task, *result));
+        // Heartbeats are spread over the controllers.
+        let first_controller = listener.0 % self.controllers.len().max(1);
         self.workers.push(worker);
         self.heartbeat_channels.push(HeartbeatChannel {
-            listener: port,
-            call_slot: CallSlot(port.0),
-            reporter: HeartbeatSender::new(home, now),
+            listener,
+            call_slot: CallSlot(listener.0),
+            sender: HeartbeatSender::new(first_controller, now),
         });
     }
 
-    /// A machine that was returned: its tasks are ended with it.
+    /// Ends the worker of a machine that was released, with its tasks. Returns its listener.
     pub fn remove_machine(
         &mut self,
         name: &str,
         processes: &mut Processes,
-        caller: &mut HttpClient,
+        http_client: &mut HttpClient,
     ) -> Option<ListenerId> {
-        let at = self.workers.iter().position(|worker| worker.machine.name == name)?;
-        let worker = self.workers.remove(at);
-        let reporting = self.heartbeat_channels.remove(at);
-        for piece in worker.attempts.iter().filter(|piece| piece.is_live()) {
+        let index = self.worker_index(name)?;
+        let worker = self.workers.remove(index);
+        let channel = self.heartbeat_channels.remove(index);
+        for attempt in worker.attempts.iter().filter(|attempt| attempt.is_live()) {
             processes.kill(&AttemptKey {
                 machine: name.into(),
-                task: piece.task.clone(),
-                attempt: piece.attempt,
+                task: attempt.task.clone(),
+                attempt: attempt.attempt,
             });
         }
-        caller.abort_call(reporting.call_slot);
-        Some(reporting.listener)
+        http_client.abort_call(channel.call_slot);
+        Some(channel.listener)
     }
 
-    /// A controller's command, or a look at the worker.
+    /// A request to the worker behind a listener: a controller's commands, or its status.
     pub fn handle_request(
         &mut self,
-        port: ListenerId,
+        listener: ListenerId,
         method: &str,
         path: &str,
         body: &[u8],
-        desk: &JobStore,
+        job_store: &JobStore,
         now: u64,
     ) -> (u16, Value) {
-        let Some(at) = self.heartbeat_channels.iter().position(|reporting| reporting.listener == port) else {
+        let Some(index) = self.heartbeat_channels.iter().position(|channel| channel.listener == listener)
+        else {
             return (404, json!({"error": "no such machine"}));
         };
         match (method, path) {
-            ("POST", "/orders") => self.workers[at].handle_direct_command(body, now, &desk.descriptions),
-            ("GET", "/status") => (200, self.workers[at].heartbeat(now)),
+            ("POST", "/orders") => {
+                self.workers[index].handle_direct_command(body, now, &job_store.descriptions)
+            }
+            ("GET", "/status") => (200, self.workers[index].heartbeat(now)),
             _ => (404, json!({"error": "no such path"})),
         }
     }
 
-    /// Time passes on all machines: what is due starts, stops and is told.
-    pub fn step_workers(&mut self, now: u64, desk: &mut JobStore, processes: &mut Processes) {
+    /// Lets time pass on all machines: takes the exits of processes, and starts and stops what is due.
+    pub fn step_workers(&mut self, now: u64, job_store: &mut JobStore, processes: &mut Processes) {
         for exit in processes.collect_exits(now) {
-            self.handle_exit(&exit, desk, now);
+            self.handle_exit(&exit, job_store, now);
         }
         for worker in &mut self.workers {
-            worker.advance(now, LEASE_MS, &desk.descriptions);
+            worker.advance(now, LEASE_MS, &job_store.descriptions);
             worker.started_tasks.clear();
         }
         let times =
             GangTimes { gather_timeout_ms: to_ms(GANG_WAIT_S), peer_loss_timeout_ms: to_ms(GANG_PEER_S) };
-        let complete = self.completed_tasks();
-        coordinate_gangs(&mut self.workers, now, times, &desk.descriptions, &mut self.broken_gangs);
-        for (at, task) in complete {
-            let done = |piece: &olivelatch_worker::TaskAttempt| {
-                piece.task == task
-                    && piece.phase == (AttemptPhase::Ended { cause: "done", checkpoint_kept: false })
-            };
-            if let Some(piece) = self.workers[at].attempts.iter().find(|piece| done(piece)) {
-                let (attempt, machine) = (piece.attempt, self.workers[at].machine.name.clone());
-                let made = self.workers[at].result(&task).unwrap_or_default();
-                self.store_result(&task, made, desk);
-                // A gang's tasks are done when the last of them has exited.
-                self.append_log(json!({"at_ms": now, "event": "exit", "task": task, "attempt": attempt,
-                    "machine": machine, "code": 0, "done": true}));
-            }
+        // A gang's tasks are done when the last of them has exited.
+        let waiting = self.tasks_waiting_for_gang();
+        coordinate_gangs(&mut self.workers, now, times, &job_store.descriptions, &mut self.broken_gangs);
+        for (index, task) in waiting {
+            self.record_gang_task(index, &task, job_store, now);
         }
-        for at in 0..self.workers.len() {
-            for effect in self.workers[at].take_process_actions() {
-                self.apply_effect(at, effect, desk, processes, now);
+        for index in 0..self.workers.len() {
+            for action in self.workers[index].take_process_actions() {
+                self.perform_process_action(index, action, job_store, processes, now);
             }
         }
     }
 
-    /// Members of gangs that have exited well and wait for the others.
-    fn completed_tasks(&self) -> Vec<(usize, String)> {
-        let waits = |at: usize| {
-            let pieces = self.workers[at]
-                .attempts
-                .iter()
-                .filter(|piece| piece.phase == AttemptPhase::WaitingForGangExit);
-            pieces.map(move |piece| (at, piece.task.clone()))
+    /// Stores the result of a gang's task if its gang is done by now.
+    fn record_gang_task(&mut self, index: usize, task: &str, job_store: &mut JobStore, now: u64) {
+        let done = AttemptPhase::Ended { cause: "done", checkpoint_kept: false };
+        let worker = &self.workers[index];
+        let attempt = worker.attempts.iter().find(|attempt| attempt.task == task && attempt.phase == done);
+        let Some(attempt) = attempt.map(|attempt| attempt.attempt) else { return };
+        let (machine, result) = (worker.machine.name.clone(), worker.result(task).unwrap_or_default());
+        self.store_result(task, result, job_store);
+        self.append_log(&json!({"at_ms": now, "event": "exit", "task": task, "attempt": attempt,
+            "machine": machine, "code": 0, "done": true}));
+    }
+
+    /// Members of gangs that have exited in success and wait for the others, by the position of their worker.
+    fn tasks_waiting_for_gang(&self) -> Vec<(usize, String)> {
+        let waiting = |(index, worker): (usize, &Worker)| {
+            let attempts = worker.attempts.iter();
+            let waiting = attempts.filter(|attempt| attempt.phase == AttemptPhase::WaitingForGangExit);
+            waiting.map(|attempt| (index, attempt.task.clone())).collect::<Vec<_>>()
         };
-        (0..self.workers.len()).flat_map(waits).collect()
+        self.workers.iter().enumerate().flat_map(waiting).collect()
     }
 
-    /// A task is done: whichever machine is told to run it again ends it at once, as those do that come up later.
-    fn store_result(&mut self, task: &str, made: TaskResult, desk: &mut JobStore) {
-        desk.record_result(task, made);
-        self.workers.iter_mut().for_each(|worker| worker.restore_result(task, made));
+    /// A task is done: any machine that gets a command to run it again, now or later, reports it as done at once.
+    fn store_result(&mut self, task: &str, result: TaskResult, job_store: &mut JobStore) {
+        job_store.record_result(task, result);
+        self.workers.iter_mut().for_each(|worker| worker.restore_result(task, result));
     }
 
-    fn append_log(&mut self, what: Value) {
-        self.pending_log.push_str(&what.to_string());
+    fn append_log(&mut self, entry: &Value) {
+        self.pending_log.push_str(&entry.to_string());
         self.pending_log.push('\n');
     }
 
-    fn handle_exit(&mut self, exit: &ProcessExit, desk: &mut JobStore, now: u64) {
+    fn handle_exit(&mut self, exit: &ProcessExit, job_store: &mut JobStore, now: u64) {
         let key = &exit.key;
-        let Some(at) = self.workers.iter().position(|worker| worker.machine.name == key.machine) else {
-            return;
-        };
-        let well = exit.code == Some(0) && self.outputs.sync(&key.task, key.attempt).is_ok();
-        let gave = if well { self.outputs.list_length(&key.task, key.attempt) } else { None };
-        let done = self.workers[at].process_exited(&key.task, key.attempt, well, gave, &desk.descriptions);
+        let Some(index) = self.worker_index(&key.machine) else { return };
+        let succeeded = exit.code == Some(0) && self.outputs.sync(&key.task, key.attempt).is_ok();
+        let list_len = if succeeded { self.outputs.list_length(&key.task, key.attempt) } else { None };
+        let worker = &mut self.workers[index];
+        let done =
+            worker.process_exited(&key.task, key.attempt, succeeded, list_len, &job_store.descriptions);
         if done {
-            self.store_result(&key.task, TaskResult { attempt: key.attempt, list_len: gave }, desk);
+            self.store_result(&key.task, TaskResult { attempt: key.attempt, list_len }, job_store);
         }
-        self.append_log(json!({"at_ms": now, "event": "exit", "task": key.task, "attempt": key.attempt,
+        self.append_log(&json!({"at_ms": now, "event": "exit", "task": key.task, "attempt": key.attempt,
             "machine": key.machine, "code": exit.code, "done": done}));
     }
 
-    fn apply_effect(
+    fn perform_process_action(
         &mut self,
-        at: usize,
-        effect: ProcessAction,
-        desk: &JobStore,
+        index: usize,
+        action: ProcessAction,
+        job_store: &JobStore,
         processes: &mut Processes,
         now: u64,
     ) {
-        let machine = self.workers[at].machine.name.clone();
+        let machine = self.workers[index].machine.name.clone();
         let key = |task: String, attempt| AttemptKey { machine: machine.clone(), task, attempt };
-        match effect {
+        match action {
             ProcessAction::Start { task, attempt } => {
-                self.start_task(at, &key(task, attempt), desk, processes, now)
+                self.start_task(index, &key(task, attempt), job_store, processes, now);
             }
             ProcessAction::Stop { task, attempt, grace_ms } => {
-                processes.stop(&key(task, attempt), grace_ms, now)
+                processes.stop(&key(task, attempt), grace_ms, now);
             }
             ProcessAction::Kill { task, attempt } => processes.kill(&key(task, attempt)),
         }
@@ -234,81 +244,81 @@
 
     fn start_task(
         &mut self,
-        at: usize,
+        index: usize,
         key: &AttemptKey,
-        desk: &JobStore,
+        job_store: &JobStore,
         processes: &mut Processes,
         now: u64,
     ) {
         let job = key.task.split('/').next().unwrap_or("");
-        let Some(description) = desk.descriptions.get(job) else { return };
+        let Some(description) = job_store.descriptions.get(job) else { return };
         let TaskWork::Process(command) = &description.work else { return };
         let variables =
-            self.outputs.prepare_attempt(&key.task, key.attempt, &desk.descriptions, &desk.results);
+            self.outputs.prepare_attempt(&key.task, key.attempt, &job_store.descriptions, &job_store.results);
         let started = variables
             .and_then(|variables| processes.start(key.clone(), command, description.tasks, &variables));
         let (pid, problem) = match &started {
             Ok(pid) => (Some(*pid), None),
             Err(error) => (None, Some(error.to_string())),
         };
-        self.append_log(json!({"at_ms": now, "event": "start", "task": key.task, "attempt": key.attempt,
+        self.append_log(&json!({"at_ms": now, "event": "start", "task": key.task, "attempt": key.attempt,
             "machine": key.machine, "pid": pid, "problem": problem}));
         if let Some(problem) = problem {
-            // The user looks for the reason in the task's log.
+            // Users find the reason in the task's log.
             processes.log_start_failure(key, &format!("cannot start: {problem}\n"));
-            self.workers[at].process_exited(&key.task, key.attempt, false, None, &desk.descriptions);
+            self.workers[index].process_exited(&key.task, key.attempt, false, None, &job_store.descriptions);
         }
     }
 
-    /// Reports that are due go out; all they say is on disk by now.
-    pub fn send_heartbeats(&mut self, keys: &mut KeyAllocator, caller: &mut HttpClient, now: u64) {
+    /// Sends the heartbeats that are due. Everything that they report must be on disk.
+    pub fn send_heartbeats(&mut self, keys: &mut KeyAllocator, http_client: &mut HttpClient, now: u64) {
         if !self.pending_log.is_empty() {
-            // The record is for checks and people; a full disk must not stop the machines.
+            // The log is for checks and people: a full disk must not stop the machines.
             let _ = self.run_log.write_all(self.pending_log.as_bytes());
             self.pending_log.clear();
         }
         if self.controllers.is_empty() {
             return;
         }
-        for at in 0..self.workers.len() {
-            let HeartbeatChannel { call_slot: slot, reporter, .. } = &mut self.heartbeat_channels[at];
-            if !reporter.is_due(&self.workers[at], now, HEARTBEAT_TIMES) {
+        for index in 0..self.workers.len() {
+            let HeartbeatChannel { call_slot, sender, .. } = &mut self.heartbeat_channels[index];
+            if !sender.is_due(&self.workers[index], now, HEARTBEAT_TIMES) {
                 continue;
             }
-            let body = reporter.send(&mut self.workers[at], now, HEARTBEAT_TIMES, 0).to_string();
-            let addr = self.controllers[reporter.current_controller(self.controllers.len())];
-            let (slot, request) = (*slot, ("POST", "/v1/report", body.as_bytes()));
-            if !caller.send_request(keys, slot, addr, request, now + HEARTBEAT_TIMES.response_timeout_ms) {
+            let body = sender.send(&mut self.workers[index], now, HEARTBEAT_TIMES, 0).to_string();
+            let addr = self.controllers[sender.current_controller(self.controllers.len())];
+            let (slot, request) = (*call_slot, ("POST", "/v1/report", body.as_bytes()));
+            if !http_client.send_request(keys, slot, addr, request, now + HEARTBEAT_TIMES.response_timeout_ms)
+            {
                 self.handle_response(slot, None, &JobStore::default(), now);
             }
         }
     }
 
-    /// An answer to a report, or none: then the next controller is tried.
+    /// The response to a heartbeat, or none, after which the next controller is tried.
     pub fn handle_response(
         &mut self,
         slot: CallSlot,
         response: Option<&Response>,
-        desk: &JobStore,
+        job_store: &JobStore,
         now: u64,
     ) {
-        let Some(at) = self.heartbeat_channels.iter().position(|reporting| reporting.call_slot == slot)
-        else {
+        let Some(index) = self.heartbeat_channels.iter().position(|channel| channel.call_slot == slot) else {
             return;
         };
         let body: Value =
             response.and_then(|response| serde_json::from_slice(&response.body).ok()).unwrap_or(Value::Null);
         let status = response.map_or(0, |response| response.status);
         let controllers = self.controllers.len();
-        let place = |name: &str| controller_index(name, controllers);
-        let answer = HeartbeatResponse { status, body: &body };
-        let (worker, reporter) = (&mut self.workers[at], &mut self.heartbeat_channels[at].reporter);
-        reporter.handle_response(worker, answer, now, HEARTBEAT_TIMES, &desk.descriptions, place);
+        let index_of = |name: &str| controller_index(name, controllers);
+        let response = HeartbeatResponse { status, body: &body };
+        let (worker, sender) = (&mut self.workers[index], &mut self.heartbeat_channels[index].sender);
+        sender.handle_response(worker, response, now, HEARTBEAT_TIMES, &job_store.descriptions, index_of);
     }
 
-    /// Tasks that have their image and are not over.
+    /// Attempts that have their image and have not ended.
     pub fn running_tasks(&self) -> usize {
-        self.workers.iter().flat_map(|worker| &worker.attempts).filter(|piece| piece.is_live()).count()
+        self.workers.iter().flat_map(|worker| &worker.attempts).filter(|attempt| attempt.is_live()).count()
     }
 }
 
--- a/crates/local-cluster/src/task_outputs.rs
+++ b/crates/local-cluster/src/task_outputs.rs
@@ -1,5 +1,5 @@
-//! What tasks write. Each attempt has a place of its own; the output of a node of a graph is published by its end at the
-//! state service, and shown in one step after it. Nothing here decides which attempt won: kept results and ends do.
+//! Outputs of tasks. Each attempt writes into a folder of its own; the output of a graph's node is published atomically
+//! once its terminal record is stored. Nothing here decides which attempt counts: stored results and records do.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -12,20 +12,22 @@
 use serde::de::IgnoredAny;
 use serde_json::Value;
 
-/// The file in which a task gives its list: a JSON array.
+/// The file into which a task writes its list, a JSON array.
 pub const LIST_FILE: &str = "list.json";
-/// A longer one is taken for none.
+/// A longer list is ignored.
 const MAX_LIST_BYTES: u64 = 16 * 1024 * 1024;
+/// The folder with links to the outputs of all tasks of a job.
 const COMPLETE_FOLDER: &str = "whole";
 
 /// Results of tasks by their names.
 pub type TaskResults = BTreeMap<String, TaskResult>;
 
+/// The outputs in a region's folder.
 pub struct TaskOutputs {
     folder: PathBuf,
 }
 
-/// How the end of a node is recorded, as far as files are concerned.
+/// The part of a terminal record that decides whether an output is published.
 #[derive(Deserialize)]
 struct TerminalRecord {
     node: Option<NodeResult>,
@@ -45,6 +47,7 @@
 }
 
 impl TaskOutputs {
+    /// The outputs in this folder.
     pub fn new(folder: &Path) -> TaskOutputs {
         TaskOutputs { folder: folder.into() }
     }
@@ -58,8 +61,8 @@
         self.job_folder(job).join(format!("{task}.{attempt}"))
     }
 
-    /// Where the output of a job is that is done: of one task its winning attempt, of several a folder that names each
-    /// one's.
+    /// The output of a job that is done: with one task the folder of its winning attempt, with several the folder with links
+    /// to each of them.
     fn winning_output(
         &self,
         job: &str,
@@ -72,26 +75,26 @@
         Some(self.attempt_folder(job, "0", results.get(&format!("{job}/0"))?.attempt))
     }
 
-    /// The length of the list that an attempt gave, if it gave one.
+    /// The length of the list that an attempt wrote, if it wrote one.
     pub fn list_length(&self, task: &str, attempt: u64) -> Option<u32> {
         let (job, task) = task.split_once('/')?;
         let list: Vec<IgnoredAny> = read_list(&self.attempt_folder(job, task, attempt))?;
         u32::try_from(list.len()).ok()
     }
 
-    /// What an attempt wrote is on disk before its result is.
+    /// Syncs what an attempt wrote, so that it is on disk before its result is.
     pub fn sync(&self, task: &str, attempt: u64) -> io::Result<()> {
         let Some((job, task)) = task.split_once('/') else { return Ok(()) };
-        let place = self.attempt_folder(job, task, attempt);
-        let Ok(files) = fs::read_dir(&place) else { return Ok(()) };
+        let folder = self.attempt_folder(job, task, attempt);
+        let Ok(files) = fs::read_dir(&folder) else { return Ok(()) };
         for file in files.flatten().filter(|file| file.path().is_file()) {
             File::open(file.path())?.sync_all()?;
         }
-        File::open(&place)?.sync_all()
+        File::open(&folder)?.sync_all()
     }
 
-    /// Makes an attempt's place, and the variables that tell it what it reads: `OLIVELATCH_OUT`, for each input
-    /// `OLIVELATCH_IN_<NAME>`, of a mapped node `OLIVELATCH_ITEM` and how many there are.
+    /// Makes an attempt's folder, and the variables of its environment: `OLIVELATCH_OUT`, `OLIVELATCH_IN_<NAME>` for each
+    /// input, and in a mapped node `OLIVELATCH_ITEM` and `OLIVELATCH_TASKS`, the number of items.
     pub fn prepare_attempt(
         &self,
         task: &str,
@@ -99,25 +102,21 @@
         jobs: &JobDescriptions,
         results: &TaskResults,
     ) -> io::Result<Vec<(String, String)>> {
-        let (job, number) = task.split_once('/').unwrap_or((task, "0"));
-        let place = self.attempt_folder(job, number, attempt);
-        fs::create_dir_all(&place)?;
-        let mut variables = vec![("OLIVELATCH_OUT".into(), place.display().to_string())];
+        let (job, index) = task.split_once('/').unwrap_or((task, "0"));
+        let folder = self.attempt_folder(job, index, attempt);
+        fs::create_dir_all(&folder)?;
+        let mut variables = vec![("OLIVELATCH_OUT".into(), folder.display().to_string())];
         let Some(description) = jobs.get(job) else { return Ok(variables) };
         for (name, input) in &description.inputs {
-            let Some(place) = self.input_folder(input, jobs, results)? else { continue };
-            let upper = |c: char| if c.is_ascii_alphanumeric() { c.to_ascii_uppercase() } else { '_' };
-            let name: String = name.chars().map(upper).collect();
-            variables.push((format!("OLIVELATCH_IN_{name}"), place.display().to_string()));
+            let Some(folder) = self.input_folder(input, jobs, results)? else { continue };
+            variables.push((input_variable(name), folder.display().to_string()));
         }
-        let list = description
-            .map_source
-            .as_ref()
-            .map(|map| self.input_folder(map, jobs, results))
-            .transpose()?
-            .flatten();
-        if let Some(items) = list.and_then(|place| read_list::<Value>(&place)) {
-            let item = number.parse::<usize>().ok().and_then(|at| items.get(at));
+        let map_folder = match &description.map_source {
+            Some(source) => self.input_folder(source, jobs, results)?,
+            None => None,
+        };
+        if let Some(items) = map_folder.and_then(|folder| read_list::<Value>(&folder)) {
+            let item = index.parse::<usize>().ok().and_then(|index| items.get(index));
             let text = |item: &Value| item.as_str().map_or_else(|| item.to_string(), String::from);
             variables.push(("OLIVELATCH_ITEM".into(), item.map_or(String::new(), text)));
             variables.push(("OLIVELATCH_TASKS".into(), items.len().to_string()));
@@ -125,7 +124,7 @@
         Ok(variables)
     }
 
-    /// The place of a job's output; made whole if that was not done yet.
+    /// The folder of a job's output; links to the outputs of its tasks are made if they are not there yet.
     fn input_folder(
         &self,
         job: &str,
@@ -139,23 +138,23 @@
         Ok(self.winning_output(job, description, results))
     }
 
-    /// One folder with a link to the winning attempt of each task, complete before it has its name.
+    /// Makes the folder with a link to the winning attempt of each task. It gets its name once it is complete.
     fn link_winning_attempts(&self, job: &str, results: &TaskResults) -> io::Result<()> {
-        let whole = self.job_folder(job).join(COMPLETE_FOLDER);
-        if whole.exists() {
+        let complete = self.job_folder(job).join(COMPLETE_FOLDER);
+        if complete.exists() {
             return Ok(());
         }
-        let half = self.job_folder(job).join(format!("{COMPLETE_FOLDER}.half"));
-        let _ = fs::remove_dir_all(&half);
-        fs::create_dir_all(&half)?;
-        for (task, made) in tasks_of(job, results) {
-            symlink(Path::new("..").join(format!("{task}.{}", made.attempt)), half.join(task))?;
+        let partial = self.job_folder(job).join(format!("{COMPLETE_FOLDER}.half"));
+        let _ = fs::remove_dir_all(&partial);
+        fs::create_dir_all(&partial)?;
+        for (task, result) in results_of(job, results) {
+            symlink(Path::new("..").join(format!("{task}.{}", result.attempt)), partial.join(task))?;
         }
-        fs::rename(half, whole)
+        fs::rename(partial, complete)
     }
 
-    /// A record changed. If it is the end of a node that went well, its output is shown: in one step, in place of what
-    /// was shown of the node before. Leftovers of other attempts go after that.
+    /// Publishes the output of a node if the record is the terminal record of one that succeeded. That is atomic, and replaces
+    /// an earlier output of the node. Outputs of other attempts are removed after that.
     pub fn publish_on_success(
         &self,
         key: &str,
@@ -167,49 +166,56 @@
         let Ok(TerminalRecord { node: Some(node) }) = TerminalRecord::deserialize(value) else {
             return Ok(());
         };
-        // A name that leads elsewhere is shown nowhere.
-        let plain = |name: &str| !name.is_empty() && !name.contains('/') && !name.starts_with('.');
-        if node.outcome != "success" || !plain(&node.run) || !plain(&node.name) {
+        // Names that would lead out of the folder are not published.
+        let is_plain = |name: &str| !name.is_empty() && !name.contains('/') && !name.starts_with('.');
+        if node.outcome != "success" || !is_plain(&node.run) || !is_plain(&node.name) {
             return Ok(());
         }
-        let Some(place) = self.input_folder(job, jobs, results)? else { return Ok(()) };
-        let shown = self.folder.join("published").join(&node.run);
-        fs::create_dir_all(&shown)?;
-        let target = Path::new("../..").join(place.strip_prefix(&self.folder).unwrap_or(&place));
-        let named = shown.join(&node.name);
-        if fs::read_link(&named).is_ok_and(|known| known == target) {
+        let Some(output) = self.input_folder(job, jobs, results)? else { return Ok(()) };
+        let run_folder = self.folder.join("published").join(&node.run);
+        fs::create_dir_all(&run_folder)?;
+        let target = Path::new("../..").join(output.strip_prefix(&self.folder).unwrap_or(&output));
+        let link = run_folder.join(&node.name);
+        if fs::read_link(&link).is_ok_and(|known| known == target) {
             return Ok(());
         }
-        let half = shown.join(format!(".{}", node.name));
-        let _ = fs::remove_file(&half);
-        symlink(target, &half)?;
-        fs::rename(half, named)?;
+        let new_link = run_folder.join(format!(".{}", node.name));
+        let _ = fs::remove_file(&new_link);
+        symlink(target, &new_link)?;
+        fs::rename(new_link, link)?;
         self.remove_other_attempts(job, results)
     }
 
     fn remove_other_attempts(&self, job: &str, results: &TaskResults) -> io::Result<()> {
-        let won: Vec<String> =
-            tasks_of(job, results).map(|(task, made)| format!("{task}.{}", made.attempt)).collect();
-        for place in fs::read_dir(self.job_folder(job))?.flatten() {
-            let name = place.file_name().to_string_lossy().into_owned();
-            if name != COMPLETE_FOLDER && !won.contains(&name) {
-                fs::remove_dir_all(place.path())?;
+        let winners: Vec<String> =
+            results_of(job, results).map(|(task, result)| format!("{task}.{}", result.attempt)).collect();
+        for entry in fs::read_dir(self.job_folder(job))?.flatten() {
+            let name = entry.file_name().to_string_lossy().into_owned();
+            if name != COMPLETE_FOLDER && !winners.contains(&name) {
+                fs::remove_dir_all(entry.path())?;
             }
         }
         Ok(())
     }
 }
 
-fn tasks_of<'a>(job: &'a str, results: &'a TaskResults) -> impl Iterator<Item = (&'a str, &'a TaskResult)> {
-    let from = format!("{job}/");
-    let ours = results.range(from.clone()..).take_while(move |(task, _)| task.starts_with(&from));
-    ours.filter_map(|(task, made)| Some((task.split_once('/')?.1, made)))
+/// The variable that names the folder of an input.
+fn input_variable(node: &str) -> String {
+    let upper = |c: char| if c.is_ascii_alphanumeric() { c.to_ascii_uppercase() } else { '_' };
+    format!("OLIVELATCH_IN_{}", node.chars().map(upper).collect::<String>())
+}
+
+/// The results of a job's tasks, by the tasks' indices.
+fn results_of<'a>(job: &'a str, results: &'a TaskResults) -> impl Iterator<Item = (&'a str, &'a TaskResult)> {
+    let prefix = format!("{job}/");
+    let of_job = results.range(prefix.clone()..).take_while(move |(task, _)| task.starts_with(&prefix));
+    of_job.filter_map(|(task, result)| Some((task.split_once('/')?.1, result)))
 }
 
-fn read_list<T: for<'a> Deserialize<'a>>(place: &Path) -> Option<Vec<T>> {
-    let path = place.join(LIST_FILE);
-    let short = fs::metadata(&path).is_ok_and(|facts| facts.len() <= MAX_LIST_BYTES);
-    if short { serde_json::from_slice(&fs::read(path).ok()?).ok() } else { None }
+fn read_list<T: for<'a> Deserialize<'a>>(folder: &Path) -> Option<Vec<T>> {
+    let path = folder.join(LIST_FILE);
+    let short_enough = fs::metadata(&path).is_ok_and(|metadata| metadata.len() <= MAX_LIST_BYTES);
+    if short_enough { serde_json::from_slice(&fs::read(path).ok()?).ok() } else { None }
 }
 
 #[cfg(test)]
--- a/crates/local-cluster/src/tests/task_outputs.rs
+++ b/crates/local-cluster/src/tests/task_outputs.rs
@@ -1,4 +1,4 @@
-//! Tests of `outputs`.
+//! Tests of `task_outputs`.
 
 use super::*;
 use olivelatch_worker::{ProcessCommand, TaskWork};
