--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a scale run.
+//! How a scale run fails.
 
 use std::io;
 
@@ -7,27 +7,40 @@
 
 use crate::plan::PlanError;
 
-/// Why a run could not be started or gone on with.
+/// Why a run could not be started or continued.
 #[derive(Debug, Error)]
 pub enum ScaleError {
+    /// A file, a socket or a process.
     #[error("{what}: {error}")]
-    Io { what: String, error: io::Error },
+    Io {
+        /// What was being done.
+        what: String,
+        /// Why it failed.
+        error: io::Error,
+    },
+    /// The plan is wrong.
     #[error(transparent)]
     Plan(#[from] PlanError),
+    /// The kv store's file.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// The machine is too small for the plan.
     #[error("refused: {0}")]
     Refused(String),
-    /// A process of the run does not answer, or ended by itself.
+    /// A process of the run does not respond, or ended by itself.
     #[error("{0}")]
     Process(String),
-    /// What a process of the run said is not what was expected.
+    /// A message between processes of the run, or a file, is not as expected.
     #[error("{what}: {error}")]
-    Json { what: String, error: serde_json::Error },
+    Json {
+        /// Which one.
+        what: String,
+        /// Why not.
+        error: serde_json::Error,
+    },
 }
 
-/// Names what was being done when an operation failed.
+/// An error with what was being done when an operation failed.
 pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> ScaleError {
     let what = what.into();
     move |error| ScaleError::Io { what, error }
--- a/crates/scale-test/src/kv_store.rs
+++ b/crates/scale-test/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The state service as a process of its own: the real rules and the real file.
+//! The kv store of a run as a process of its own, with the real engine and the real file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,18 +17,25 @@
 use crate::error::{ScaleError, io_error};
 use crate::simulated_workers::RunClock;
 
-/// What the process of the state service is started with.
+/// The arguments of the kv store's process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KvStoreArguments {
+    /// Where it serves controllers.
     pub address: SocketAddr,
-    /// Where the run asks for figures.
+    /// Where the run requests measurements.
     pub control: SocketAddr,
+    /// The state file.
     pub file: PathBuf,
+    /// The start of the run, as Unix time in ms.
     pub epoch_ms: u64,
+    /// Requests per second.
     pub requests_per_s: f64,
+    /// Changes per second.
     #[serde(rename = "changes_per_s")]
     pub mutations_per_s: f64,
+    /// The largest value.
     pub value_bytes: usize,
+    /// Changes of one transaction.
     #[serde(rename = "txn_changes")]
     pub txn_mutations: usize,
 }
@@ -36,6 +43,7 @@
 const KV_LISTENER: ListenerId = ListenerId(0);
 const CONTROL_LISTENER: ListenerId = ListenerId(1);
 const POLL_MS: u64 = 20;
+/// Without a request of the run for so long, the process ends.
 const CONTROL_TIMEOUT_MS: u64 = 15_000;
 const LEADER_KEY: &str = "olivelatch/leader";
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -45,17 +53,21 @@
     engine: KvEngine,
     file: StoreFile,
     measurements: KvMeasurements,
-    /// Answers that wait for the disk.
+    /// Responses that wait for the next commit.
     pending_responses: Vec<(ConnectionId, u16, Value)>,
-    last_request_at: u64,
+    /// When the run last requested measurements.
+    last_control_request_at: u64,
 }
 
-/// Serves the state service until the run ends. What was answered is on disk before.
+/// Serves the kv store until the run ends. A response goes out only after its changes are on disk.
+///
+/// # Errors
+/// An address is taken, or the file or the poller fails.
 pub fn serve_kv_store(arguments: KvStoreArguments) -> Result<(), ScaleError> {
-    let gate = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
-    let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&gate));
-    for (address, port) in [(arguments.address, KV_LISTENER), (arguments.control, CONTROL_LISTENER)] {
-        server.listen(&mut keys, address, port).map_err(io_error(format!("listening on {address}")))?;
+    let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
+    let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
+    for (address, listener) in [(arguments.address, KV_LISTENER), (arguments.control, CONTROL_LISTENER)] {
+        server.listen(&mut keys, address, listener).map_err(io_error(format!("listening on {address}")))?;
     }
     let (file, deltas, _) = StoreFile::open(&arguments.file)?;
     let mut engine = KvEngine::restore(&deltas, 0);
@@ -66,82 +78,82 @@
         max_txn_changes: arguments.txn_mutations,
     });
     let clock = RunClock::new(arguments.epoch_ms);
-    let asked = clock.now();
-    let mut state = KvStoreProcess {
+    let mut process = KvStoreProcess {
+        last_control_request_at: clock.now(),
         clock,
         engine,
         file,
         measurements: KvMeasurements::default(),
         pending_responses: Vec::new(),
-        last_request_at: asked,
     };
     let mut events = Events::new();
-    while state.clock.now() < state.last_request_at + CONTROL_TIMEOUT_MS {
+    while process.clock.now() < process.last_control_request_at + CONTROL_TIMEOUT_MS {
         events.clear();
-        gate.wait(&mut events, Duration::from_millis(POLL_MS)).map_err(io_error("the poller"))?;
-        let now = state.clock.now();
+        poller.wait(&mut events, Duration::from_millis(POLL_MS)).map_err(io_error("the poller"))?;
+        let now = process.clock.now();
         let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
         for key in ready {
             let next = server.handle_event(&mut keys, key, now);
-            state.handle_requests(&mut server, next, &gate);
+            process.handle_requests(&mut server, next, &poller);
         }
-        state.engine.expire_leases(now);
+        process.engine.expire_leases(now);
         server.close_idle(now);
-        state.commit(&mut server, &gate)?;
+        process.commit(&mut server, &poller)?;
     }
     Ok(())
 }
 
 impl KvStoreProcess {
-    /// Works on a request and those that follow it on its connection.
+    /// Carries out a request and those that follow it on its connection.
     fn handle_requests(
         &mut self,
         server: &mut HttpServer,
         mut next: Option<IncomingRequest>,
-        gate: &EventPoller,
+        poller: &EventPoller,
     ) {
-        while let Some(IncomingRequest { connection: conn, listener: port, request }) = next.take() {
+        while let Some(IncomingRequest { connection, listener, request }) = next.take() {
             let now = self.clock.now();
-            if port == CONTROL_LISTENER {
-                self.last_request_at = now;
-                let body = serde_json::to_vec(&self.measurements(gate)).unwrap_or_default();
-                next = server.respond(conn, 200, &body);
+            if listener == CONTROL_LISTENER {
+                self.last_control_request_at = now;
+                let body = serde_json::to_vec(&self.measurements(poller)).unwrap_or_default();
+                next = server.respond(connection, 200, &body);
                 continue;
             }
             let (status, body) =
                 self.engine.handle_request(&request.method, &request.path, &request.body, now);
             self.measurements.requests += 1;
             self.measurements.refused += u64::from(status == TOO_MANY_REQUESTS);
-            self.pending_responses.push((conn, status, body));
+            self.pending_responses.push((connection, status, body));
         }
     }
 
-    fn measurements(&self, gate: &EventPoller) -> KvMeasurements {
+    fn measurements(&self, poller: &EventPoller) -> KvMeasurements {
         let record = self.engine.get(LEADER_KEY);
-        let mut figures = self.measurements.clone();
-        figures.revision = self.engine.revision();
-        figures.keys = self.engine.len();
-        figures.leader = record.and_then(|record| record["node"].as_str()).map(String::from);
-        figures.bytes_in = gate.syscalls.bytes_read.load(Ordering::Relaxed);
-        figures.bytes_out = gate.syscalls.bytes_written.load(Ordering::Relaxed);
-        figures
+        let mut measurements = self.measurements.clone();
+        measurements.revision = self.engine.revision();
+        measurements.keys = self.engine.len();
+        measurements.leader = record.and_then(|record| record["node"].as_str()).map(String::from);
+        measurements.bytes_in = poller.syscalls.bytes_read.load(Ordering::Relaxed);
+        measurements.bytes_out = poller.syscalls.bytes_written.load(Ordering::Relaxed);
+        measurements
     }
 
-    /// What changed goes to disk, then the answers go out.
-    fn commit(&mut self, server: &mut HttpServer, gate: &EventPoller) -> Result<(), ScaleError> {
+    /// Writes all changes to disk, then sends the responses that report them.
+    fn commit(&mut self, server: &mut HttpServer, poller: &EventPoller) -> Result<(), ScaleError> {
         while !self.pending_responses.is_empty() {
             let deltas = self.engine.take_deltas();
-            let writes = |delta: &&Delta| matches!(delta, Delta::Put { .. } | Delta::Delete { .. });
-            self.measurements.mutations += deltas.iter().filter(writes).count() as u64;
+            let is_mutation = |delta: &&Delta| matches!(delta, Delta::Put { .. } | Delta::Delete { .. });
+            self.measurements.mutations += deltas.iter().filter(is_mutation).count() as u64;
             self.file.commit(&deltas, &[])?;
-            for (conn, status, body) in std::mem::take(&mut self.pending_responses) {
+            for (connection, status, body) in std::mem::take(&mut self.pending_responses) {
                 let bytes = serde_json::to_vec(&body).unwrap_or_default();
-                let next = server.respond(conn, status, &bytes);
-                self.handle_requests(server, next, gate);
+                let next = server.respond(connection, status, &bytes);
+                self.handle_requests(server, next, poller);
             }
         }
-        let left = self.engine.take_deltas();
-        self.file.commit(&left, &[])?;
+        // Expired leases have changes without a request.
+        let deltas = self.engine.take_deltas();
+        self.file.commit(&deltas, &[])?;
         Ok(())
     }
 }
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,10 +1,10 @@
 //! The scale run: the control plane at a planned size, on one machine.
 //!
-//! Real controllers, as processes as they are deployed, and the real state service with its file stand on loopback beside
-//! hollow workers: the worker's own rules (`olivelatch-worker`) with simulated tasks, many in a process. An open-loop load
-//! follows a plan (HCL), faults strike by time, and an independent check judges what the hollow workers saw.
-//! `plan`, `arrivals`, `check` and `figures` do no I/O and read no clock. Nothing outlives a run, and the run refuses to
-//! start where the machine is too small. docs/scale.md is the operators' page.
+//! Real controllers, as processes as they are deployed, and the real kv store with its file run on loopback with simulated
+//! workers: the worker's own code (`olivelatch-worker`) with simulated tasks, many workers in a process. An open-loop load
+//! follows a plan (HCL), faults come by time, and an independent checker judges what the simulated workers saw.
+//! `plan`, `arrivals`, `invariants` and `measurements` do no I/O and read no clock. No process outlives a run, and the run
+//! refuses to start where the machine is too small. docs/scale.md is the operators' page.
 
 mod arrivals;
 mod changes;
