--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -41,9 +41,9 @@
     "node r last 130 after=f*,map rule=all_success run=1 team=works",
 ];
 
-fn play(world: &mut SimulatedCluster, line: &str) {
+fn play(cluster: &mut SimulatedCluster, line: &str) {
     let words: Vec<&str> = line.split_whitespace().collect();
-    world.run_action(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
+    cluster.run_action(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
 }
 
 fn golden(name: &str) -> PathBuf {
@@ -51,26 +51,26 @@
 }
 
 fn region() -> SimulatedCluster {
-    let mut world = SimulatedCluster::new();
-    REGION.iter().for_each(|line| play(&mut world, line));
-    play(&mut world, "config");
-    world
+    let mut cluster = SimulatedCluster::new();
+    REGION.iter().for_each(|line| play(&mut cluster, line));
+    play(&mut cluster, "config");
+    cluster
 }
 
 /// A job as a version before the log left it: accepted, with two tasks on a machine by that machine's own record.
-fn earlier_records(world: &mut SimulatedCluster) {
+fn earlier_records(cluster: &mut SimulatedCluster) {
     let spec = json!({"uid": "job-000009", "jobclass": "work", "owner": "works", "shape": "array",
         "urgency": "normal", "pieces": 3, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "img-1",
         "size_gb": 0.1, "boxkinds": null, "hall": null, "together": false, "scatter": false, "loaners": false,
         "guess_s": 5.0, "snapshot_s": 0.0, "flush_s": 1.0, "due_s": null});
-    play(world, "machine small b");
-    let name = world.machine_names().pop().expect("a machine");
+    play(cluster, "machine small b");
+    let name = cluster.machine_names().pop().expect("a machine");
     let number: u32 = name.trim_start_matches("host-").parse().expect("a number");
-    world.kv_store.put("olivelatch/job/job-000009", json!({"at": 1_700_000_100_000_u64, "spec": spec}));
+    cluster.kv_store.put("olivelatch/job/job-000009", json!({"at": 1_700_000_100_000_u64, "spec": spec}));
     let record = json!({"kind": "small", "zone": "b", "spot": false,
         "endpoint": format!("10.9.0.{}:9000", number + 1), "tasks": {"job-000009": [[0, 7], [1, 8]]}});
-    world.kv_store.put(&format!("olivelatch/machine/{name}"), record);
-    world.kv_store.put(
+    cluster.kv_store.put(&format!("olivelatch/machine/{name}"), record);
+    cluster.kv_store.put(
         "olivelatch/booking/b-earlier",
         json!({"kind": "small", "zone": "a", "spot": false, "count": 1}),
     );
@@ -78,15 +78,15 @@
 
 /// Plays a region into the middle of its work and writes its file.
 fn write() {
-    let mut world = region();
-    world.durable();
-    play(&mut world, "nodes a b c");
-    play(&mut world, "until 10 leader = any");
-    play(&mut world, &format!("submit {}", JOBS[0]));
+    let mut cluster = region();
+    cluster.durable();
+    play(&mut cluster, "nodes a b c");
+    play(&mut cluster, "until 10 leader = any");
+    play(&mut cluster, &format!("submit {}", JOBS[0]));
     // Blocks of finished tasks are written once there are many.
-    play(&mut world, "until 90 keys olivelatch/fin/ >= 1");
-    JOBS[1..EARLIER].iter().for_each(|job| play(&mut world, &format!("submit {job}")));
-    RUN.iter().for_each(|line| play(&mut world, line));
+    play(&mut cluster, "until 90 keys olivelatch/fin/ >= 1");
+    JOBS[1..EARLIER].iter().for_each(|job| play(&mut cluster, &format!("submit {job}")));
+    RUN.iter().for_each(|line| play(&mut cluster, line));
     for line in [
         "commit r nightly bytes=900",
         "set lower field limit=3",
@@ -98,24 +98,25 @@
         "until 60 running 3 = 2",
         "until 60 running 110 = 1",
     ] {
-        play(&mut world, line);
+        play(&mut cluster, line);
     }
-    let mut tasks = world.attempts();
-    earlier_records(&mut world);
-    let name = world.machine_names().pop().expect("a machine");
+    let mut tasks = cluster.attempts();
+    earlier_records(&mut cluster);
+    let name = cluster.machine_names().pop().expect("a machine");
     tasks.extend([(name.clone(), "job-000009/0".into(), 7), (name, "job-000009/1".into(), 8)]);
     let path = scratch("written");
-    world.write_file(&path);
+    cluster.write_file(&path);
     let whole = std::fs::read(&path).expect("the state file");
     std::fs::remove_file(path).expect("the file goes");
     std::fs::write(golden("inherited.pages"), pack(&whole)).expect("its pages");
-    let text = serde_json::to_string_pretty(&json!({"running": tasks, "keys": sorts(&world)})).expect("JSON");
+    let text =
+        serde_json::to_string_pretty(&json!({"running": tasks, "keys": sorts(&cluster)})).expect("JSON");
     std::fs::write(golden("inherited.json"), text + "\n").expect("the file's contents");
 }
 
 /// Keys of records by their texts.
-fn sorts(world: &SimulatedCluster) -> Vec<String> {
-    world.all_records().into_iter().map(|(key, _)| key).collect()
+fn sorts(cluster: &SimulatedCluster) -> Vec<String> {
+    cluster.all_records().into_iter().map(|(key, _)| key).collect()
 }
 
 /// A file of this test alone.
@@ -187,19 +188,19 @@
 
 /// The region goes on from the file, with the machines as they were.
 fn resumed(kept: &Value) -> SimulatedCluster {
-    let mut world = region();
-    JOBS.iter().for_each(|job| play(&mut world, &format!("known {job}")));
-    RUN.iter().for_each(|line| play(&mut world, line));
+    let mut cluster = region();
+    JOBS.iter().for_each(|job| play(&mut cluster, &format!("known {job}")));
+    RUN.iter().for_each(|line| play(&mut cluster, line));
     let path = copy();
-    world.read_file(&path);
+    cluster.read_file(&path);
     std::fs::remove_file(path).expect("the copy goes");
-    assert_eq!(json!(sorts(&world)), kept["keys"], "the file has the records that were written");
-    world
+    assert_eq!(json!(sorts(&cluster)), kept["keys"], "the file has the records that were written");
+    cluster
 }
 
 /// Every sort of record is there, and the log speaks of the tasks that run.
-fn check_records(world: &SimulatedCluster, kept: &Value) {
-    let records = world.all_records();
+fn check_records(cluster: &SimulatedCluster, kept: &Value) {
+    let records = cluster.all_records();
     for sort in ["job", "end", "fin", "machine", "log", "booking", "kind", "part", "graph", "turn", "config"]
     {
         let prefix = format!("olivelatch/{sort}/");
@@ -228,20 +229,20 @@
     }
     let text = std::fs::read_to_string(golden("inherited.json")).expect("what the file holds");
     let kept: Value = serde_json::from_str(&text).expect("JSON");
-    let mut world = resumed(&kept);
-    check_records(&world, &kept);
+    let mut cluster = resumed(&kept);
+    check_records(&cluster, &kept);
     let before: BTreeSet<(String, String, u64)> = running(&kept).into_iter().collect();
-    play(&mut world, "nodes a b c");
-    world.resume(&running(&kept));
-    play(&mut world, "until 20 leader = any");
+    play(&mut cluster, "nodes a b c");
+    cluster.resume(&running(&kept));
+    play(&mut cluster, "until 20 leader = any");
     for (job, state) in [(1, "running"), (2, "running"), (3, "running"), (4, "running"), (5, "done")] {
-        play(&mut world, &format!("until 10 inspected {job} /row/state = {state}"));
+        play(&mut cluster, &format!("until 10 inspected {job} /row/state = {state}"));
     }
     let gang = before.iter().find(|(_, task, _)| task == "job-000002/0").expect("a gang that runs");
-    play(&mut world, &format!("until 10 inspected 2 /tasks/0/attempt = {}", gang.2));
+    play(&mut cluster, &format!("until 10 inspected 2 /tasks/0/attempt = {}", gang.2));
     // Nothing is started anew that runs: the same attempts, on the same machines.
     let tasks: BTreeSet<&String> = before.iter().map(|(_, task, _)| task).collect();
-    let now = world.attempts();
+    let now = cluster.attempts();
     let moved = now.iter().find(|now| tasks.contains(&now.1) && !before.contains(now));
     assert_eq!(moved, None, "started again");
     assert!(now.iter().filter(|now| before.contains(now)).count() >= before.len() / 2, "{now:?}");
@@ -257,6 +258,6 @@
         "expect record olivelatch/config/team/field has 3.0",
         "until 30 keys olivelatch/machine/ = 0",
     ] {
-        play(&mut world, line);
+        play(&mut cluster, line);
     }
 }
--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -1,6 +1,6 @@
-//! Random plans from seeds: several controllers, troubles that meet in all orders, jobs of every shape, users that ask and
-//! cancel through all of it. The rules of the users' protocol hold at every moment, every accepted job is known within 75 s
-//! of the last trouble and ends, one node leads in the end. A plan that fails is shrunk by leaving troubles out and printed
+//! Random plans from seeds: several controllers, faults that overlap in all orders, jobs of every shape, users that poll and
+//! cancel meanwhile. The rules of the users' protocol hold at every moment, every accepted job is known within 75 s of the
+//! last fault and finishes, and there is one leader in the end. A plan that fails is shrunk by leaving faults out and printed
 //! as a scenario. `SEED=17 cargo test --test plans` plays one plan of each kind, `SEEDS=1000 ...` more of them.
 
 mod simulation;
@@ -9,17 +9,17 @@
 use rand::{RngExt, SeedableRng};
 use simulation::SimulatedCluster;
 
-/// Plans of each kind that the checks play: the same verdict always.
+/// Plans of each kind that CI plays; the result of a seed is always the same.
 const SEEDS: u64 = 24;
 
-/// What is done to the region: lines with the time since the trouble began, in milliseconds.
+/// Lines of a scenario, with the time since the fault began, in ms.
 type FaultScript = Vec<(u64, String)>;
 
-/// Troubles with their times, between a beginning and an end that they all share.
+/// Faults with their times, between a setup and final checks that they all share.
 struct FaultPlan {
     setup: Vec<String>,
     faults: Vec<(u64, FaultScript)>,
-    /// What users do meanwhile: no trouble that could be left out, as the end asks for its jobs.
+    /// What users do meanwhile. It cannot be left out, as the final checks expect its jobs.
     user_actions: FaultScript,
     final_checks: Vec<String>,
 }
@@ -30,7 +30,7 @@
         let mut timed: Vec<(u64, &String)> = self
             .faults
             .iter()
-            .flat_map(|(begin, trouble)| trouble.iter().map(move |(at, line)| (begin + at, line)))
+            .flat_map(|(begin, script)| script.iter().map(move |(offset, line)| (begin + offset, line)))
             .chain(self.user_actions.iter().map(|(at, line)| (*at, line)))
             .collect();
         timed.sort_by_key(|(at, _)| *at);
@@ -48,11 +48,11 @@
     }
 
     fn without_fault(&self, left_out: usize) -> FaultPlan {
-        let mut troubles = self.faults.clone();
-        troubles.remove(left_out);
+        let mut faults = self.faults.clone();
+        faults.remove(left_out);
         FaultPlan {
             setup: self.setup.clone(),
-            faults: troubles,
+            faults,
             user_actions: self.user_actions.clone(),
             final_checks: self.final_checks.clone(),
         }
@@ -62,23 +62,23 @@
         self.play_in(SimulatedCluster::new())
     }
 
-    fn play_in(&self, mut world: SimulatedCluster) -> Result<u64, String> {
+    fn play_in(&self, mut cluster: SimulatedCluster) -> Result<u64, String> {
         for line in self.scenario_lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            world.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
+            cluster.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
         }
-        Ok(world.longest_cancelled_stay_ms())
+        Ok(cluster.longest_cancelled_stay_ms())
     }
 }
 
-/// Leaves troubles out as long as the plan still fails.
+/// Leaves faults out as long as the plan still fails.
 fn shrink(mut plan: FaultPlan, mut problem: String) -> (FaultPlan, String) {
-    let mut at = 0;
-    while at < plan.faults.len() {
-        let smaller = plan.without_fault(at);
+    let mut index = 0;
+    while index < plan.faults.len() {
+        let smaller = plan.without_fault(index);
         match smaller.run() {
-            Err(still) => (plan, problem) = (smaller, still),
-            Ok(_) => at += 1,
+            Err(same_problem) => (plan, problem) = (smaller, same_problem),
+            Ok(_) => index += 1,
         }
     }
     (plan, problem)
@@ -88,7 +88,7 @@
     texts.iter().map(|text| (*text).to_string()).collect()
 }
 
-/// From `first` on and, `for_ms` later, over again.
+/// A fault that begins with some lines, and is over with others `for_ms` later.
 fn lasting_fault(first: &[&str], for_ms: u64, then: &[&str]) -> FaultScript {
     let begin = first.iter().map(|line| (0, (*line).to_string()));
     begin.chain(then.iter().map(|line| (for_ms, (*line).to_string()))).collect()
@@ -98,13 +98,13 @@
     choices[rng.random_range(0..choices.len())]
 }
 
-/// A controller ends and is back after so many milliseconds, knowing nothing.
+/// A controller is killed, and started again without memory after so many ms.
 fn restart_at_once(node: &str, back_ms: u64) -> FaultScript {
     vec![(0, format!("kill {node}")), (back_ms, "start-all".into())]
 }
 
-fn delayed(trouble: FaultScript, by_ms: u64) -> FaultScript {
-    trouble.into_iter().map(|(at, line)| (at + by_ms, line)).collect()
+fn delayed(script: FaultScript, by_ms: u64) -> FaultScript {
+    script.into_iter().map(|(offset, line)| (offset + by_ms, line)).collect()
 }
 
 const FAULT_DURATIONS_MS: [u64; 7] = [300, 1_000, 3_000, 6_000, 15_000, 30_000, 60_000];
@@ -381,7 +381,7 @@
     }
 }
 
-/// Limits that change while troubles meet: the world judges each start against what was in force at that moment.
+/// Limits that change while troubles meet: the cluster judges each start against what was in force at that moment.
 fn limit_changes_plan(seed: u64) -> FaultPlan {
     const CHANGES: usize = 12;
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11317);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -14,7 +14,7 @@
 #[test]
 #[ignore = "a measurement"]
 fn lists_and_explanations_at_size() {
-    let mut world = SimulatedCluster::new();
+    let mut cluster = SimulatedCluster::new();
     let lines = [
         "operators explains_per_s=100000",
         "settings state rps=100000 write_rps=100000",
@@ -31,15 +31,15 @@
     ];
     for at in 0..100_000_u64 {
         let detail = json!({"team": "core", "class": "work", "tasks": 3, "accepted": 5});
-        world
+        cluster
             .kv_store
             .put(&format!("olivelatch/end/job-{at:06}"), json!({"end": "done", "at": 7, "detail": detail}));
     }
     for line in lines {
         let words: Vec<&str> = line.split_whitespace().collect();
-        world.run_action(&words).expect(line);
+        cluster.run_action(&words).expect(line);
     }
-    let at = world.controller_index("leader");
+    let at = cluster.controller_index("leader");
     let follower = (at + 1) % 3;
     for (what, at, path) in [
         ("explain, a job behind its team's limit", at, "jobs/job-900002/explain"),
@@ -55,25 +55,29 @@
         let mut bytes = 0;
         for _ in 0..50 {
             let request = parse_operator_request(path, query).expect("a path").expect("a question");
-            world.next_request += 1;
-            let call = InboundId(world.next_request);
-            let clock = world.controller_clock(0);
-            let node = world.controllers[at].controller.as_mut().expect("a node");
+            cluster.next_request += 1;
+            let call = InboundId(cluster.next_request);
+            let clock = cluster.controller_clock(0);
+            let node = cluster.controllers[at].controller.as_mut().expect("a node");
             node.receive_event(clock, Event::Operator { inbound: call, request });
             // Its poll and the barrier: what the node does until the answer is there.
             for _ in 0..20 {
-                world.now += STEP_MS;
-                let clock = world.controller_clock(0);
-                let Some(node) = world.controllers[at].controller.as_mut() else { continue };
+                cluster.now += STEP_MS;
+                let clock = cluster.controller_clock(0);
+                let Some(node) = cluster.controllers[at].controller.as_mut() else { continue };
                 let outputs = node.step(clock);
                 let mut answered = false;
                 for output in outputs {
                     if let Action::CallKv { outbound: ask, request, .. } = output {
                         let asked = request.to_http_request();
-                        let (status, body) =
-                            world.kv_store.handle_request(asked.method, &asked.path, &asked.body, world.now);
+                        let (status, body) = cluster.kv_store.handle_request(
+                            asked.method,
+                            &asked.path,
+                            &asked.body,
+                            cluster.now,
+                        );
                         let outcome = HttpOutcome::Response { status, body: body.to_string().into_bytes() };
-                        let node = world.controllers[at].controller.as_mut().expect("a node");
+                        let node = cluster.controllers[at].controller.as_mut().expect("a node");
                         let started = std::time::Instant::now();
                         let out = node.receive_event(clock, Event::Kv { outbound: ask, outcome });
                         for output in out {
@@ -92,7 +96,7 @@
                 }
             }
             // Workers and the other nodes go on meanwhile.
-            (0..25).for_each(|_| world.step());
+            (0..25).for_each(|_| cluster.step());
         }
         took.sort_unstable();
         println!(
@@ -104,20 +108,20 @@
 }
 
 fn start_cluster(lines: &[&str]) -> SimulatedCluster {
-    let mut world = SimulatedCluster::new();
-    run_lines(&mut world, lines);
-    world
+    let mut cluster = SimulatedCluster::new();
+    run_lines(&mut cluster, lines);
+    cluster
 }
 
 /// Jobs with an end.
-fn finished_jobs(world: &SimulatedCluster) -> usize {
-    world.kv_store.keys().filter(|key| key.starts_with("olivelatch/end/")).count()
+fn finished_jobs(cluster: &SimulatedCluster) -> usize {
+    cluster.kv_store.keys().filter(|key| key.starts_with("olivelatch/end/")).count()
 }
 
-fn run_lines(world: &mut SimulatedCluster, lines: &[&str]) {
+fn run_lines(cluster: &mut SimulatedCluster, lines: &[&str]) {
     for line in lines {
         let words: Vec<&str> = line.split_whitespace().collect();
-        world.run_action(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
+        cluster.run_action(&words).unwrap_or_else(|problem| panic!("{line}: {problem}"));
     }
 }
 
@@ -157,7 +161,7 @@
         .collect()
 }
 
-fn draft_graph(world: &mut SimulatedCluster, run: &str, first: u64, shape: &[Vec<u64>]) {
+fn draft_graph(cluster: &mut SimulatedCluster, run: &str, first: u64, shape: &[Vec<u64>]) {
     for (at, after) in shape.iter().enumerate() {
         let all = after.len() + 1 == shape.len() && after.len() > 100;
         let names: Vec<String> = after.iter().map(|up| format!("n{up}")).collect();
@@ -168,7 +172,7 @@
         };
         // The last of a fan-in has a name that `n*` does not take in.
         let name = if all { "last".to_string() } else { format!("n{at}") };
-        run_lines(world, &[&format!("node {run} {name} {}{after} {NODE}", first + at as u64)]);
+        run_lines(cluster, &[&format!("node {run} {name} {}{after} {NODE}", first + at as u64)]);
     }
 }
 
@@ -182,15 +186,15 @@
 }
 
 /// From the last end that a node waited for, as it is stored, to its first task's image.
-fn start_delays(world: &SimulatedCluster, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
+fn start_delays(cluster: &SimulatedCluster, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
     let name = |at: u64| format!("job-{:06}", first + at);
     let ended = |at: u64| {
-        let end = world.kv_store.get(&format!("olivelatch/end/{}", name(at)))?;
+        let end = cluster.kv_store.get(&format!("olivelatch/end/{}", name(at)))?;
         Some(end["at"].as_u64()? - 1_700_000_000_000)
     };
     let delay = |(at, after): (usize, &Vec<u64>)| {
         let last = after.iter().filter_map(|up| ended(*up)).max()?;
-        Some(world.first_start.get(&name(at as u64))?.saturating_sub(last))
+        Some(cluster.first_start.get(&name(at as u64))?.saturating_sub(last))
     };
     let mut all: Vec<u64> = shape.iter().enumerate().filter_map(delay).collect();
     all.sort_unstable();
@@ -198,20 +202,20 @@
 }
 
 fn print_result(
-    world: &SimulatedCluster,
+    cluster: &SimulatedCluster,
     what: &str,
     nodes: u64,
     began: u64,
     before: (u64, std::time::Duration),
 ) {
-    let seconds = (world.now - began) as f64 / 1000.0;
+    let seconds = (cluster.now - began) as f64 / 1000.0;
     println!(
         "{what}: {nodes} in {seconds:.1} s, {:.1} a second; {:.2} changes each; {:.0} us of processor time each, {:.1} ms over one event at most ({})",
         nodes as f64 / seconds,
-        (world.kv_mutations - before.0) as f64 / nodes as f64,
-        (world.event_cpu_time.total - before.1).as_micros() as f64 / nodes as f64,
-        world.event_cpu_time.longest.as_micros() as f64 / 1000.0,
-        world.event_cpu_time.longest_event,
+        (cluster.kv_mutations - before.0) as f64 / nodes as f64,
+        (cluster.event_cpu_time.total - before.1).as_micros() as f64 / nodes as f64,
+        cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0,
+        cluster.event_cpu_time.longest_event,
     );
 }
 
@@ -238,16 +242,16 @@
         [("fan-out", NODES), ("fan-in", NODES), ("random", NODES), ("random", 2_000), ("pipeline", 1_000)]
     {
         let shape = shape(sort, nodes);
-        let mut world = start_cluster(&REGION);
-        draft_graph(&mut world, "r", 1, &shape);
-        let (began, before) = (world.now, (world.kv_mutations, world.event_cpu_time.total));
-        run_lines(&mut world, &["commit r g"]);
-        while finished_jobs(&world) < nodes as usize {
-            world.step();
+        let mut cluster = start_cluster(&REGION);
+        draft_graph(&mut cluster, "r", 1, &shape);
+        let (began, before) = (cluster.now, (cluster.kv_mutations, cluster.event_cpu_time.total));
+        run_lines(&mut cluster, &["commit r g"]);
+        while finished_jobs(&cluster) < nodes as usize {
+            cluster.step();
         }
-        print_result(&world, sort, nodes, began, before);
+        print_result(&cluster, sort, nodes, began, before);
         println!("  {} layers", critical_path_length(&shape));
-        let delays = start_delays(&world, 1, &shape);
+        let delays = start_delays(&cluster, 1, &shape);
         if let (Some(middle), Some(late)) =
             (delays.get(delays.len() / 2), delays.get(delays.len() * 99 / 100))
         {
@@ -260,32 +264,32 @@
 #[test]
 #[ignore = "a measurement"]
 fn takeover_with_fifty_graphs() {
-    let mut world = start_cluster(&REGION);
+    let mut cluster = start_cluster(&REGION);
     let shape = shape("random", 1_000);
     for run in 0..50u64 {
-        draft_graph(&mut world, &format!("r{run}"), 1 + run * 1_000, &shape);
-        run_lines(&mut world, &[&format!("commit r{run} g{run}"), "advance 1"]);
+        draft_graph(&mut cluster, &format!("r{run}"), 1 + run * 1_000, &shape);
+        run_lines(&mut cluster, &[&format!("commit r{run} g{run}"), "advance 1"]);
     }
-    run_lines(&mut world, &["until 60 sent", "advance 5"]);
-    let ends = finished_jobs(&world);
+    run_lines(&mut cluster, &["until 60 sent", "advance 5"]);
+    let ends = finished_jobs(&cluster);
     println!(
         "before: {ends} of 50,000 nodes have ended, {:.1} ms over one event at most",
-        world.event_cpu_time.longest.as_micros() as f64 / 1000.0
+        cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0
     );
-    world.event_cpu_time = Default::default();
-    let began = world.now;
-    run_lines(&mut world, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
+    cluster.event_cpu_time = Default::default();
+    let began = cluster.now;
+    run_lines(&mut cluster, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
     println!(
         "takeover: a leader after {:.1} s; {:.0} ms of processor time of three controllers, {:.1} ms over one event at most ({})",
-        (world.now - began) as f64 / 1000.0,
-        world.event_cpu_time.total.as_micros() as f64 / 1000.0,
-        world.event_cpu_time.longest.as_micros() as f64 / 1000.0,
-        world.event_cpu_time.longest_event,
+        (cluster.now - began) as f64 / 1000.0,
+        cluster.event_cpu_time.total.as_micros() as f64 / 1000.0,
+        cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0,
+        cluster.event_cpu_time.longest_event,
     );
-    let before = finished_jobs(&world);
-    let began = world.now;
-    while finished_jobs(&world) < before + 500 {
-        world.step();
+    let before = finished_jobs(&cluster);
+    let began = cluster.now;
+    while finished_jobs(&cluster) < before + 500 {
+        cluster.step();
     }
-    println!("500 further ends after {:.1} s", (world.now - began) as f64 / 1000.0);
+    println!("500 further ends after {:.1} s", (cluster.now - began) as f64 / 1000.0);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -10,7 +10,7 @@
 /// Plays one file; the error names the line.
 fn run_scenario(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-    let mut world = SimulatedCluster::traced(&name(path));
+    let mut cluster = SimulatedCluster::traced(&name(path));
     let mut lines = 0;
     for (at, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
@@ -18,9 +18,9 @@
             continue;
         }
         lines += 1;
-        log::info!("{} s: {line}", world.now as f64 / 1000.0);
+        log::info!("{} s: {line}", cluster.now as f64 / 1000.0);
         let place = || format!("{}:{}: {line}", path.display(), at + 1);
-        world.run_action(&words).map_err(|problem| format!("{}: {problem}", place()))?;
+        cluster.run_action(&words).map_err(|problem| format!("{}: {problem}", place()))?;
     }
     if lines == 0 { Err(format!("{}: empty", path.display())) } else { Ok(()) }
 }
