--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -138,7 +138,7 @@
     }
 }
 
-/// Whatever else is known to meet.
+/// One of the other faults, alone.
 fn random_fault(rng: &mut SmallRng, nodes: usize) -> FaultScript {
     let for_ms = FAULT_DURATIONS_MS[rng.random_range(0..FAULT_DURATIONS_MS.len())];
     let host = format!("host-{:06}", rng.random_range(0..6));
@@ -197,7 +197,7 @@
     }
 }
 
-/// Whatever is still wrong is over.
+/// Ends every fault that may still last.
 const RECOVERY_LINES: [&str; 18] = [
     "heal",
     "outage off",
@@ -223,14 +223,14 @@
     ["a", "b", "c", "a", "b"][..nodes].join(" ")
 }
 
-/// Controllers that end and are back at once, one trouble after the other.
+/// Controllers that are killed and started again at once, one fault after the other.
 fn restart_plan(seed: u64) -> FaultPlan {
     const FAULT_COUNT: usize = 14;
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = if seed % 2 == 0 { 3 } else { 5 };
-    let mut head = lines(&["team core max=14", "team guest", "kind small cpus=4 boot=4 count=4 zones=a,b"]);
-    head.push(format!("nodes {}", zones(nodes)));
-    head.extend(lines(&[
+    let mut setup = lines(&["team core max=14", "team guest", "kind small cpus=4 boot=4 count=4 zones=a,b"]);
+    setup.push(format!("nodes {}", zones(nodes)));
+    setup.extend(lines(&[
         "until 6 leader = any",
         "submit 1 tasks=30 run=9",
         "submit 2 gang tasks=3 cpus=3 run=12 checkpoint=4 together",
@@ -238,53 +238,53 @@
         "submit 4 tasks=400 run=50 team=guest",
         "advance 8",
     ]));
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     let mut begin = 0;
     for at in 0..FAULT_COUNT {
-        let mut trouble = random_quick_restart(&mut rng, nodes);
-        let over = trouble.iter().map(|(at, _)| *at).max().unwrap_or(0);
+        let mut script = random_quick_restart(&mut rng, nodes);
+        let over = script.iter().map(|(at, _)| *at).max().unwrap_or(0);
         // In the middle of it, so that some acceptances are lost on their way.
-        trouble.insert(trouble.len().min(1), (0, format!("submit {} tasks=2 run=2", 10 + at)));
+        script.insert(script.len().min(1), (0, format!("submit {} tasks=2 run=2", 10 + at)));
         match at {
-            4 => trouble.push((over, "submit 5 tasks=6 run=3 team=guest".into())),
-            8 => trouble.push((over, "abort 4".into())),
+            4 => script.push((over, "submit 5 tasks=6 run=3 team=guest".into())),
+            8 => script.push((over, "abort 4".into())),
             _ => {}
         }
-        troubles.push((begin, trouble));
+        faults.push((begin, script));
         begin += over + rng.random_range(20..4_000);
     }
-    let mut tail = lines(&RECOVERY_LINES);
-    tail.extend(lines(&["until 60 withdrawn 4", "until 90 tasks <= 30"]));
+    let mut final_checks = lines(&RECOVERY_LINES);
+    final_checks.extend(lines(&["until 60 withdrawn 4", "until 90 tasks <= 30"]));
     let jobs = [1, 2, 3, 5].into_iter().chain((0..FAULT_COUNT).map(|at| 10 + at));
-    tail.extend(jobs.map(|job| format!("until 400 done {job}")));
-    tail.extend(lines(&["advance 40", "expect leaders = 1", "expect tasks <= 0"]));
-    FaultPlan { setup: head, faults: troubles, user_actions: FaultScript::new(), final_checks: tail }
+    final_checks.extend(jobs.map(|job| format!("until 400 done {job}")));
+    final_checks.extend(lines(&["advance 40", "expect leaders = 1", "expect tasks <= 0"]));
+    FaultPlan { setup, faults, user_actions: FaultScript::new(), final_checks }
 }
 
-/// Two or three troubles, each at most so long after the one before, and when a next one would begin.
-fn overlapping_faults(rng: &mut SmallRng, nodes: usize, most_gap_ms: u64) -> (Vec<(u64, FaultScript)>, u64) {
-    let mut troubles = Vec::new();
+/// Two or three faults, each beginning at most `max_gap_ms` after the one before, and when a next one would begin.
+fn overlapping_faults(rng: &mut SmallRng, nodes: usize, max_gap_ms: u64) -> (Vec<(u64, FaultScript)>, u64) {
+    let mut faults = Vec::new();
     let mut begin = 0;
     for _ in 0..rng.random_range(2..4) {
         let from_both = rng.random_range(0..5) > 0;
-        let trouble = if from_both { random_fault(rng, nodes) } else { random_quick_restart(rng, nodes) };
-        troubles.push((begin, trouble));
-        begin += rng.random_range(0..most_gap_ms);
+        let script = if from_both { random_fault(rng, nodes) } else { random_quick_restart(rng, nodes) };
+        faults.push((begin, script));
+        begin += rng.random_range(0..max_gap_ms);
     }
-    (troubles, begin)
+    (faults, begin)
 }
 
-/// Two or three troubles over one another, with jobs of every shape, long tasks, cancellations and questions.
+/// Two or three faults that overlap, with jobs of every shape, long tasks, cancellations and polls.
 fn overlapping_faults_plan(seed: u64) -> FaultPlan {
     const LONG: std::ops::Range<usize> = 30..36;
     const AT_END: [usize; 3] = [20, 40, 60];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let nodes = if seed % 3 == 0 { 5 } else { 3 };
-    let mut head = lines(&["team core max=16", "team guest max=14", "team single max=1", "team long max=4"]);
+    let mut setup = lines(&["team core max=16", "team guest max=14", "team single max=1", "team long max=4"]);
     let boot = ["0.5", "1", "4"][rng.random_range(0..3)];
-    head.push(format!("kind small cpus=4 boot={boot} count=7 zones=a,b"));
-    head.push(format!("nodes {}", zones(nodes)));
-    head.extend(lines(&[
+    setup.push(format!("kind small cpus=4 boot={boot} count=7 zones=a,b"));
+    setup.push(format!("nodes {}", zones(nodes)));
+    setup.extend(lines(&[
         "until 6 leader = any",
         "submit 1 tasks=30 run=9",
         "submit 2 gang tasks=3 cpus=3 run=25 checkpoint=4 together",
@@ -294,15 +294,15 @@
         "submit 7 service tasks=3 scatter team=guest",
         "submit 8 gang tasks=2 cpus=2 run=60 checkpoint=10 team=guest",
     ]));
-    head.extend(LONG.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
-    head.push("advance 16".into());
-    // Two questions of one user may be open at once, at different nodes.
-    head.extend([1, 2, 3, 5, 6, 8].map(|job| format!("asks {job} 1")));
-    head.extend(lines(&["close-looks on", "cancels-at-end 20"]));
+    setup.extend(LONG.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
+    setup.push("advance 16".into());
+    // Two polls of one user may be in flight at once, at different controllers.
+    setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("asks {job} 1")));
+    setup.extend(lines(&["close-looks on", "cancels-at-end 20"]));
     if seed % 4 == 1 {
-        head.push("state uneven".into());
+        setup.push("state uneven".into());
     }
-    let (troubles, begin) = overlapping_faults(&mut rng, nodes, 8_000);
+    let (faults, begin) = overlapping_faults(&mut rng, nodes, 8_000);
     let mut users = FaultScript::new();
     for job in LONG {
         users.push((rng.random_range(0..begin + 20_000), format!("abort {job}")));
@@ -311,20 +311,20 @@
     for job in (10..16).chain(AT_END) {
         users.push((rng.random_range(0..begin + 20_000), format!("submit {job} tasks=2 run=2")));
     }
-    let mut tail = lines(&RECOVERY_LINES);
+    let mut final_checks = lines(&RECOVERY_LINES);
     let ends = [1, 2, 3, 5, 6, 8, 10, 11, 12, 13, 14, 15];
-    tail.push(format!("until 75 known 7 {}", ends.map(|job| job.to_string()).join(" ")));
-    tail.extend(LONG.map(|job| format!("until 60 withdrawn {job}")));
-    tail.extend(ends.map(|job| format!("until 400 done {job}")));
-    tail.extend(AT_END.map(|job| format!("until 60 ended {job}")));
-    tail.extend(lines(&[
+    final_checks.push(format!("until 75 known 7 {}", ends.map(|job| job.to_string()).join(" ")));
+    final_checks.extend(LONG.map(|job| format!("until 60 withdrawn {job}")));
+    final_checks.extend(ends.map(|job| format!("until 400 done {job}")));
+    final_checks.extend(AT_END.map(|job| format!("until 60 ended {job}")));
+    final_checks.extend(lines(&[
         "abort 7",
         "until 60 withdrawn 7",
         "advance 40",
         "expect leaders = 1",
         "expect tasks <= 0",
     ]));
-    FaultPlan { setup: head, faults: troubles, user_actions: users, final_checks: tail }
+    FaultPlan { setup, faults, user_actions: users, final_checks }
 }
 
 /// Times of the workers: how often they report, their lease, what a cancellation has.
@@ -336,68 +336,63 @@
 /// than a cancellation has, while workers go on reporting to the former leader.
 fn blind_leader_plan(site: usize, gap_ms: u64, rng: &mut SmallRng) -> FaultPlan {
     let [report, lease, cancel] = SITES[site];
-    let mut head = vec![format!("settings workers report_s={report} lease_s={lease} cancel_s={cancel}")];
-    head.extend(lines(&["team long", "kind small cpus=4 boot=4 count=5", "nodes a a a"]));
+    let mut setup = vec![format!("settings workers report_s={report} lease_s={lease} cancel_s={cancel}")];
+    setup.extend(lines(&["team long", "kind small cpus=4 boot=4 count=5", "nodes a a a"]));
     // The leader's clocks are the furthest off that the settings allow.
     let sign = if rng.random_bool(0.5) { "" } else { "-" };
     for node in 0..3 {
-        head.push(format!("clock n{node} {sign}500 {}", if node == 0 { "10" } else { "-10" }));
+        setup.push(format!("clock n{node} {sign}500 {}", if node == 0 { "10" } else { "-10" }));
     }
-    head.extend(lines(&["until 6 leader = any"]));
-    head.extend((1..=8).map(|job| format!("submit {job} tasks=2 run=900 team=long")));
-    head.extend(lines(&["until 30 running 8 >= 2", "until 30 running 1 >= 2"]));
-    head.push(format!("advance {}", f64::from(rng.random_range(20..2_000)) / 1000.0));
-    let mut trouble = vec![(0, "cut leader state".to_string())];
+    setup.extend(lines(&["until 6 leader = any"]));
+    setup.extend((1..=8).map(|job| format!("submit {job} tasks=2 run=900 team=long")));
+    setup.extend(lines(&["until 30 running 8 >= 2", "until 30 running 1 >= 2"]));
+    setup.push(format!("advance {}", f64::from(rng.random_range(20..2_000)) / 1000.0));
+    let mut script = vec![(0, "cut leader state".to_string())];
     if rng.random_bool(0.5) {
-        trouble.push((0, "cut leader mesh".into()));
+        script.push((0, "cut leader mesh".into()));
     }
     if rng.random_bool(0.5) {
         // The successor's commands do not reach the machines.
-        trouble.push((0, "cut all orders".into()));
+        script.push((0, "cut all orders".into()));
     }
     // The first and the last moment, and some between, through each of the others.
     let last = gap_ms.saturating_sub(60);
     let times = [0, last, rng.random_range(0..last + 1), rng.random_range(0..last + 1)];
     for (job, at) in (1..).zip(times) {
-        trouble.push((at, format!("abort {job} {}", if job % 2 == 0 { "first" } else { "second" })));
+        script.push((at, format!("abort {job} {}", if job % 2 == 0 { "first" } else { "second" })));
     }
-    trouble.sort_by_key(|(at, _)| *at);
-    trouble.push((gap_ms, "outage on".into()));
+    script.sort_by_key(|(at, _)| *at);
+    script.push((gap_ms, "outage on".into()));
     // Not before a leader that may not have seen the first of them starts nothing any more.
-    trouble.push((gap_ms.max(2_700), "expect confirmed >= 1".into()));
+    script.push((gap_ms.max(2_700), "expect confirmed >= 1".into()));
     let cancel_ms = cancel.parse::<f64>().expect("seconds") * 1000.0;
     let over = gap_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
-    trouble.push((over, "outage off".into()));
-    let mut tail = lines(&RECOVERY_LINES);
-    tail.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
-    tail.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
-    tail.extend((5..=8).map(|job| format!("abort {job}")));
-    tail.extend(lines(&["until 60 tasks <= 0", "expect leaders = 1"]));
-    FaultPlan {
-        setup: head,
-        faults: vec![(0, trouble)],
-        user_actions: FaultScript::new(),
-        final_checks: tail,
-    }
+    script.push((over, "outage off".into()));
+    let mut final_checks = lines(&RECOVERY_LINES);
+    final_checks.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
+    final_checks.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
+    final_checks.extend((5..=8).map(|job| format!("abort {job}")));
+    final_checks.extend(lines(&["until 60 tasks <= 0", "expect leaders = 1"]));
+    FaultPlan { setup, faults: vec![(0, script)], user_actions: FaultScript::new(), final_checks }
 }
 
-/// Limits that change while troubles meet: the cluster judges each start against what was in force at that moment.
+/// Limits that change while faults meet: the cluster judges each start against what was in force at that moment.
 fn limit_changes_plan(seed: u64) -> FaultPlan {
     const CHANGES: usize = 12;
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11317);
     let nodes = if seed % 3 == 0 { 5 } else { 3 };
-    let mut head =
+    let mut setup =
         lines(&["team core max=16", "team guest max=14", "kind small cpus=4 boot=3 count=8 zones=a,b"]);
-    head.push("config".into());
-    head.push(format!("nodes {}", zones(nodes)));
-    head.extend(lines(&[
+    setup.push("config".into());
+    setup.push(format!("nodes {}", zones(nodes)));
+    setup.extend(lines(&[
         "until 6 leader = any",
         "submit 1 tasks=150 run=4",
         "submit 2 tasks=60 run=9 team=guest",
         "submit 3 gang tasks=3 cpus=2 run=15 checkpoint=4",
         "advance 8",
     ]));
-    let (troubles, begin) = overlapping_faults(&mut rng, nodes, 12_000);
+    let (faults, begin) = overlapping_faults(&mut rng, nodes, 12_000);
     let mut users = FaultScript::new();
     for change in 0..CHANGES {
         let team = pick_one(&mut rng, &["core", "guest"]);
@@ -406,11 +401,11 @@
     }
     users.push((rng.random_range(0..begin + 20_000), "abort 2".into()));
     users.sort();
-    let mut tail = lines(&RECOVERY_LINES);
-    tail.extend((0..CHANGES).map(|change| format!("until 60 config over c{change}")));
-    tail.extend(lines(&["set last core", "until 10 config in-force last", "until 60 withdrawn 2"]));
-    tail.extend(lines(&["until 900 done 1", "until 300 done 3", "advance 40", "expect tasks <= 0"]));
-    FaultPlan { setup: head, faults: troubles, user_actions: users, final_checks: tail }
+    let mut final_checks = lines(&RECOVERY_LINES);
+    final_checks.extend((0..CHANGES).map(|change| format!("until 60 config over c{change}")));
+    final_checks.extend(lines(&["set last core", "until 10 config in-force last", "until 60 withdrawn 2"]));
+    final_checks.extend(lines(&["until 900 done 1", "until 300 done 3", "advance 40", "expect tasks <= 0"]));
+    FaultPlan { setup, faults, user_actions: users, final_checks }
 }
 
 fn environment_number(name: &str) -> Option<u64> {
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,7 +1,7 @@
 //! The rules that must hold at every start of a task and at every moment. A broken rule is a violation, which fails the
 //! scenario.
 
-use serde_json::json;
+use serde_json::{Value, json};
 
 use super::SimulatedCluster;
 
@@ -66,10 +66,15 @@
         if wrong || apart || crowded {
             self.violations.push(format!("wrong_place: {task} on {}", worker.machine.name));
         }
+        self.check_team_limit(&spec);
+    }
+
+    /// A task of the team has started: its running tasks must be within its limit.
+    fn check_team_limit(&mut self, spec: &Value) {
         let team = spec["owner"].as_str().unwrap_or("");
         let limit = self.config["cluster"]["teams"]
             .as_array()
-            .and_then(|teams| teams.iter().find(|t| t["name"] == json!(team))?["cpus_max"].as_f64())
+            .and_then(|teams| teams.iter().find(|known| known["name"] == json!(team))?["cpus_max"].as_f64())
             .unwrap_or(0.0);
         let used: f64 = self
             .workers
