--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,6 +3,8 @@
 //! A thin assembly: `olivelatch-client` sends the requests, `olivelatch-local-cluster` runs a region on one machine,
 //! `olivelatch` is the controller that it starts. What is here is arguments, output for people and programs, and exit codes.
 
+#![warn(missing_docs)]
+
 mod args;
 mod commands;
 mod connection;
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -5,6 +5,8 @@
 //! and a repeated submission is the same submission. `JobFile`, `ConfigFile` and `Contexts` read what people write.
 //! docs/client.md gives the reasons.
 
+#![warn(missing_docs)]
+
 mod client;
 mod config;
 mod contexts;
--- a/crates/dag-files/src/lib.rs
+++ b/crates/dag-files/src/lib.rs
@@ -4,6 +4,8 @@
 //! and line before anything is sent; `PreparedRun` and `Rerun` are what is sent; `RunView` draws a run as text, DOT or SVG.
 //! Nothing here talks to a controller. docs/flows.md has the format.
 
+#![warn(missing_docs)]
+
 mod builder;
 mod file;
 mod prepare;
--- a/crates/dag/src/lib.rs
+++ b/crates/dag/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! Pure: outcomes in, changes out; no I/O and no clock. docs/graphs.md has the design.
 
+#![warn(missing_docs)]
+
 pub mod progress;
 pub mod retry;
 pub mod topology;
--- a/crates/kv-store/src/lib.rs
+++ b/crates/kv-store/src/lib.rs
@@ -5,6 +5,8 @@
 //! after its `commit`. Neither holds more than the keys and the last 10,000 changes. docs/store.md describes and
 //! justifies the file format.
 
+#![warn(missing_docs)]
+
 mod change_log;
 mod engine;
 mod limits;
--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -5,6 +5,8 @@
 //! the workers (`olivelatch-worker`) and the job store, to which users upload descriptions, and starts the controllers. It
 //! listens on loopback only, and sends a response only after what it reports is on disk. docs/local-cluster.md gives the reasons.
 
+#![warn(missing_docs)]
+
 mod addresses;
 mod cloud;
 mod cluster;
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -176,6 +176,11 @@
 const LIST_LAG_S: f64 = 0.5;
 
 impl Plan {
+    /// Reads a plan from its HCL file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, is no plan, or asks for more than a run may use.
     pub fn load(path: &Path) -> Result<Plan, PlanError> {
         let file = path.display().to_string();
         let text =
@@ -183,6 +188,11 @@
         Plan::parse(&file, &text)
     }
 
+    /// Parses and checks a plan; `file` is named in errors.
+    ///
+    /// # Errors
+    ///
+    /// The text is no plan, or asks for more than a run may use.
     pub fn parse(file: &str, text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = hcl::from_str(text).map_err(|error| PlanError::Hcl {
             file: file.into(),
--- a/crates/scale-test/src/run/mod.rs
+++ b/crates/scale-test/src/run/mod.rs
@@ -137,6 +137,10 @@
 }
 
 /// Plays a plan. Exit code 1: a rule was broken.
+///
+/// # Errors
+///
+/// The plan is invalid, the machine too small for it, or a process or file of the run failed.
 pub fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
     let plan = Plan::load(&arguments.plan)?;
     let memory_limit = start::check_machine_resources(&plan)?;
--- a/crates/scale-test/src/simulated_workers.rs
+++ b/crates/scale-test/src/simulated_workers.rs
@@ -117,7 +117,11 @@
     last_command_at: u64,
 }
 
-/// Serves a zone's hollow workers until the run ends.
+/// Serves a zone's simulated workers until the run ends.
+///
+/// # Errors
+///
+/// A listener cannot be opened or polled.
 pub fn serve_zone(arguments: ZoneProcessArguments) -> Result<(), ScaleError> {
     let mut zone = Zone::new(arguments)?;
     let mut events = Events::new();
@@ -451,7 +455,7 @@
         match (after, &piece.phase) {
             (ObservedPhase::Running, _) => tell(TaskEventKind::Started),
             (ObservedPhase::Removed, AttemptPhase::Ended { cause: "done", .. }) => {
-                tell(TaskEventKind::Completed)
+                tell(TaskEventKind::Completed);
             }
             (ObservedPhase::Removed, _) => tell(TaskEventKind::Removed),
             (ObservedPhase::Placed, _) => {}
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -5,6 +5,8 @@
 //! machines. [`processes`] runs the commands that a `Worker` asks for. CPU and memory are accounted, not enforced.
 //! docs/local-cluster.md argues for both.
 
+#![warn(missing_docs)]
+
 mod attempt;
 mod commands;
 mod description;
