--- a/crates/local-cluster/src/cluster/mod.rs
+++ b/crates/local-cluster/src/cluster/mod.rs
@@ -112,13 +112,7 @@
         let addresses = allocate_addresses(&folder, config.controllers)?;
         let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
         let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
-        for (addr, listener) in [
-            (addresses.kv_store, KV_STORE),
-            (addresses.cloud, CLOUD_LISTENER),
-            (addresses.job_store, JOB_STORE),
-        ] {
-            server.listen(&mut keys, addr, listener).map_err(io_error(format!("listening on {addr}")))?;
-        }
+        listen_on(&addresses, &mut server, &mut keys)?;
         let stop = Arc::new(AtomicBool::new(false));
         let teams = config.teams.into_iter();
         let teams: Vec<TeamSettings> =
@@ -130,13 +124,9 @@
         let mut cloud = restore_saved(&saved, &mut job_store);
         cloud.machine_types = config.machine_types;
         cloud.fail_all(0);
-        // Outputs whose terminal records were committed just before the region was killed.
+        // Terminal records may have been committed just before the region was killed.
         let outputs = TaskOutputs::new(&folder);
-        for (key, value) in terminal_records(&deltas) {
-            let published =
-                outputs.publish_on_success(&key, &value, &job_store.descriptions, &job_store.results);
-            published.map_err(io_error(format!("publishing {key}")))?;
-        }
+        publish_outputs(&outputs, &job_store, &terminal_records(&deltas))?;
         Ok(LocalCluster {
             outputs,
             signals: register_signals(&poller, &stop).map_err(io_error("signals"))?,
@@ -286,15 +276,7 @@
             auxiliary.push(AuxiliaryRecord { name: CLOUD_NAME.into(), bytes: Some(bytes) });
         }
         self.file.commit(&deltas, &auxiliary)?;
-        for (key, value) in terminal_records {
-            let published = self.outputs.publish_on_success(
-                &key,
-                &value,
-                &self.job_store.descriptions,
-                &self.job_store.results,
-            );
-            published.map_err(io_error(format!("publishing {key}")))?;
-        }
+        publish_outputs(&self.outputs, &self.job_store, &terminal_records)?;
         for (connection, status, body) in std::mem::take(&mut self.pending_responses) {
             let bytes = serde_json::to_vec(&body).unwrap_or_default();
             // The response to the connection's next request, if that is there already, waits for the next commit.
@@ -307,6 +289,33 @@
     }
 }
 
+/// Listens for the kv store, the cloud and the job store.
+fn listen_on(
+    addresses: &ClusterAddresses,
+    server: &mut HttpServer,
+    keys: &mut KeyAllocator,
+) -> Result<(), LocalClusterError> {
+    for (addr, listener) in
+        [(addresses.kv_store, KV_STORE), (addresses.cloud, CLOUD_LISTENER), (addresses.job_store, JOB_STORE)]
+    {
+        server.listen(keys, addr, listener).map_err(io_error(format!("listening on {addr}")))?;
+    }
+    Ok(())
+}
+
+/// Publishes the outputs of nodes that succeeded by these terminal records, which must be on disk.
+fn publish_outputs(
+    outputs: &TaskOutputs,
+    job_store: &JobStore,
+    terminal_records: &[(String, Value)],
+) -> Result<(), LocalClusterError> {
+    for (key, value) in terminal_records {
+        let published = outputs.publish_on_success(key, value, &job_store.descriptions, &job_store.results);
+        published.map_err(io_error(format!("publishing {key}")))?;
+    }
+    Ok(())
+}
+
 /// The terminal records among changes.
 fn terminal_records(deltas: &[Delta]) -> Vec<(String, Value)> {
     let records = deltas.iter().filter_map(|delta| match delta {
--- a/tests/simulation/actions/requests.rs
+++ b/tests/simulation/actions/requests.rs
@@ -30,7 +30,7 @@
             Err(refusal) if refusal.status.to_string() == *code => {}
             Err(refusal) => return Err(format!("answered {}", refusal.status)),
             Ok(request) => {
-                self.send_user_request(request, "raw", ResponseCheck::StatusOnly(parse_status(code)?))
+                self.send_user_request(request, "raw", ResponseCheck::StatusOnly(parse_status(code)?));
             }
         }
         Ok(())
