--- a/crates/cli/src/render/reasons.rs
+++ b/crates/cli/src/render/reasons.rs
@@ -72,9 +72,9 @@
         StateReason::Starting { tasks } => {
             format!("{} bound to a machine, the start is being written or on its way", task_count(*tasks))
         }
-        StateReason::ImageFetch { tasks, image, image_gb, max_remaining_s } => {
+        StateReason::ImageFetch { tasks, image, image_gb, longest_fetch_s } => {
             let tasks = task_count(*tasks);
-            format!("{tasks} wait for image {image} ({image_gb} GB), {max_remaining_s:.1} s so far")
+            format!("{tasks} wait for image {image} ({image_gb} GB), {longest_fetch_s:.1} s so far")
         }
         StateReason::WaitingForPeers { tasks } => {
             format!("{} of the gang wait for the others", task_count(*tasks))
--- a/crates/cli/src/tests/render.rs
+++ b/crates/cli/src/tests/render.rs
@@ -13,7 +13,7 @@
         StateReason::PersistingResult,
         StateReason::Running { tasks: 1 },
         StateReason::Starting { tasks: 2 },
-        StateReason::ImageFetch { tasks: 1, image: "i".into(), image_gb: 1.0, max_remaining_s: 0.5 },
+        StateReason::ImageFetch { tasks: 1, image: "i".into(), image_gb: 1.0, longest_fetch_s: 0.5 },
         StateReason::WaitingForPeers { tasks: 1 },
         StateReason::RetryWait { tasks: 1, retry_in_s: 1.0, failed_on: vec!["m".into()] },
         StateReason::QueuedBehind { jobs: 1, tasks: 2, cpu_seconds: 3.0, first_jobs: vec![] },
--- a/src/coordination/leader/explain/placed.rs
+++ b/src/coordination/leader/explain/placed.rs
@@ -54,7 +54,7 @@
             tasks: self.fetching,
             image: explanation.names.images.name_or_unknown(spec.image.index()).into(),
             image_gb: from_milli(spec.image_mb),
-            max_remaining_s: from_milli(self.longest_fetch_ms),
+            longest_fetch_s: from_milli(self.longest_fetch_ms),
         };
         let all = [
             (self.running, StateReason::Running { tasks: self.running }),
--- a/src/protocol/operators/explanation.rs
+++ b/src/protocol/operators/explanation.rs
@@ -78,7 +78,7 @@
         image: String,
         image_gb: f64,
         #[serde(rename = "longest_s")]
-        max_remaining_s: f64,
+        longest_fetch_s: f64,
     },
     #[serde(rename = "gathering")]
     WaitingForPeers {
