--- /dev/null
+++ b/crates/scale-test/src/measurements/usage.rs
@@ -0,0 +1,102 @@
+//! What processes, workers and the kv store used over the run.
+
+use serde::Serialize;
+
+use crate::processes::{ResourceSample, Role};
+
+/// A process over the whole run.
+#[derive(Debug, Clone, Serialize)]
+pub struct ProcessUsage {
+    /// Its name in the report.
+    pub name: String,
+    /// What it serves.
+    pub role: Role,
+    /// Mean share of one core.
+    pub cpu_mean: f64,
+    /// Highest share of one core between two samples.
+    pub cpu_peak: f64,
+    /// Most resident memory, in MB.
+    pub memory_peak_mb: f64,
+    /// Most open files.
+    pub files_peak: usize,
+    #[serde(skip)]
+    cpu_time_s: f64,
+    #[serde(skip)]
+    sampled_s: f64,
+    #[serde(skip)]
+    last_sample: Option<(u64, ResourceSample)>,
+}
+
+impl ProcessUsage {
+    /// A process without samples.
+    pub fn new(name: &str, role: Role) -> ProcessUsage {
+        ProcessUsage {
+            name: name.into(),
+            role,
+            cpu_mean: 0.0,
+            cpu_peak: 0.0,
+            memory_peak_mb: 0.0,
+            files_peak: 0,
+            cpu_time_s: 0.0,
+            sampled_s: 0.0,
+            last_sample: None,
+        }
+    }
+
+    /// Adds a sample taken at `now_ms`; returns the share of a core since the one before, 0 after a restart.
+    pub fn add_sample(&mut self, now_ms: u64, sample: Option<ResourceSample>) -> f64 {
+        let previous = std::mem::replace(&mut self.last_sample, sample.map(|sample| (now_ms, sample)));
+        let (Some(sample), Some((previous_ms, previous))) = (sample, previous) else { return 0.0 };
+        self.memory_peak_mb = self.memory_peak_mb.max(sample.memory_bytes as f64 / 1e6);
+        self.files_peak = self.files_peak.max(sample.open_files);
+        let used_s = sample.cpu_time_s - previous.cpu_time_s;
+        let elapsed_s = now_ms.saturating_sub(previous_ms) as f64 / 1000.0;
+        if used_s < 0.0 || elapsed_s <= 0.0 {
+            return 0.0;
+        }
+        self.cpu_time_s += used_s;
+        self.sampled_s += elapsed_s;
+        self.cpu_mean = self.cpu_time_s / self.sampled_s;
+        let share = used_s / elapsed_s;
+        self.cpu_peak = self.cpu_peak.max(share);
+        share
+    }
+}
+
+/// A worker's control traffic and processor time, from its process over the workers in it.
+#[derive(Debug, Clone, Default, Serialize)]
+pub struct WorkerUsage {
+    /// Most workers at once.
+    pub workers_peak: usize,
+    /// Heartbeats of all workers, per second.
+    #[serde(rename = "reports_per_s")]
+    pub heartbeats_per_s: f64,
+    /// Direct commands to all workers, per second.
+    pub commands_per_s: f64,
+    /// Bytes that one worker received, per second.
+    pub bytes_in_per_s: f64,
+    /// Bytes that one worker sent, per second.
+    pub bytes_out_per_s: f64,
+    /// Share of one core of a process of simulated workers, over its workers.
+    pub cpu_share: f64,
+    /// Memory of a process of simulated workers in MB, over its workers.
+    pub memory_mb: f64,
+}
+
+/// What the kv store served over the load.
+#[derive(Debug, Clone, Default, Serialize)]
+pub struct KvUsage {
+    /// Requests of controllers, per second.
+    pub requests_per_s: f64,
+    /// Mutations that were applied, per second.
+    #[serde(rename = "changes_per_s")]
+    pub mutations_per_s: f64,
+    /// Requests above a rate limit.
+    pub refused: u64,
+    /// Keys stored at the end.
+    pub keys: usize,
+    /// Bytes received, per second.
+    pub bytes_in_per_s: f64,
+    /// Bytes sent, per second.
+    pub bytes_out_per_s: f64,
+}
