--- a/crates/scale-test/src/processes.rs
+++ b/crates/scale-test/src/processes.rs
@@ -1,4 +1,4 @@
-//! The run's processes: started, sampled by the kernel's own accounts, frozen, killed, and all ended with the run.
+//! The run's processes: started, sampled from the kernel's accounting, paused, killed, and all ended with the run.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -16,21 +16,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
+    /// A controller.
     Controller,
+    /// The kv store.
     #[serde(rename = "state_service")]
     KvStore,
+    /// The simulated workers of a zone.
     #[serde(rename = "hollow_workers")]
     SimulatedWorkers,
-    /// The run itself: users, cloud, check.
+    /// The run itself: users, cloud, checker.
     #[serde(rename = "load")]
     LoadGenerator,
 }
 
-/// What the kernel says of a process.
+/// A process in the kernel's accounting.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ResourceSample {
     /// Seconds of processor time, user and system, since its start.
     pub cpu_time_s: f64,
+    /// Resident memory.
     pub memory_bytes: u64,
     /// Open files, sockets above all.
     pub open_files: usize,
@@ -38,18 +42,24 @@
 
 /// One process of the run.
 pub struct ManagedProcess {
+    /// Its name in the report and in errors.
     pub name: String,
+    /// What it serves.
     pub role: Role,
     command: ProcessCommand,
     child: Option<Child>,
 }
 
-/// How a process is started, and started again.
+/// How a process is started and restarted.
 #[derive(Clone)]
 pub struct ProcessCommand {
+    /// The program's file.
     pub program: PathBuf,
+    /// Its arguments.
     pub arguments: Vec<String>,
+    /// File to which its output is appended.
     pub log: PathBuf,
+    /// Its log level.
     pub log_level: String,
 }
 
@@ -67,6 +77,11 @@
 }
 
 impl ManagedProcess {
+    /// Starts a process.
+    ///
+    /// # Errors
+    ///
+    /// The program or its log cannot be opened.
     pub fn start(name: String, role: Role, command: ProcessCommand) -> Result<ManagedProcess, ScaleError> {
         let child = command.start().map_err(io_error(format!("starting {name}")))?;
         Ok(ManagedProcess { name, role, command, child: Some(child) })
@@ -76,13 +91,13 @@
         self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32))
     }
 
-    /// None: it does not run.
+    /// What it uses; none if it does not run.
     pub fn sample(&self) -> Option<ResourceSample> {
         let child = self.child.as_ref()?;
         sample(Process::new(child.id() as i32).ok()?)
     }
 
-    /// Has it ended by itself?
+    /// Whether it has ended by itself.
     pub fn has_exited(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(Some(_))),
@@ -90,6 +105,7 @@
         }
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             // One that has ended already needs no signal.
@@ -98,6 +114,11 @@
         }
     }
 
+    /// Kills the process if it runs, and starts it again.
+    ///
+    /// # Errors
+    ///
+    /// The program or its log cannot be opened.
     pub fn restart(&mut self) -> Result<(), ScaleError> {
         self.kill();
         let child = self.command.start().map_err(io_error(format!("starting {} again", self.name)))?;
@@ -105,11 +126,11 @@
         Ok(())
     }
 
-    /// It stands still, or goes on.
-    pub fn set_paused(&self, frozen: bool) {
-        let signal = if frozen { Signal::STOP } else { Signal::CONT };
+    /// Pauses the process, or resumes it.
+    pub fn set_paused(&self, paused: bool) {
+        let signal = if paused { Signal::STOP } else { Signal::CONT };
         if let Some(pid) = self.pid() {
-            // One that has ended can neither stand still nor go on.
+            // It fails only for a process that has ended, which needs neither.
             let _ = kill_process(pid, signal);
         }
     }
@@ -130,19 +151,36 @@
     })
 }
 
-/// The run's own process.
+/// What the run's own process uses.
 pub fn sample_self() -> ResourceSample {
     Process::myself().ok().and_then(sample).unwrap_or_default()
 }
 
-/// All of the machine's memory and what of it is free, in bytes.
-pub fn memory_totals() -> Result<(u64, u64), ScaleError> {
+/// The machine's memory.
+pub struct MachineMemory {
+    /// All of it.
+    pub total_bytes: u64,
+    /// What processes can still allocate.
+    pub free_bytes: u64,
+}
+
+/// Reads the machine's memory.
+///
+/// # Errors
+///
+/// The kernel's accounting cannot be read.
+pub fn memory_totals() -> Result<MachineMemory, ScaleError> {
     let info = procfs::Meminfo::current()
         .map_err(|error| ScaleError::Process(format!("the machine's memory is not known: {error}")))?;
-    Ok((info.mem_total, info.mem_available.unwrap_or(info.mem_free)))
+    let free_bytes = info.mem_available.unwrap_or(info.mem_free);
+    Ok(MachineMemory { total_bytes: info.mem_total, free_bytes })
 }
 
-/// Sees to it that this process and those it starts may open so many files.
+/// Raises the limit of open files for this process and those it starts, if it is below `wanted`.
+///
+/// # Errors
+///
+/// The machine does not allow so many.
 pub fn raise_open_file_limit(wanted: u64) -> Result<(), ScaleError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     if current.is_none_or(|current| current >= wanted) {
@@ -158,7 +196,11 @@
         .map_err(|error| ScaleError::Refused(format!("{wanted} open files are not allowed: {error}")))
 }
 
-/// A folder for what the run leaves: logs, settings, the state file.
+/// Creates the folder for logs, settings, the store's file and the report.
+///
+/// # Errors
+///
+/// It cannot be created.
 pub fn create_folder(path: &Path) -> Result<(), ScaleError> {
     std::fs::create_dir_all(path).map_err(io_error(path.display().to_string()))
 }
--- a/crates/scale-test/src/run/faults.rs
+++ b/crates/scale-test/src/run/faults.rs
@@ -1,73 +1,107 @@
-//! Faults of a run: who is struck, and when each is over.
+//! Faults of a run: each begins at its planned time and schedules its own end.
 
 use olivelatch_local_cluster::{controller_index, controller_name};
 
-use super::{FaultAction, ScaleRun};
+use super::ScaleRun;
 use crate::control::ZoneCommand;
 use crate::error::ScaleError;
 use crate::plan::FaultKind;
 
+/// A fault, or its end. Processes are indices into the run's.
+enum FaultAction {
+    Begin(FaultKind),
+    RestoreCapacity,
+    Restart(usize),
+    Resume(usize),
+    ReconnectZones(Vec<String>),
+}
+
+/// What happens at a time of the run.
+pub(super) struct ScheduledFault {
+    at_ms: u64,
+    action: FaultAction,
+}
+
+impl ScheduledFault {
+    /// A fault of the plan, whose times count from the begin of the load.
+    pub(super) fn planned(fault: &FaultKind, load_start_ms: u64) -> ScheduledFault {
+        let at_ms = load_start_ms + (fault.at_s() * 1000.0) as u64;
+        ScheduledFault { at_ms, action: FaultAction::Begin(fault.clone()) }
+    }
+}
+
 impl ScaleRun {
+    /// The leader among the controllers, by the kv store's records.
     pub(super) fn leader_index(&self) -> Option<usize> {
-        controller_index(self.kv_measurements.leader.as_deref()?, self.controllers.len())
+        controller_index(self.kv.measurements.leader.as_deref()?, self.controllers.len())
     }
 
-    /// The process of a controller: they come last.
-    pub(super) fn controller_process_index(&self, at: usize) -> usize {
-        self.processes.len() - self.controllers.len() + at
+    /// The process of a controller: those of all controllers come last.
+    pub(super) fn controller_process_index(&self, controller: usize) -> usize {
+        self.processes.processes.len() - self.controllers.len() + controller
     }
 
     pub(super) fn apply_due_faults(&mut self, now: u64) -> Result<(), ScaleError> {
         let due: Vec<usize> =
-            (0..self.fault_actions.len()).filter(|at| self.fault_actions[*at].0 <= now).collect();
-        for at in due.into_iter().rev() {
-            let (_, strike) = self.fault_actions.swap_remove(at);
-            self.apply_fault(strike, now)?;
+            (0..self.fault_schedule.len()).filter(|index| self.fault_schedule[*index].at_ms <= now).collect();
+        for index in due.into_iter().rev() {
+            let fault = self.fault_schedule.swap_remove(index);
+            self.apply_fault_action(fault.action, now)?;
+        }
+        Ok(())
+    }
+
+    fn apply_fault_action(&mut self, action: FaultAction, now: u64) -> Result<(), ScaleError> {
+        match action {
+            FaultAction::Begin(fault) => self.begin_fault(fault, now),
+            FaultAction::RestoreCapacity => self.cloud.restore_capacity(&self.plan),
+            FaultAction::Restart(process) => self.processes.processes[process].restart()?,
+            FaultAction::Resume(process) => self.processes.processes[process].set_paused(false),
+            FaultAction::ReconnectZones(zones) => self.set_zones_partitioned(&zones, false),
         }
         Ok(())
     }
 
-    fn apply_fault(&mut self, strike: FaultAction, now: u64) -> Result<(), ScaleError> {
-        let later = |seconds: f64| now + (seconds * 1000.0) as u64;
-        match strike {
-            FaultAction::Begin(FaultKind::KillLeader { back_s, .. }) => {
-                let Some(leader) = self.leader_index() else { return Ok(()) };
+    fn begin_fault(&mut self, fault: FaultKind, now: u64) {
+        match fault {
+            FaultKind::KillLeader { back_s, .. } => {
+                let Some(leader) = self.leader_index() else { return };
                 self.leader_killed_at = Some(now);
                 let process = self.controller_process_index(leader);
-                self.processes[process].kill();
+                self.processes.processes[process].kill();
                 println!("killed the leader, {}", controller_name(leader));
-                self.fault_actions.push((later(back_s), FaultAction::Restart(process)));
+                self.schedule_end(now, back_s, FaultAction::Restart(process));
             }
-            FaultAction::Begin(FaultKind::KillWorkers { share, back_s, .. }) => {
+            FaultKind::KillWorkers { share, back_s, .. } => {
                 self.cloud.fail_machines(share);
                 println!("lost {:.0}% of the workers", share * 100.0);
-                self.fault_actions.push((later(back_s), FaultAction::RestoreCapacity));
+                self.schedule_end(now, back_s, FaultAction::RestoreCapacity);
             }
-            FaultAction::Begin(FaultKind::PauseController { leader, for_s, .. }) => {
-                let Some(leads) = self.leader_index() else { return Ok(()) };
-                let at = if leader { leads } else { (leads + 1) % self.controllers.len() };
-                let process = self.controller_process_index(at);
-                self.processes[process].set_paused(true);
-                println!("{} stands still", controller_name(at));
-                self.fault_actions.push((later(for_s), FaultAction::Resume(process)));
+            FaultKind::PauseController { leader: pause_leader, for_s, .. } => {
+                let Some(leader) = self.leader_index() else { return };
+                let controller = if pause_leader { leader } else { (leader + 1) % self.controllers.len() };
+                let process = self.controller_process_index(controller);
+                self.processes.processes[process].set_paused(true);
+                println!("{} stands still", controller_name(controller));
+                self.schedule_end(now, for_s, FaultAction::Resume(process));
             }
-            FaultAction::Begin(FaultKind::PartitionZones { zones, for_s, .. }) => {
+            FaultKind::PartitionZones { zones, for_s, .. } => {
                 println!("cut off: {}", zones.join(", "));
                 self.set_zones_partitioned(&zones, true);
-                self.fault_actions.push((later(for_s), FaultAction::ReconnectZones(zones)));
+                self.schedule_end(now, for_s, FaultAction::ReconnectZones(zones));
             }
-            FaultAction::RestoreCapacity => self.cloud.restore_capacity(&self.plan),
-            FaultAction::Restart(process) => self.processes[process].restart()?,
-            FaultAction::Resume(process) => self.processes[process].set_paused(false),
-            FaultAction::ReconnectZones(zones) => self.set_zones_partitioned(&zones, false),
         }
-        Ok(())
     }
 
-    fn set_zones_partitioned(&mut self, zones: &[String], cut: bool) {
-        for at in 0..self.zones.len() {
-            if zones.contains(&self.plan.zones[at]) {
-                self.queue_command(at, ZoneCommand::SetPartitioned(cut));
+    fn schedule_end(&mut self, now: u64, after_s: f64, action: FaultAction) {
+        let at_ms = now + (after_s * 1000.0) as u64;
+        self.fault_schedule.push(ScheduledFault { at_ms, action });
+    }
+
+    fn set_zones_partitioned(&mut self, zones: &[String], partitioned: bool) {
+        for (link, name) in self.zones.iter_mut().zip(&self.plan.zones) {
+            if zones.contains(name) {
+                link.queue_command(ZoneCommand::SetPartitioned(partitioned));
             }
         }
     }
--- a/crates/scale-test/src/run/start.rs
+++ b/crates/scale-test/src/run/start.rs
@@ -1,62 +1,69 @@
 //! The begin of a run: is the machine large enough, which ports are the run's own, and which processes there are.
 
-use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-use olivelatch_local_cluster::{ClusterAddresses as Addresses, controller_name, controller_settings};
-use olivelatch_net::client::HttpClient;
-use olivelatch_net::poller::{EventPoller, KeyAllocator};
-use olivelatch_net::server::{HttpServer, ListenerId};
+use olivelatch_local_cluster::{ClusterAddresses, controller_name, controller_settings};
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-use super::{RunArguments, ScaleRun, ZoneLink};
-use crate::arrivals::Arrivals;
-use crate::changes::ConfigChanges;
+use super::kv_poll::KvPoller;
+use super::load::Load;
+use super::network::Network;
+use super::process_group::ProcessGroup;
+use super::sampling::RunMeasurements;
+use super::zones::ZoneLink;
+use super::{RunArguments, ScaleRun};
 use crate::cloud::TestCloud;
-use crate::control::KvMeasurements;
 use crate::error::{ScaleError, io_error};
 use crate::invariants::InvariantChecker;
 use crate::kv_store::KvStoreArguments;
-use crate::measurements::{LatencyHistogram, ProcessUsage, RunReport, StartLatencies};
+use crate::measurements::RunReport;
 use crate::plan::Plan;
 use crate::processes::{ManagedProcess, ProcessCommand, Role, memory_totals, raise_open_file_limit};
 use crate::simulated_workers::{RunClock, ZoneProcessArguments, unix_ms};
-use crate::users::Users;
 
-/// Expected memory: a hollow worker, a controller, the rest.
+/// Expected memory of a simulated worker, of a controller, and of the rest.
 const WORKER_BYTES: u64 = 200_000;
 const CONTROLLER_BYTES: u64 = 120_000_000;
 const BASE_BYTES: u64 = 500_000_000;
-/// The address of the run's processes; workers have one each.
+/// The address at which the run's processes listen; each worker has its own.
 const SERVICE_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
+/// Ports that the run needs once: the kv store's and its control's, the cloud's, the workers'.
+const SINGLE_PORTS: usize = 4;
 /// The file with the controllers' tunables, in the run's folder.
 const TUNABLES: &str = "tunables.hcl";
-/// Files a process needs beside its connections.
+/// Files a process needs beside its connections, and the most connections a process has to each worker.
 const OPEN_FILE_MARGIN: u64 = 500;
+const CONNECTIONS_PER_WORKER: u64 = 3;
+/// Part of the machine's memory that a run may take.
+const MEMORY_LIMIT_DIVISOR: u64 = 2;
 
-/// The memory that all processes together may take, if the machine is large enough for the plan.
+/// The memory in bytes that all processes together may take.
+///
+/// # Errors
+///
+/// The machine is too small for the plan.
 pub(super) fn check_machine_resources(plan: &Plan) -> Result<u64, ScaleError> {
     let workers = plan.max_workers() as u64;
-    raise_open_file_limit(3 * workers + OPEN_FILE_MARGIN)?;
-    let (total, free) = memory_totals()?;
+    raise_open_file_limit(CONNECTIONS_PER_WORKER * workers + OPEN_FILE_MARGIN)?;
+    let memory = memory_totals()?;
     let wanted = workers * WORKER_BYTES + plan.controllers as u64 * CONTROLLER_BYTES + BASE_BYTES;
-    let limit = total / 2;
-    if wanted > limit.min(free) {
+    let limit = memory.total_bytes / MEMORY_LIMIT_DIVISOR;
+    if wanted > limit.min(memory.free_bytes) {
         return Err(ScaleError::Refused(format!(
             "about {} MB are needed; {} MB are free, and half of the machine's memory is {} MB",
             wanted / 1_000_000,
-            free / 1_000_000,
+            memory.free_bytes / 1_000_000,
             limit / 1_000_000
         )));
     }
     Ok(limit)
 }
 
-/// Ports that are this run's own while it lives: each is held on one loopback address, so that no other run is given it, and
-/// used on others.
+/// Ports that are this run's own while it lasts: each is bound on one loopback address, so that no other run is given it,
+/// and used on others.
 pub(super) struct ReservedPorts {
     listeners: Vec<TcpListener>,
 }
@@ -64,14 +71,14 @@
 impl ReservedPorts {
     fn reserve(count: usize) -> Result<ReservedPorts, ScaleError> {
         let bind = |_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let held = (0..count).map(bind).collect::<Result<_, _>>().map_err(io_error("free ports"))?;
-        Ok(ReservedPorts { listeners: held })
+        let listeners = (0..count).map(bind).collect::<Result<_, _>>().map_err(io_error("free ports"))?;
+        Ok(ReservedPorts { listeners })
     }
 
     /// Where the run's processes listen.
     fn addresses(&self) -> Result<Vec<SocketAddr>, ScaleError> {
-        let address = |held: &TcpListener| {
-            let port = held.local_addr().map_err(io_error("free ports"))?.port();
+        let address = |listener: &TcpListener| {
+            let port = listener.local_addr().map_err(io_error("free ports"))?.port();
             Ok(SocketAddr::from((SERVICE_ADDRESS, port)))
         };
         self.listeners.iter().map(address).collect()
@@ -86,6 +93,38 @@
     std::fs::write(path, text).map_err(io_error(path.display().to_string()))
 }
 
+/// Where all processes of a run listen.
+struct RunAddresses {
+    cluster: ClusterAddresses,
+    kv_control: SocketAddr,
+    zone_controls: Vec<SocketAddr>,
+    worker_port: u16,
+}
+
+impl RunAddresses {
+    fn reserve(plan: &Plan) -> Result<(RunAddresses, ReservedPorts), ScaleError> {
+        let ports = ReservedPorts::reserve(2 * plan.controllers + plan.zones.len() + SINGLE_PORTS)?;
+        let free = ports.addresses()?;
+        let (controllers, rest) = free.split_at(plan.controllers);
+        let (meshes, rest) = rest.split_at(plan.controllers);
+        let (zone_controls, rest) = rest.split_at(plan.zones.len());
+        let cluster = ClusterAddresses {
+            kv_store: rest[0],
+            cloud: rest[1],
+            job_store: rest[1],
+            controllers: controllers.to_vec(),
+            meshes: meshes.to_vec(),
+        };
+        let addresses = RunAddresses {
+            cluster,
+            kv_control: rest[2],
+            zone_controls: zone_controls.to_vec(),
+            worker_port: rest[3].port(),
+        };
+        Ok((addresses, ports))
+    }
+}
+
 /// Starts all processes of a run.
 struct ProcessStarter<'a> {
     plan: &'a Plan,
@@ -94,6 +133,21 @@
 }
 
 impl ProcessStarter<'_> {
+    /// The kv store, a process of simulated workers for each zone, and the controllers, which come last.
+    fn start_all(&self, addresses: &RunAddresses) -> Result<Vec<ManagedProcess>, ScaleError> {
+        let cluster = &addresses.cluster;
+        let mut processes = vec![self.start_kv_store(cluster.kv_store, addresses.kv_control)?];
+        for (zone, control) in addresses.zone_controls.iter().enumerate() {
+            processes.push(self.start_zone(zone, *control, &cluster.controllers)?);
+        }
+        // Written once, before any controller reads it.
+        write_file(&self.arguments.out.join(TUNABLES), &self.plan.tunables)?;
+        for index in 0..self.plan.controllers {
+            processes.push(self.start_controller(index, cluster)?);
+        }
+        Ok(processes)
+    }
+
     fn process_command(&self, name: &str, arguments: Vec<String>) -> ProcessCommand {
         ProcessCommand {
             program: self.arguments.program.clone(),
@@ -105,10 +159,10 @@
 
     fn start_kv_store(&self, address: SocketAddr, control: SocketAddr) -> Result<ManagedProcess, ScaleError> {
         let file = self.arguments.out.join("state.redb");
-        // A run begins with nothing.
+        // A run begins with an empty store; usually there is no file to remove.
         let _ = std::fs::remove_file(&file);
         let state = &self.plan.state;
-        let told = KvStoreArguments {
+        let process_arguments = KvStoreArguments {
             address,
             control,
             file,
@@ -118,31 +172,31 @@
             value_bytes: (state.value_kb * 1024.0) as usize,
             txn_mutations: state.txn_mutations,
         };
-        let arguments = vec!["scale".into(), "state".into(), to_json(&told, "arguments")?];
+        let arguments = vec!["scale".into(), "state".into(), to_json(&process_arguments, "arguments")?];
         ManagedProcess::start("state".into(), Role::KvStore, self.process_command("state", arguments))
     }
 
     fn start_zone(
         &self,
-        at: usize,
+        zone: usize,
         control: SocketAddr,
         controllers: &[SocketAddr],
     ) -> Result<ManagedProcess, ScaleError> {
-        let ms = |seconds: f64| (seconds * 1000.0) as u64;
+        let to_ms = |seconds: f64| (seconds * 1000.0) as u64;
         let workers = &self.plan.workers;
-        let told = ZoneProcessArguments {
+        let process_arguments = ZoneProcessArguments {
             control,
             controllers: controllers.to_vec(),
             epoch_ms: self.epoch_ms,
-            report_ms: ms(workers.heartbeat_s),
-            lease_ms: ms(workers.lease_s),
-            gang_wait_ms: ms(workers.gang_wait_s),
-            gang_peer_ms: ms(workers.gang_peer_s),
-            seed: self.plan.seed.wrapping_add(at as u64 + 1),
+            report_ms: to_ms(workers.heartbeat_s),
+            lease_ms: to_ms(workers.lease_s),
+            gang_wait_ms: to_ms(workers.gang_wait_s),
+            gang_peer_ms: to_ms(workers.gang_peer_s),
+            seed: self.plan.seed.wrapping_add(zone as u64 + 1),
             defect: self.plan.defect,
         };
-        let name = format!("workers {}", self.plan.zones[at]);
-        let arguments = vec!["scale".into(), "zone".into(), to_json(&told, "arguments")?];
+        let name = format!("workers {}", self.plan.zones[zone]);
+        let arguments = vec!["scale".into(), "zone".into(), to_json(&process_arguments, "arguments")?];
         ManagedProcess::start(
             name.clone(),
             Role::SimulatedWorkers,
@@ -150,106 +204,81 @@
         )
     }
 
-    fn start_controller(&self, at: usize, addresses: &Addresses) -> Result<ManagedProcess, ScaleError> {
-        let name = controller_name(at);
+    fn start_controller(
+        &self,
+        index: usize,
+        addresses: &ClusterAddresses,
+    ) -> Result<ManagedProcess, ScaleError> {
+        let name = controller_name(index);
         let out = &self.arguments.out;
         let (settings, tunables) = (out.join(format!("{name}.json")), out.join(TUNABLES));
-        write_file(&settings, &controller_settings(addresses, at, &self.plan.platform()).to_string())?;
-        let arguments = ["controller", "serve", "--tunables"].map(String::from).into_iter();
-        let files = [tunables.display().to_string(), "--config".into(), settings.display().to_string()];
-        let arguments = arguments.chain(files).collect();
+        write_file(&settings, &controller_settings(addresses, index, &self.plan.platform()).to_string())?;
+        let (settings, tunables) = (settings.display().to_string(), tunables.display().to_string());
+        let arguments = vec![
+            "controller".into(),
+            "serve".into(),
+            "--tunables".into(),
+            tunables,
+            "--config".into(),
+            settings,
+        ];
         ManagedProcess::start(name.clone(), Role::Controller, self.process_command(&name, arguments))
     }
 }
 
+/// Set by the signals that end a run.
+fn register_stop_signals() -> Result<Arc<AtomicBool>, ScaleError> {
+    let stop = Arc::new(AtomicBool::new(false));
+    for signal in [SIGINT, SIGTERM] {
+        signal_hook::flag::register(signal, stop.clone()).map_err(io_error("signals"))?;
+    }
+    Ok(stop)
+}
+
+/// A report with what is known before the run.
+fn initial_report(plan: &Plan, arguments: &RunArguments) -> RunReport {
+    RunReport {
+        plan: arguments.plan.display().to_string(),
+        seed: plan.seed,
+        controllers: plan.controllers,
+        teams: plan.teams.count,
+        load_s: plan.load_s(),
+        ..RunReport::default()
+    }
+}
+
 impl ScaleRun {
+    /// Starts all processes of the run. `memory_limit` is what they may take together, in bytes.
     pub(super) fn start(
         plan: Plan,
         arguments: &RunArguments,
         memory_limit: u64,
     ) -> Result<ScaleRun, ScaleError> {
-        let stop = Arc::new(AtomicBool::new(false));
-        for signal in [SIGINT, SIGTERM] {
-            signal_hook::flag::register(signal, stop.clone()).map_err(io_error("signals"))?;
-        }
-        let count = plan.controllers;
-        let ports = ReservedPorts::reserve(2 * count + plan.zones.len() + 4)?;
-        let free = ports.addresses()?;
-        let (controllers, rest) = free.split_at(count);
-        let (meshes, rest) = rest.split_at(count);
-        let (zone_controls, rest) = rest.split_at(plan.zones.len());
-        let addresses = Addresses {
-            kv_store: rest[0],
-            cloud: rest[1],
-            job_store: rest[1],
-            controllers: controllers.to_vec(),
-            meshes: meshes.to_vec(),
-        };
-        let (state_control, worker_port) = (rest[2], rest[3].port());
-        let gate = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
-        let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&gate));
-        server.listen(&mut keys, addresses.cloud, ListenerId(0)).map_err(io_error("the cloud's address"))?;
+        let stop = register_stop_signals()?;
+        let (addresses, ports) = RunAddresses::reserve(&plan)?;
+        let network = Network::listen(addresses.cluster.cloud)?;
         let epoch_ms = unix_ms();
-        let starter = ProcessStarter { plan: &plan, arguments, epoch_ms };
-        let mut processes = vec![starter.start_kv_store(addresses.kv_store, state_control)?];
-        for (at, control) in zone_controls.iter().enumerate() {
-            processes.push(starter.start_zone(at, *control, controllers)?);
-        }
-        // Written once, before any controller reads it.
-        write_file(&arguments.out.join(TUNABLES), &plan.tunables)?;
-        for at in 0..count {
-            processes.push(starter.start_controller(at, &addresses)?);
-        }
-        let link = |address: &SocketAddr| ZoneLink { address: Some(*address), ..ZoneLink::default() };
-        let limits = plan.team_plans().iter().map(|team| team.limit).collect();
-        let mut run = ScaleRun {
+        let processes = ProcessStarter { plan: &plan, arguments, epoch_ms }.start_all(&addresses)?;
+        let team_limits = plan.team_plans().iter().map(|team| team.limit).collect();
+        Ok(ScaleRun {
             clock: RunClock::new(epoch_ms),
-            cloud: TestCloud::new(&plan, worker_port),
+            network,
+            cloud: TestCloud::new(&plan, addresses.worker_port),
             next_cloud_step: 0,
-            zones: zone_controls.iter().map(link).collect(),
-            controllers: controllers.to_vec(),
-            process_usage: processes
-                .iter()
-                .map(|process| ProcessUsage::new(&process.name, process.role))
-                .collect(),
-            own_usage: ProcessUsage::new("load, cloud, check", Role::LoadGenerator),
-            processes,
-            _ports: ports,
-            kv_control: state_control,
-            kv_measurements: KvMeasurements::default(),
-            kv_at_load_start: KvMeasurements::default(),
-            next_kv_poll: 0,
-            kv_poll_in_flight: false,
-            users: Users::new(count, plan.seed),
-            arrivals: Arrivals::new(&plan),
-            user_by_job: HashMap::new(),
-            checker: InvariantChecker::new(limits),
+            zones: addresses.zone_controls.iter().copied().map(ZoneLink::new).collect(),
+            controllers: addresses.cluster.controllers,
+            processes: ProcessGroup::new(processes, memory_limit, ports),
+            kv: KvPoller::new(addresses.kv_control),
+            load: Load::new(&plan),
+            checker: InvariantChecker::new(team_limits),
             pending_events: Vec::new(),
-            config_changes: ConfigChanges::new(&plan.changes, plan.team_plans(), plan.seed),
-            start_latencies: StartLatencies::default(),
-            acceptance_latency: LatencyHistogram::default(),
-            fault_actions: Vec::new(),
-            load_start_ms: u64::MAX,
+            measurements: RunMeasurements::default(),
+            fault_schedule: Vec::new(),
             leader_killed_at: None,
             highest_token: 0,
-            report: RunReport::default(),
-            starts: 0,
-            waiting_tasks: 0,
-            last_sample_at: 0,
-            last_progress_at: 0,
+            report: initial_report(&plan, arguments),
             stop,
-            memory_limit,
-            http_client: HttpClient::new(&gate),
-            poller: gate,
-            keys,
-            server,
             plan,
-        };
-        run.report.plan = arguments.plan.display().to_string();
-        run.report.seed = run.plan.seed;
-        run.report.controllers = count;
-        run.report.teams = run.plan.teams.count;
-        run.report.load_s = run.plan.load_s();
-        Ok(run)
+        })
     }
 }
