--- a/crates/scale-test/src/arrivals.rs
+++ b/crates/scale-test/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! Which jobs arrive when: an open loop, so arrivals never wait for answers. Seeded; the same plan gives the same jobs.
+//! Which jobs arrive when: an open loop, so arrivals never wait for responses. Seeded: the same plan gives the same jobs.
+//! Does no I/O and reads no clock.
 
 use olivelatch::protocol::users::JobKind;
 use rand::rngs::StdRng;
@@ -6,29 +7,34 @@
 use serde_json::{Value, json};
 
 use crate::control::SimulatedJob;
-use crate::plan::{JobPlan, Plan, team_name};
+use crate::plan::{JobPlan, PhasePlan, Plan, team_name};
 
-/// Least time between the submission of a job and the wish to cancel it, and the length of the spell in which it comes.
+/// Least time from the submission of a job to its cancellation, and the length of the window from which that is drawn.
 const CANCEL_AFTER_MS: u64 = 2_000;
 const CANCEL_WINDOW_MS: u64 = 20_000;
-/// A task saves within this when it is told to.
+/// How long a task takes to save a checkpoint when it is stopped.
 const CHECKPOINT_MS: u64 = 500;
 
 /// A job that arrives. Times are milliseconds from the begin of the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
+    /// When the job is submitted.
     pub at_ms: u64,
+    /// Its id.
     pub job: String,
     /// The kind of job: its name in the plan.
     pub class: String,
+    /// Rank of its team.
     pub team: usize,
+    /// Number of its tasks.
     pub tasks: u32,
+    /// CPUs of a task.
     pub cpus: f64,
     /// What the user sends to a controller.
     pub submission: Value,
     /// What the workers know of the job.
     pub description: SimulatedJob,
-    /// When its user calls it off.
+    /// When its user cancels it.
     pub cancel_at_ms: Option<u64>,
 }
 
@@ -52,24 +58,13 @@
 }
 
 impl Arrivals {
+    /// The arrivals of a plan, from the begin of the load.
     pub fn new(plan: &Plan) -> Arrivals {
-        let mut end_ms = 0.0;
-        let mut phases = Vec::new();
-        for phase in plan.phases.values() {
-            end_ms += phase.seconds * 1000.0;
-            phases.push((end_ms, phase.starts_per_s));
-        }
-        let mut sum = 0.0;
-        let mut teams = Vec::new();
-        for rank in 0..plan.teams.count {
-            sum += 1.0 / (rank + 1) as f64;
-            teams.push(sum);
-        }
         let mut arrivals = Arrivals {
             rng: StdRng::seed_from_u64(plan.seed),
             streams: Vec::new(),
-            phase_rates: phases,
-            cumulative_team_weights: teams,
+            phase_rates: phase_rates(plan),
+            cumulative_team_weights: cumulative_team_weights(plan.teams.count),
             next_job: 1,
         };
         for (class, job) in &plan.jobs {
@@ -102,19 +97,19 @@
                 stream.next_arrival_ms += gap_ms;
                 return;
             }
-            // The gap has no memory: it is drawn anew from where the rate changes.
+            // Exponential gaps are memoryless: the gap is drawn anew from where the rate changes.
             stream.next_arrival_ms = end_ms;
         }
     }
 
     /// The next job that arrives up to this time.
     pub fn pop_due(&mut self, now_ms: u64) -> Option<Arrival> {
-        let at = (0..self.streams.len())
+        let index = (0..self.streams.len())
             .min_by(|a, b| self.streams[*a].next_arrival_ms.total_cmp(&self.streams[*b].next_arrival_ms))?;
-        if self.streams[at].next_arrival_ms > now_ms as f64 {
+        if self.streams[index].next_arrival_ms > now_ms as f64 {
             return None;
         }
-        let mut stream = self.streams.swap_remove(at);
+        let mut stream = self.streams.swap_remove(index);
         let arrival = self.create_arrival(&stream);
         self.advance(&mut stream);
         self.streams.push(stream);
@@ -122,8 +117,8 @@
     }
 
     fn pick_team(&mut self) -> usize {
-        let whole = self.cumulative_team_weights.last().copied().unwrap_or(1.0);
-        let drawn = self.rng.random_range(0.0..whole);
+        let total_weight = self.cumulative_team_weights.last().copied().unwrap_or(1.0);
+        let drawn = self.rng.random_range(0.0..total_weight);
         self.cumulative_team_weights
             .partition_point(|sum| *sum <= drawn)
             .min(self.cumulative_team_weights.len() - 1)
@@ -139,12 +134,7 @@
         let run_s = self.rng.random_range(plan.run_s[0]..=plan.run_s[1]);
         let image = format!("{}-{}", stream.class, self.rng.random_range(0..plan.images));
         let cancelled = self.rng.random_bool(plan.cancelled_share);
-        let wish_ms = at_ms + CANCEL_AFTER_MS + self.rng.random_range(0..CANCEL_WINDOW_MS);
-        let submission = json!({"uid": job, "jobclass": stream.class, "owner": team_name(team), "shape": plan.shape,
-            "urgency": plan.urgency, "pieces": tasks, "vcpus": plan.cpus, "accelerators": 0.0,
-            "memory_gb": plan.memory_gb, "bundle": image, "size_gb": plan.image_gb, "boxkinds": null, "hall": null,
-            "together": plan.one_zone, "scatter": false, "loaners": true, "guess_s": run_s, "snapshot_s": 0.0,
-            "flush_s": CHECKPOINT_MS as f64 / 1000.0, "due_s": null});
+        let cancel_at_ms = at_ms + CANCEL_AFTER_MS + self.rng.random_range(0..CANCEL_WINDOW_MS);
         let description = SimulatedJob {
             job: job.clone(),
             cpus: plan.cpus,
@@ -156,6 +146,7 @@
             checkpoint_ms: CHECKPOINT_MS,
             run_ms: (run_s * 1000.0) as u64,
         };
+        let submission = submission(stream, &description, team, run_s);
         Arrival {
             at_ms,
             job,
@@ -165,7 +156,37 @@
             cpus: plan.cpus,
             submission,
             description,
-            cancel_at_ms: cancelled.then_some(wish_ms),
+            cancel_at_ms: cancelled.then_some(cancel_at_ms),
         }
     }
 }
+
+/// End in milliseconds and task starts a second of each phase.
+fn phase_rates(plan: &Plan) -> Vec<(f64, f64)> {
+    let mut end_ms = 0.0;
+    let rate = |phase: &PhasePlan| {
+        end_ms += phase.seconds * 1000.0;
+        (end_ms, phase.starts_per_s)
+    };
+    plan.phases.values().map(rate).collect()
+}
+
+/// Sums of the teams' weights, which are one over the rank.
+fn cumulative_team_weights(teams: usize) -> Vec<f64> {
+    let mut sum = 0.0;
+    let add_weight = |rank: usize| {
+        sum += 1.0 / (rank + 1) as f64;
+        sum
+    };
+    (0..teams).map(add_weight).collect()
+}
+
+/// What the user sends to a controller, in the words of the protocol.
+fn submission(stream: &ArrivalStream, job: &SimulatedJob, team: usize, run_s: f64) -> Value {
+    let plan = &stream.plan;
+    json!({"uid": job.job, "jobclass": stream.class, "owner": team_name(team), "shape": plan.shape,
+        "urgency": plan.urgency, "pieces": job.tasks, "vcpus": plan.cpus, "accelerators": 0.0,
+        "memory_gb": plan.memory_gb, "bundle": job.image, "size_gb": plan.image_gb, "boxkinds": null, "hall": null,
+        "together": plan.one_zone, "scatter": false, "loaners": true, "guess_s": run_s, "snapshot_s": 0.0,
+        "flush_s": CHECKPOINT_MS as f64 / 1000.0, "due_s": null})
+}
--- a/crates/scale-test/src/changes.rs
+++ b/crates/scale-test/src/changes.rs
@@ -1,4 +1,5 @@
-//! Operators of a run: they change team limits at planned times and wait until each change is in force. Decides; no I/O.
+//! Operators of a run: they change team limits at planned times and wait until each change is in force. Decides; does no
+//! I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +13,16 @@
 use crate::measurements::{ConfigChangeLatency, LatencyHistogram};
 use crate::plan::ChangesPlan;
 
-/// A change is in force everywhere within this, by the operators' word.
+/// The operators' objective: within this a change is in force everywhere.
 const OBJECTIVE_MS: u64 = 3_000;
+/// HTTP status of a request above a rate limit, which is repeated.
+const TOO_MANY_REQUESTS: u16 = 429;
 const REQUEST_TIMEOUT_MS: u64 = 4_000;
 const RETRY_MS: u64 = 200;
 /// Least part of its platform limit that a team's limit is lowered to.
 const MIN_LIMIT_SHARE: f64 = 0.9;
 
-/// A change on its way.
+/// A change that was requested.
 struct ConfigChange {
     series: String,
     team: usize,
@@ -27,19 +30,24 @@
     requested_at: u64,
     next_attempt: Option<u64>,
     version: Option<u64>,
-    /// Requests so far: each goes to another controller.
+    /// Requests so far; each goes to the next controller in turn.
     attempts: usize,
     finished: bool,
 }
 
 /// A request that goes out now.
 pub struct ChangeRequestToSend {
+    /// Index of the change.
     pub change: usize,
-    /// The controller to ask is this one of all in turn.
+    /// Index of the controller that gets it, modulo the number of controllers.
     pub controller: usize,
+    /// HTTP method.
     pub method: &'static str,
+    /// Path and query of the URL.
     pub path: String,
+    /// JSON, or empty.
     pub body: Vec<u8>,
+    /// Time of the run after which the request is repeated.
     pub deadline_ms: u64,
 }
 
@@ -66,6 +74,7 @@
 }
 
 impl ConfigChanges {
+    /// No changes yet.
     pub fn new(plans: &IndexMap<String, ChangesPlan>, teams: Vec<TeamSettings>, seed: u64) -> ConfigChanges {
         ConfigChanges {
             next_ms: plans.values().map(|plan| plan.from_s * 1000.0).collect(),
@@ -79,27 +88,27 @@
 
     /// Requests that are due; `load_ms`: the time since the begin of the load.
     pub fn due_requests(&mut self, now: u64, load_ms: u64) -> Vec<ChangeRequestToSend> {
-        for at in 0..self.plans.len() {
+        for index in 0..self.plans.len() {
             let Some((name, plan)) =
-                self.plans.get_index(at).map(|(name, plan)| (name.clone(), plan.clone()))
+                self.plans.get_index(index).map(|(name, plan)| (name.clone(), plan.clone()))
             else {
                 continue;
             };
-            while self.next_ms[at] <= load_ms as f64 && self.next_ms[at] < plan.to_s * 1000.0 {
-                self.next_ms[at] += plan.every_s * 1000.0;
+            while self.next_ms[index] <= load_ms as f64 && self.next_ms[index] < plan.to_s * 1000.0 {
+                self.next_ms[index] += plan.every_s * 1000.0;
                 (0..plan.burst).for_each(|_| self.start_change(&name, now));
             }
         }
         let due: Vec<usize> = (0..self.changes.len())
-            .filter(|at| self.changes[*at].next_attempt.is_some_and(|next| next <= now))
+            .filter(|index| self.changes[*index].next_attempt.is_some_and(|next| next <= now))
             .collect();
-        due.into_iter().map(|at| self.next_request(at, now)).collect()
+        due.into_iter().map(|index| self.next_request(index, now)).collect()
     }
 
     fn start_change(&mut self, series: &str, now: u64) {
         let team = self.rng.random_range(0..self.teams.len());
-        let part = self.rng.random_range(MIN_LIMIT_SHARE..=1.0);
-        let limit_cpus = (self.teams[team].limit * part).floor();
+        let limit_share = self.rng.random_range(MIN_LIMIT_SHARE..=1.0);
+        let limit_cpus = (self.teams[team].limit * limit_share).floor();
         let request = ConfigChangeRequest {
             quota: TeamQuota { limit_cpus: Some(limit_cpus), guaranteed_cpus: None },
             expected_version: None,
@@ -120,45 +129,27 @@
         });
     }
 
-    fn next_request(&mut self, at: usize, now: u64) -> ChangeRequestToSend {
-        let change = &mut self.changes[at];
+    /// The change itself, or, once that is accepted, a poll of whether it is in force.
+    fn next_request(&mut self, index: usize, now: u64) -> ChangeRequestToSend {
+        let change = &mut self.changes[index];
         change.next_attempt = None;
         change.attempts += 1;
-        let controller = at + change.attempts;
+        let controller = index + change.attempts;
         let entry = format!("/v1/config/team/{}", self.teams[change.team].name);
-        let until_ms = now + REQUEST_TIMEOUT_MS;
-        match change.version {
-            Some(version) => {
-                let path = format!("{entry}?version={version}");
-                ChangeRequestToSend {
-                    change: at,
-                    controller,
-                    method: "GET",
-                    path,
-                    body: Vec::new(),
-                    deadline_ms: until_ms,
-                }
-            }
-            None => {
-                let body = serde_json::to_vec(&change.request).unwrap_or_default();
-                ChangeRequestToSend {
-                    change: at,
-                    controller,
-                    method: "PUT",
-                    path: entry,
-                    body,
-                    deadline_ms: until_ms,
-                }
-            }
-        }
+        let (method, path, body) = match change.version {
+            Some(version) => ("GET", format!("{entry}?version={version}"), Vec::new()),
+            None => ("PUT", entry, serde_json::to_vec(&change.request).unwrap_or_default()),
+        };
+        let deadline_ms = now + REQUEST_TIMEOUT_MS;
+        ChangeRequestToSend { change: index, controller, method, path, body, deadline_ms }
     }
 
-    /// An answer, or none.
-    pub fn handle_response(&mut self, at: usize, response: Option<&Response>, now: u64) {
-        let change = &mut self.changes[at];
+    /// Handles the response to a request of a change; `None` when the request failed or timed out.
+    pub fn handle_response(&mut self, index: usize, response: Option<&Response>, now: u64) {
+        let change = &mut self.changes[index];
         let series = self.series.entry(change.series.clone()).or_default();
         let status = response.map_or(0, |response| response.status);
-        if (400..500).contains(&status) && status != 429 {
+        if (400..500).contains(&status) && status != TOO_MANY_REQUESTS {
             change.finished = true;
             series.failed += 1;
             let body = response.map(|response| String::from_utf8_lossy(&response.body).into_owned());
@@ -173,18 +164,18 @@
             change.next_attempt = Some(now + RETRY_MS.max(u64::from(wait_s) * 1000));
             return;
         };
-        let took = now.saturating_sub(change.requested_at);
+        let elapsed_ms = now.saturating_sub(change.requested_at);
         if change.version.is_none() {
             change.version = Some(view.version);
-            series.accept_times.record(took);
+            series.accept_times.record(elapsed_ms);
         }
         if !view.is_effective {
             change.next_attempt = Some(now);
             return;
         }
         change.finished = true;
-        series.in_force_times.record(took);
-        series.past_objective += u64::from(took > OBJECTIVE_MS);
+        series.in_force_times.record(elapsed_ms);
+        series.past_objective += u64::from(elapsed_ms > OBJECTIVE_MS);
     }
 
     /// Changes that are not in force yet.
@@ -192,9 +183,10 @@
         self.changes.iter().filter(|change| !change.finished).count()
     }
 
+    /// What was measured, by series of the plan.
     pub fn measurements(&self) -> BTreeMap<String, ConfigChangeLatency> {
-        let one = |(name, series): (&String, &SeriesMeasurements)| {
-            let figures = ConfigChangeLatency {
+        let summarize = |(name, series): (&String, &SeriesMeasurements)| {
+            let latency = ConfigChangeLatency {
                 requested: series.requested,
                 failed: series.failed,
                 first_failure: series.first_failure.clone(),
@@ -202,8 +194,8 @@
                 in_force_latency: series.in_force_times.summary(),
                 past_objective: series.past_objective,
             };
-            (name.clone(), figures)
+            (name.clone(), latency)
         };
-        self.series.iter().map(one).collect()
+        self.series.iter().map(summarize).collect()
     }
 }
--- a/crates/scale-test/src/html_report.rs
+++ b/crates/scale-test/src/html_report.rs
@@ -1,4 +1,4 @@
-//! The report as a page with plots over time.
+//! The report as an HTML page with plots over time. Does no I/O.
 
 use std::fmt::Write as _;
 
@@ -6,10 +6,14 @@
 
 use crate::measurements::{RunReport, SecondSample};
 
+/// Width and height of a plot, in pixels as the sizes below.
 const SIZE: (u32, u32) = (900, 260);
 const MARGIN: u32 = 10;
 const LABELS_WIDTH: u32 = 70;
 const LABELS_HEIGHT: u32 = 30;
+/// Least value at the top of a plot, and the room above the highest value.
+const MIN_HEIGHT: f64 = 1e-3;
+const HEADROOM: f64 = 1.05;
 const FONT: (&str, u32) = ("sans-serif", 16);
 
 /// A line of a plot.
@@ -23,9 +27,11 @@
     PlotLine { name, color, value }
 }
 
-/// The page: the table, and a plot of each kind of figure.
-pub fn render_page(report: &RunReport) -> String {
-    let plots = [
+/// A plot's title and lines.
+type Plot = (&'static str, Vec<PlotLine>);
+
+fn plots() -> [Plot; 4] {
+    [
         ("Task starts a second", vec![plot_line("starts", BLUE, |second| second.starts as f64)]),
         (
             "Tasks",
@@ -45,14 +51,18 @@
                 plot_line("load", MAGENTA, |second| second.load_cpu),
             ],
         ),
-    ];
+    ]
+}
+
+/// The page: the table, and a plot of each kind of measurement.
+pub fn render_page(report: &RunReport) -> String {
     let mut html = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Scale run</title>\n\
          <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{overflow-x:auto}</style>\n",
     );
     // Writing to a string cannot fail.
     let _ = writeln!(html, "<h1>Scale run</h1>\n<pre>{}</pre>", escape_html(&report.table()));
-    for (title, lines) in plots {
+    for (title, lines) in plots() {
         let _ = writeln!(html, "<h2>{title}</h2>\n{}", render_plot(&report.samples, &lines));
     }
     html.push_str("</html>\n");
@@ -63,11 +73,10 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The plot as SVG; an empty one where nothing was measured.
+/// The plot as SVG, or the reason why there is none.
 fn render_plot(seconds: &[SecondSample], lines: &[PlotLine]) -> String {
     let mut svg = String::new();
-    let drawn = draw_plot(&mut svg, seconds, lines);
-    match drawn {
+    match draw_plot(&mut svg, seconds, lines) {
         Ok(()) => svg,
         Err(error) => format!("<p>no plot: {}</p>", escape_html(&error.to_string())),
     }
@@ -79,8 +88,8 @@
     lines: &[PlotLine],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let last = seconds.last().map_or(1, |second| second.at_s).max(1);
-    let highest = seconds.iter().flat_map(|second| lines.iter().map(|line| (line.value)(second)));
-    let highest = highest.fold(0.0, f64::max).max(1e-3) * 1.05;
+    let values = seconds.iter().flat_map(|second| lines.iter().map(|line| (line.value)(second)));
+    let highest = values.fold(0.0, f64::max).max(MIN_HEIGHT) * HEADROOM;
     let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
--- a/crates/scale-test/src/invariants.rs
+++ b/crates/scale-test/src/invariants.rs
@@ -1,24 +1,28 @@
-//! The independent check: judges what hollow workers saw by the users' rules, and knows nothing of the controllers' state.
-//! Events come in the order of their times.
+//! The independent checker: judges what simulated workers saw by the users' rules, and knows nothing of the controllers'
+//! state. Events must come in the order of their times. Does no I/O and reads no clock.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::control::{TaskEvent, TaskEventKind};
 
-/// Rounding of CPUs.
+/// Tolerance for rounding of CPUs.
 const SLACK_CPUS: f64 = 1e-6;
 
-/// What the check must know of a job.
+/// What the checker must know of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobFacts {
+    /// Index of its team.
     pub team: usize,
+    /// CPUs of a task.
     pub cpus: f64,
 }
 
-/// When a user was told that a job is cancelled, and when all of it must be gone.
+/// A cancelled job, in milliseconds of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancelTimes {
+    /// When its user received the confirmation.
     pub at_ms: u64,
+    /// When all its tasks must have stopped.
     pub stopped_by_ms: u64,
 }
 
@@ -27,25 +31,59 @@
 #[serde(tag = "rule", rename_all = "snake_case")]
 pub enum Violation {
     /// A task is on two workers at once.
-    RanTwice { at_ms: u64, task: String, workers: [String; 2] },
+    RanTwice {
+        /// When.
+        at_ms: u64,
+        /// The task.
+        task: String,
+        /// The two workers.
+        workers: [String; 2],
+    },
     /// A team uses more than its limit.
     #[serde(rename = "quota")]
-    QuotaExceeded { at_ms: u64, team: usize, cpus: f64, limit: f64 },
-    /// A task is there, or starts, too long after its user was told that it is cancelled.
-    RanCancelled { at_ms: u64, task: String, worker: String },
+    QuotaExceeded {
+        /// When.
+        at_ms: u64,
+        /// Index of the team.
+        team: usize,
+        /// CPUs that it uses.
+        cpus: f64,
+        /// CPUs that it may use.
+        limit: f64,
+    },
+    /// A task is on a worker, or starts, too long after its cancellation was confirmed.
+    RanCancelled {
+        /// When.
+        at_ms: u64,
+        /// The task.
+        task: String,
+        /// Its worker.
+        worker: String,
+    },
     /// A job that was never submitted has a task on a worker.
     #[serde(rename = "invented")]
-    UnknownJob { at_ms: u64, task: String },
-    /// An accepted job is not known any more.
+    UnknownJob {
+        /// When.
+        at_ms: u64,
+        /// The task.
+        task: String,
+    },
+    /// No controller knows an accepted job any more.
     #[serde(rename = "forgotten")]
-    LostJob { job: String },
-    /// A final answer was followed by another one.
+    LostJob {
+        /// The job.
+        job: String,
+    },
+    /// A terminal state was followed by another one.
     #[serde(rename = "went_back")]
-    TerminalStateChanged { job: String },
+    TerminalStateChanged {
+        /// The job.
+        job: String,
+    },
 }
 
 impl Violation {
-    /// The rule's name in the protocol.
+    /// The rule's name in the report.
     pub fn rule_name(&self) -> &'static str {
         match self {
             Violation::RanTwice { .. } => "ran_twice",
@@ -67,7 +105,7 @@
     task_workers: HashMap<String, Vec<String>>,
     used_cpus: Vec<f64>,
     cancelled: HashMap<String, CancelTimes>,
-    /// Cancelled jobs by the time at which they must be gone.
+    /// Cancelled jobs by the time at which their tasks must have stopped.
     stop_deadlines: BTreeMap<u64, Vec<String>>,
     violations: Vec<Violation>,
     events_checked: u64,
@@ -78,16 +116,17 @@
 }
 
 impl InvariantChecker {
-    /// `limits`: CPUs that each team may use at most.
+    /// A checker that has seen nothing. `limits`: CPUs that each team may use at most.
     pub fn new(limits: Vec<f64>) -> InvariantChecker {
         InvariantChecker { used_cpus: vec![0.0; limits.len()], limits, ..InvariantChecker::default() }
     }
 
+    /// Records a job before it is submitted.
     pub fn record_submission(&mut self, job: &str, facts: JobFacts) {
         self.jobs.insert(job.into(), facts);
     }
 
-    /// The first answer to the wish counts.
+    /// Records that a cancellation was confirmed; the first confirmation counts.
     pub fn record_cancellation(&mut self, job: &str, when: CancelTimes) {
         if self.cancelled.contains_key(job) {
             return;
@@ -96,17 +135,17 @@
         self.stop_deadlines.entry(when.stopped_by_ms).or_default().push(job.into());
     }
 
-    /// An accepted job that no controller knows.
+    /// Records that no controller knows an accepted job.
     pub fn record_lost_job(&mut self, job: &str) {
         self.violations.push(Violation::LostJob { job: job.into() });
     }
 
-    /// A job that was called done or cancelled is called something else.
+    /// Records that a job left its terminal state.
     pub fn record_terminal_state_change(&mut self, job: &str) {
         self.violations.push(Violation::TerminalStateChanged { job: job.into() });
     }
 
-    /// Takes the next event in.
+    /// Checks the next event.
     pub fn apply_event(&mut self, event: &TaskEvent) {
         self.advance_to(event.at_ms);
         self.events_checked += 1;
@@ -117,24 +156,24 @@
         }
     }
 
-    /// Time passes: what was cancelled must be gone.
+    /// Checks that the tasks of cancelled jobs have stopped by their deadlines up to `now_ms`.
     pub fn advance_to(&mut self, now_ms: u64) {
         let later = self.stop_deadlines.split_off(&now_ms);
         let due = std::mem::replace(&mut self.stop_deadlines, later);
-        for (gone_by_ms, jobs) in due {
-            jobs.iter().for_each(|job| self.check_stopped(job, gone_by_ms));
+        for (stopped_by_ms, jobs) in due {
+            jobs.iter().for_each(|job| self.check_stopped(job, stopped_by_ms));
         }
     }
 
-    fn check_stopped(&mut self, job: &str, gone_by_ms: u64) {
-        let there: Vec<(String, String)> = self
+    fn check_stopped(&mut self, job: &str, stopped_by_ms: u64) {
+        let remaining: Vec<(String, String)> = self
             .task_workers
             .iter()
             .filter(|(task, _)| job_of_task(task) == job)
             .flat_map(|(task, workers)| workers.iter().map(|worker| (task.clone(), worker.clone())))
             .collect();
-        for (task, worker) in there {
-            self.violations.push(Violation::RanCancelled { at_ms: gone_by_ms, task, worker });
+        for (task, worker) in remaining {
+            self.violations.push(Violation::RanCancelled { at_ms: stopped_by_ms, task, worker });
         }
     }
 
@@ -170,8 +209,8 @@
 
     fn task_removed(&mut self, event: &TaskEvent) {
         let Some(workers) = self.task_workers.get_mut(&event.task) else { return };
-        let Some(at) = workers.iter().position(|worker| *worker == event.worker) else { return };
-        workers.swap_remove(at);
+        let Some(index) = workers.iter().position(|worker| *worker == event.worker) else { return };
+        workers.swap_remove(index);
         if workers.is_empty() {
             self.task_workers.remove(&event.task);
         }
@@ -182,22 +221,23 @@
         }
     }
 
-    /// Tasks that are on a worker.
+    /// How many tasks are on a worker.
     pub fn tasks_on_workers(&self) -> usize {
         self.task_workers.len()
     }
 
-    /// CPUs that a team has left under its limit, by what the workers saw.
+    /// CPUs that a team can still use under its limit, by what the workers saw.
     pub fn free_cpus(&self, team: usize) -> f64 {
         let used = self.used_cpus.get(team).copied().unwrap_or(0.0);
         self.limits.get(team).map_or(0.0, |limit| limit - used)
     }
 
+    /// What was found, in the order of finding.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Events that were judged.
+    /// How many events were checked.
     pub fn events_checked(&self) -> u64 {
         self.events_checked
     }
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -6,6 +6,8 @@
 //! `plan`, `arrivals`, `invariants` and `measurements` do no I/O and read no clock. No process outlives a run, and the run
 //! refuses to start where the machine is too small. docs/scale.md is the operators' page.
 
+#![warn(missing_docs)]
+
 mod arrivals;
 mod changes;
 mod cloud;
--- a/crates/scale-test/src/measurements/mod.rs
+++ b/crates/scale-test/src/measurements/mod.rs
@@ -60,7 +60,7 @@
     /// The new leader.
     #[serde(rename = "node")]
     pub controller: String,
-    /// Seconds since the previous leader was killed, if it was killed in this run.
+    /// Seconds since a leader was last killed in this run.
     pub after_kill_s: Option<f64>,
     /// From the kill, or else the record, to the first task that the new leader started.
     pub first_start_s: Option<f64>,
@@ -160,7 +160,7 @@
     /// Changes that were requested.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// Changes that were refused or got no response.
+    /// Changes that were refused.
     pub failed: u64,
     /// Text of the first refusal.
     pub first_failure: Option<String>,
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -1,5 +1,7 @@
 //! The plan of a scale run: an HCL file, checked before anything is started.
 
+mod validation;
+
 use std::path::Path;
 
 use indexmap::IndexMap;
@@ -11,23 +13,50 @@
 use serde::Deserialize;
 use thiserror::Error;
 
+/// Why a file cannot be used as a plan.
 #[derive(Debug, Error)]
 pub enum PlanError {
+    /// It cannot be read.
     #[error("{file}: {error}")]
-    Read { file: String, error: std::io::Error },
+    Read {
+        /// The plan's file.
+        file: String,
+        /// Why not.
+        error: std::io::Error,
+    },
+    /// It is not HCL, or has unknown or missing fields.
     #[error("{file}: {problem}")]
-    Hcl { file: String, problem: String },
+    Hcl {
+        /// The plan's file.
+        file: String,
+        /// What is wrong, with the line.
+        problem: String,
+    },
+    /// A value is outside of its range.
     #[error("{file}: {field}: expected {expected}, not {found}")]
-    InvalidValue { file: String, field: String, expected: String, found: String },
+    InvalidValue {
+        /// The plan's file.
+        file: String,
+        /// Block and field.
+        field: String,
+        /// Values that are allowed.
+        expected: String,
+        /// The value in the plan.
+        found: String,
+    },
 }
 
 /// A machine type of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineTypePlan {
+    /// CPUs of a machine.
     pub cpus: f64,
+    /// Memory of a machine in GB.
     pub memory_gb: f64,
+    /// How fast a machine fetches images.
     pub fetch_gb_per_s: f64,
+    /// Seconds from the request for a machine until it is up.
     pub boot_s: f64,
     /// Machines that a zone has room for.
     pub per_zone: usize,
@@ -39,21 +68,24 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamsPlan {
+    /// Number of teams.
     pub count: usize,
     /// CPUs guaranteed to all teams together.
     pub guaranteed_cpus: f64,
     /// A team's limit: so many times its guarantee, and at least `least_limit_cpus`.
     pub limit_factor: f64,
+    /// Least limit of a team, in CPUs.
     #[serde(rename = "least_limit_cpus")]
     pub min_limit_cpus: f64,
 }
 
-/// A spell of the load.
+/// A period of the load with a constant rate.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PhasePlan {
+    /// Its length.
     pub seconds: f64,
-    /// Task starts a second that the arriving jobs ask for, on average.
+    /// Task starts a second that the arriving jobs need, on average.
     pub starts_per_s: f64,
 }
 
@@ -61,22 +93,28 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobPlan {
+    /// Batch, gang or another kind that the scheduler knows.
     pub shape: JobKind,
+    /// Priority class of the jobs.
     pub urgency: PriorityClass,
-    /// Part of all task starts that this kind asks for.
+    /// Part of all task starts that jobs of this kind need.
     pub share: f64,
     /// Numbers of tasks, one drawn for each job.
     pub tasks: Vec<u32>,
+    /// CPUs of a task.
     pub cpus: f64,
+    /// Memory of a task in GB.
     pub memory_gb: f64,
     /// Least and longest run time of a job's tasks, in seconds.
     pub run_s: [f64; 2],
+    /// All tasks of a job must be in the same zone.
     #[serde(default)]
     pub one_zone: bool,
+    /// Size of an image in GB.
     pub image_gb: f64,
-    /// So many different images, one drawn for each job.
+    /// Number of different images, one drawn for each job.
     pub images: u32,
-    /// Within what time most jobs of the kind should be done: the controllers plan the fleet by it.
+    /// Seconds within which most jobs of the kind should be done: the controllers provision machines by it.
     #[serde(default)]
     #[serde(rename = "done_within_s")]
     pub objective_s: Option<f64>,
@@ -86,24 +124,50 @@
     pub cancelled_share: f64,
 }
 
-/// What strikes, and for how long.
+/// A fault, when it begins (seconds of the load) and when it ends.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
     /// The leader's process is killed, and started again after `back_s`.
-    KillLeader { at_s: f64, back_s: f64 },
+    KillLeader {
+        /// When it begins.
+        at_s: f64,
+        /// Seconds until the restart.
+        back_s: f64,
+    },
     /// A share of the workers is lost with all their tasks; the cloud has no room for others until `back_s` later.
-    KillWorkers { at_s: f64, share: f64, back_s: f64 },
-    /// A controller's process stands still: the leader, or else a follower.
+    KillWorkers {
+        /// When it begins.
+        at_s: f64,
+        /// Part of the workers, from 0 to 1.
+        share: f64,
+        /// Seconds until the cloud has its capacity again.
+        back_s: f64,
+    },
+    /// A controller's process is paused.
     #[serde(rename = "freeze")]
-    PauseController { at_s: f64, leader: bool, for_s: f64 },
+    PauseController {
+        /// When it begins.
+        at_s: f64,
+        /// The leader's process, or else a follower's.
+        leader: bool,
+        /// Its length in seconds.
+        for_s: f64,
+    },
     /// The workers of these zones neither reach a controller nor are reached.
     #[serde(rename = "cut_zones")]
-    PartitionZones { at_s: f64, zones: Vec<String>, for_s: f64 },
+    PartitionZones {
+        /// When it begins.
+        at_s: f64,
+        /// Names of the zones.
+        zones: Vec<String>,
+        /// Its length in seconds.
+        for_s: f64,
+    },
 }
 
 impl FaultKind {
-    /// When it strikes, in seconds from the begin of the load.
+    /// When it begins, in seconds from the begin of the load.
     pub fn at_s(&self) -> f64 {
         match self {
             FaultKind::KillLeader { at_s, .. }
@@ -114,11 +178,11 @@
     }
 }
 
-/// Hollow workers that break a rule on purpose, to show that the check sees it.
+/// A fault built into the simulated workers, to show that the checker detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Defect {
-    /// Reports leave out the tasks that are there.
+    /// Heartbeats leave out the tasks that are on the machine.
     HideTasks,
     /// Commands to stop a task are not carried out.
     #[serde(rename = "ignore_halts")]
@@ -129,8 +193,9 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangesPlan {
-    /// When they begin and end, in seconds from the begin of the load.
+    /// When they begin, in seconds from the begin of the load.
     pub from_s: f64,
+    /// When they end, in seconds from the begin of the load.
     pub to_s: f64,
     /// Seconds between two changes, or between two bursts.
     pub every_s: f64,
@@ -142,37 +207,49 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
+    /// Seed of all random generators of the run.
     pub seed: u64,
+    /// Number of controllers.
     pub controllers: usize,
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Machine types by name.
     #[serde(rename = "machine")]
     pub machines: IndexMap<String, MachineTypePlan>,
+    /// The teams.
     pub teams: TeamsPlan,
+    /// Timings of heartbeats, leases and gangs.
     pub workers: WorkerTimings,
+    /// Limits of the kv store.
     pub state: KvLimits,
+    /// Rate limit of the cloud.
     pub cloud_requests_per_s: f64,
+    /// What a controller's process may use.
     pub quota: ControllerQuota,
     /// The controllers' tunables (HCL).
     pub tunables: String,
     /// Seconds that the controllers get to find the machines before the load begins.
     pub settle_s: f64,
+    /// Phases of the load by name, in order.
     #[serde(rename = "phase")]
     pub phases: IndexMap<String, PhasePlan>,
-    /// Seconds after the last phase for the rest to run.
+    /// Seconds after the last phase in which unfinished jobs may complete.
     pub drain_s: f64,
+    /// Kinds of jobs by name.
     #[serde(rename = "job")]
     pub jobs: IndexMap<String, JobPlan>,
+    /// Faults by name.
     #[serde(rename = "fault", default)]
     pub faults: IndexMap<String, FaultKind>,
+    /// Series of configuration changes by name.
     #[serde(rename = "change", default)]
     pub changes: IndexMap<String, ChangesPlan>,
+    /// A fault built into the simulated workers.
     #[serde(default)]
     pub defect: Option<Defect>,
 }
 
-/// Processes that a run may start.
-pub const MAX_PROCESSES: usize = 200;
-/// A cloud's list is late by this in a run.
+/// How far the cloud's list of machines lags behind its state.
 const LIST_LAG_S: f64 = 0.5;
 
 impl Plan {
@@ -198,76 +275,21 @@
             file: file.into(),
             problem: with_line_number(text, &error.to_string()),
         })?;
-        plan.validate().map_err(|wrong| PlanError::InvalidValue {
+        plan.validate().map_err(|invalid| PlanError::InvalidValue {
             file: file.into(),
-            field: wrong.field,
-            expected: wrong.expected,
-            found: wrong.found,
+            field: invalid.field,
+            expected: invalid.expected,
+            found: invalid.found,
         })?;
         Ok(plan)
     }
 
-    fn validate(&self) -> Result<(), InvalidValue> {
-        check_range("controllers", self.controllers as f64, 1.0, 100.0)?;
-        check_range("zones", self.zones.len() as f64, 1.0, 100.0)?;
-        check_range("machine", self.machines.len() as f64, 1.0, 20.0)?;
-        check_range("phase", self.phases.len() as f64, 1.0, 100.0)?;
-        check_range("job", self.jobs.len() as f64, 1.0, 100.0)?;
-        check_range("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
-        check_range("processes", self.processes() as f64, 1.0, MAX_PROCESSES as f64)?;
-        for (name, machine) in &self.machines {
-            check_range(
-                &format!("machine {name}: up_at_start"),
-                machine.up_at_start as f64,
-                0.0,
-                machine.per_zone as f64,
-            )?;
-            check_range(&format!("machine {name}: cpus"), machine.cpus, 0.001, 1e6)?;
-            check_range(&format!("machine {name}: fetch_gb_per_s"), machine.fetch_gb_per_s, 1e-6, 1e6)?;
-        }
-        for (name, phase) in &self.phases {
-            check_range(&format!("phase {name}: seconds"), phase.seconds, 1.0, 86_400.0)?;
-            check_range(&format!("phase {name}: starts_per_s"), phase.starts_per_s, 0.0, 1e5)?;
-        }
-        for (name, job) in &self.jobs {
-            check_range(&format!("job {name}: share"), job.share, 0.0, 1.0)?;
-            check_range(&format!("job {name}: cancelled"), job.cancelled_share, 0.0, 1.0)?;
-            check_range(
-                &format!("job {name}: tasks"),
-                job.tasks.iter().min().copied().unwrap_or(0).into(),
-                1.0,
-                100_000.0,
-            )?;
-            check_range(&format!("job {name}: images"), job.images.into(), 1.0, 1e6)?;
-            check_range(&format!("job {name}: run_s"), job.run_s[1] - job.run_s[0], 0.0, 1e6)?;
-        }
-        for (name, fault) in &self.faults {
-            check_range(&format!("fault {name}: at_s"), fault.at_s(), 0.0, self.load_s())?;
-            if let FaultKind::PartitionZones { zones, .. } = fault
-                && let Some(unknown) = zones.iter().find(|zone| !self.zones.contains(zone))
-            {
-                let expected = format!("one of {}", self.zones.join(", "));
-                return Err(InvalidValue {
-                    field: format!("fault {name}: zones"),
-                    expected,
-                    found: unknown.clone(),
-                });
-            }
-        }
-        for (name, changes) in &self.changes {
-            check_range(&format!("change {name}: every_s"), changes.every_s, 0.1, 86_400.0)?;
-            check_range(&format!("change {name}: burst"), changes.burst as f64, 1.0, 1000.0)?;
-            check_range(&format!("change {name}: to_s"), changes.to_s, changes.from_s, self.load_s())?;
-        }
-        Ok(())
-    }
-
     /// Seconds of all phases together.
     pub fn load_s(&self) -> f64 {
         self.phases.values().map(|phase| phase.seconds).sum()
     }
 
-    /// Controllers, a process of hollow workers for each zone, the state service, the run itself.
+    /// Number of processes: controllers, one of simulated workers for each zone, the kv store, the run itself.
     pub fn processes(&self) -> usize {
         self.controllers + self.zones.len() + 2
     }
@@ -280,16 +302,16 @@
     /// Name, guarantee and limit of each team, the largest first.
     pub fn team_plans(&self) -> Vec<TeamSettings> {
         let weight = |rank: usize| 1.0 / (rank + 1) as f64;
-        let whole: f64 = (0..self.teams.count).map(weight).sum();
+        let total_weight: f64 = (0..self.teams.count).map(weight).sum();
         let team = |rank: usize| {
-            let guaranteed = (self.teams.guaranteed_cpus * weight(rank) / whole * 10.0).floor() / 10.0;
+            let guaranteed = (self.teams.guaranteed_cpus * weight(rank) / total_weight * 10.0).floor() / 10.0;
             let limit = (guaranteed * self.teams.limit_factor).max(self.teams.min_limit_cpus);
             TeamSettings { name: team_name(rank), guaranteed, limit }
         };
         (0..self.teams.count).map(team).collect()
     }
 
-    /// What the controllers are told of the platform.
+    /// The platform as the controllers' settings describe it.
     pub fn platform(&self) -> Platform {
         Platform {
             zones: self.zones.clone(),
@@ -304,15 +326,15 @@
     }
 
     fn objectives(&self) -> Vec<ObjectivePlan> {
-        let aim = |(class, job): (&String, &JobPlan)| {
+        let objective = |(class, job): (&String, &JobPlan)| {
             Some(ObjectivePlan { class: class.clone(), within_s: job.objective_s? })
         };
-        self.jobs.iter().filter_map(aim).collect()
+        self.jobs.iter().filter_map(objective).collect()
     }
 
-    /// The machine types as the cloud's stand-in has them.
+    /// The machine types of the simulated cloud.
     pub fn machine_types(&self) -> Vec<MachineTypeSpec> {
-        let kind = |(name, machine): (&String, &MachineTypePlan)| MachineTypeSpec {
+        let machine_type = |(name, machine): (&String, &MachineTypePlan)| MachineTypeSpec {
             name: name.clone(),
             cpus: machine.cpus,
             memory_gb: machine.memory_gb,
@@ -323,7 +345,7 @@
             on_demand_per_zone: machine.per_zone,
             spot_per_zone: 0,
         };
-        self.machines.iter().map(kind).collect()
+        self.machines.iter().map(machine_type).collect()
     }
 }
 
@@ -331,17 +353,3 @@
 pub fn team_name(rank: usize) -> String {
     format!("team-{rank:03}")
 }
-
-/// A value that can't be used.
-struct InvalidValue {
-    field: String,
-    expected: String,
-    found: String,
-}
-
-fn check_range(field: &str, value: f64, low: f64, high: f64) -> Result<(), InvalidValue> {
-    if (low..=high).contains(&value) {
-        return Ok(());
-    }
-    Err(InvalidValue { field: field.into(), expected: format!("{low} to {high}"), found: value.to_string() })
-}
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -1,4 +1,4 @@
-//! Users of a run: submit, ask, cancel, and repeat by the protocol's rules. Decides; does no I/O and reads no clock.
+//! Users of a run: they submit, poll, cancel and retry by the protocol's rules. Decides; does no I/O and reads no clock.
 
 use olivelatch_net::http::Response;
 use rand::rngs::StdRng;
@@ -14,7 +14,7 @@
 const SUBMIT_DEADLINE_MS: u64 = 60_000;
 const POLL_INTERVAL_MS: u64 = 5_000;
 
-/// What a user is at.
+/// How far a user has come with the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UserStage {
     /// Workers do not know the job yet: the load is behind.
@@ -24,70 +24,89 @@
     Cancelling,
     /// The job is over, or was given up.
     Finished,
-    /// Asked once more at the end of the run.
+    /// The job is polled once more at the end of the run.
     FinalPoll,
+    /// The final poll had a response.
     Confirmed,
 }
 
 /// A user with one job.
 pub struct User {
+    /// The job.
     pub arrival: Arrival,
     stage: UserStage,
-    /// When the next request goes out; none while one is open.
+    /// When the next request is due; none while one is in flight.
     next_request: Option<u64>,
     first_attempt: u64,
-    /// Its last request was the first one.
+    /// The last request was the first one.
     pub first_request: bool,
+    /// When the job was accepted.
     pub accepted_at: Option<u64>,
-    /// Its team had no room for it under its limit when it was accepted.
+    /// The team had no room for the job under its limit when it was accepted.
     pub team_at_limit: bool,
+    /// A controller has confirmed the cancellation.
     pub cancelled: bool,
+    /// A controller has said that the job is done.
     pub done: bool,
-    /// For each zone, how many commands it must have taken before the job may be submitted.
+    /// For each zone, how many commands it must have acknowledged before the job may be submitted.
     pub required_commands: Vec<u64>,
 }
 
 /// A request that goes out now.
 pub struct UserRequestToSend {
+    /// Index of the user.
     pub user: usize,
+    /// Index of the controller that gets it.
     pub controller: usize,
+    /// HTTP method.
     pub method: &'static str,
+    /// Path of the URL.
     pub path: String,
+    /// JSON, or empty.
     pub body: Vec<u8>,
+    /// Time of the run at which the user gives up waiting for a response.
     pub deadline_ms: u64,
 }
 
-/// What an answer meant.
+/// What a response meant.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserOutcome {
+    /// Nothing new.
     Nothing,
-    /// Accepted, so long after the first try.
+    /// The job was accepted.
     Accepted {
+        /// Time since the first attempt.
         after_ms: u64,
     },
+    /// The job is cancelled, as its user wanted.
     Cancelled,
+    /// The job is done.
     Done,
-    /// Refused for good, or nobody took it for a minute.
+    /// Refused for good, or not accepted within `SUBMIT_DEADLINE_MS`.
     Abandoned,
+    /// No controller knows the accepted job.
     JobLost,
-    /// A final answer was followed by another one, or a job is called cancelled that nobody cancelled.
+    /// A terminal state was followed by another one, or a job is reported cancelled that nobody cancelled.
     TerminalStateChanged,
 }
 
 /// All users of a run.
 pub struct Users {
+    /// By the order of arrival.
     pub users: Vec<User>,
     controllers: usize,
     rng: StdRng,
+    /// Requests that were repeated.
     pub retries: u64,
 }
 
 impl Users {
+    /// No users yet; each request goes to a controller drawn at random.
     pub fn new(controllers: usize, seed: u64) -> Users {
         Users { users: Vec::new(), controllers, rng: StdRng::seed_from_u64(seed), retries: 0 }
     }
 
-    /// A job arrives; it is submitted at `at_ms`, once the workers know it.
+    /// Adds the user of a job, which is submitted at `at_ms`, or later when its description is acknowledged by the workers.
     pub fn add_user(&mut self, arrival: Arrival, at_ms: u64, described_by: Vec<u64>) {
         self.users.push(User {
             arrival,
@@ -103,22 +122,22 @@
         });
     }
 
-    /// Requests that are due. `described`: how many commands each zone has taken; `load_from`: the begin of the load.
+    /// Requests that are due. `described`: how many commands each zone has acknowledged; `load_from`: the begin of the load.
     pub fn due_requests(&mut self, now: u64, load_from: u64, described: &[u64]) -> Vec<UserRequestToSend> {
-        let mut calls = Vec::new();
-        for at in 0..self.users.len() {
-            if self.users[at].next_request.is_none_or(|next| next > now) {
+        let mut requests = Vec::new();
+        for index in 0..self.users.len() {
+            if self.users[index].next_request.is_none_or(|next| next > now) {
                 continue;
             }
             let controller = self.rng.random_range(0..self.controllers);
-            calls.extend(self.users[at].next_request(at, controller, now, load_from, described));
+            requests.extend(self.users[index].next_request(index, controller, now, load_from, described));
         }
-        calls
+        requests
     }
 
-    /// An answer, or none.
-    pub fn handle_response(&mut self, at: usize, response: Option<&Response>, now: u64) -> UserOutcome {
-        let user = &mut self.users[at];
+    /// Handles the response to a user's request; `None` when the request failed or timed out.
+    pub fn handle_response(&mut self, index: usize, response: Option<&Response>, now: u64) -> UserOutcome {
+        let user = &mut self.users[index];
         let status = response.map_or(0, |response| response.status);
         let wait_s = response.and_then(|response| response.retry_after_s).unwrap_or(0);
         let outcome = match (user.stage, status) {
@@ -139,7 +158,7 @@
         outcome
     }
 
-    /// At the end every accepted job is asked about once more.
+    /// Schedules the final poll of every accepted job.
     pub fn poll_all(&mut self, now: u64) {
         for user in self.users.iter_mut().filter(|user| user.accepted_at.is_some()) {
             user.stage = UserStage::FinalPoll;
@@ -147,22 +166,22 @@
         }
     }
 
-    /// Accepted jobs that nobody has told anything of yet in the last questions.
+    /// Accepted jobs whose final poll has had no response yet.
     pub fn unanswered_final_polls(&self) -> usize {
         self.users.iter().filter(|user| user.stage == UserStage::FinalPoll).count()
     }
 
     /// Accepted jobs that are neither done nor cancelled.
     pub fn unfinished(&self) -> usize {
-        let open = |user: &&User| user.accepted_at.is_some() && !user.done && !user.cancelled;
-        self.users.iter().filter(open).count()
+        let unfinished = |user: &&User| user.accepted_at.is_some() && !user.done && !user.cancelled;
+        self.users.iter().filter(unfinished).count()
     }
 }
 
 impl User {
     fn next_request(
         &mut self,
-        at: usize,
+        index: usize,
         controller: usize,
         now: u64,
         load_from: u64,
@@ -170,20 +189,24 @@
     ) -> Option<UserRequestToSend> {
         self.first_request = self.stage == UserStage::Describing;
         if self.first_request {
-            let known = self.required_commands.iter().zip(described).all(|(needs, taken)| taken >= needs);
-            if !known {
+            let is_described = self
+                .required_commands
+                .iter()
+                .zip(described)
+                .all(|(required, acknowledged)| acknowledged >= required);
+            if !is_described {
                 return None;
             }
             self.stage = UserStage::Submitting;
             self.first_attempt = now;
         }
-        let wish = self.arrival.cancel_at_ms.is_some_and(|at_ms| now >= load_from + at_ms);
-        if self.stage == UserStage::Polling && wish && !self.done {
+        let wants_cancellation = self.arrival.cancel_at_ms.is_some_and(|at_ms| now >= load_from + at_ms);
+        if self.stage == UserStage::Polling && wants_cancellation && !self.done {
             self.stage = UserStage::Cancelling;
         }
         self.next_request = None;
         let job = &self.arrival.job;
-        let (method, path, body, patience) = match self.stage {
+        let (method, path, body, timeout_ms) = match self.stage {
             UserStage::Submitting => (
                 "POST",
                 "/work".to_string(),
@@ -196,7 +219,7 @@
             }
             UserStage::Describing | UserStage::Finished | UserStage::Confirmed => return None,
         };
-        Some(UserRequestToSend { user: at, controller, method, path, body, deadline_ms: now + patience })
+        Some(UserRequestToSend { user: index, controller, method, path, body, deadline_ms: now + timeout_ms })
     }
 
     fn accept(&mut self, now: u64) -> UserOutcome {
@@ -218,17 +241,17 @@
     }
 
     fn handle_status(&mut self, response: Option<&Response>, now: u64) -> UserOutcome {
-        let word = status_word(response);
-        let word = word.as_deref();
-        if self.done && word != Some("done") || self.cancelled && word != Some("withdrawn") {
+        let status = job_status(response);
+        let status = status.as_deref();
+        if self.done && status != Some("done") || self.cancelled && status != Some("withdrawn") {
             return UserOutcome::TerminalStateChanged;
         }
         if self.stage == UserStage::FinalPoll {
             self.stage = UserStage::Confirmed;
-            self.done |= word == Some("done");
+            self.done |= status == Some("done");
             return UserOutcome::Nothing;
         }
-        match word {
+        match status {
             Some("done") => {
                 self.stage = UserStage::Finished;
                 self.done = true;
@@ -244,7 +267,7 @@
 
     fn handle_cancel_response(&mut self, response: Option<&Response>) -> UserOutcome {
         self.stage = UserStage::Finished;
-        if status_word(response).as_deref() == Some("withdrawn") {
+        if job_status(response).as_deref() == Some("withdrawn") {
             self.cancelled = true;
             return UserOutcome::Cancelled;
         }
@@ -253,7 +276,7 @@
     }
 }
 
-fn status_word(response: Option<&Response>) -> Option<String> {
+fn job_status(response: Option<&Response>) -> Option<String> {
     let body: Value = serde_json::from_slice(&response?.body).ok()?;
     body["status"].as_str().map(String::from)
 }
