--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What goes over the wire, is stored, and is read from files, byte for byte as the golden files have it
-//! (`tests/golden/`). Messages are samples in the words of the wire; `GOLDEN_WRITE=1` writes the files.
+//! Wire messages, stored records and settings files compared byte for byte with the golden files in `tests/golden/`.
+//! Samples are written as JSON with the wire's field names; `GOLDEN_WRITE=1` rewrites the files.
 
 #[path = "golden/messages.rs"]
 mod messages;
@@ -14,7 +14,7 @@
 #[path = "golden/wire.rs"]
 mod wire;
 
-/// The golden file of a name, in this crate's folder.
+/// A golden file of this crate.
 fn golden(name: &'static str) -> support::Golden {
     support::Golden::new(env!("CARGO_MANIFEST_DIR"), name)
 }
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of users, workers, the cloud, the state service, operators, configuration, graphs, and between controllers.
+//! Messages exchanged with users, workers, the cloud, the key-value store and operators, and between controllers.
 
 use olivelatch::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision};
 use olivelatch::protocol::cloud::CloudRequest;
@@ -18,7 +18,7 @@
 
 use crate::{golden, wire};
 
-/// A submission with every field.
+/// A submission with every field set.
 pub fn submission() -> Value {
     json!({"uid": "job-000412", "jobclass": "ingest", "owner": "grid", "shape": "array", "urgency": "high",
         "pieces": 12, "vcpus": 0.5, "accelerators": 1.0, "memory_gb": 1.25, "bundle": "readings:7", "size_gb": 2.5,
@@ -41,9 +41,9 @@
 #[test]
 fn users() {
     let mut golden = golden("users");
-    golden.round_trip::<JobManifest>("job", submission());
-    golden.round_trip::<Vec<JobKind>>("shapes", json!(["array", "gang", "daemon"]));
-    golden.round_trip::<Vec<PriorityClass>>("urgencies", json!(["critical", "high", "normal", "low"]));
+    golden.round_trip::<JobManifest>("job", &submission());
+    golden.round_trip::<Vec<JobKind>>("shapes", &json!(["array", "gang", "daemon"]));
+    golden.round_trip::<Vec<PriorityClass>>("urgencies", &json!(["critical", "high", "normal", "low"]));
     let bodies = [
         ("whole", submission()),
         ("short", without(submission(), &["boxkinds", "hall", "due_s"])),
@@ -69,50 +69,55 @@
         ("withdrawn", JobStatus::Cancelled),
     ];
     for (word, state) in states {
-        golden.case(word, wire::answer(&status_response(200, JobId(412), state, None)));
+        golden.case(word, wire::response(&status_response(200, JobId(412), state, None)));
         golden.case(
             &format!("{word}, counted"),
-            wire::answer(&status_response(201, JobId(1_234_567), state, Some((3, 4)))),
+            wire::response(&status_response(201, JobId(1_234_567), state, Some((3, 4)))),
         );
     }
-    golden.case("refused", wire::answer(&HttpResponse::error(404, "no such job")));
-    golden.case("later", wire::answer(&HttpResponse::retry_later("no leader", 2)));
+    golden.case("refused", wire::response(&HttpResponse::error(404, "no such job")));
+    golden.case("later", wire::response(&HttpResponse::retry_later("no leader", 2)));
     golden.check();
 }
 
-fn report() -> Value {
-    let piece = |task: u32, status: &str| json!({"piece": format!("job-000412/{task}"), "try": 70 + task, "status": status});
-    let ended = |task: u32, cause: &str| with(piece(task, "ended"), "cause", json!(cause));
+/// A heartbeat with every field and every task state set.
+fn heartbeat() -> Value {
+    let task_status = |task: u32, status: &str| json!({"piece": format!("job-000412/{task}"), "try": 70 + task, "status": status});
+    let exited = |task: u32, cause: &str| with(task_status(task, "ended"), "cause", json!(cause));
     json!({"box": "m-17", "endpoint": "10.0.0.7:700", "boxkind": "small", "hall": "north-a", "loaners": true,
         "shift": 4, "tick": 99, "baton": 31, "warning_s": 12.5, "pieces": [
-            piece(0, "fetching"), piece(1, "gathering"), piece(2, "running"), piece(3, "flushing"),
-            with(with(ended(4, "done"), "made", json!(60)), "gave", json!(7)),
-            with(ended(5, "halted"), "kept", json!(true)), with(ended(6, "halted"), "kept", json!(false)),
-            ended(7, "halted"), ended(8, "peers"), ended(9, "incomplete"), ended(10, "error"), ended(11, "full"),
-            ended(12, "busy"), ended(13, "unknown"), ended(14, "something new"), piece(15, "ended")]})
+            task_status(0, "fetching"), task_status(1, "gathering"), task_status(2, "running"), task_status(3, "flushing"),
+            with(with(exited(4, "done"), "made", json!(60)), "gave", json!(7)),
+            with(exited(5, "halted"), "kept", json!(true)), with(exited(6, "halted"), "kept", json!(false)),
+            exited(7, "halted"), exited(8, "peers"), exited(9, "incomplete"), exited(10, "error"), exited(11, "full"),
+            exited(12, "busy"), exited(13, "unknown"), exited(14, "something new"), task_status(15, "ended")]})
 }
 
 #[test]
 fn workers() {
     let mut golden = golden("workers");
-    let short = without(report(), &["endpoint", "baton", "warning_s", "pieces"]);
-    let strange = with(report(), "pieces", json!([{"piece": "job-000412/0", "try": 1, "status": "asleep"}]));
-    for (name, body) in [("whole", report()), ("short", short), ("a state that is not known", strange)] {
-        let read = parse_heartbeat(body.to_string().as_bytes());
-        golden.case(&format!("report: {name}"), read.as_ref().map_or(Value::Null, wire::report));
+    let minimal = without(heartbeat(), &["endpoint", "baton", "warning_s", "pieces"]);
+    let unknown_state =
+        with(heartbeat(), "pieces", json!([{"piece": "job-000412/0", "try": 1, "status": "asleep"}]));
+    for (name, body) in
+        [("whole", heartbeat()), ("short", minimal), ("a state that is not known", unknown_state)]
+    {
+        let parsed = parse_heartbeat(body.to_string().as_bytes());
+        golden.case(&format!("report: {name}"), parsed.as_ref().map_or(Value::Null, wire::heartbeat));
     }
     let (task, attempt) = (wire::task("job-000412/3"), Attempt(77));
-    let orders = [
+    let commands = [
         WorkerCommand::Run { task, attempt },
         WorkerCommand::Stop { task, attempt, grace_ms: 1_500 },
         WorkerCommand::Stop { task, attempt, grace_ms: 0 },
         WorkerCommand::Forget { task, attempt },
     ];
-    golden.case("orders", wire::answer(&commands_response(FencingToken(31), &orders)));
-    golden.case("no orders", wire::answer(&commands_response(FencingToken(31), &[])));
-    golden.case("orders, called", wire::call(&commands_request(FencingToken(31), AgentEpoch(4), &orders)));
-    golden.case("elsewhere", wire::answer(&redirect_response(Some("n2"))));
-    golden.case("elsewhere, not known where", wire::answer(&redirect_response(None)));
+    golden.case("orders", wire::response(&commands_response(FencingToken(31), &commands)));
+    golden.case("no orders", wire::response(&commands_response(FencingToken(31), &[])));
+    golden
+        .case("orders, called", wire::request(&commands_request(FencingToken(31), AgentEpoch(4), &commands)));
+    golden.case("elsewhere", wire::response(&redirect_response(Some("n2"))));
+    golden.case("elsewhere, not known where", wire::response(&redirect_response(None)));
     golden.check();
 }
 
@@ -124,8 +129,8 @@
     HttpOutcome::Response { status, body: body.as_bytes().to_vec() }
 }
 
-/// What may come of any call.
-fn troubles() -> Vec<(&'static str, HttpOutcome)> {
+/// Failures that any outbound request may end with.
+fn failures() -> Vec<(&'static str, HttpOutcome)> {
     vec![
         ("not sent", HttpOutcome::NotSent),
         ("no response", HttpOutcome::Unknown),
@@ -144,34 +149,34 @@
 }
 
 fn cloud_requests() -> Vec<(&'static str, CloudRequest, Value)> {
-    let rent = |spot, count| CloudRequest::ScaleOut {
+    let scale_out = |spot, count| CloudRequest::ScaleOut {
         request_id: "b-7".into(),
         machine_type: "small".into(),
         zone: "north-a".into(),
         spot,
         count,
     };
-    let kind = json!({"name": "small", "vcpus": 4.0, "accelerators": 1.0, "memory_gb": 16.0, "local_gb": 50.0,
+    let machine_type = json!({"name": "small", "vcpus": 4.0, "accelerators": 1.0, "memory_gb": 16.0, "local_gb": 50.0,
         "pull_gb_per_s": 0.25, "price": 1.5, "low_price": 0.5, "ready_s": 20.0, "halls": ["north-a"]});
-    let short = json!({"name": "plain", "vcpus": 4.0, "memory_gb": 16.0});
+    let minimal = json!({"name": "plain", "vcpus": 4.0, "memory_gb": 16.0});
     let listed = |uid: &str, status: &str| {
         json!({"uid": uid, "endpoint": "10.0.0.7:700", "boxkind": "small", "hall": "north-a", "loaners": false,
             "status": status, "held_s": 1.25})
     };
-    let boxes = json!([
+    let machines = json!([
         listed("m-1", "booting"),
         listed("m-2", "running"),
         listed("m-3", "failed"),
         listed("m-4", "something new"),
         without(listed("m-5", "booting"), &["endpoint", "held_s"])
     ]);
-    let release = CloudRequest::ScaleIn { machines: vec!["m-1".into(), "m-2".into()] };
+    let scale_in = CloudRequest::ScaleIn { machines: vec!["m-1".into(), "m-2".into()] };
     vec![
-        ("catalog", CloudRequest::Catalog, json!({"boxkinds": [kind, short]})),
-        ("rent", rent(true, 3), json!({"boxes": ["m-1", "m-2"]})),
-        ("rent many", rent(false, 1_000), json!({"boxes": []})),
-        ("release", release, json!({})),
-        ("list", CloudRequest::ListMachines { after: None }, json!({"boxes": boxes, "has_next": true})),
+        ("catalog", CloudRequest::Catalog, json!({"boxkinds": [machine_type, minimal]})),
+        ("rent", scale_out(true, 3), json!({"boxes": ["m-1", "m-2"]})),
+        ("rent many", scale_out(false, 1_000), json!({"boxes": []})),
+        ("release", scale_in, json!({})),
+        ("list", CloudRequest::ListMachines { after: None }, json!({"boxes": machines, "has_next": true})),
         ("list on", CloudRequest::ListMachines { after: Some("m-2".into()) }, json!({"boxes": []})),
     ]
 }
@@ -180,23 +185,23 @@
 fn cloud() {
     let mut golden = golden("cloud");
     for (name, request, reply) in cloud_requests() {
-        golden.case(name, wire::call(&request.to_http_request()));
-        golden.case(&format!("{name}: reply"), wire::cloud(&request.parse_reply(&ok(reply))));
-        for (trouble, outcome) in troubles() {
-            golden.case(&format!("{name}: {trouble}"), wire::cloud(&request.parse_reply(&outcome)));
+        golden.case(name, wire::request(&request.to_http_request()));
+        golden.case(&format!("{name}: reply"), wire::cloud_reply(&request.parse_reply(&ok(reply))));
+        for (failure, outcome) in failures() {
+            golden.case(&format!("{name}: {failure}"), wire::cloud_reply(&request.parse_reply(&outcome)));
         }
     }
     golden.check();
 }
 
-/// A value whose spacing must survive.
+/// A stored value whose whitespace must be preserved.
 const SPACED: &str = r#"{"node": "n0",  "lease":7}"#;
 
 fn transaction() -> KvRequest {
-    let guard = |key: &str, stamp| Precondition { key: key.into(), revision: Revision(stamp) };
+    let precondition = |key: &str, revision| Precondition { key: key.into(), revision: Revision(revision) };
     let put = |key: &str, lease| KvMutation::Put { key: key.into(), value: SPACED.into(), lease };
     KvRequest::Transaction {
-        preconditions: vec![guard("olivelatch/leader", 0), guard("olivelatch/graphs", 12)],
+        preconditions: vec![precondition("olivelatch/leader", 0), precondition("olivelatch/graphs", 12)],
         mutations: vec![
             put("olivelatch/leader", Some(LeaseId(7))),
             put("olivelatch/kind/small", None),
@@ -205,8 +210,8 @@
     }
 }
 
-/// Requests and the bodies of their replies, as text: values are kept as they are written.
-fn state_requests() -> Vec<(&'static str, KvRequest, String)> {
+/// Requests and the bodies of their replies; as text, because stored values are passed through unparsed.
+fn kv_requests() -> Vec<(&'static str, KvRequest, String)> {
     let prefix = || String::from("olivelatch/");
     let page = format!(
         r#"{{"pairs":[{{"key":"olivelatch/leader","value":{SPACED},"stamp":8}}],"has_next":true,"ledger_rev":9}}"#
@@ -238,11 +243,11 @@
 #[test]
 fn state() {
     let mut golden = golden("state");
-    for (name, request, reply) in state_requests() {
-        golden.case(name, wire::call(&request.to_http_request()));
-        golden.case(&format!("{name}: reply"), wire::state(&request.parse_reply(&response(200, &reply))));
-        for (trouble, outcome) in troubles() {
-            golden.case(&format!("{name}: {trouble}"), wire::state(&request.parse_reply(&outcome)));
+    for (name, request, reply) in kv_requests() {
+        golden.case(name, wire::request(&request.to_http_request()));
+        golden.case(&format!("{name}: reply"), wire::kv_reply(&request.parse_reply(&response(200, &reply))));
+        for (failure, outcome) in failures() {
+            golden.case(&format!("{name}: {failure}"), wire::kv_reply(&request.parse_reply(&outcome)));
         }
     }
     golden.check();
@@ -251,7 +256,7 @@
 #[test]
 fn operators() {
     let mut golden = golden("operators");
-    let asked = [
+    let paths = [
         "status",
         "jobs",
         "jobs?after=job-000412&limit=7&team=grid&class=ingest&state=live",
@@ -275,9 +280,12 @@
         "jobs/job-000412/events",
         "other",
     ];
-    for path in asked {
+    for path in paths {
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
-        golden.case(path, wire::read(parse_operator_request(bare, query), wire::operator));
+        golden.case(
+            path,
+            wire::parsed_or_rejected(parse_operator_request(bare, query), wire::operator_request),
+        );
     }
     crate::views::operators(&mut golden);
     golden.check();
@@ -288,7 +296,7 @@
     let mut golden = golden("config");
     let change = json!({"value": {"limit_cpus": 4.0, "guaranteed_cpus": null}, "expected": 7, "by": "ada",
         "why": "a quiet week", "change": "c-1"});
-    let asked = [
+    let requests = [
         ("GET", "config", json!({})),
         ("PUT", "config", json!({})),
         ("GET", "config/team/grid", json!({})),
@@ -304,10 +312,10 @@
         ("GET", "config/team/", json!({})),
         ("GET", "other", json!({})),
     ];
-    for (method, path, body) in asked {
+    for (method, path, body) in requests {
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
-        let read = parse_config_request(method, bare, query, body.to_string().as_bytes());
-        golden.case(&format!("{method} {path}"), wire::read(read, wire::config));
+        let parsed = parse_config_request(method, bare, query, body.to_string().as_bytes());
+        golden.case(&format!("{method} {path}"), wire::parsed_or_rejected(parsed, wire::config_request));
     }
     crate::views::config(&mut golden);
     golden.check();
@@ -317,7 +325,7 @@
 fn graphs() {
     let mut golden = golden("graphs");
     let header = json!({"graph": "nightly", "parts": 2, "nodes": 3, "most_runs": 4});
-    let asked = [
+    let requests = [
         ("GET", "graphs", json!({})),
         ("GET", "graphs?graph=nightly&after=nightly-1&limit=5", json!({})),
         ("GET", "graphs?state=live", json!({})),
@@ -335,25 +343,25 @@
         ("PUT", "graphs/nightly-1", json!({})),
         ("GET", "graphs/nightly-1/other", json!({})),
     ];
-    for (method, path, body) in asked {
+    for (method, path, body) in requests {
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
-        let read = parse_graph_request(method, bare, query, body.to_string().as_bytes());
-        golden.case(&format!("{method} {path}"), wire::read(read, wire::graph));
+        let parsed = parse_graph_request(method, bare, query, body.to_string().as_bytes());
+        golden.case(&format!("{method} {path}"), wire::parsed_or_rejected(parsed, wire::graph_request));
     }
     crate::views::graphs(&mut golden);
     golden.check();
 }
 
 fn mesh_messages() -> Vec<(&'static str, PeerMessage)> {
-    let ask = |ask, question| PeerMessage::Query { query_id: ask, query: question };
-    let told = |retry_after_s| PeerMessage::QueryResponse {
+    let query = |query_id, query| PeerMessage::Query { query_id, query };
+    let query_response = |retry_after_s| PeerMessage::QueryResponse {
         query_id: 7,
         status: 503,
         retry_after_s,
         body: b"{\"a\":1}".to_vec(),
     };
-    let beat = |state_ok| PeerMessage::HealthStatus {
-        kv_reachable: state_ok,
+    let health_status = |kv_reachable| PeerMessage::HealthStatus {
+        kv_reachable,
         misrouted_workers: 3,
         misrouted_workers_elsewhere: 4,
     };
@@ -361,21 +369,21 @@
         ("hello", PeerMessage::Hello { controller: "n0".into() }),
         ("hello, long", PeerMessage::Hello { controller: "a-node-of-a-long-name".into() }),
         ("notify", PeerMessage::RevisionNotice { revision: 0x0102_0304_0506 }),
-        ("beat", beat(true)),
-        ("beat, blind", beat(false)),
+        ("beat", health_status(true)),
+        ("beat, blind", health_status(false)),
         ("yield", PeerMessage::TransferLeadership),
-        ("inspect", ask(1, LeaderQuery::InspectJob { job: 412, after: None, limit: 100 })),
-        ("inspect on", ask(2, LeaderQuery::InspectJob { job: 412, after: Some(9), limit: 100 })),
-        ("explain", ask(3, LeaderQuery::ExplainJob { job: 412, task: None })),
-        ("explain a task", ask(4, LeaderQuery::ExplainJob { job: 412, task: Some(3) })),
-        ("events", ask(5, LeaderQuery::JobEvents { job: 412 })),
-        ("told", told(None)),
-        ("told, later", told(Some(2))),
+        ("inspect", query(1, LeaderQuery::InspectJob { job: 412, after: None, limit: 100 })),
+        ("inspect on", query(2, LeaderQuery::InspectJob { job: 412, after: Some(9), limit: 100 })),
+        ("explain", query(3, LeaderQuery::ExplainJob { job: 412, task: None })),
+        ("explain a task", query(4, LeaderQuery::ExplainJob { job: 412, task: Some(3) })),
+        ("events", query(5, LeaderQuery::JobEvents { job: 412 })),
+        ("told", query_response(None)),
+        ("told, later", query_response(Some(2))),
         ("read", PeerMessage::ReadWatermark { revision: 77 }),
     ]
 }
 
-/// A job's states as clients read them, beside what users are told.
+/// `JobPhase` is serialized as the same word that `as_str` returns.
 #[test]
 fn states_have_one_word_each() {
     for state in [JobPhase::Pending, JobPhase::Running, JobPhase::Done, JobPhase::Cancelled] {
@@ -393,17 +401,18 @@
     pairs.map(pair).collect()
 }
 
-/// Frames between controllers of different versions: as bytes.
+/// Frames must stay the same bytes, since controllers of different versions exchange them.
 #[test]
 fn mesh() {
     let mut golden = golden("mesh");
-    let kept = golden.kept();
+    let recorded = golden.recorded();
     for (name, message) in mesh_messages() {
-        let frame =
-            kept.as_ref().map_or(peer::encode(&message), |kept| bytes(kept[name].as_str().expect(name)));
-        let read = peer::decode(&frame[4..]);
-        assert!(read.as_ref() == Some(&message), "{name}");
-        assert_eq!(hex(&peer::encode(&read.expect("a message"))), hex(&frame), "{name}");
+        let frame = recorded
+            .as_ref()
+            .map_or(peer::encode(&message), |cases| bytes(cases[name].as_str().expect(name)));
+        let decoded = peer::decode(&frame[4..]);
+        assert!(decoded.as_ref() == Some(&message), "{name}");
+        assert_eq!(hex(&peer::encode(&decoded.expect("a message"))), hex(&frame), "{name}");
         golden.case(name, hex(&peer::encode(&message)));
     }
     golden.check();
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Files that are read and never written: the platform's settings, and tunables.
+//! Files that are parsed and never written: the platform's settings, and tunables.
 
 use olivelatch::settings::{PeerController, ServiceLevelObjective, Settings, TeamSettings};
 use olivelatch::tunables::{LogFormat, Tunables};
@@ -11,8 +11,8 @@
 /// Tunables with every field set.
 const EVERYTHING: &str = include_str!("tunables.hcl");
 
-fn other(other: &PeerController) -> Value {
-    json!({"node": other.controller, "zone": other.zone, "addr": other.addr})
+fn peer(peer: &PeerController) -> Value {
+    json!({"node": peer.controller, "zone": peer.zone, "addr": peer.addr})
 }
 
 fn team(team: &TeamSettings) -> Value {
@@ -26,11 +26,11 @@
         "share": objective.share})
 }
 
-/// What was read, in the words of the file; times in milliseconds.
+/// Parsed settings rendered with the file's field names; times in milliseconds.
 fn platform(settings: &Settings) -> Value {
-    let (workers, state, quota) = (&settings.worker_timings, &settings.kv_limits, &settings.limits);
+    let (workers, kv, quota) = (&settings.worker_timings, &settings.kv_limits, &settings.limits);
     json!({"node": settings.controller, "zone": settings.zone, "front": settings.http_addr, "mesh_addr": settings.peer_addr,
-        "others": settings.peers.iter().map(other).collect::<Vec<_>>(),
+        "others": settings.peers.iter().map(peer).collect::<Vec<_>>(),
         "endpoints": {"cloud": settings.cloud_addr, "state": settings.kv_addr},
         "cluster": {"count": settings.controller_count, "zones": settings.zones,
             "teams": settings.teams.iter().map(team).collect::<Vec<_>>(),
@@ -38,16 +38,16 @@
             "workers": {"report_ms": workers.heartbeat_interval_ms, "lease_ms": workers.lease_duration_ms,
                 "gang_wait_ms": workers.gang_wait_ms, "gang_peer_ms": workers.gang_peer_ms,
                 "cancel_ms": workers.cancel_deadline_ms},
-            "state": {"rps": state.rps, "write_rps": state.write_rps, "value_kb": state.max_value_kb,
-                "txn_ops": state.max_txn_ops},
+            "state": {"rps": kv.rps, "write_rps": kv.write_rps, "value_kb": kv.max_value_kb,
+                "txn_ops": kv.max_txn_ops},
             "cloud": {"rps": settings.cloud_rps, "list_lag_ms": settings.cloud_list_lag_ms},
             "quota": {"core_share": quota.core_share, "mem_mb": quota.memory_mb,
                 "max_connections": quota.max_connections},
             "time_bound_ms": settings.time_bound_ms}})
 }
 
-/// The file without what has a default.
-fn least(text: &str) -> String {
+/// The file without the fields that have a default.
+fn required_fields(text: &str) -> String {
     let mut value: Value = serde_json::from_str(text).expect("JSON");
     let remove = |value: &mut Value, names: &[&str]| {
         let object = value.as_object_mut().expect("an object");
@@ -64,20 +64,20 @@
 #[test]
 fn platform_settings() {
     let mut golden = golden("settings");
-    for (name, text) in [("whole", PLATFORM.to_string()), ("least", least(PLATFORM))] {
+    for (name, text) in [("whole", PLATFORM.to_string()), ("least", required_fields(PLATFORM))] {
         golden.case(name, platform(&Settings::parse("platform.json", &text).expect("settings")));
     }
-    let mistakes = [
+    let invalid_files = [
         ("no node", r#""node": "n0""#, r#""node": """#),
         ("lease", r#""lease_s": 12.0"#, r#""lease_s": 1.0"#),
         ("value_kb", r#""value_kb": 4.0"#, r#""value_kb": 1.0"#),
         ("txn_ops", r#""txn_ops": 8"#, r#""txn_ops": 2"#),
         ("a team", r#""cpus_max": 8.5"#, r#""cpus_max": -1"#),
     ];
-    for (name, from, to) in mistakes {
+    for (name, from, to) in invalid_files {
         assert!(PLATFORM.contains(from), "{from}");
-        let wrong = Settings::parse("platform.json", &PLATFORM.replacen(from, to, 1));
-        golden.case(name, wrong.err().map(|error| error.to_string()));
+        let parsed = Settings::parse("platform.json", &PLATFORM.replacen(from, to, 1));
+        golden.case(name, parsed.err().map(|error| error.to_string()));
     }
     golden.check();
 }
@@ -90,19 +90,19 @@
     }
 }
 
-/// What was read, in the words of the file.
-fn tunables(read: &Tunables) -> Value {
-    let (overload, operators, graphs) = (&read.overload, &read.operators, &read.graphs);
-    json!({"t": read.t, "tt_s": read.tt_s, "fetch_gb_per_s": read.fetch_gb_per_s,
-        "steal_wait_ms": read.steal_backoff_ms, "steal_bound_s": read.max_steal_backoff_s, "hold_s": read.machine_hold_s,
-        "leader_life_s": read.leader_lease_s, "idle_s": read.idle_return_s, "drain_s": read.queue_drain_target_s, "haste": read.start_deadline_fraction,
+/// Parsed tunables rendered with the file's field names.
+fn tunables(tunables: &Tunables) -> Value {
+    let (overload, operators, graphs) = (&tunables.overload, &tunables.operators, &tunables.graphs);
+    json!({"t": tunables.t, "tt_s": tunables.tt_s, "fetch_gb_per_s": tunables.fetch_gb_per_s,
+        "steal_wait_ms": tunables.steal_backoff_ms, "steal_bound_s": tunables.max_steal_backoff_s, "hold_s": tunables.machine_hold_s,
+        "leader_life_s": tunables.leader_lease_s, "idle_s": tunables.idle_return_s, "drain_s": tunables.queue_drain_target_s, "haste": tunables.start_deadline_fraction,
         "overload": {"order": overload.overload_ordering, "pressure": overload.load_shedding, "headroom": overload.headroom,
             "claims": overload.preemption, "trials": overload.probation},
         "operators": {"enabled": operators.enabled, "events_per_job": operators.events_per_job,
             "explains_per_s": operators.queries_per_s},
         "graphs": {"enabled": graphs.enabled, "pools": graphs.pools, "kept_runs": graphs.retained_runs,
             "most_nodes": graphs.max_nodes, "sweep_s": graphs.upload_expiry_s},
-        "config": {"enabled": read.config.enabled}, "log": {"format": log_format(read.log.format)}})
+        "config": {"enabled": tunables.config.enabled}, "log": {"format": log_format(tunables.log.format)}})
 }
 
 fn deployed(name: &str) -> (String, String) {
@@ -121,15 +121,15 @@
     for (name, text) in files {
         golden.case(&name, tunables(&Tunables::parse(&name, &text).expect("tunables")));
     }
-    let mistakes = [
+    let invalid_files = [
         ("a name", "tea = 1"),
         ("a range", "leader_life_s = 0.5"),
         ("a pool", "graphs {\n  pools = { billing = 0 }\n}\n"),
         ("graphs alone", "graphs {\n  enabled = true\n}\n"),
     ];
-    for (name, text) in mistakes {
-        let wrong = Tunables::parse("t.hcl", text).err();
-        golden.case(&format!("wrong: {name}"), wrong.map(|error| error.to_string()));
+    for (name, text) in invalid_files {
+        let error = Tunables::parse("t.hcl", text).err();
+        golden.case(&format!("wrong: {name}"), error.map(|error| error.to_string()));
     }
     golden.check();
 }
--- a/tests/golden/support.rs
+++ b/tests/golden/support.rs
@@ -1,7 +1,7 @@
-//! Golden files: what today's code writes, kept, and compared with what the code at hand writes. `GOLDEN_WRITE=1` writes
-//! them. Bodies are kept as strings, so that they are compared byte for byte; what is around them is compared by value.
+//! Golden files: recorded outputs that the current code must still produce. `GOLDEN_WRITE=1` rewrites them. Message
+//! bodies are stored as strings and so compared byte for byte; everything around them is compared by value.
 
-// Each test program uses a part of it.
+// Each test binary uses only some of these functions.
 #![allow(dead_code)]
 
 use std::path::Path;
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// Cases of one golden file by name.
+/// The cases of one golden file, by name.
 pub struct Golden {
     folder: &'static str,
     name: &'static str,
@@ -18,26 +18,26 @@
 }
 
 impl Golden {
-    /// `folder`: the crate's own, as cargo names it.
+    /// `folder`: the crate's `CARGO_MANIFEST_DIR`; `name`: the file name without its extension.
     pub fn new(folder: &'static str, name: &'static str) -> Golden {
         Golden { folder, name, cases: Map::new() }
     }
 
-    /// A case's value; names are used once.
+    /// Adds a case. Panics when the name is already taken.
     pub fn case(&mut self, name: &str, value: impl Into<Value>) {
         assert!(self.cases.insert(name.into(), value.into()).is_none(), "{name} is there twice");
     }
 
-    /// A message whose type both writes and reads: nothing of the sample is lost, its bytes are kept, and what was kept
-    /// reads and writes the same.
-    pub fn round_trip<T: Serialize + DeserializeOwned>(&mut self, name: &str, sample: Value) {
+    /// Adds a case for a type that is both serialized and deserialized: no field of the sample is lost, and both its
+    /// encoding and the recorded one survive a round trip byte for byte.
+    pub fn round_trip<T: Serialize + DeserializeOwned>(&mut self, name: &str, sample: &Value) {
         let message: T =
             serde_json::from_value(sample.clone()).unwrap_or_else(|error| panic!("{name}: {error}"));
         let text = encode(&message);
-        assert_eq!(serde_json::from_str::<Value>(&text).expect("JSON"), sample, "{name}");
+        assert_eq!(serde_json::from_str::<Value>(&text).expect("JSON"), *sample, "{name}");
         assert_eq!(encode(&decode::<T>(&text)), text, "{name}");
-        if let Some(kept) = self.kept().and_then(|kept| kept[name].as_str().map(String::from)) {
-            assert_eq!(encode(&decode::<T>(&kept)), kept, "{name}: as kept");
+        if let Some(recorded) = self.recorded().and_then(|cases| cases[name].as_str().map(String::from)) {
+            assert_eq!(encode(&decode::<T>(&recorded)), recorded, "{name}: as kept");
         }
         self.case(name, text);
     }
@@ -46,43 +46,44 @@
         Path::new(self.folder).join("tests/golden").join(format!("{}.json", self.name))
     }
 
-    /// The file; none while it is being written.
-    pub fn kept(&self) -> Option<Value> {
+    /// The cases as recorded in the file; `None` when the file is being rewritten.
+    pub fn recorded(&self) -> Option<Value> {
         let text = std::fs::read_to_string(self.path());
-        if write() { None } else { Some(decode(&text.expect("the golden file"))) }
+        if is_rewriting() { None } else { Some(decode(&text.expect("the golden file"))) }
     }
 
-    /// Compares all cases with the file, or writes it.
+    /// Compares all cases with the recorded ones, or rewrites the file.
     pub fn check(self) {
         let path = self.path();
-        match self.kept() {
+        match self.recorded() {
             None => {
                 let text = serde_json::to_string_pretty(&self.cases).expect("JSON");
                 std::fs::create_dir_all(path.parent().expect("a folder"))
                     .expect("the folder of golden files");
                 std::fs::write(&path, text + "\n").expect("the golden file is written");
             }
-            Some(kept) => {
-                let kept = kept.as_object().expect("cases by name");
+            Some(recorded) => {
+                let recorded = recorded.as_object().expect("cases by name");
                 let names = |cases: &Map<String, Value>| cases.keys().cloned().collect::<Vec<_>>();
                 for (name, value) in &self.cases {
-                    assert_eq!(Some(value), kept.get(name), "{}: {name}", self.name);
+                    assert_eq!(Some(value), recorded.get(name), "{}: {name}", self.name);
                 }
-                assert_eq!(names(kept), names(&self.cases), "{}", self.name);
+                assert_eq!(names(recorded), names(&self.cases), "{}", self.name);
             }
         }
     }
 }
 
-fn write() -> bool {
+fn is_rewriting() -> bool {
     std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1")
 }
 
-/// As it goes over the wire.
+/// JSON as it is sent over the wire.
 pub fn encode(message: &impl Serialize) -> String {
     serde_json::to_string(message).expect("JSON")
 }
 
+/// Deserializes, and panics with the text when it does not parse.
 pub fn decode<T: DeserializeOwned>(text: &str) -> T {
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"))
 }
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -1,4 +1,4 @@
-//! What was read, back in the words of the wire.
+//! Parsed messages rendered as JSON with the wire's field names, so that golden files can hold them.
 
 use olivelatch::ids::TaskId;
 use olivelatch::protocol::cloud::{CloudMachine, CloudMachineState, CloudReply};
@@ -15,38 +15,38 @@
     std::str::from_utf8(bytes).expect("text")
 }
 
-pub fn answer(answer: &HttpResponse) -> Value {
-    json!({"status": answer.status, "retry-after": answer.retry_after_s, "body": text(&answer.body),
-        "plain": answer.is_text})
+pub fn response(response: &HttpResponse) -> Value {
+    json!({"status": response.status, "retry-after": response.retry_after_s, "body": text(&response.body),
+        "plain": response.is_text})
 }
 
-pub fn call(call: &HttpRequest) -> Value {
-    json!({"call": format!("{} {}", call.method, call.path), "body": text(&call.body)})
+pub fn request(request: &HttpRequest) -> Value {
+    json!({"call": format!("{} {}", request.method, request.path), "body": text(&request.body)})
 }
 
 pub fn task(text: &str) -> TaskId {
     TaskId::parse(text).expect("a task")
 }
 
-pub fn report(report: &Heartbeat) -> Value {
-    json!({"box": report.machine, "endpoint": report.endpoint, "boxkind": report.machine_type, "hall": report.zone,
-        "loaners": report.spot, "shift": report.epoch.0, "tick": report.sequence, "baton": report.token.0,
-        "warning_ms": report.reclaim_notice_ms, "pieces": report.tasks.iter().map(piece).collect::<Vec<_>>()})
+pub fn heartbeat(heartbeat: &Heartbeat) -> Value {
+    json!({"box": heartbeat.machine, "endpoint": heartbeat.endpoint, "boxkind": heartbeat.machine_type, "hall": heartbeat.zone,
+        "loaners": heartbeat.spot, "shift": heartbeat.epoch.0, "tick": heartbeat.sequence, "baton": heartbeat.token.0,
+        "warning_ms": heartbeat.reclaim_notice_ms, "pieces": heartbeat.tasks.iter().map(task_status).collect::<Vec<_>>()})
 }
 
-fn piece(piece: &TaskStatus) -> Value {
-    let (status, cause, kept) = match piece.state {
+fn task_status(task: &TaskStatus) -> Value {
+    let (status, cause, checkpointed) = match task.state {
         TaskPhase::Fetching => ("fetching", None, None),
         TaskPhase::WaitingForPeers => ("gathering", None, None),
         TaskPhase::Running => ("running", None, None),
         TaskPhase::Checkpointing => ("flushing", None, None),
-        TaskPhase::Exited(cause) => ("ended", Some(word(cause)), kept(cause)),
+        TaskPhase::Exited(cause) => ("ended", Some(cause_name(cause)), checkpointed(cause)),
     };
-    json!({"piece": piece.task.to_string(), "try": piece.attempt.0, "status": status, "cause": cause, "kept": kept,
-        "made": piece.published_attempt.map(|made| made.0), "gave": piece.output_list_len})
+    json!({"piece": task.task.to_string(), "try": task.attempt.0, "status": status, "cause": cause, "kept": checkpointed,
+        "made": task.published_attempt.map(|attempt| attempt.0), "gave": task.output_list_len})
 }
 
-fn word(cause: ExitCause) -> &'static str {
+fn cause_name(cause: ExitCause) -> &'static str {
     match cause {
         ExitCause::Done => "done",
         ExitCause::Stopped { .. } => "halted",
@@ -59,56 +59,58 @@
     }
 }
 
-fn kept(cause: ExitCause) -> Option<bool> {
-    if let ExitCause::Stopped { checkpointed: saved } = cause { Some(saved) } else { None }
+fn checkpointed(cause: ExitCause) -> Option<bool> {
+    if let ExitCause::Stopped { checkpointed } = cause { Some(checkpointed) } else { None }
 }
 
-pub fn submission(read: Result<UserRequest, HttpResponse>) -> Value {
-    match read {
-        Ok(UserRequest::Submit { id, manifest: Ok(spec) }) => json!({"uid": id.to_string(), "job": *spec}),
+pub fn submission(parsed: Result<UserRequest, HttpResponse>) -> Value {
+    match parsed {
+        Ok(UserRequest::Submit { id, manifest: Ok(manifest) }) => {
+            json!({"uid": id.to_string(), "job": *manifest})
+        }
         Ok(UserRequest::Submit { id, manifest: Err(error) }) => {
             json!({"uid": id.to_string(), "error": error})
         }
         Ok(other) => panic!("{} is no submission", other.id()),
-        Err(refused) => answer(&refused),
+        Err(rejection) => response(&rejection),
     }
 }
 
-pub fn cloud(reply: &CloudReply) -> Value {
+pub fn cloud_reply(reply: &CloudReply) -> Value {
     match reply {
-        CloudReply::Catalog(kinds) => json!({"boxkinds": kinds}),
-        CloudReply::ScaledOut(boxes) => json!({"boxes": boxes}),
+        CloudReply::Catalog(machine_types) => json!({"boxkinds": machine_types}),
+        CloudReply::ScaledOut(machines) => json!({"boxes": machines}),
         CloudReply::NoCapacity => json!("no capacity"),
         CloudReply::ScaledIn => json!("released"),
-        CloudReply::MachineList { machines, has_more: more } => {
-            json!({"boxes": machines.iter().map(listed).collect::<Vec<_>>(), "has_next": more})
+        CloudReply::MachineList { machines, has_more } => {
+            json!({"boxes": machines.iter().map(cloud_machine).collect::<Vec<_>>(), "has_next": has_more})
         }
         CloudReply::Rejected { status } => json!({"status": status}),
         CloudReply::Unknown => json!("not known"),
     }
 }
 
-fn listed(listed: &CloudMachine) -> Value {
-    let status = match listed.state {
+fn cloud_machine(machine: &CloudMachine) -> Value {
+    let status = match machine.state {
         CloudMachineState::Booting => "booting",
         CloudMachineState::Running => "running",
         CloudMachineState::Failed => "failed",
     };
-    json!({"uid": listed.name, "endpoint": listed.endpoint, "boxkind": listed.machine_type, "hall": listed.zone,
-        "loaners": listed.spot, "status": status, "held_ms": listed.age_ms})
+    json!({"uid": machine.name, "endpoint": machine.endpoint, "boxkind": machine.machine_type, "hall": machine.zone,
+        "loaners": machine.spot, "status": status, "held_ms": machine.age_ms})
 }
 
-pub fn state(reply: &KvReply) -> Value {
-    let all = |pairs: &[KvEntry]| pairs.iter().map(pair).collect::<Vec<_>>();
+pub fn kv_reply(reply: &KvReply) -> Value {
+    let all = |entries: &[KvEntry]| entries.iter().map(kv_entry).collect::<Vec<_>>();
     match reply {
-        KvReply::ListPage { entries: pairs, has_more: more, revision } => {
-            json!({"pairs": all(pairs), "has_next": more, "ledger_rev": revision.0})
+        KvReply::ListPage { entries, has_more, revision } => {
+            json!({"pairs": all(entries), "has_next": has_more, "ledger_rev": revision.0})
         }
-        KvReply::ChangedEntries { entries: pairs, revision } => {
-            json!({"events": all(pairs), "ledger_rev": revision.0})
+        KvReply::ChangedEntries { entries, revision } => {
+            json!({"events": all(entries), "ledger_rev": revision.0})
         }
         KvReply::Committed { revision } => json!({"ledger_rev": revision.0}),
-        KvReply::PreconditionFailed { failed_keys: failed } => json!({"failed": failed}),
+        KvReply::PreconditionFailed { failed_keys } => json!({"failed": failed_keys}),
         KvReply::LeaseGranted { lease } => json!({"permit": lease.0}),
         KvReply::LeaseUpdated => json!("fine"),
         KvReply::LeaseNotFound => json!("no such lease"),
@@ -118,11 +120,11 @@
     }
 }
 
-fn pair(pair: &KvEntry) -> Value {
-    json!({"key": pair.key, "value": pair.value, "stamp": pair.revision.0})
+fn kv_entry(entry: &KvEntry) -> Value {
+    json!({"key": entry.key, "value": entry.value, "stamp": entry.revision.0})
 }
 
-fn filter(filter: StateFilter) -> &'static str {
+fn state_filter(filter: StateFilter) -> &'static str {
     match filter {
         StateFilter::Active => "live",
         StateFilter::Terminal => "ended",
@@ -130,14 +132,14 @@
     }
 }
 
-fn list(list: &ListQuery) -> Value {
-    json!({"after": list.after.map(|id| id.to_string()), "limit": list.limit, "team": list.team,
-        "class": list.class, "state": list.state.map(filter)})
+fn list_query(query: &ListQuery) -> Value {
+    json!({"after": query.after.map(|id| id.to_string()), "limit": query.limit, "team": query.team,
+        "class": query.class, "state": query.state.map(state_filter)})
 }
 
-pub fn operator(request: &OperatorRequest) -> Value {
+pub fn operator_request(request: &OperatorRequest) -> Value {
     match request {
-        OperatorRequest::ListJobs(query) => json!({"jobs": list(query)}),
+        OperatorRequest::ListJobs(query) => json!({"jobs": list_query(query)}),
         OperatorRequest::InspectJob { id, after, limit } => {
             json!({"job": id.to_string(), "after": after, "limit": limit})
         }
@@ -153,9 +155,9 @@
     }
 }
 
-pub fn graph(asked: &GraphRouteRequest) -> Value {
-    match asked {
-        GraphRouteRequest::Query(request) => operator(request),
+pub fn graph_request(request: &GraphRouteRequest) -> Value {
+    match request {
+        GraphRouteRequest::Query(request) => operator_request(request),
         GraphRouteRequest::Modify(DagRequest::UploadParts { run, upload }) => {
             json!({"run": run.to_string(), "parts": upload})
         }
@@ -165,27 +167,27 @@
         GraphRouteRequest::Modify(DagRequest::Cancel { run }) => {
             json!({"run": run.to_string(), "cancel": true})
         }
-        GraphRouteRequest::Modify(DagRequest::Rerun { run, rerun: redo }) => {
-            json!({"run": run.to_string(), "redo": redo})
+        GraphRouteRequest::Modify(DagRequest::Rerun { run, rerun }) => {
+            json!({"run": run.to_string(), "redo": rerun})
         }
     }
 }
 
-pub fn config(request: &ConfigRequest) -> Value {
+pub fn config_request(request: &ConfigRequest) -> Value {
     match request {
         ConfigRequest::List => json!("all"),
-        ConfigRequest::Get { key: entry, min_version: version } => {
-            json!({"entry": entry.to_string(), "version": version})
+        ConfigRequest::Get { key, min_version } => {
+            json!({"entry": key.to_string(), "version": min_version})
         }
-        ConfigRequest::Set { key: entry, change } => json!({"entry": entry.to_string(), "change": change}),
+        ConfigRequest::Set { key, change } => json!({"entry": key.to_string(), "change": change}),
     }
 }
 
-/// A request that was read, the answer that refuses it, or null where there is no such path.
-pub fn read<T>(read: Option<Result<T, HttpResponse>>, write: impl Fn(&T) -> Value) -> Value {
-    match read {
+/// A parsed request, the response that rejects it, or null when no route matches the path.
+pub fn parsed_or_rejected<T>(parsed: Option<Result<T, HttpResponse>>, render: impl Fn(&T) -> Value) -> Value {
+    match parsed {
         None => Value::Null,
-        Some(Ok(request)) => write(&request),
-        Some(Err(refused)) => answer(&refused),
+        Some(Ok(request)) => render(&request),
+        Some(Err(rejection)) => response(&rejection),
     }
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! A real controller on loopback under greedy clients. What real regions go through is in `crates/cli/tests/`.
+//! A controller process on loopback under abusive clients. Whole clusters are tested in `crates/cli/tests/`.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use olivelatch_local_cluster::{Cloud, MachineTypeSpec};
 use serde_json::{Value, json};
 
-/// Reads one HTTP message: first line and body.
+/// Reads one HTTP message: its first line and its body.
 fn read_message(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut bytes = Vec::new();
     let mut chunk = [0; 4096];
@@ -36,7 +36,7 @@
     }
 }
 
-fn call(addr: &str, method: &str, path: &str, body: &[u8]) -> Option<(u16, Value)> {
+fn send_request(addr: &str, method: &str, path: &str, body: &[u8]) -> Option<(u16, Value)> {
     let addr = addr.parse().ok()?;
     let mut stream = TcpStream::connect_timeout(&addr, Duration::from_millis(500)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(4))).ok()?;
@@ -50,7 +50,7 @@
 
 type Handler = dyn Fn(&str, &str, &[u8]) -> (u16, Value) + Send + Sync;
 
-/// Serves until the test ends, one thread a connection.
+/// Serves until the test ends, with a thread per connection.
 fn serve(listener: TcpListener, handler: Arc<Handler>) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -80,23 +80,23 @@
 }
 
 impl Controllers {
-    fn start(&mut self, at: usize) {
+    fn start(&mut self, index: usize) {
         let child = Command::new(env!("CARGO_BIN_EXE_olivelatch"))
             .args(["serve", "--config"])
-            .arg(&self.files[at])
+            .arg(&self.files[index])
             .env("LOG_LEVEL", "error")
             .stdin(Stdio::null())
             .spawn()
             .expect("the program starts");
-        self.children[at] = Some(child);
+        self.children[index] = Some(child);
     }
 
-    /// Any controller that answers, as users behind a balancer see it.
+    /// The response of the first controller that does not return 503, as clients behind a load balancer see it.
     fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        let up = (0..self.client_addresses.len()).filter(|at| self.children[*at].is_some());
-        up.into_iter().find_map(|at| {
-            call(&self.client_addresses[at], method, path, body.as_bytes())
+        let up = (0..self.client_addresses.len()).filter(|index| self.children[*index].is_some());
+        up.into_iter().find_map(|index| {
+            send_request(&self.client_addresses[index], method, path, body.as_bytes())
                 .filter(|(status, _)| *status != 503)
         })
     }
@@ -117,12 +117,12 @@
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        for at in 0..self.children.len() {
-            if let Some(mut child) = self.children[at].take() {
+        for index in 0..self.children.len() {
+            if let Some(mut child) = self.children[index].take() {
                 let _ = child.kill();
                 let _ = child.wait();
             }
-            let _ = std::fs::remove_file(&self.files[at]);
+            let _ = std::fs::remove_file(&self.files[index]);
         }
     }
 }
@@ -133,24 +133,28 @@
     (listener, addr)
 }
 
-/// The state service and the cloud, for as long as the test runs; their addresses.
-fn serve_platform(state: Arc<Mutex<KvEngine>>, cloud: Arc<Mutex<Cloud>>, start: Instant) -> (String, String) {
+/// Serves the key-value store and the cloud until the test ends; returns their addresses.
+fn serve_platform(
+    kv_store: Arc<Mutex<KvEngine>>,
+    cloud: Arc<Mutex<Cloud>>,
+    start: Instant,
+) -> (String, String) {
     let now = move || start.elapsed().as_millis() as u64 + 1000;
-    let (state_listener, state_addr) = listener();
+    let (kv_listener, kv_addr) = listener();
     let (cloud_listener, cloud_addr) = listener();
     serve(
-        state_listener,
-        Arc::new(move |m: &str, p: &str, b: &[u8]| {
-            state.lock().expect("state").handle_request(m, p, b, now())
+        kv_listener,
+        Arc::new(move |method: &str, path: &str, body: &[u8]| {
+            kv_store.lock().expect("state").handle_request(method, path, body, now())
         }),
     );
     serve(
         cloud_listener,
-        Arc::new(move |m: &str, p: &str, b: &[u8]| {
-            cloud.lock().expect("cloud").handle_request(m, p, b, now())
+        Arc::new(move |method: &str, path: &str, body: &[u8]| {
+            cloud.lock().expect("cloud").handle_request(method, path, body, now())
         }),
     );
-    (state_addr, cloud_addr)
+    (kv_addr, cloud_addr)
 }
 
 fn free_address() -> String {
@@ -164,23 +168,23 @@
         "guess_s": 1.0, "snapshot_s": 0.0, "flush_s": 0.0, "due_s": null})
 }
 
-/// What the process holds now, in MB; the pages of its own program are not counted.
+/// Resident anonymous memory of a process in MB; its mapped program file is not counted.
 fn resident_mb(child: &Child) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("our own process");
     let line = status.lines().find(|line| line.starts_with("RssAnon:")).expect("its memory");
     line.split_whitespace().nth(1).expect("a number").parse::<u64>().expect("a number") / 1024
 }
 
-/// A controller, ready, with a state service and a cloud; and where it is asked.
-fn start_one_controller(name: &str, mesh: &str, others: &Value) -> (Controllers, String) {
+/// Starts a controller with a key-value store and a cloud, and waits until it is ready; returns its client address too.
+fn start_one_controller(name: &str, peer_address: &str, peers: &Value) -> (Controllers, String) {
     let cloud = Arc::new(Mutex::new(Cloud::default()));
     cloud.lock().expect("cloud").machine_types.push(small_machine_type());
-    let state = Arc::new(Mutex::new(KvEngine::default()));
-    let (state_addr, cloud_addr) = serve_platform(state, cloud, Instant::now());
-    let front = free_address();
-    let count = 1 + others.as_array().map_or(0, Vec::len);
-    let settings = json!({"node": "n0", "zone": "a", "front": front, "mesh_addr": mesh, "others": others,
-        "endpoints": {"cloud": cloud_addr, "state": state_addr},
+    let kv_store = Arc::new(Mutex::new(KvEngine::default()));
+    let (kv_addr, cloud_addr) = serve_platform(kv_store, cloud, Instant::now());
+    let client_address = free_address();
+    let count = 1 + peers.as_array().map_or(0, Vec::len);
+    let settings = json!({"node": "n0", "zone": "a", "front": client_address, "mesh_addr": peer_address, "others": peers,
+        "endpoints": {"cloud": cloud_addr, "state": kv_addr},
         "cluster": {"count": count, "zones": ["a"], "teams": [{"name": "core"}],
             "workers": {"report_s": 0.5, "lease_s": 6.0, "gang_wait_s": 10.0, "gang_peer_s": 2.0, "cancel_s": 20.0},
             "state": {"rps": 300.0, "write_rps": 100.0, "value_kb": 4.0, "txn_ops": 8},
@@ -188,59 +192,65 @@
             "quota": {"core_share": 1.0, "mem_mb": 16.0, "max_connections": 800}, "time_bound_ms": 10.0}});
     let file = std::env::temp_dir().join(format!("olivelatch-{name}-{}.json", std::process::id()));
     std::fs::write(&file, settings.to_string()).expect("a settings file");
-    let mut controllers =
-        Controllers { children: vec![None], files: vec![file], client_addresses: vec![front.clone()] };
+    let mut controllers = Controllers {
+        children: vec![None],
+        files: vec![file],
+        client_addresses: vec![client_address.clone()],
+    };
     controllers.start(0);
     controllers.wait_until(15, "/ready", |status, _| status == 200);
-    (controllers, front)
+    (controllers, client_address)
 }
 
-/// A node that is back at once calls while connections of its former self are still open: the newest counts, the others
-/// are closed, and so are strangers. Without this they stayed open for good, until none was left for anybody.
+/// A peer that restarts quickly connects while its former connections are still open: the newest one is kept, the others
+/// are closed, and so are those of unknown peers. Otherwise stale connections would use up the limit.
 #[test]
 fn a_controller_has_one_connection_to_another() {
-    let mesh = free_address();
-    let (_controllers, _) =
-        start_one_controller("mesh", &mesh, &json!([{"node": "n1", "zone": "a", "addr": free_address()}]));
-    let call = |node: &str| {
-        let mut stream = TcpStream::connect(&mesh).expect("a connection");
+    let peer_address = free_address();
+    let (_controllers, _) = start_one_controller(
+        "mesh",
+        &peer_address,
+        &json!([{"node": "n1", "zone": "a", "addr": free_address()}]),
+    );
+    let connect = |controller: &str| {
+        let mut stream = TcpStream::connect(&peer_address).expect("a connection");
         stream.set_read_timeout(Some(Duration::from_millis(1_500))).expect("a time-out");
-        stream.write_all(&encode(&PeerMessage::Hello { controller: node.into() })).expect("a greeting");
+        stream.write_all(&encode(&PeerMessage::Hello { controller: controller.into() })).expect("a greeting");
         std::thread::sleep(Duration::from_millis(30));
         stream
     };
-    // Closed: the end is read. Open: nothing is, until the time is over.
+    // Reading from a closed connection returns its end; reading from an open one times out.
     let closed = |stream: &mut TcpStream| match stream.read(&mut [0; 16]) {
         Ok(read) => read == 0,
         Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
     };
-    let mut former: Vec<TcpStream> = (0..70).map(|_| call("n1")).collect();
-    let mut newest = call("n1");
-    assert!(former.iter_mut().all(closed));
+    let mut stale: Vec<TcpStream> = (0..70).map(|_| connect("n1")).collect();
+    let mut newest = connect("n1");
+    assert!(stale.iter_mut().all(closed));
     assert!(!closed(&mut newest));
-    assert!(closed(&mut call("stranger")));
+    assert!(closed(&mut connect("stranger")));
     newest.write_all(&encode(&PeerMessage::Hello { controller: "n1".into() })).expect("said twice");
     assert!(!closed(&mut newest));
 }
 
-/// 400 requests almost whole (24 MB), answers that nobody reads, idle connections: the buffers
-/// stay within their part of the settings' memory, and reports and submissions get through.
+/// 400 incomplete requests (24 MB), responses that are never read, and idle connections: the buffers stay within their
+/// share of the configured memory, and heartbeats and submissions are still served.
 #[test]
 fn half_sent_requests_stay_within_the_memory() {
-    let (controllers, front) = start_one_controller("memory", &free_address(), &json!([]));
+    let (controllers, client_address) = start_one_controller("memory", &free_address(), &json!([]));
 
-    let connect = || TcpStream::connect(&front).expect("a connection");
+    let connect = || TcpStream::connect(&client_address).expect("a connection");
     let mut open: Vec<TcpStream> = (0..100).map(|_| connect()).collect();
-    for at in 0..400 {
+    for index in 0..400 {
         let mut stream = connect();
         let length = 62_000;
         let head = format!("POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n");
-        // Refused and closed while it is sent: that is as good as an answer.
+        // The controller may reject and close while this is being sent, so write errors are expected.
         let _ = stream.write_all(head.as_bytes());
-        let _ = stream.write_all(&vec![b'a' + (at % 26) as u8; length - 100]);
+        let _ = stream.write_all(&vec![b'a' + (index % 26) as u8; length - 100]);
         open.push(stream);
     }
-    // Thousands of requests whose answers are not read.
+    // Thousands of requests whose responses are not read.
     for _ in 0..20 {
         let mut stream = connect();
         stream.set_write_timeout(Some(Duration::from_millis(200))).expect("a time-out");
@@ -248,20 +258,24 @@
         open.push(stream);
     }
     std::thread::sleep(Duration::from_millis(300));
-    let held = resident_mb(controllers.children[0].as_ref().expect("it runs"));
-    assert!(held < 9, "{held} MB held");
+    let resident = resident_mb(controllers.children[0].as_ref().expect("it runs"));
+    assert!(resident < 9, "{resident} MB held");
 
     let (status, _) = controllers.request("POST", "/work", &submission("job-000001", 1)).expect("an answer");
     assert_eq!(status, 201);
-    let report = json!({"box": "m", "endpoint": "127.0.0.1:9", "boxkind": "small", "hall": "a", "loaners": false,
+    let heartbeat = json!({"box": "m", "endpoint": "127.0.0.1:9", "boxkind": "small", "hall": "a", "loaners": false,
         "shift": 1, "tick": 1, "baton": 0, "warning_s": null, "pieces": [], "padding": "x".repeat(40_000)});
-    let answer = call(&front, "POST", "/v1/report", report.to_string().as_bytes()).expect("an answer");
-    assert_eq!(answer.0, 200);
-    // A large submission is told when to come back; garbage is garbage as on a calm day.
+    let response = send_request(&client_address, "POST", "/v1/report", heartbeat.to_string().as_bytes())
+        .expect("an answer");
+    assert_eq!(response.0, 200);
+    // A large submission is to be retried later; malformed requests are rejected as without load.
     let large = json!({"uid": "job-000002", "padding": "x".repeat(40_000)});
-    assert_eq!(call(&front, "POST", "/work", large.to_string().as_bytes()).expect("an answer").0, 503);
-    assert_eq!(call(&front, "POST", "/work", b"{").expect("an answer").0, 400);
-    assert_eq!(call(&front, "get", "/work", b"").expect("an answer").0, 400);
+    assert_eq!(
+        send_request(&client_address, "POST", "/work", large.to_string().as_bytes()).expect("an answer").0,
+        503
+    );
+    assert_eq!(send_request(&client_address, "POST", "/work", b"{").expect("an answer").0, 400);
+    assert_eq!(send_request(&client_address, "get", "/work", b"").expect("an answer").0, 400);
 }
 
 fn small_machine_type() -> MachineTypeSpec {
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random and damaged input at every door: an answer or a refusal, never a panic, never more held than came in.
-//! The cases are the same in every run.
+//! Random and corrupted input to every parser: it is parsed or rejected, never panics, and never yields more data than
+//! came in. The random generator is deterministic, so that all runs have the same cases.
 
 use olivelatch::protocol::operators::parse_operator_request;
 use olivelatch::protocol::peer::{LeaderQuery, PeerMessage, decode, encode};
@@ -22,25 +22,25 @@
     proptest::collection::vec(any::<u8>(), 0..400)
 }
 
-/// A text with some of its bytes changed, cut short at some place.
-fn damaged_bytes(text: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
+/// `text` with some of its bytes replaced, truncated at a random length.
+fn corrupted_bytes(text: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
     let changes = proptest::collection::vec((0..text.len(), any::<u8>()), 0..6);
-    (changes, 0..=text.len()).prop_map(move |(changes, cut)| {
+    (changes, 0..=text.len()).prop_map(move |(changes, length)| {
         let mut bytes = text.to_vec();
-        changes.into_iter().for_each(|(at, byte)| bytes[at] = byte);
-        bytes.truncate(cut);
+        changes.into_iter().for_each(|(index, byte)| bytes[index] = byte);
+        bytes.truncate(length);
         bytes
     })
 }
 
 #[test]
-fn requests_of_operators_are_read_or_refused() {
-    let words = "(jobs|status|job-[0-9]{1,20}|explain|events|/|\\?|%|[a-z0-9]{0,9}){0,6}";
+fn operator_requests_are_parsed_or_rejected() {
+    let path = "(jobs|status|job-[0-9]{1,20}|explain|events|/|\\?|%|[a-z0-9]{0,9}){0,6}";
     let query = "((after|limit|team|class|state|task)?=?[a-z0-9-]{0,20}&?){0,6}";
-    let checked = runner().run(&(words, query), |(path, query)| {
-        if let Some(Err(answer)) = parse_operator_request(&path, &query) {
-            prop_assert!([400, 404].contains(&answer.status));
-            prop_assert!(answer.body.len() < 1000);
+    let checked = runner().run(&(path, query), |(path, query)| {
+        if let Some(Err(response)) = parse_operator_request(&path, &query) {
+            prop_assert!([400, 404].contains(&response.status));
+            prop_assert!(response.body.len() < 1000);
         }
         Ok(())
     });
@@ -52,11 +52,11 @@
     "scatter":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0}"#;
 
 #[test]
-fn bodies_of_users_and_workers_are_read_or_refused() {
-    let checked = runner().run(&(damaged_bytes(SUBMISSION), bytes()), |(body, noise)| {
+fn user_and_worker_bodies_are_parsed_or_rejected() {
+    let checked = runner().run(&(corrupted_bytes(SUBMISSION), bytes()), |(body, noise)| {
         for body in [&body, &noise] {
-            if let Err(answer) = parse_submission(body) {
-                prop_assert_eq!(answer.status, 400);
+            if let Err(response) = parse_submission(body) {
+                prop_assert_eq!(response.status, 400);
             }
             let _ = parse_heartbeat(body);
         }
@@ -70,11 +70,11 @@
 const RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nRetry-After: 3\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
 
-/// No message takes more of the buffer than there is.
+/// A parsed message never consumes more bytes than the buffer has.
 #[test]
-fn http_is_parsed_or_refused() {
+fn http_is_parsed_or_rejected() {
     let checked = runner().run(
-        &(damaged_bytes(REQUEST), damaged_bytes(RESPONSE), bytes()),
+        &(corrupted_bytes(REQUEST), corrupted_bytes(RESPONSE), bytes()),
         |(request, response, noise)| {
             for bytes in [&request, &response, &noise] {
                 if let Parsed::Complete(request, taken) = parse_request(bytes) {
@@ -90,10 +90,10 @@
     checked.expect("every message is parsed or refused");
 }
 
-/// Controllers validate what they hear: damaged frames are refused, or are another message that could have been sent.
+/// A corrupted frame from a peer is rejected or decodes to another valid message.
 #[test]
-fn mesh_messages_are_validated() {
-    let whole = [
+fn peer_messages_are_validated() {
+    let messages = [
         PeerMessage::Query { query_id: 7, query: LeaderQuery::ExplainJob { job: 412, task: Some(3) } },
         PeerMessage::QueryResponse {
             query_id: 7,
@@ -105,18 +105,18 @@
         PeerMessage::RevisionNotice { revision: u64::MAX },
         PeerMessage::ReadWatermark { revision: 412 },
     ];
-    let frames: Vec<Vec<u8>> = whole.iter().map(|message| encode(message)[4..].to_vec()).collect();
-    for (frame, message) in frames.iter().zip(&whole) {
+    let frames: Vec<Vec<u8>> = messages.iter().map(|message| encode(message)[4..].to_vec()).collect();
+    for (frame, message) in frames.iter().zip(&messages) {
         assert_eq!(decode(frame).as_ref(), Some(message));
         for cut in 0..frame.len() {
             assert!(decode(&frame[..cut]).as_ref() != Some(message), "cut at {cut}");
         }
     }
     let change = proptest::collection::vec((any::<usize>(), any::<u8>()), 1..8);
-    let checked = runner().run(&(change, bytes(), 0..whole.len()), |(changes, noise, which)| {
+    let checked = runner().run(&(change, bytes(), 0..messages.len()), |(changes, noise, which)| {
         let mut frame = frames[which].clone();
         let length = frame.len();
-        changes.into_iter().for_each(|(at, byte)| frame[at % length] = byte);
+        changes.into_iter().for_each(|(index, byte)| frame[index % length] = byte);
         for bytes in [&frame, &noise] {
             if let Some(PeerMessage::QueryResponse { body, .. }) = decode(bytes) {
                 prop_assert!(body.len() <= bytes.len());
@@ -130,13 +130,13 @@
 const TUNABLES: &[u8] = b"t = 0.5\nidle_s = 45\noperators {\n  enabled = true\n  explains_per_s = 20\n}\nlog {\n  format = \"json\"\n}\n";
 
 #[test]
-fn settings_are_read_or_refused() {
+fn settings_are_parsed_or_rejected() {
     assert!(Tunables::parse("f", std::str::from_utf8(TUNABLES).expect("text")).is_ok());
-    let checked = runner().run(&(damaged_bytes(TUNABLES), bytes()), |(tunables, noise)| {
+    let checked = runner().run(&(corrupted_bytes(TUNABLES), bytes()), |(tunables, noise)| {
         for bytes in [&tunables, &noise] {
             let text = String::from_utf8_lossy(bytes);
-            if let Err(problem) = Tunables::parse("f", &text) {
-                prop_assert!(problem.to_string().starts_with('f'));
+            if let Err(error) = Tunables::parse("f", &text) {
+                prop_assert!(error.to_string().starts_with('f'));
             }
             let _ = Settings::parse("f", &text);
         }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What operators write: good files are taken, bad ones named by place.
+//! Settings and tunables files: valid ones are accepted, errors name the file and the place in it.
 
 use olivelatch::ids::Resources;
 use olivelatch::settings::Settings;
@@ -19,7 +19,7 @@
             "quota": {"core_share": 0.1, "mem_mb": 72.0, "max_connections": 1500}, "time_bound_ms": 100.0}})
 }
 
-fn problem(change: impl Fn(&mut Value)) -> String {
+fn error_after(change: impl Fn(&mut Value)) -> String {
     let mut value = platform();
     change(&mut value);
     Settings::parse("f.json", &value.to_string()).expect_err("a problem").to_string()
@@ -36,19 +36,21 @@
 }
 
 #[test]
-fn absurd_settings_are_named() {
-    assert!(problem(|v| v["cluster"]["workers"]["lease_s"] = json!(1.0)).contains("workers.lease_s"));
-    assert!(problem(|v| v["cluster"]["state"]["value_kb"] = json!(0.5)).contains("state.value_kb"));
-    assert!(problem(|v| v["cluster"]["state"]["txn_ops"] = json!(1)).contains("state.txn_ops"));
-    assert!(problem(|v| v["cluster"]["count"] = json!(0)).contains("cluster.count"));
-    assert!(problem(|v| v["others"][0]["node"] = json!("n0")).contains("names this node"));
-    assert!(problem(|v| v["front"] = json!("nowhere")).contains("f.json"));
-    assert!(problem(|v| v["cluster"]["teams"][1]["cpus"] = json!(-1.0)).contains("teams.bound.cpus"));
-    assert!(problem(|v| drop(v["cluster"].as_object_mut().map(|c| c.remove("workers")))).contains("workers"));
+fn invalid_settings_are_named() {
+    assert!(error_after(|v| v["cluster"]["workers"]["lease_s"] = json!(1.0)).contains("workers.lease_s"));
+    assert!(error_after(|v| v["cluster"]["state"]["value_kb"] = json!(0.5)).contains("state.value_kb"));
+    assert!(error_after(|v| v["cluster"]["state"]["txn_ops"] = json!(1)).contains("state.txn_ops"));
+    assert!(error_after(|v| v["cluster"]["count"] = json!(0)).contains("cluster.count"));
+    assert!(error_after(|v| v["others"][0]["node"] = json!("n0")).contains("names this node"));
+    assert!(error_after(|v| v["front"] = json!("nowhere")).contains("f.json"));
+    assert!(error_after(|v| v["cluster"]["teams"][1]["cpus"] = json!(-1.0)).contains("teams.bound.cpus"));
+    assert!(
+        error_after(|v| drop(v["cluster"].as_object_mut().map(|c| c.remove("workers")))).contains("workers")
+    );
 }
 
 #[test]
-fn tunables_are_checked_with_their_place() {
+fn errors_in_tunables_name_their_line() {
     assert_eq!(Tunables::parse("f.hcl", "").expect("defaults"), Tunables::default());
     assert_eq!(Tunables::parse("f.hcl", "t = 0.75\n").expect("fine").t, 0.75);
     let unknown = Tunables::parse("f.hcl", "t = 0.5\nbogus = 1\n").expect_err("unknown").to_string();
@@ -58,9 +60,9 @@
     assert!(Tunables::parse("f.hcl", "t = = 1").is_err());
 }
 
-/// The files that operators are told to start with.
+/// The files of `deploy/`, with which operators start.
 #[test]
-fn the_deployed_tunables_are_good() {
+fn the_deployed_tunables_are_valid() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     let load = |file: &str| Tunables::load(&folder.join(file)).expect("a good file");
     assert!(load("operators.hcl").operators.enabled && !load("operators.hcl").graphs.enabled);
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,5 +1,5 @@
-//! What a submission may lack or say wrongly, field by field: it is refused (400, or 422 for what can never run), and a
-//! controller that may not yet know whether it could run says so (503).
+//! Validation of submissions, field by field: 400 for a malformed one, 422 for one that can never run, and 503 from a
+//! controller that cannot decide yet.
 
 use olivelatch::bookkeeping::store_cache::StoreCache;
 use olivelatch::coordination::user_requests::check_feasibility;
@@ -8,14 +8,14 @@
 use olivelatch::settings::Settings;
 use serde_json::{Value, json};
 
-fn job() -> Value {
+fn submission() -> Value {
     json!({"uid": "job-000412", "jobclass": "train", "owner": "vision", "shape": "gang", "urgency": "high",
         "pieces": 2, "vcpus": 8.0, "accelerators": 1.0, "memory_gb": 64.0, "bundle": "img-07", "size_gb": 6.2,
         "boxkinds": ["g8"], "hall": null, "together": true, "scatter": false, "loaners": true, "guess_s": 240.0,
         "snapshot_s": 30.0, "flush_s": 4.0, "due_s": 900.0})
 }
 
-/// May be null, and so may be missing.
+/// Fields that may be null or missing.
 const OPTIONAL: [&str; 3] = ["boxkinds", "hall", "due_s"];
 
 fn settings() -> Settings {
@@ -31,90 +31,118 @@
 }
 
 fn catalog_cache() -> StoreCache {
-    let mut mirror = StoreCache::default();
-    let kind: MachineTypeRecord = serde_json::from_value(json!({"name": "g8", "vcpus": 96, "accelerators": 8,
+    let mut cache = StoreCache::default();
+    let machine_type: MachineTypeRecord = serde_json::from_value(json!({"name": "g8", "vcpus": 96, "accelerators": 8,
         "memory_gb": 768, "local_gb": 200, "pull_gb_per_s": 1.0, "price": 12.0, "low_price": 4.5, "ready_s": 45,
         "halls": ["a", "b"]}))
     .expect("a machine type");
-    mirror.machine_types.insert(kind.name.clone(), kind);
-    mirror
+    cache.machine_types.insert(machine_type.name.clone(), machine_type);
+    cache
 }
 
-/// The status with which a controller that knows the machine types refuses it; None: it may be accepted.
-fn refusal_status(job: &Value, mirror: &StoreCache) -> Option<u16> {
-    match parse_submission(job.to_string().as_bytes()) {
-        Err(answer) => Some(answer.status),
+/// The status with which a controller whose cache is `cache` rejects a submission; `None` when it accepts it.
+fn rejection_status(submission: &Value, cache: &StoreCache) -> Option<u16> {
+    match parse_submission(submission.to_string().as_bytes()) {
+        Err(response) => Some(response.status),
         Ok(UserRequest::Submit { manifest: Err(_), .. }) => Some(400),
-        Ok(UserRequest::Submit { manifest: Ok(spec), .. }) => {
-            check_feasibility(&spec, mirror, &settings()).err().map(|answer| answer.status)
+        Ok(UserRequest::Submit { manifest: Ok(manifest), .. }) => {
+            check_feasibility(&manifest, cache, &settings()).err().map(|response| response.status)
         }
         Ok(other) => panic!("read as {other:?}"),
     }
 }
 
-fn job_with(name: &str, value: Value) -> Value {
-    let mut job = job();
-    job[name] = value;
-    job
+fn submission_with(name: &str, value: Value) -> Value {
+    let mut submission = submission();
+    submission[name] = value;
+    submission
 }
 
 #[test]
-fn each_field_is_there_and_of_its_kind() {
-    let mirror = catalog_cache();
-    assert_eq!(refusal_status(&job(), &mirror), None);
-    let fields: Vec<String> = job().as_object().expect("an object").keys().cloned().collect();
+fn each_field_is_required_and_typed() {
+    let cache = catalog_cache();
+    assert_eq!(rejection_status(&submission(), &cache), None);
+    let fields: Vec<String> = submission().as_object().expect("an object").keys().cloned().collect();
     assert_eq!(fields.len(), 20);
     for name in &fields {
         let optional = OPTIONAL.contains(&name.as_str());
-        let mut lacks = job();
-        lacks.as_object_mut().expect("an object").remove(name);
+        let mut without = submission();
+        without.as_object_mut().expect("an object").remove(name);
         let expected = if optional { None } else { Some(400) };
-        assert_eq!(refusal_status(&lacks, &mirror), expected, "without {name}");
-        assert_eq!(refusal_status(&job_with(name, Value::Null), &mirror), expected, "{name}: null");
-        // What is no value of the field, whatever its kind.
+        assert_eq!(rejection_status(&without, &cache), expected, "without {name}");
+        assert_eq!(rejection_status(&submission_with(name, Value::Null), &cache), expected, "{name}: null");
+        // Not a value of any field, whatever its type.
         for wrong in [json!({}), json!([[1]]), json!([null])] {
-            assert_eq!(refusal_status(&job_with(name, wrong.clone()), &mirror), Some(400), "{name}: {wrong}");
+            assert_eq!(
+                rejection_status(&submission_with(name, wrong.clone()), &cache),
+                Some(400),
+                "{name}: {wrong}"
+            );
         }
-        let kind = &job()[name];
-        let other = if kind.is_string() || kind.is_null() { json!(7) } else { json!("seven") };
-        assert_eq!(refusal_status(&job_with(name, other.clone()), &mirror), Some(400), "{name}: {other}");
+        let value = &submission()[name];
+        let other = if value.is_string() || value.is_null() { json!(7) } else { json!("seven") };
+        assert_eq!(
+            rejection_status(&submission_with(name, other.clone()), &cache),
+            Some(400),
+            "{name}: {other}"
+        );
     }
 }
 
 #[test]
 fn numbers_and_names_are_in_range() {
-    let mirror = catalog_cache();
+    let cache = catalog_cache();
     for name in ["vcpus", "accelerators", "memory_gb", "size_gb", "guess_s", "snapshot_s", "flush_s", "due_s"]
     {
         for value in [json!(-0.5), json!(1e12)] {
-            assert_eq!(refusal_status(&job_with(name, value.clone()), &mirror), Some(400), "{name}: {value}");
+            assert_eq!(
+                rejection_status(&submission_with(name, value.clone()), &cache),
+                Some(400),
+                "{name}: {value}"
+            );
         }
     }
     for value in [json!(0), json!(-1), json!(100_001), json!(1.5), json!(1e20)] {
-        assert_eq!(refusal_status(&job_with("pieces", value.clone()), &mirror), Some(400), "pieces: {value}");
+        assert_eq!(
+            rejection_status(&submission_with("pieces", value.clone()), &cache),
+            Some(400),
+            "pieces: {value}"
+        );
     }
     for name in ["jobclass", "owner", "bundle"] {
-        assert_eq!(refusal_status(&job_with(name, json!("")), &mirror), Some(400), "{name}: empty");
+        assert_eq!(rejection_status(&submission_with(name, json!("")), &cache), Some(400), "{name}: empty");
     }
     for value in ["", "job-", "job-x", "task-000001", "job-000412/3"] {
-        assert_eq!(refusal_status(&job_with("uid", json!(value)), &mirror), Some(400), "uid: {value}");
+        assert_eq!(
+            rejection_status(&submission_with("uid", json!(value)), &cache),
+            Some(400),
+            "uid: {value}"
+        );
     }
     for (name, value) in [("shape", "ring"), ("urgency", "soon")] {
-        assert_eq!(refusal_status(&job_with(name, json!(value)), &mirror), Some(400), "{name}: {value}");
+        assert_eq!(
+            rejection_status(&submission_with(name, json!(value)), &cache),
+            Some(400),
+            "{name}: {value}"
+        );
     }
-    let mut nothing = job_with("vcpus", json!(0.0));
-    nothing["memory_gb"] = json!(0.0);
-    nothing["accelerators"] = json!(0.0);
-    assert_eq!(refusal_status(&nothing, &mirror), Some(400));
+    let mut no_resources = submission_with("vcpus", json!(0.0));
+    no_resources["memory_gb"] = json!(0.0);
+    no_resources["accelerators"] = json!(0.0);
+    assert_eq!(rejection_status(&no_resources, &cache), Some(400));
     for body in ["", "[]", "7", "{\"uid\":", "null"] {
-        assert_eq!(parse_submission(body.as_bytes()).err().map(|answer| answer.status), Some(400), "{body}");
+        assert_eq!(
+            parse_submission(body.as_bytes()).err().map(|response| response.status),
+            Some(400),
+            "{body}"
+        );
     }
 }
 
 #[test]
-fn what_can_never_run_is_refused() {
-    let mirror = catalog_cache();
-    let never = [
+fn infeasible_submissions_are_rejected() {
+    let cache = catalog_cache();
+    let infeasible = [
         ("owner", json!("nobody")),
         ("boxkinds", json!(["none"])),
         ("boxkinds", json!([])),
@@ -122,21 +150,28 @@
         ("vcpus", json!(97.0)),
         ("accelerators", json!(9.0)),
         ("memory_gb", json!(769.0)),
-        // Two tasks of the gang together are over the team's limit.
+        // The gang's two tasks together exceed the team's limit.
         ("vcpus", json!(17.0)),
         ("accelerators", json!(3.0)),
         ("pieces", json!(5)),
     ];
-    for (name, value) in never {
-        assert_eq!(refusal_status(&job_with(name, value.clone()), &mirror), Some(422), "{name}: {value}");
+    for (name, value) in infeasible {
+        assert_eq!(
+            rejection_status(&submission_with(name, value.clone()), &cache),
+            Some(422),
+            "{name}: {value}"
+        );
     }
-    // One task of an array at a time is within it.
-    let mut array = job_with("shape", json!("array"));
+    // An array may run one task at a time, which is within the limit.
+    let mut array = submission_with("shape", json!("array"));
     array["pieces"] = json!(1_000);
-    assert_eq!(refusal_status(&array, &mirror), None);
+    assert_eq!(rejection_status(&array, &cache), None);
     array["vcpus"] = json!(33.0);
-    assert_eq!(refusal_status(&array, &mirror), Some(422));
-    // Without machine types a controller cannot decide; an unknown team it knows.
-    assert_eq!(refusal_status(&job(), &StoreCache::default()), Some(503));
-    assert_eq!(refusal_status(&job_with("owner", json!("nobody")), &StoreCache::default()), Some(422));
+    assert_eq!(rejection_status(&array, &cache), Some(422));
+    // Without machine types a controller cannot decide feasibility, but it can reject an unknown team.
+    assert_eq!(rejection_status(&submission(), &StoreCache::default()), Some(503));
+    assert_eq!(
+        rejection_status(&submission_with("owner", json!("nobody")), &StoreCache::default()),
+        Some(422)
+    );
 }
