--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A real region on loopback, driven through the program as a person would. Ends only what it started.
+//! A real cluster on loopback, driven through the command line. Ends only the processes that it started.
 
-// Each test program uses a part of it.
+// Each test binary uses only some of these functions.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,9 +21,9 @@
 impl TestCluster {
     pub fn start(folder: &Path, teams: &[&str]) -> TestCluster {
         let teams = teams.iter().map(|team| (*team).to_string()).collect();
-        let mut region = TestCluster { folder: folder.into(), teams, child: None };
-        region.up();
-        region
+        let mut cluster = TestCluster { folder: folder.into(), teams, child: None };
+        cluster.up();
+        cluster
     }
 
     pub fn up(&mut self) {
@@ -34,15 +34,15 @@
         }
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).spawn().expect("the program starts");
         self.child = Some(child);
-        self.wait_until("a leader", |region| !region.leaders().is_empty());
+        self.wait_until("a leader", |cluster| !cluster.leaders().is_empty());
     }
 
-    /// The region's own process.
+    /// The process of `olivelatchctl up`.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Hard, as when the machine loses power: nothing of it is cleaned up.
+    /// Kills without cleanup, as when the machine loses power.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("our own process");
@@ -60,7 +60,7 @@
             .expect("the program runs")
     }
 
-    /// Lines of JSON that a command printed.
+    /// The lines of JSON that a command prints.
     pub fn json(&self, arguments: &[&str]) -> Vec<Value> {
         let output = self.run_program(&[&["--json"], arguments].concat());
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -69,9 +69,9 @@
 
     pub fn leaders(&self) -> Vec<String> {
         let top = self.json(&["top", "--once"]);
-        let nodes = top.first().and_then(Value::as_object).cloned().unwrap_or_default();
-        let leads = nodes.values().filter(|node| node["leads"] == true);
-        leads.filter_map(|node| node["node"].as_str().map(String::from)).collect()
+        let controllers = top.first().and_then(Value::as_object).cloned().unwrap_or_default();
+        let leaders = controllers.values().filter(|controller| controller["leads"] == true);
+        leaders.filter_map(|controller| controller["node"].as_str().map(String::from)).collect()
     }
 
     pub fn wait_until(&self, what: &str, holds: impl Fn(&TestCluster) -> bool) {
@@ -93,14 +93,13 @@
         row.map_or(0, |row| row["done"].as_u64().unwrap_or(0))
     }
 
-    /// The controllers' processes, by their files: as the region lists what it has started.
+    /// Process ids of the controllers, found by the settings files on their command lines.
     pub fn controller_pids(&self) -> Vec<String> {
-        let at = self.folder.join("node-");
-        let at = at.display().to_string();
+        let prefix = self.folder.join("node-").display().to_string();
         let processes = std::fs::read_dir("/proc").expect("processes").flatten();
         let ours = processes.filter(|entry| {
             let line = std::fs::read(entry.path().join("cmdline")).unwrap_or_default();
-            String::from_utf8_lossy(&line).contains(&at)
+            String::from_utf8_lossy(&line).contains(&prefix)
         });
         ours.filter_map(|entry| entry.file_name().into_string().ok()).collect()
     }
@@ -112,26 +111,24 @@
         assert!(killed.success());
     }
 
-    /// Tasks that were done, by the workers' own record; and that none was started again after it.
+    /// Completed tasks by job, from the workers' run log. Panics when a task was started again after it completed.
     pub fn done_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
         let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the record");
         let mut done: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for line in text.lines() {
             let value: Value = serde_json::from_str(line).expect("JSON");
             let (job, task) = value["task"].as_str().expect("a task").split_once('/').expect("job/task");
-            let known = done.entry(job.into()).or_default();
+            let tasks = done.entry(job.into()).or_default();
             if value["event"] == "start" {
-                assert!(!known.contains(task), "started again after done: {line}");
+                assert!(!tasks.contains(task), "started again after done: {line}");
             } else if value["done"] == true {
-                known.insert(task.into());
+                tasks.insert(task.into());
             }
         }
         done
     }
-}
 
-impl TestCluster {
-    /// Politely, so that it ends what it has started.
+    /// Terminates gracefully, so that the process ends what it has started.
     pub fn stop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = Command::new("kill").arg("-TERM").arg(child.id().to_string()).status();
--- a/crates/cli/tests/config.rs
+++ b/crates/cli/tests/config.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl config` against a real region on loopback, as an operator uses it.
+//! `olivelatchctl config` against a real cluster on loopback.
 
 mod common;
 
@@ -6,35 +6,35 @@
 use serde_json::Value;
 
 const DONE: Option<i32> = Some(0);
-const REFUSED: Option<i32> = Some(4);
+const REJECTED: Option<i32> = Some(4);
 
-fn output_words(output: &std::process::Output) -> String {
+fn output_text(output: &std::process::Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// Set, refused, in conflict, laid down from a file twice, taken back; a region that is not there is named.
+/// Set, rejected, in conflict, applied from a file twice, unset; an unreachable cluster is named.
 #[test]
-fn limits_change_while_the_region_runs() {
+fn limits_change_while_the_cluster_runs() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut region = TestCluster::start(folder.path(), &["office=2:8", "lab=1:4"]);
+    let mut cluster = TestCluster::start(folder.path(), &["office=2:8", "lab=1:4"]);
     let run = |arguments: &[&str]| {
-        let output = region.run_program(&[&["config"], arguments].concat());
-        (output.status.code(), output_words(&output))
+        let output = cluster.run_program(&[&["config"], arguments].concat());
+        (output.status.code(), output_text(&output))
     };
     let (code, text) = run(&["set", "team/office", "--limit-cpus", "3", "--why", "quarter end", "--wait"]);
     assert_eq!(code, DONE, "{text}");
     assert!(text.contains(": in force after "), "{text}");
-    let shown = region.json(&["config", "get", "team/office"]);
+    let shown = cluster.json(&["config", "get", "team/office"]);
     assert_eq!(
         (&shown[0]["holds"]["limit_cpus"], &shown[0]["in_force"]),
         (&Value::from(3.0), &Value::from(true))
     );
     assert_eq!(shown[0]["why"], "quarter end");
     let (code, text) = run(&["set", "team/office", "--limit-cpus", "9"]);
-    assert_eq!(code, REFUSED, "{text}");
+    assert_eq!(code, REJECTED, "{text}");
     assert!(text.contains("expected 0 to 8") && text.contains("not 9"), "{text}");
     let (code, text) = run(&["set", "team/office", "--limit-cpus", "4", "--expected", "0"]);
-    assert_eq!(code, REFUSED, "{text}");
+    assert_eq!(code, REJECTED, "{text}");
     assert!(text.contains("changed meanwhile"), "{text}");
     let file = folder.path().join("limits.hcl");
     std::fs::write(&file, "team \"office\" {\n  limit_cpus = 5\n}\nteam \"lab\" {\n  limit_cpus = 2\n}\n")
@@ -42,7 +42,7 @@
     let file = file.display().to_string();
     let (code, text) = run(&["apply", &file, "--dry-run"]);
     assert!(code == DONE && text.contains("team/lab") && text.contains("team/office"), "{text}");
-    assert_eq!(region.json(&["config", "get", "team/lab"])[0]["version"], 0, "nothing was written");
+    assert_eq!(cluster.json(&["config", "get", "team/lab"])[0]["version"], 0, "nothing was written");
     let (code, text) = run(&["apply", &file, "--to", "far", "--to", "local", "--wait"]);
     assert_ne!(code, DONE, "one of the regions is not there: {text}");
     assert!(text.contains("far: NOT CHANGED") && text.contains("in force after"), "{text}");
@@ -50,6 +50,6 @@
     assert!(code == DONE && text.contains("nothing to change"), "{text}");
     let (code, text) = run(&["unset", "team/office", "--wait"]);
     assert_eq!(code, DONE, "{text}");
-    assert_eq!(region.json(&["config", "get", "team/office"])[0]["holds"]["limit_cpus"], 8.0);
-    region.stop();
+    assert_eq!(cluster.json(&["config", "get", "team/office"])[0]["holds"]["limit_cpus"], 8.0);
+    cluster.stop();
 }
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Exit codes of the command line, by what a controller answers: scripts rely on them.
+//! Exit codes of the command line for each response of a controller, compared with a golden file: scripts rely on them.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -10,30 +10,30 @@
 
 use support::Golden;
 
-/// A controller that has one answer to everything, until the test ends.
+/// A controller that sends the same response to every request until the test ends.
 fn controller(status: u16, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let addr = listener.local_addr().expect("an address");
-    let answer = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let response = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut chunk = [0; 16 * 1024];
             let read = stream.read(&mut chunk).unwrap_or(0);
             if read > 0 {
-                let _ = stream.write_all(answer.as_bytes());
+                let _ = stream.write_all(response.as_bytes());
             }
         }
     });
     addr
 }
 
-/// An address where nobody listens.
-fn nobody() -> SocketAddr {
+/// An address on which nothing listens.
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     listener.local_addr().expect("an address")
 }
 
-fn code(folder: &Path, addr: SocketAddr, arguments: &[&str]) -> i32 {
+fn exit_code(folder: &Path, addr: SocketAddr, arguments: &[&str]) -> i32 {
     let contexts = folder.join("contexts.hcl");
     std::fs::write(&contexts, format!("context \"one\" {{\n  controllers = [\"{addr}\"]\n}}\n"))
         .expect("contexts");
@@ -52,7 +52,7 @@
 const CONTEXTS: &str = "--contexts";
 const DONE: &str = r#"{"uid":"job-000412","status":"done"}"#;
 const PENDING: &str = r#"{"uid":"job-000412","status":"pending"}"#;
-const WITHDRAWN: &str = r#"{"uid":"job-000412","status":"withdrawn"}"#;
+const CANCELLED: &str = r#"{"uid":"job-000412","status":"withdrawn"}"#;
 const ERROR: &str = r#"{"error":"no"}"#;
 
 #[test]
@@ -65,24 +65,27 @@
     let cancel = ["cancel", "job-000412"];
     let cases: [(&str, SocketAddr, &[&str]); 14] = [
         ("wait: done", controller(200, DONE), &wait),
-        ("wait: withdrawn", controller(200, WITHDRAWN), &wait),
+        ("wait: withdrawn", controller(200, CANCELLED), &wait),
         ("wait: not yet", controller(200, PENDING), &wait),
         ("wait: not known", controller(404, ERROR), &wait),
-        ("cancel: withdrawn", controller(200, WITHDRAWN), &cancel),
+        ("cancel: withdrawn", controller(200, CANCELLED), &cancel),
         ("cancel: 400", controller(400, ERROR), &cancel),
         ("cancel: 404", controller(404, ERROR), &cancel),
         ("cancel: 409", controller(409, ERROR), &cancel),
         ("cancel: 422", controller(422, ERROR), &cancel),
         ("cancel: 503", controller(503, ERROR), &cancel),
         ("cancel: not as expected", controller(200, "{}"), &cancel),
-        ("cancel: nobody", nobody(), &cancel),
-        ("check: a wrong file", nobody(), &["check", "wrong.hcl"]),
-        ("a wrong argument", nobody(), &["cancel", "--colour"]),
+        ("cancel: nobody", unused_address(), &cancel),
+        ("check: a wrong file", unused_address(), &["check", "wrong.hcl"]),
+        ("a wrong argument", unused_address(), &["cancel", "--colour"]),
     ];
     for (name, addr, arguments) in cases {
-        golden.case(name, code(folder, addr, arguments));
+        golden.case(name, exit_code(folder, addr, arguments));
     }
-    golden.case("help", code(folder, nobody(), &["--help"]));
-    golden.case("another context", code(folder, nobody(), &["--context", "two", "cancel", "job-000412"]));
+    golden.case("help", exit_code(folder, unused_address(), &["--help"]));
+    golden.case(
+        "another context",
+        exit_code(folder, unused_address(), &["--context", "two", "cancel", "job-000412"]),
+    );
     golden.check();
 }
--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -1,5 +1,5 @@
-//! Graphs and plain jobs on one core, on loopback: both kinds submitted at once by several clients while controllers are
-//! killed, and a checker that reads the workers' own record, the published files and what the client says.
+//! DAG runs and plain jobs on one loopback cluster: several clients submit both at once while controllers are killed. The
+//! workers' run log, the published files and the client's view are checked against each other.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use common::TestCluster;
 use serde_json::Value;
 
-/// Three stages with a fan-out over a list and a fan-in; a bill is written in two halves with a pause between. While
-/// `trouble` is there, one balance fails.
+/// Three stages with a fan-out over a list and a fan-in; a bill is written in two halves with a pause between. While the
+/// file `trouble` exists, one task of `balance` fails.
 const CHAIN: &str = r#"
 graph = "chain"
 vars {
@@ -48,30 +48,31 @@
 const EDGES: [(&str, &str); 4] =
     [("raw", "balance"), ("raw", "bill"), ("balance", "bill"), ("bill", "office")];
 
-fn files(place: &Path) -> Vec<PathBuf> {
-    let here = place.join("bill");
-    if here.exists() {
-        return vec![here];
+/// The bills in a node's output: its own, or one per task.
+fn bill_files(output: &Path) -> Vec<PathBuf> {
+    let single = output.join("bill");
+    if single.exists() {
+        return vec![single];
     }
-    let tasks = fs::read_dir(place).into_iter().flatten().flatten();
+    let tasks = fs::read_dir(output).into_iter().flatten().flatten();
     tasks.map(|task| task.path().join("bill")).filter(|bill| bill.exists()).collect()
 }
 
-/// Reads the published files again and again until it is stopped: every bill is whole, there are all five of them, and none
-/// is ever replaced. Returns how many outputs were checked.
-fn watch(published: &Path, stop: &AtomicBool) -> Result<usize, String> {
-    let mut shown: BTreeMap<PathBuf, PathBuf> = BTreeMap::new();
+/// Reads the published files repeatedly until stopped: there are always five complete bills, and none is ever replaced.
+/// Returns how many outputs were checked.
+fn watch_published_files(published: &Path, stop: &AtomicBool) -> Result<usize, String> {
+    let mut targets: BTreeMap<PathBuf, PathBuf> = BTreeMap::new();
     let mut checked = 0;
     while !stop.load(Ordering::Relaxed) {
         for run in fs::read_dir(published).into_iter().flatten().flatten() {
             for node in ["bill", "office"] {
                 let name = run.path().join(node);
                 let Ok(target) = fs::read_link(&name) else { continue };
-                let known = shown.entry(name.clone()).or_insert_with(|| target.clone());
+                let known = targets.entry(name.clone()).or_insert_with(|| target.clone());
                 if *known != target {
                     return Err(format!("{} was published twice: {known:?}, {target:?}", name.display()));
                 }
-                let bills = files(&name);
+                let bills = bill_files(&name);
                 let lines: usize = bills
                     .iter()
                     .map(|bill| fs::read_to_string(bill).unwrap_or_default())
@@ -91,8 +92,8 @@
     Ok(checked)
 }
 
-fn run_detail(region: &TestCluster, run: &str) -> Value {
-    region.json(&["graph", "show", run]).into_iter().next().unwrap_or(Value::Null)
+fn run_detail(cluster: &TestCluster, run: &str) -> Value {
+    cluster.json(&["graph", "show", run]).into_iter().next().unwrap_or(Value::Null)
 }
 
 fn node_view<'a>(detail: &'a Value, name: &str) -> &'a Value {
@@ -100,24 +101,24 @@
     nodes.iter().find(|node| node["name"] == name).unwrap_or(&Value::Null)
 }
 
-/// Places in the record of the first start and the last good end of each job.
-fn job_spans(region: &TestCluster) -> BTreeMap<String, (usize, usize)> {
-    let text = fs::read_to_string(region.folder.join("runs.jsonl")).expect("the record");
+/// For each job, the lines of the run log with its first start and its last successful exit.
+fn job_spans(cluster: &TestCluster) -> BTreeMap<String, (usize, usize)> {
+    let text = fs::read_to_string(cluster.folder.join("runs.jsonl")).expect("the record");
     let mut spans: BTreeMap<String, (usize, usize)> = BTreeMap::new();
-    for (at, line) in text.lines().enumerate() {
+    for (line_number, line) in text.lines().enumerate() {
         let value: Value = serde_json::from_str(line).expect("JSON");
         let job = value["task"].as_str().and_then(|task| task.split('/').next()).expect("a task");
-        let span = spans.entry(job.into()).or_insert((at, 0));
+        let span = spans.entry(job.into()).or_insert((line_number, 0));
         if value["done"] == true {
-            span.1 = at;
+            span.1 = line_number;
         }
     }
     spans
 }
 
-/// Every node of a run started after all that it comes after was done, by the workers' record.
-fn check_order(region: &TestCluster, run: &Value) {
-    let spans = job_spans(region);
+/// By the run log, every node of a run started after all its upstream nodes were done.
+fn check_order(cluster: &TestCluster, run: &Value) {
+    let spans = job_spans(cluster);
     let span = |name: &str| spans.get(node_view(run, name)["job"].as_str().unwrap_or("")).copied();
     for (before, after) in EDGES {
         if let (Some(before_span), Some(after_span)) = (span(before), span(after)) {
@@ -127,9 +128,9 @@
 }
 
 #[test]
-fn both_kinds_at_once_end_once_each_and_files_appear_whole() {
+fn dag_runs_and_plain_jobs_complete_once_and_publish_atomically() {
     let folder = tempfile::tempdir().expect("a folder");
-    let region = Arc::new(TestCluster::start(&folder.path().join("r"), &["default=0:0"]));
+    let cluster = Arc::new(TestCluster::start(&folder.path().join("r"), &["default=0:0"]));
     let file = folder.path().join("chain.hcl");
     fs::write(&file, CHAIN).expect("a file");
     let file = file.display().to_string();
@@ -137,36 +138,36 @@
     fs::write(&trouble, "").expect("a file");
     let stop = Arc::new(AtomicBool::new(false));
     let watcher = thread::spawn({
-        let (published, stop) = (region.folder.join("published"), stop.clone());
-        move || watch(&published, &stop)
+        let (published, stop) = (cluster.folder.join("published"), stop.clone());
+        move || watch_published_files(&published, &stop)
     });
     let clients: Vec<_> = (0..4)
         .map(|client| {
-            let (region, file) = (region.clone(), file.clone());
+            let (cluster, file) = (cluster.clone(), file.clone());
             let var = format!(
                 "trouble={}",
                 if client == 0 { trouble.display().to_string() } else { "/nonexistent".into() }
             );
             thread::spawn(move || {
                 let run = format!("run-{client}");
-                let sent = region.run_program(&["graph", "submit", &file, "--run", &run, "--var", &var]);
+                let sent = cluster.run_program(&["graph", "submit", &file, "--run", &run, "--var", &var]);
                 assert!(sent.status.success(), "{}", String::from_utf8_lossy(&sent.stderr));
                 let tasks = ["--tasks", "12", "--cpus", "0.5", "--guess-s", "0.2", "--", "sleep", "0.2"];
-                (run, region.submit(&tasks))
+                (run, cluster.submit(&tasks))
             })
         })
         .collect();
     let submitted: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("a client")).collect();
-    region.wait_until("something is done", |region| job_spans(region).values().any(|(_, end)| *end > 0));
-    region.kill_controllers();
+    cluster.wait_until("something is done", |cluster| job_spans(cluster).values().any(|(_, end)| *end > 0));
+    cluster.kill_controllers();
     for (run, job) in &submitted {
-        let waited = region.run_program(&["graph", "wait", run, "--timeout", "90"]);
+        let waited = cluster.run_program(&["graph", "wait", run, "--timeout", "90"]);
         let expected = if run == "run-0" { Some(5) } else { Some(0) };
         assert_eq!(waited.status.code(), expected, "{run}: {}", String::from_utf8_lossy(&waited.stderr));
-        assert!(region.run_program(&["wait", job, "--timeout", "90"]).status.success(), "{job}");
+        assert!(cluster.run_program(&["wait", job, "--timeout", "90"]).status.success(), "{job}");
     }
-    let failed = run_detail(&region, "run-0");
+    let failed = run_detail(&cluster, "run-0");
     assert_eq!(
         [&node_view(&failed, "balance")["state"], &node_view(&failed, "bill")["state"]],
         ["failed", "upstream_failed"]
@@ -174,12 +175,12 @@
     let evidence = node_view(&failed, "balance")["evidence"].as_array().cloned().unwrap_or_default();
     assert_eq!(evidence.len(), 2, "{evidence:?}");
     assert!(evidence.iter().all(|one| one["t"] == 2 && one["c"] == "error"), "{evidence:?}");
-    assert!(!region.folder.join("published/run-0/bill").exists(), "nothing of it is shown");
+    assert!(!cluster.folder.join("published/run-0/bill").exists(), "nothing of it is shown");
 
     fs::remove_file(&trouble).expect("our own file");
-    let retried = region.run_program(&["graph", "retry", "run-0", "--wait"]);
+    let retried = cluster.run_program(&["graph", "retry", "run-0", "--wait"]);
     assert!(retried.status.success(), "{}", String::from_utf8_lossy(&retried.stderr));
-    let after = run_detail(&region, "run-0");
+    let after = run_detail(&cluster, "run-0");
     let states: BTreeSet<&str> =
         after["nodes"].as_array().expect("nodes").iter().filter_map(|node| node["state"].as_str()).collect();
     assert_eq!(states, BTreeSet::from(["success"]));
@@ -193,28 +194,29 @@
     let checked = watcher.join().expect("the watcher").expect("whole files");
     assert!(checked > 20, "only {checked} outputs were checked");
     for (run, _) in &submitted {
-        check_order(&region, &run_detail(&region, run));
-        let office = fs::read_to_string(region.folder.join("published").join(run).join("office/bill"));
+        check_order(&cluster, &run_detail(&cluster, run));
+        let office = fs::read_to_string(cluster.folder.join("published").join(run).join("office/bill"));
         assert_eq!(office.expect("the office's file").lines().count(), 15);
     }
-    // Reads the whole record: no task was started again after it was done, on either kind.
-    let done = region.done_by_run_log();
+    // Panics if a task of either kind was started again after it completed.
+    let done = cluster.done_by_run_log();
     for (run, job) in &submitted {
         assert_eq!(done.get(job).map_or(0, BTreeSet::len), 12, "{job}");
-        let bill = run_detail(&region, run);
+        let bill = run_detail(&cluster, run);
         let bill = node_view(&bill, "bill")["job"].as_str().expect("a job").to_string();
         assert_eq!(done.get(&bill).map_or(0, BTreeSet::len), 5, "{run}");
     }
-    // The old names stay what they were called.
+    // The job of the failed attempt keeps its state.
     let old = node_view(&failed, "balance")["job"].as_str().expect("a job").to_string();
-    assert_eq!(region.run_program(&["wait", &old]).status.code(), Some(5), "withdrawn for good");
+    assert_eq!(cluster.run_program(&["wait", &old]).status.code(), Some(5), "withdrawn for good");
 }
 
-/// Urgency decides for both kinds: an urgent node passes waiting plain tasks, an urgent plain job waiting nodes.
+/// Urgency orders DAG nodes and plain jobs alike: an urgent node overtakes waiting plain tasks, and an urgent plain job
+/// waiting nodes.
 #[test]
-fn one_order_for_both_kinds() {
+fn urgency_orders_nodes_and_plain_jobs_alike() {
     let folder = tempfile::tempdir().expect("a folder");
-    let region = TestCluster::start(&folder.path().join("r"), &["default=0:0"]);
+    let cluster = TestCluster::start(&folder.path().join("r"), &["default=0:0"]);
     let graph = |urgency: &str| {
         format!(
             "graph = \"g\"\nnode \"n\" {{\n  urgency = \"{urgency}\"\n  tasks = 24\n  guess_s = 0.2\n  command = [\"sleep\", \"0.2\"]\n}}\n"
@@ -224,7 +226,7 @@
         let mut jobs = BTreeMap::new();
         for (kind, urgency) in [(other, "low"), (urgent, "critical")] {
             let job = if kind == "plain" {
-                region.submit(&[
+                cluster.submit(&[
                     "--tasks",
                     "24",
                     "--urgency",
@@ -240,33 +242,33 @@
                 fs::write(&file, graph(urgency)).expect("a file");
                 let run = format!("{urgency}-{urgent}");
                 let sent =
-                    region.run_program(&["graph", "submit", &file.display().to_string(), "--run", &run]);
+                    cluster.run_program(&["graph", "submit", &file.display().to_string(), "--run", &run]);
                 assert!(sent.status.success(), "{}", String::from_utf8_lossy(&sent.stderr));
-                node_view(&run_detail(&region, &run), "n")["job"].as_str().expect("a job").to_string()
+                node_view(&run_detail(&cluster, &run), "n")["job"].as_str().expect("a job").to_string()
             };
             jobs.insert(urgency, job);
         }
         for job in jobs.values() {
-            assert!(region.run_program(&["wait", job, "--timeout", "90"]).status.success());
+            assert!(cluster.run_program(&["wait", job, "--timeout", "90"]).status.success());
         }
-        let spans = job_spans(&region);
+        let spans = job_spans(&cluster);
         assert!(spans[&jobs["critical"]].1 < spans[&jobs["low"]].1, "{urgent}: the urgent one is done first");
     }
 }
 
-/// What is wrong with a graph is refused before anything of it is there.
+/// An invalid graph is rejected before anything of it is stored.
 #[test]
-fn wrong_graphs_are_refused() {
+fn invalid_graphs_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
-    let region = TestCluster::start(&folder.path().join("r"), &["default=0:2"]);
+    let cluster = TestCluster::start(&folder.path().join("r"), &["default=0:2"]);
     let submit = |text: &str| {
         let file = folder.path().join("g.hcl");
         fs::write(&file, text).expect("a file");
-        let output = region.run_program(&["graph", "submit", &file.display().to_string(), "--run", "r"]);
+        let output = cluster.run_program(&["graph", "submit", &file.display().to_string(), "--run", "r"]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let circle = "graph = \"g\"\nnode \"a\" {\n  after = [\"b\"]\n  command = [\"true\"]\n}\nnode \"b\" {\n  after = [\"a\"]\n  command = [\"true\"]\n}\n";
-    let (code, text) = submit(circle);
+    let cycle = "graph = \"g\"\nnode \"a\" {\n  after = [\"b\"]\n  command = [\"true\"]\n}\nnode \"b\" {\n  after = [\"a\"]\n  command = [\"true\"]\n}\n";
+    let (code, text) = submit(cycle);
     assert!(
         code == Some(2) && text.contains("line 6: node \"b\"") && text.contains("in a circle: b -> a -> b"),
         "{text}"
@@ -275,10 +277,10 @@
     assert!(code == Some(4) && text.contains("422"), "{text}");
     let (code, text) = submit("graph = \"g\"\nnode \"a\" {\n  pool = \"none\"\n  command = [\"true\"]\n}\n");
     assert!(code == Some(4) && text.contains("unknown pool"), "{text}");
-    assert_eq!(region.run_program(&["graph", "show", "r"]).status.code(), Some(1));
-    assert_eq!(region.json(&["graph", "list"])[0]["runs"].as_array().map(Vec::len), Some(0));
-    // Mended, it goes through under the same name: what was refused is in nobody's way.
+    assert_eq!(cluster.run_program(&["graph", "show", "r"]).status.code(), Some(1));
+    assert_eq!(cluster.json(&["graph", "list"])[0]["runs"].as_array().map(Vec::len), Some(0));
+    // Corrected, it is accepted under the same name: the rejected ones left nothing behind.
     let (code, text) = submit("graph = \"g\"\nnode \"a\" {\n  command = [\"true\"]\n}\n");
     assert_eq!(code, Some(0), "{text}");
-    assert!(region.run_program(&["graph", "wait", "r", "--timeout", "60"]).status.success());
+    assert!(cluster.run_program(&["graph", "wait", "r", "--timeout", "60"]).status.success());
 }
--- a/crates/cli/tests/measure.rs
+++ b/crates/cli/tests/measure.rs
@@ -51,7 +51,7 @@
             let plan: Value = serde_json::from_str(&text).expect("a plan");
             let all = plan["controllers"].as_array().expect("controllers");
             let addrs: Vec<SocketAddr> =
-                all.iter().map(|a| a.as_str().expect("one").parse().expect("an address")).collect();
+                all.iter().map(|addr| addr.as_str().expect("one").parse().expect("an address")).collect();
             let leads = |addr: &SocketAddr| {
                 request(*addr, "GET", "/v1/status", "")
                     .is_some_and(|(_, body)| body.contains("\"leads\":true"))
@@ -80,16 +80,16 @@
     }
 }
 
-fn quantiles_text(mut all: Vec<f64>) -> String {
-    all.sort_by(f64::total_cmp);
-    let at = |share: f64| all[((all.len() - 1) as f64 * share) as usize];
-    let mean = all.iter().sum::<f64>() / all.len() as f64;
+fn quantiles_text(mut values: Vec<f64>) -> String {
+    values.sort_by(f64::total_cmp);
+    let quantile = |share: f64| values[((values.len() - 1) as f64 * share) as usize];
+    let mean = values.iter().sum::<f64>() / values.len() as f64;
     format!(
         "mean {mean:.2} ms, p50 {:.2}, p90 {:.2}, p99 {:.2} ms of {}",
-        at(0.5),
-        at(0.9),
-        at(0.99),
-        all.len()
+        quantile(0.5),
+        quantile(0.9),
+        quantile(0.99),
+        values.len()
     )
 }
 
@@ -100,84 +100,85 @@
     .to_string()
 }
 
-/// Submissions (which are refused with 422 only after the read that a poll needs) and polls, one after the other.
-fn latencies(region: &MeasuredCluster, first: u64) -> (Vec<f64>, Vec<f64>) {
-    let (mut submits, mut reports) = (Vec::new(), Vec::new());
-    for at in 0..300 {
-        let addr = region.controllers[at as usize % region.controllers.len()];
+/// Latencies in milliseconds of submissions (rejected with 422, but only after the read that a poll needs) and
+/// heartbeats, sent one after the other.
+fn latencies(cluster: &MeasuredCluster, first: u64) -> (Vec<f64>, Vec<f64>) {
+    let (mut submissions, mut heartbeats) = (Vec::new(), Vec::new());
+    for index in 0..300 {
+        let addr = cluster.controllers[index as usize % cluster.controllers.len()];
         let start = Instant::now();
-        let (status, _) = request(addr, "POST", "/work", &submission(first + at)).expect("an answer");
-        submits.push(start.elapsed().as_secs_f64() * 1000.0);
+        let (status, _) = request(addr, "POST", "/work", &submission(first + index)).expect("an answer");
+        submissions.push(start.elapsed().as_secs_f64() * 1000.0);
         assert_eq!(status, 422);
-        let report = json!({"box": "probe", "endpoint": "127.0.0.1:9", "boxkind": "local", "hall": "here", "loaners": false,
-            "shift": 1, "tick": at + first, "baton": 0, "pieces": []});
+        let heartbeat = json!({"box": "probe", "endpoint": "127.0.0.1:9", "boxkind": "local", "hall": "here", "loaners": false,
+            "shift": 1, "tick": index + first, "baton": 0, "pieces": []});
         let start = Instant::now();
-        request(addr, "POST", "/v1/report", &report.to_string()).expect("an answer");
-        reports.push(start.elapsed().as_secs_f64() * 1000.0);
+        request(addr, "POST", "/v1/report", &heartbeat.to_string()).expect("an answer");
+        heartbeats.push(start.elapsed().as_secs_f64() * 1000.0);
     }
-    (submits, reports)
+    (submissions, heartbeats)
 }
 
-fn print_latencies(region: &MeasuredCluster, what: &str, first: u64) {
-    let (submits, reports) = latencies(region, first);
+fn print_latencies(cluster: &MeasuredCluster, what: &str, first: u64) {
+    let (submissions, heartbeats) = latencies(cluster, first);
     println!(
         "{what}: submissions {}\n       reports     {}",
-        quantiles_text(submits),
-        quantiles_text(reports)
+        quantiles_text(submissions),
+        quantiles_text(heartbeats)
     );
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn slow_killed_and_greedy_clients() {
-    let region = MeasuredCluster::start("4");
-    latencies(&region, 1_000_000);
-    print_latencies(&region, "alone", 2_000_000);
-    print_latencies(&region, "alone, again", 3_000_000);
+    let cluster = MeasuredCluster::start("4");
+    latencies(&cluster, 1_000_000);
+    print_latencies(&cluster, "alone", 2_000_000);
+    print_latencies(&cluster, "alone, again", 3_000_000);
     let idle: Vec<TcpStream> = (0..2_000)
-        .filter_map(|at| TcpStream::connect(region.controllers[at % region.controllers.len()]).ok())
+        .filter_map(|index| TcpStream::connect(cluster.controllers[index % cluster.controllers.len()]).ok())
         .collect();
-    print_latencies(&region, "beside 2,000 that say nothing", 4_000_000);
+    print_latencies(&cluster, "beside 2,000 that say nothing", 4_000_000);
     drop(idle);
     std::thread::sleep(Duration::from_secs(1));
-    print_latencies(&region, "after they have gone", 5_000_000);
+    print_latencies(&cluster, "after they have gone", 5_000_000);
     let mut open = Vec::new();
-    for at in 0..2_000 {
-        let addr = region.controllers[at % region.controllers.len()];
+    for index in 0..2_000 {
+        let addr = cluster.controllers[index % cluster.controllers.len()];
         let Ok(mut stream) = TcpStream::connect(addr) else { continue };
-        match at % 10 {
-            // Readers that ask for lists again and again and read nothing.
+        match index % 10 {
+            // Request lists repeatedly and never read the responses.
             0 => drop(stream.write_all("GET /v1/jobs?limit=500 HTTP/1.1\r\n\r\n".repeat(20).as_bytes())),
-            // Half a request.
+            // Send half a request.
             1 => drop(stream.write_all(b"POST /work HTTP/1.1\r\nContent-Length: 1000\r\n\r\n{\"uid\"")),
             _ => {}
         }
         open.push(stream);
     }
     print_latencies(
-        &region,
+        &cluster,
         "beside 2,000, 200 of them readers that do not read, 200 with half a request",
         6_000_000,
     );
     drop(open);
     std::thread::sleep(Duration::from_secs(1));
-    print_latencies(&region, "after all were killed", 7_000_000);
+    print_latencies(&cluster, "after all were killed", 7_000_000);
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn submit_to_start() {
-    let region = MeasuredCluster::start("2");
-    region.run_program(&["submit", "--wait", "--", "true"]);
+    let cluster = MeasuredCluster::start("2");
+    cluster.run_program(&["submit", "--wait", "--", "true"]);
     let mut waits = Vec::new();
     for _ in 0..40 {
         let before =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time").as_millis();
-        let text = region.run_program(&["--json", "submit", "--", "date", "+%s%3N"]);
+        let text = cluster.run_program(&["--json", "submit", "--", "date", "+%s%3N"]);
         let submitted: Value = serde_json::from_str(&text).expect("JSON");
         let id = submitted["id"].as_str().expect("an id").to_string();
-        region.run_program(&["wait", &id]);
-        let log = region.run_program(&["logs", &id]);
+        cluster.run_program(&["wait", &id]);
+        let log = cluster.run_program(&["logs", &id]);
         let started: u128 = log.lines().last().expect("a line").trim().parse().expect("a time");
         waits.push(started.saturating_sub(before) as f64);
     }
@@ -190,10 +191,10 @@
 fn read_run_log(folder: &Path) -> (usize, f64) {
     let text = std::fs::read_to_string(folder.join("runs.jsonl")).expect("the record");
     let values: Vec<Value> = text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
-    let at = |value: &Value| value["at_ms"].as_u64().unwrap_or(0);
+    let at_ms = |value: &Value| value["at_ms"].as_u64().unwrap_or(0);
     let starts = values.iter().filter(|value| value["event"] == "start").count();
-    let first = values.iter().map(at).min().unwrap_or(0);
-    let last = values.iter().map(at).max().unwrap_or(0);
+    let first = values.iter().map(at_ms).min().unwrap_or(0);
+    let last = values.iter().map(at_ms).max().unwrap_or(0);
     (starts, (last - first) as f64 / 1000.0)
 }
 
@@ -201,9 +202,9 @@
 #[ignore = "a measurement"]
 fn tasks_a_second() {
     const TASKS: usize = 4_000;
-    let region = MeasuredCluster::start("4");
+    let cluster = MeasuredCluster::start("4");
     let count = TASKS.to_string();
-    region.run_program(&[
+    cluster.run_program(&[
         "submit",
         "--wait",
         "--tasks",
@@ -217,7 +218,7 @@
         "--",
         "true",
     ]);
-    let (starts, seconds) = read_run_log(region.folder.path());
+    let (starts, seconds) = read_run_log(cluster.folder.path());
     println!(
         "olivelatchctl up, 4 machines of 4 CPUs, tasks of 0.1 CPU: {starts} starts in {seconds:.2} s, {:.0} a second",
         starts as f64 / seconds
--- a/crates/cli/tests/scale_run.rs
+++ b/crates/cli/tests/scale_run.rs
@@ -1,4 +1,4 @@
-//! The small scale run, whole: real processes on loopback, no rule broken; and one with workers that break a rule, seen.
+//! The small scale run with real processes on loopback: no invariant is violated, and a violation by workers is detected.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -23,16 +23,16 @@
     (output, serde_json::from_slice(&report).expect("JSON"))
 }
 
-fn text(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// The leader is killed in the middle: the rules hold, jobs are done, changes of configuration are in force.
+/// The leader is killed halfway: invariants hold, jobs complete, and configuration changes come into force.
 #[test]
 fn the_small_plan_holds() {
     let out = tempfile::tempdir().expect("a folder");
     let (output, report) = run(&small_plan(), out.path());
-    assert!(output.status.success(), "{}", text(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
     assert_eq!(report["ended"], "played whole");
     assert_eq!(report["violations"], Value::Array(Vec::new()));
     assert_eq!((&report["given_up"], &report["open_at_end"]), (&Value::from(0), &Value::from(0)));
@@ -45,9 +45,9 @@
     assert!(std::fs::read_to_string(out.path().join("report.html")).expect("a page").contains("<svg"));
 }
 
-/// Workers that leave their tasks out of their reports have them started elsewhere: the check sees it.
+/// Workers that omit tasks from their heartbeats cause them to be started elsewhere, which the check detects.
 #[test]
-fn broken_workers_are_seen() {
+fn defective_workers_are_detected() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("broken.hcl");
     let whole = std::fs::read_to_string(small_plan()).expect("the small plan");
@@ -58,14 +58,14 @@
     std::fs::write(&plan, text_of_plan.replacen("drain_s = 20", "drain_s = 5\ndefect = \"hide_tasks\"", 1))
         .expect("a plan");
     let (output, report) = run(&plan, &folder.path().join("out"));
-    assert_eq!(output.status.code(), Some(1), "{}", text(&output));
-    let rules = report["violations"].as_array().expect("violations");
-    assert!(rules.iter().any(|violation| violation["rule"] == "ran_twice"), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
+    let violations = report["violations"].as_array().expect("violations");
+    assert!(violations.iter().any(|violation| violation["rule"] == "ran_twice"), "{}", output_text(&output));
 }
 
-/// A plan that is too large for the machine is refused before anything is started.
+/// A plan that is too large for the machine is rejected before anything is started.
 #[test]
-fn too_large_a_plan_is_refused() {
+fn too_large_a_plan_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("large.hcl");
     let whole = std::fs::read_to_string(small_plan()).expect("the small plan");
@@ -74,7 +74,7 @@
     let out = folder.path().join("out");
     let output = Command::new(PROGRAM).args(["scale", "run"]).arg(&plan).arg("--out").arg(&out).output();
     let output = output.expect("the program runs");
-    assert_eq!(output.status.code(), Some(2), "{}", text(&output));
-    assert!(text(&output).contains("refused: "), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
+    assert!(output_text(&output).contains("refused: "), "{}", output_text(&output));
     assert!(!out.exists(), "nothing was started");
 }
--- a/crates/cli/tests/terminal_records.rs
+++ b/crates/cli/tests/terminal_records.rs
@@ -1,4 +1,4 @@
-//! Ends are kept for ever: what they cost a controller and the state service in memory, and in time until it serves.
+//! Terminal records are kept forever: their cost in memory to a controller and the store, and in time until both serve.
 //! A measurement: `cargo test --release -p olivelatchctl --test terminal_records -- --ignored --nocapture`.
 
 mod common;
@@ -13,17 +13,17 @@
 use serde_json::Value;
 
 const RECORD_COUNTS: [u64; 4] = [0, 50_000, 200_000, 400_000];
-/// Ends of one commit of the state file.
+/// Records per commit to the store file.
 const BATCH: u64 = 10_000;
 
-/// Resident memory of a process in kB, by the kernel's account.
+/// Resident memory of a process in kB.
 fn resident_kb(pid: u64) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
 }
 
-/// Processor time of a process in hundredths of a second.
+/// CPU time of a process in hundredths of a second.
 fn cpu_ticks(pid: u64) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let rest = text.rsplit(')').next().expect("fields");
@@ -31,7 +31,7 @@
     fields[11].parse::<u64>().expect("user time") + fields[12].parse::<u64>().expect("system time")
 }
 
-/// A state file with so many ends of jobs, as controllers with the operators' interface write them.
+/// Writes a store file with `count` terminal records, as controllers with the operators' interface do.
 fn write_records(path: &std::path::Path, count: u64) {
     let (file, _, _) = StoreFile::open(path).expect("a state file");
     let detail = TerminalDetail {
@@ -42,11 +42,16 @@
         first_start_wall_ms: Some(1_790_000_010_000),
     };
     for batch in 0..count.div_ceil(BATCH) {
-        let put = |at: u64| {
+        let put = |index: u64| {
             let record =
-                TerminalRecord::new(TerminalState::Done, 1_790_000_060_000 + at, Some(detail.clone()));
+                TerminalRecord::new(TerminalState::Done, 1_790_000_060_000 + index, Some(detail.clone()));
             let value: Value = serde_json::to_value(&record).expect("JSON");
-            Delta::Put { key: RecordKey::Terminal(JobId(at)).encode(), value, stamp: at + 1, lease: None }
+            Delta::Put {
+                key: RecordKey::Terminal(JobId(index)).encode(),
+                value,
+                stamp: index + 1,
+                lease: None,
+            }
         };
         let mut deltas: Vec<Delta> = (batch * BATCH..((batch + 1) * BATCH).min(count)).map(put).collect();
         deltas.push(Delta::Revision(count));
@@ -62,24 +67,24 @@
         write_records(&folder.path().join("state.redb"), count);
         let size = std::fs::metadata(folder.path().join("state.redb")).expect("a file").len();
         let start = Instant::now();
-        let mut region = TestCluster::start(folder.path(), &["team-017=0:0"]);
-        let loaded = |region: &TestCluster| {
-            let top = region.json(&["top", "--once"]);
-            let nodes = top.first().and_then(Value::as_object).cloned().unwrap_or_default();
-            nodes.len() == 3 && nodes.values().all(|node| node["jobs_ended"] == count)
+        let mut cluster = TestCluster::start(folder.path(), &["team-017=0:0"]);
+        let loaded = |cluster: &TestCluster| {
+            let top = cluster.json(&["top", "--once"]);
+            let controllers = top.first().and_then(Value::as_object).cloned().unwrap_or_default();
+            controllers.len() == 3 && controllers.values().all(|controller| controller["jobs_ended"] == count)
         };
-        region.wait_until("all read the ends", loaded);
+        cluster.wait_until("all read the ends", loaded);
         let seconds = start.elapsed().as_secs_f64();
-        let pids = region.controller_pids();
+        let pids = cluster.controller_pids();
         let pids = pids.iter().filter_map(|pid| pid.parse::<u64>().ok());
         let controllers: Vec<(f64, f64)> =
             pids.map(|pid| (resident_kb(pid) as f64 / 1e3, cpu_ticks(pid) as f64 / 100.0)).collect();
         println!(
             "{count} ends: file {:.1} MB, all controllers serve after {seconds:.1} s, region {:.1} MB, controllers (MB, processor s): {:?}",
             size as f64 / 1e6,
-            region.pid().map_or(0.0, |pid| resident_kb(u64::from(pid)) as f64 / 1e3),
+            cluster.pid().map_or(0.0, |pid| resident_kb(u64::from(pid)) as f64 / 1e3),
             controllers
         );
-        region.stop();
+        cluster.stop();
     }
 }
--- a/crates/client/tests/golden.rs
+++ b/crates/client/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What clients read and send, as the golden files have it: job files as submissions, and requests as they go out.
+//! Job files as the submissions made of them, and the client's requests, compared with golden files.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use support::Golden;
 
-/// Every word that a job file knows.
+/// A job file with every field.
 const EVERYTHING: &str = r#"
 job "all" {
   id           = "job-000412"
@@ -53,20 +53,20 @@
     Golden::new(env!("CARGO_MANIFEST_DIR"), name)
 }
 
-/// Without the id that the client has chosen.
-fn prepared(job: &PreparedJob, chosen: bool) -> Value {
-    let unnamed = |value: &Value| {
+/// A prepared job; an id that the client generated is replaced by a constant.
+fn prepared(job: &PreparedJob, generated_id: bool) -> Value {
+    let with_stable_id = |value: &Value| {
         let mut value = value.clone();
-        if chosen {
+        if generated_id {
             assert_eq!(value["uid"], job.id);
             value["uid"] = json!("chosen");
         }
         value
     };
-    json!({"submission": unnamed(&job.spec).to_string(), "description": job.description.as_ref().map(unnamed)})
+    json!({"submission": with_stable_id(&job.spec).to_string(), "description": job.description.as_ref().map(with_stable_id)})
 }
 
-fn add(golden: &mut Golden, file: &str, jobs: &JobFile) {
+fn add_jobs(golden: &mut Golden, file: &str, jobs: &JobFile) {
     for job in jobs.prepare().expect("jobs that can be sent") {
         golden.case(&format!("{file}: {}", job.name), prepared(&job, job.id != "job-000412"));
     }
@@ -76,15 +76,15 @@
 fn job_files() {
     let mut golden = golden("jobs");
     let batch = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/batch.hcl");
-    add(&mut golden, "batch", &JobFile::load(&batch).expect("the example"));
-    add(
+    add_jobs(&mut golden, "batch", &JobFile::load(&batch).expect("the example"));
+    add_jobs(
         &mut golden,
         "everything",
         &JobFile::parse("jobs.hcl", EVERYTHING, JobFileFormat::Hcl).expect("jobs"),
     );
     let json = json!({"job": {"one": {"tasks": 2, "cpus": 0.25}}}).to_string();
-    add(&mut golden, "as JSON", &JobFile::parse("jobs.json", &json, JobFileFormat::Json).expect("jobs"));
-    let mistakes = [
+    add_jobs(&mut golden, "as JSON", &JobFile::parse("jobs.json", &json, JobFileFormat::Json).expect("jobs"));
+    let invalid_files = [
         ("a word", "job \"a\" {\n  colour = 1\n}\n"),
         ("a shape", "job \"a\" {\n  shape = \"daemon\"\n}\n"),
         ("an urgency", "job \"a\" {\n  urgency = \"soon\"\n}\n"),
@@ -92,58 +92,58 @@
         ("no tasks", "job \"a\" {\n  tasks = 0\n}\n"),
         ("nothing", ""),
     ];
-    for (name, text) in mistakes {
-        let wrong = JobFile::parse("jobs.hcl", text, JobFileFormat::Hcl).and_then(|file| file.prepare());
-        golden.case(&format!("wrong: {name}"), wrong.err().map(|error| error.to_string()));
+    for (name, text) in invalid_files {
+        let prepared = JobFile::parse("jobs.hcl", text, JobFileFormat::Hcl).and_then(|file| file.prepare());
+        golden.case(&format!("wrong: {name}"), prepared.err().map(|error| error.to_string()));
     }
     golden.check();
 }
 
-/// Files with entries of the configuration, as the values that are sent.
+/// Files of config entries, as the values that the client sends.
 #[test]
-fn entries() {
+fn config_entries() {
     let mut golden = golden("entries");
     let text = "team \"grid\" {\n  limit_cpus = 4.5\n}\nteam \"field\" {\n  limit_cpus = 8\n  guaranteed_cpus = 2\n}\n";
     let file = ConfigFile::parse("entries.hcl", text).expect("entries");
     for (team, value) in &file.team {
         golden.case(team, support::encode(value));
     }
-    let wrong = ConfigFile::parse("entries.hcl", "team \"grid\" {\n}\n").err();
-    golden.case("wrong: nothing", wrong.map(|error| error.to_string()));
+    let error = ConfigFile::parse("entries.hcl", "team \"grid\" {\n}\n").err();
+    golden.case("wrong: nothing", error.map(|error| error.to_string()));
     golden.check();
 }
 
-/// Takes one request, whole, and answers it.
-fn listen(answer: &'static str) -> (SocketAddr, JoinHandle<String>) {
+/// Receives one complete request and sends `response`; the thread returns the request's text.
+fn listen(response: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let addr = listener.local_addr().expect("an address");
-    let take = move || {
+    let serve = move || {
         let (mut stream, _) = listener.accept().expect("a client");
         let mut request = Vec::new();
         let mut chunk = [0; 4096];
-        while !whole(&request) {
+        while !is_complete(&request) {
             let count = stream.read(&mut chunk).expect("a request");
             assert!(count > 0, "cut off");
             request.extend_from_slice(&chunk[..count]);
         }
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{answer}", answer.len());
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{response}", response.len());
         stream.write_all(head.as_bytes()).expect("the answer goes out");
         String::from_utf8(request).expect("text")
     };
-    (addr, std::thread::spawn(take))
+    (addr, std::thread::spawn(serve))
 }
 
-fn whole(request: &[u8]) -> bool {
+fn is_complete(request: &[u8]) -> bool {
     let text = String::from_utf8_lossy(request).to_ascii_lowercase();
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let length = head.lines().find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
     body.len() >= length.unwrap_or(0)
 }
 
-type Act = fn(&mut Client) -> Result<(), ClientError>;
+type Operation = fn(&mut Client) -> Result<(), ClientError>;
 
-/// Requests of a client, and answers with which it is content.
-const REQUESTS: [(&str, Act, &str); 11] = [
+/// Operations of the client, each with a response that it accepts.
+const REQUESTS: [(&str, Operation, &str); 11] = [
     ("submit", |client| client.submit(&json!({"uid": "job-000412"})).map(drop), STATUS),
     ("poll", |client| client.job_status("job-000412").map(drop), STATUS),
     ("cancel", |client| client.cancel("job-000412").map(drop), STATUS),
@@ -159,16 +159,16 @@
 const STATUS: &str = r#"{"uid":"job-000412","status":"pending"}"#;
 const LIST: &str = r#"{"node":"n0","revision":1,"jobs":[],"next":null}"#;
 
-/// The words that go out; answers are judged elsewhere.
+/// Only the requests are compared; how responses are handled is tested elsewhere.
 #[test]
 fn requests() {
     let mut golden = golden("requests");
-    for (name, act, answer) in REQUESTS {
-        let (addr, taken) = listen(answer);
+    for (name, operation, response) in REQUESTS {
+        let (addr, server) = listen(response);
         let context = Context { controllers: vec![addr], job_store: Some(addr) };
-        let outcome = act(&mut Client::new(context, Duration::from_secs(10)));
-        let request = taken.join().expect("a request").replace(&addr.to_string(), "ADDRESS");
-        if answer != "{}" {
+        let outcome = operation(&mut Client::new(context, Duration::from_secs(10)));
+        let request = server.join().expect("a request").replace(&addr.to_string(), "ADDRESS");
+        if response != "{}" {
             outcome.unwrap_or_else(|error| panic!("{name}: {error}"));
         }
         golden.case(name, request);
--- a/crates/dag-files/tests/golden.rs
+++ b/crates/dag-files/tests/golden.rs
@@ -46,14 +46,14 @@
 }
 "#;
 
-/// Jobs are numbered from a number that the client chooses: here from 1.
-fn numbered(run: &PreparedRun) -> Value {
+/// A prepared run whose job numbers, which the client draws at random, are replaced by consecutive ones.
+fn with_stable_job_numbers(run: &PreparedRun) -> Value {
     let mut text = json!({"run": run.run, "header": encode(&run.header), "parts": run.parts,
         "descriptions": run.descriptions})
     .to_string();
-    for (at, (job, _)) in run.descriptions.iter().enumerate() {
+    for (index, (job, _)) in run.descriptions.iter().enumerate() {
         let digits = job.strip_prefix("job-").expect("a job's name");
-        text = text.replace(digits, &format!("{:018}", at + 1).replacen('0', "9", 1));
+        text = text.replace(digits, &format!("{:018}", index + 1).replacen('0', "9", 1));
     }
     serde_json::from_str(&text).expect("JSON")
 }
@@ -63,30 +63,30 @@
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "graphs");
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/billing.hcl");
     let text = std::fs::read_to_string(example).expect("the example");
-    let given = BTreeMap::from([("day".to_string(), "2026-12-02".to_string())]);
+    let variables = BTreeMap::from([("day".to_string(), "2026-12-02".to_string())]);
     let files = [
         ("billing", text.as_str(), BTreeMap::new()),
-        ("billing, another day", text.as_str(), given),
+        ("billing, another day", text.as_str(), variables),
         ("everything", EVERYTHING, BTreeMap::new()),
     ];
     for (name, text, vars) in files {
         let file = DagFile::parse("graph.hcl", text, &vars).expect("a graph");
         let run = file.prepare("graph.hcl", None).expect("a run");
-        golden.case(name, numbered(&run));
-        // The order of fields is part of what is stored.
+        golden.case(name, with_stable_job_numbers(&run));
+        // The stored bytes depend on the order of fields.
         let first = run.parts.first().map(|part| encode(&part.templates.first()));
         golden.case(&format!("{name}: first template"), first);
     }
-    let mistakes = [
+    let invalid_files = [
         ("a rule", EVERYTHING.replacen("none_failed", "some_failed", 1)),
         ("a node", EVERYTHING.replacen("after = [\"balance\"]", "after = [\"balances\"]", 1)),
         ("a word", EVERYTHING.replacen("limit_s ", "limits_s ", 1)),
         ("a variable", EVERYTHING.replacen("{{ item }}", "{{ items }}", 1)),
         ("a circle", EVERYTHING.replacen("after       = [\"raw\"]", "after = [\"alarm\"]", 1)),
     ];
-    for (name, text) in mistakes {
-        let wrong = DagFile::parse("graph.hcl", &text, &BTreeMap::new()).err();
-        golden.case(&format!("wrong: {name}"), wrong.expect(name).to_string());
+    for (name, text) in invalid_files {
+        let error = DagFile::parse("graph.hcl", &text, &BTreeMap::new()).err();
+        golden.case(&format!("wrong: {name}"), error.expect(name).to_string());
     }
     golden.check();
 }
--- a/crates/kv-store/tests/golden.rs
+++ b/crates/kv-store/tests/golden.rs
@@ -11,14 +11,15 @@
 fn requests() -> Vec<(&'static str, &'static str, Value)> {
     let write =
         |key: &str, permit: Value| json!({"write": key, "value": {"a": [1, 2.5, "b"]}, "permit": permit});
-    let lease = json!({"guards": [{"key": "p/leader", "stamp": 0}], "then": [write("p/leader", json!(1))]});
-    let both = json!({"guards": [], "then": [write("p/a", Value::Null), {"drop": "p/none"}, {"write": "p/b", "value": 7}]});
+    let leader_lease =
+        json!({"guards": [{"key": "p/leader", "stamp": 0}], "then": [write("p/leader", json!(1))]});
+    let several_changes = json!({"guards": [], "then": [write("p/a", Value::Null), {"drop": "p/none"}, {"write": "p/b", "value": 7}]});
     vec![
         ("POST", "/grants", json!({"life_ms": 4000})),
         ("POST", "/grants", json!({"life_ms": 1})),
-        ("POST", "/txn", lease.clone()),
-        ("POST", "/txn", lease),
-        ("POST", "/txn", both),
+        ("POST", "/txn", leader_lease.clone()),
+        ("POST", "/txn", leader_lease),
+        ("POST", "/txn", several_changes),
         ("POST", "/txn", json!({"guards": [], "then": [write("p/c", json!(9))]})),
         ("POST", "/txn", json!({"guards": [], "then": []})),
         ("POST", "/txn", json!([])),
@@ -40,13 +41,15 @@
 }
 
 #[test]
-fn replies() {
+fn responses() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "replies");
     let mut engine = KvEngine::restore(&[], 1_000);
-    for (at, (method, path, body)) in requests().into_iter().enumerate() {
+    for (index, (method, path, body)) in requests().into_iter().enumerate() {
         let (status, reply) = engine.handle_request(method, path, body.to_string().as_bytes(), 1_000);
-        golden
-            .case(&format!("{at:02} {method} {path}"), json!({"status": status, "body": reply.to_string()}));
+        golden.case(
+            &format!("{index:02} {method} {path}"),
+            json!({"status": status, "body": reply.to_string()}),
+        );
     }
     golden.check();
 }
--- a/crates/scale-test/tests/golden.rs
+++ b/crates/scale-test/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Plans of scale runs as they are read, in the words of their files, and what follows from them.
+//! Parsed plans of scale runs and their first arrivals, compared with a golden file.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -31,9 +31,12 @@
     }
 }
 
-/// Blocks by name, in the order of the file.
-fn blocks<'a, T: 'a>(all: impl Iterator<Item = (&'a String, &'a T)>, write: impl Fn(&T) -> Value) -> Value {
-    all.map(|(name, block)| json!([name, write(block)])).collect()
+/// Named blocks, in the order of the file.
+fn blocks<'a, T: 'a>(
+    blocks: impl Iterator<Item = (&'a String, &'a T)>,
+    render: impl Fn(&T) -> Value,
+) -> Value {
+    blocks.map(|(name, block)| json!([name, render(block)])).collect()
 }
 
 fn jobs(plan: &Plan) -> Value {
@@ -52,10 +55,10 @@
     })
 }
 
-fn read(plan: &Plan) -> Value {
+fn plan_fields(plan: &Plan) -> Value {
     let (teams, workers, state, quota) = (&plan.teams, &plan.workers, &plan.state, &plan.quota);
-    let mut words = Map::new();
-    let mut add = |name: &str, value: Value| drop(words.insert(name.into(), value));
+    let mut fields = Map::new();
+    let mut add = |name: &str, value: Value| drop(fields.insert(name.into(), value));
     add("seed", json!(plan.seed));
     add("controllers", json!(plan.controllers));
     add("zones", json!(plan.zones));
@@ -100,7 +103,7 @@
         ),
     );
     add("defect", json!(plan.defect));
-    Value::Object(words)
+    Value::Object(fields)
 }
 
 fn arrival(arrival: &Arrival) -> Value {
@@ -114,23 +117,23 @@
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "plans");
     for name in ["small.hcl", "half.hcl", "planned.hcl"] {
         let plan = Plan::parse(name, &example(name)).expect("a plan");
-        golden.case(name, read(&plan));
+        golden.case(name, plan_fields(&plan));
         let mut arrivals = Arrivals::new(&plan);
         let first: Vec<Value> =
-            std::iter::from_fn(|| arrivals.pop_due(u64::MAX)).take(8).map(|one| arrival(&one)).collect();
+            std::iter::from_fn(|| arrivals.pop_due(u64::MAX)).take(8).map(|next| arrival(&next)).collect();
         golden.case(&format!("{name}: first jobs"), first);
     }
     for defect in ["hide_tasks", "ignore_halts"] {
         let text = format!("defect = \"{defect}\"\n{}", example("small.hcl"));
         golden.case(defect, json!(Plan::parse("plan.hcl", &text).expect("a plan").defect));
     }
-    let others = [
+    let other_faults = [
         ("kill_workers", "kind = \"kill_workers\"\n  at_s = 1\n  share = 0.5\n  back_s = 2"),
         ("freeze", "kind = \"freeze\"\n  at_s = 1\n  leader = false\n  for_s = 2"),
         ("cut_zones", "kind = \"cut_zones\"\n  at_s = 1\n  zones = [\"north-a\"]\n  for_s = 2"),
     ];
-    for (name, words) in others {
-        let text = format!("{}\nfault \"other\" {{\n  {words}\n}}\n", example("small.hcl"));
+    for (name, fields) in other_faults {
+        let text = format!("{}\nfault \"other\" {{\n  {fields}\n}}\n", example("small.hcl"));
         let plan = Plan::parse("plan.hcl", &text).expect("a plan");
         golden.case(name, blocks(plan.faults.iter(), fault));
     }
--- a/crates/worker/tests/golden.rs
+++ b/crates/worker/tests/golden.rs
@@ -43,7 +43,7 @@
 }
 
 fn phases() -> Vec<AttemptPhase> {
-    let ended = |cause, kept| AttemptPhase::Ended { cause, checkpoint_kept: kept };
+    let ended = |cause, checkpoint_kept| AttemptPhase::Ended { cause, checkpoint_kept };
     vec![
         AttemptPhase::FetchingImage { until: 9_000 },
         AttemptPhase::WaitingForGang { since: 9_000 },
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn reports() {
+fn heartbeats() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "reports");
     let mut worker = Worker::new(machine(), 1_000);
     golden.case("nothing", worker.heartbeat(1_000).to_string());
-    for (at, phase) in phases().into_iter().enumerate() {
-        let task = format!("job-000412/{at}");
-        worker.attempts = vec![TaskAttempt { task, attempt: 70 + at as u64, phase, has_image: true }];
-        golden.case(&format!("phase {at:02}"), worker.heartbeat(1_000).to_string());
+    for (index, phase) in phases().into_iter().enumerate() {
+        let task = format!("job-000412/{index}");
+        worker.attempts = vec![TaskAttempt { task, attempt: 70 + index as u64, phase, has_image: true }];
+        golden.case(&format!("phase {index:02}"), worker.heartbeat(1_000).to_string());
     }
     worker.termination_at = Some(13_500);
     golden.case("notice", worker.heartbeat(1_000).to_string());
@@ -80,7 +80,7 @@
 
 /// Commands of a controller, one after another, a second apart.
 #[test]
-fn orders() {
+fn direct_commands() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "orders");
     let jobs: JobDescriptions = [("job-000412".to_string(), description())].into_iter().collect();
     let mut worker = Worker::new(machine(), 1_000);
@@ -104,12 +104,12 @@
         ("malformed", json!({"orders": []})),
         ("done", json!({"baton": 32, "shift": epoch, "orders": []})),
     ];
-    for (at, (name, body)) in bodies.into_iter().enumerate() {
-        let now = 2_000 + 1_000 * at as u64;
+    for (index, (name, body)) in bodies.into_iter().enumerate() {
+        let now = 2_000 + 1_000 * index as u64;
         worker.last_answered_heartbeat_sent_at = now;
         worker.advance(now, 60_000, &jobs);
         let (status, reply) = worker.handle_direct_command(body.to_string().as_bytes(), now, &jobs);
-        golden.case(&format!("{at} {name}"), json!({"status": status, "body": reply.to_string()}));
+        golden.case(&format!("{index} {name}"), json!({"status": status, "body": reply.to_string()}));
     }
     golden.check();
 }
