--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -29,26 +29,27 @@
         "submit 900002 tasks=100 run=10",
         "advance 5",
     ];
-    for at in 0..100_000_u64 {
+    for number in 0..100_000_u64 {
         let detail = json!({"team": "core", "class": "work", "tasks": 3, "accepted": 5});
-        cluster
-            .kv_store
-            .put(&format!("olivelatch/end/job-{at:06}"), json!({"end": "done", "at": 7, "detail": detail}));
+        cluster.kv_store.put(
+            &format!("olivelatch/end/job-{number:06}"),
+            json!({"end": "done", "at": 7, "detail": detail}),
+        );
     }
     for line in lines {
         let words: Vec<&str> = line.split_whitespace().collect();
         cluster.run_action(&words).expect(line);
     }
-    let at = cluster.controller_index("leader");
-    let follower = (at + 1) % 3;
-    for (what, at, path) in [
-        ("explain, a job behind its team's limit", at, "jobs/job-900002/explain"),
-        ("explain, a job of 5,200 running tasks", at, "jobs/job-900001/explain"),
-        ("list, 500 of 100,000 ended", at, "jobs?limit=500"),
-        ("list, live ones behind 100,000 ended", at, "jobs?state=live&limit=500"),
+    let leader = cluster.controller_index("leader");
+    let follower = (leader + 1) % 3;
+    for (what, index, path) in [
+        ("explain, a job behind its team's limit", leader, "jobs/job-900002/explain"),
+        ("explain, a job of 5,200 running tasks", leader, "jobs/job-900001/explain"),
+        ("list, 500 of 100,000 ended", leader, "jobs?limit=500"),
+        ("list, live ones behind 100,000 ended", leader, "jobs?state=live&limit=500"),
         ("list, 500 of 100,000 ended, a follower", follower, "jobs?limit=500"),
-        ("inspect, 500 tasks of 5,200", at, "jobs/job-900001?limit=500"),
-        ("explain once more, behind the team's limit", at, "jobs/job-900002/explain"),
+        ("inspect, 500 tasks of 5,200", leader, "jobs/job-900001?limit=500"),
+        ("explain once more, behind the team's limit", leader, "jobs/job-900002/explain"),
     ] {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let mut took = Vec::new();
@@ -56,36 +57,36 @@
         for _ in 0..50 {
             let request = parse_operator_request(path, query).expect("a path").expect("a question");
             cluster.next_request += 1;
-            let call = InboundId(cluster.next_request);
+            let inbound = InboundId(cluster.next_request);
             let clock = cluster.controller_clock(0);
-            let node = cluster.controllers[at].controller.as_mut().expect("a node");
-            node.receive_event(clock, Event::Operator { inbound: call, request });
-            // Its poll and the barrier: what the node does until the answer is there.
+            let controller = cluster.controllers[index].controller.as_mut().expect("a node");
+            controller.receive_event(clock, Event::Operator { inbound, request });
+            // The controller polls the store and passes its read barrier before it responds.
             for _ in 0..20 {
                 cluster.now += STEP_MS;
                 let clock = cluster.controller_clock(0);
-                let Some(node) = cluster.controllers[at].controller.as_mut() else { continue };
-                let outputs = node.step(clock);
+                let Some(controller) = cluster.controllers[index].controller.as_mut() else { continue };
+                let actions = controller.step(clock);
                 let mut answered = false;
-                for output in outputs {
-                    if let Action::CallKv { outbound: ask, request, .. } = output {
-                        let asked = request.to_http_request();
+                for action in actions {
+                    if let Action::CallKv { outbound, request, .. } = action {
+                        let http_request = request.to_http_request();
                         let (status, body) = cluster.kv_store.handle_request(
-                            asked.method,
-                            &asked.path,
-                            &asked.body,
+                            http_request.method,
+                            &http_request.path,
+                            &http_request.body,
                             cluster.now,
                         );
                         let outcome = HttpOutcome::Response { status, body: body.to_string().into_bytes() };
-                        let node = cluster.controllers[at].controller.as_mut().expect("a node");
+                        let controller = cluster.controllers[index].controller.as_mut().expect("a node");
                         let started = std::time::Instant::now();
-                        let out = node.receive_event(clock, Event::Kv { outbound: ask, outcome });
-                        for output in out {
-                            if let Action::Respond { inbound: answered_call, response: answer } = output
-                                && answered_call == call
+                        let follow_ups = controller.receive_event(clock, Event::Kv { outbound, outcome });
+                        for action in follow_ups {
+                            if let Action::Respond { inbound: answered_inbound, response } = action
+                                && answered_inbound == inbound
                             {
                                 took.push(started.elapsed().as_micros() as u64);
-                                bytes = answer.body.len();
+                                bytes = response.body.len();
                                 answered = true;
                             }
                         }
@@ -95,7 +96,7 @@
                     break;
                 }
             }
-            // Workers and the other nodes go on meanwhile.
+            // Lets workers and the other controllers proceed between requests.
             (0..25).for_each(|_| cluster.step());
         }
         took.sort_unstable();
@@ -113,7 +114,7 @@
     cluster
 }
 
-/// Jobs with an end.
+/// Jobs with a terminal record.
 fn finished_jobs(cluster: &SimulatedCluster) -> usize {
     cluster.kv_store.keys().filter(|key| key.starts_with("olivelatch/end/")).count()
 }
@@ -125,7 +126,7 @@
     }
 }
 
-const REGION: [&str; 9] = [
+const CLUSTER: [&str; 9] = [
     "graphs most_nodes=100000",
     "settings state rps=500 write_rps=250 txn_ops=64",
     "team core",
@@ -139,11 +140,11 @@
 
 const NODE: &str = "run=1 guess=1 cpus=1 memory=0.1 size=0";
 
-/// What comes after what, by the graph's sort.
-fn shape(sort: &str, nodes: u64) -> Vec<Vec<u64>> {
+/// The upstream nodes of each node, for a graph of a kind.
+fn shape(kind: &str, nodes: u64) -> Vec<Vec<u64>> {
     let mut rng = SmallRng::seed_from_u64(16);
     (0..nodes)
-        .map(|at| match sort {
+        .map(|at| match kind {
             "fan-out" if at > 0 => vec![0],
             "fan-in" if at + 1 == nodes => (0..at).collect(),
             "pipeline" if at > 0 => vec![at - 1],
@@ -176,7 +177,7 @@
     }
 }
 
-/// Nodes on the longest way through a graph.
+/// Nodes on the longest path through a graph.
 fn critical_path_length(shape: &[Vec<u64>]) -> u64 {
     let mut layers = vec![1; shape.len()];
     for (at, after) in shape.iter().enumerate() {
@@ -185,7 +186,7 @@
     layers.into_iter().max().unwrap_or(0)
 }
 
-/// From the last end that a node waited for, as it is stored, to its first task's image.
+/// Milliseconds from the terminal record of a node's last upstream node to the start of its first task's image fetch.
 fn start_delays(cluster: &SimulatedCluster, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
     let name = |at: u64| format!("job-{:06}", first + at);
     let ended = |at: u64| {
@@ -219,12 +220,12 @@
     );
 }
 
-/// 10,000 plain jobs, then 10,000 nodes of graphs of four sorts, on the same 40 machines.
+/// 10,000 plain jobs, then 10,000 nodes of graphs of four kinds, on the same 40 machines.
 #[test]
 #[ignore = "a measurement"]
 fn nodes_and_plain_jobs_at_size() {
     const NODES: u64 = 10_000;
-    let mut plain = start_cluster(&REGION);
+    let mut plain = start_cluster(&CLUSTER);
     let (began, before) = (plain.now, (plain.kv_mutations, plain.event_cpu_time.total));
     for at in 0..NODES {
         run_lines(&mut plain, &[&format!("submit {} {NODE}", 1 + at)]);
@@ -238,18 +239,18 @@
     }
     print_result(&plain, "plain jobs", NODES, began, before);
     // A pipeline is as slow as its one way; with 2,000 nodes there is room for all that are ready at once.
-    for (sort, nodes) in
+    for (kind, nodes) in
         [("fan-out", NODES), ("fan-in", NODES), ("random", NODES), ("random", 2_000), ("pipeline", 1_000)]
     {
-        let shape = shape(sort, nodes);
-        let mut cluster = start_cluster(&REGION);
+        let shape = shape(kind, nodes);
+        let mut cluster = start_cluster(&CLUSTER);
         draft_graph(&mut cluster, "r", 1, &shape);
         let (began, before) = (cluster.now, (cluster.kv_mutations, cluster.event_cpu_time.total));
         run_lines(&mut cluster, &["commit r g"]);
         while finished_jobs(&cluster) < nodes as usize {
             cluster.step();
         }
-        print_result(&cluster, sort, nodes, began, before);
+        print_result(&cluster, kind, nodes, began, before);
         println!("  {} layers", critical_path_length(&shape));
         let delays = start_delays(&cluster, 1, &shape);
         if let (Some(middle), Some(late)) =
@@ -264,7 +265,7 @@
 #[test]
 #[ignore = "a measurement"]
 fn takeover_with_fifty_graphs() {
-    let mut cluster = start_cluster(&REGION);
+    let mut cluster = start_cluster(&CLUSTER);
     let shape = shape("random", 1_000);
     for run in 0..50u64 {
         draft_graph(&mut cluster, &format!("r{run}"), 1 + run * 1_000, &shape);
