--- a/crates/scale-test/src/processes.rs
+++ b/crates/scale-test/src/processes.rs
@@ -94,7 +94,7 @@
     /// What it uses; none if it does not run.
     pub fn sample(&self) -> Option<ResourceSample> {
         let child = self.child.as_ref()?;
-        sample(Process::new(child.id() as i32).ok()?)
+        sample(&Process::new(child.id() as i32).ok()?)
     }
 
     /// Whether it has ended by itself.
@@ -142,7 +142,7 @@
     }
 }
 
-fn sample(process: Process) -> Option<ResourceSample> {
+fn sample(process: &Process) -> Option<ResourceSample> {
     let stat = process.stat().ok()?;
     Some(ResourceSample {
         cpu_time_s: (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64,
@@ -153,7 +153,7 @@
 
 /// What the run's own process uses.
 pub fn sample_self() -> ResourceSample {
-    Process::myself().ok().and_then(sample).unwrap_or_default()
+    Process::myself().ok().as_ref().and_then(sample).unwrap_or_default()
 }
 
 /// The machine's memory.
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -179,6 +179,7 @@
 }
 
 impl User {
+    /// The request that is due; none if the user needs none, or if the workers do not know the job yet.
     fn next_request(
         &mut self,
         index: usize,
@@ -189,12 +190,7 @@
     ) -> Option<UserRequestToSend> {
         self.first_request = self.stage == UserStage::Describing;
         if self.first_request {
-            let is_described = self
-                .required_commands
-                .iter()
-                .zip(described)
-                .all(|(required, acknowledged)| acknowledged >= required);
-            if !is_described {
+            if !self.is_described(described) {
                 return None;
             }
             self.stage = UserStage::Submitting;
@@ -205,21 +201,31 @@
             self.stage = UserStage::Cancelling;
         }
         self.next_request = None;
+        let (method, path, body, timeout_ms) = self.request_of_stage()?;
+        Some(UserRequestToSend { user: index, controller, method, path, body, deadline_ms: now + timeout_ms })
+    }
+
+    fn is_described(&self, acknowledged_commands: &[u64]) -> bool {
+        let mut zones = self.required_commands.iter().zip(acknowledged_commands);
+        zones.all(|(required, acknowledged)| acknowledged >= required)
+    }
+
+    /// Method, path, body and timeout in milliseconds.
+    fn request_of_stage(&self) -> Option<(&'static str, String, Vec<u8>, u64)> {
         let job = &self.arrival.job;
-        let (method, path, body, timeout_ms) = match self.stage {
-            UserStage::Submitting => (
-                "POST",
-                "/work".to_string(),
-                self.arrival.submission.to_string().into_bytes(),
-                SUBMIT_TIMEOUT_MS,
-            ),
-            UserStage::Cancelling => ("POST", format!("/work/{job}/abort"), Vec::new(), SUBMIT_TIMEOUT_MS),
+        match self.stage {
+            UserStage::Submitting => {
+                let body = self.arrival.submission.to_string().into_bytes();
+                Some(("POST", "/work".into(), body, SUBMIT_TIMEOUT_MS))
+            }
+            UserStage::Cancelling => {
+                Some(("POST", format!("/work/{job}/abort"), Vec::new(), SUBMIT_TIMEOUT_MS))
+            }
             UserStage::Polling | UserStage::FinalPoll => {
-                ("GET", format!("/work/{job}"), Vec::new(), POLL_TIMEOUT_MS)
+                Some(("GET", format!("/work/{job}"), Vec::new(), POLL_TIMEOUT_MS))
             }
-            UserStage::Describing | UserStage::Finished | UserStage::Confirmed => return None,
-        };
-        Some(UserRequestToSend { user: index, controller, method, path, body, deadline_ms: now + timeout_ms })
+            UserStage::Describing | UserStage::Finished | UserStage::Confirmed => None,
+        }
     }
 
     fn accept(&mut self, now: u64) -> UserOutcome {
