--- a/src/coordination/leader/binding.rs
+++ b/src/coordination/leader/binding.rs
@@ -1,23 +1,25 @@
-//! A task that may be on a machine, from the decision to start it until it has certainly left.
+//! Bindings of tasks to machines. A binding lasts from the decision to start the task until the task is
+//! guaranteed to have left the machine.
 
 use super::records::assignment_log::SegmentId;
 use crate::ids::{Attempt, JobIx, Millis, PoolIx, Resources, TaskId, TeamIx};
 use crate::protocol::workers::TaskPhase;
 
-/// How far the start of a task has come.
+/// Progress of starting a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchState {
-    /// Decided, and not yet recorded durably: must not be sent.
+    /// Decided, but not yet recorded durably: the start command must not be sent.
     Planned,
-    /// Recorded and not sent, or certainly not carried out.
+    /// Recorded durably, and the start command is to be sent: it has not been sent, or was lost or refused,
+    /// or its outcome is unknown.
     Recorded,
-    /// Sent with the response to the heartbeat of this sequence number.
+    /// Sent in the response to the heartbeat with this sequence number.
     SentInResponse { sequence: u64 },
-    /// Sent as a direct command; the outcome is open.
+    /// Sent in a direct message whose outcome is not known yet.
     SentDirect,
-    /// The agent has reported the task.
+    /// The agent has reported the task or has acknowledged its start command.
     Observed,
-    /// From the records of an earlier leader: may be on the machine or not.
+    /// Recovered from the records of an earlier leader: the task may or may not be on the machine.
     Inherited,
 }
 
@@ -25,27 +27,28 @@
 #[derive(Debug, Clone)]
 pub struct Binding {
     pub task: TaskId,
-    /// None once the job has finished or been cancelled.
+    /// `None` once the job has finished or been cancelled, and for an orphan task.
     pub job: Option<JobIx>,
     pub attempt: Attempt,
     pub need: Resources,
     pub team: Option<TeamIx>,
     pub pool: Option<PoolIx>,
-    /// Best-effort tasks may use only a part of the cluster.
+    /// The task is a best-effort task. Together, these may use only part of the cluster.
     pub best_effort: bool,
-    /// It exceeded its DAG node's time limit before it was ordered to stop.
+    /// It is being stopped because it, or another task of its gang, exceeded the time limit of its DAG node.
     pub timed_out: bool,
     pub dispatch: DispatchState,
     /// The log segment that records the binding.
     pub log_segment: Option<SegmentId>,
     pub reported_state: Option<TaskPhase>,
-    /// A direct start without a response may still arrive.
+    /// A direct start command with an unknown outcome may still reach the agent.
     pub late_start_possible: bool,
     pub fetching_since: Option<Millis>,
     pub running_since: Option<Millis>,
-    /// It is to be stopped, with this grace period in milliseconds.
+    /// Grace period, in milliseconds, with which the task is to be stopped. `None` if it is not to be
+    /// stopped.
     pub stop_grace_ms: Option<u64>,
     pub stop_sent_at: Option<Millis>,
-    /// For a cancelled job: from then on the lease of its machine must not be renewed.
+    /// For a task of a cancelled job: the time from which the lease of its machine must not be renewed.
     pub lease_renewal_cutoff: Option<Millis>,
 }
--- a/src/coordination/leader/cluster.rs
+++ b/src/coordination/leader/cluster.rs
@@ -1,4 +1,4 @@
-//! The machines the leader knows, their types, and the indices over them.
+//! The machines that the leader tracks, their types, and the indices over them.
 //!
 //! Owns every [`Machine`]; a machine is registered once and keeps its index until the term ends.
 
@@ -12,7 +12,7 @@
 use crate::ids::{ImageIx, MachineIx, MachineTypeIx, Resources, ZoneIx, to_milli_floor};
 use crate::protocol::cloud::MachineTypeRecord;
 
-/// A machine type of the cloud's catalog, with what has been measured of it.
+/// A machine type of the cloud's catalog, with its measured image fetch rate.
 #[derive(Debug, Clone)]
 pub struct MachineType {
     pub name: String,
@@ -25,22 +25,24 @@
     pub zones: Vec<ZoneIx>,
 }
 
-/// All machines of the cluster as the leader knows them.
+/// The leader's state of all machines of the cluster.
 #[derive(Debug, Default)]
 pub struct ClusterState {
     pub(in crate::coordination) machines: Vec<Machine>,
     pub(super) machines_by_name: HashMap<String, MachineIx>,
     pub(super) machine_types: BTreeMap<MachineTypeIx, MachineType>,
-    /// Which machines placement has to examine.
+    /// The machines that placement has to examine.
     pub(super) placement_index: PlacementIndex,
-    /// Machines that should have an image in their cache.
+    /// For each image, the machines that should have it in their cache.
     pub(super) image_holders: HashMap<ImageIx, BTreeSet<MachineIx>>,
-    /// Machines that have to be sent a direct command, so that they learn who leads without waiting for their heartbeat.
+    /// Machines to be sent a direct message, which announces the leader or carries commands that should not wait for
+    /// the next heartbeat.
     pub(super) pending_announcements: BTreeSet<MachineIx>,
 }
 
 impl MachineType {
-    /// `fetch_mb_per_s`: the measured image fetch rate, or the first estimate of it.
+    /// Creates the type from its catalog entry. `fetch_mb_per_s` is the measured image fetch rate, or an estimate while
+    /// nothing has been measured.
     fn from_catalog(entry: &MachineTypeRecord, zones: Vec<ZoneIx>, fetch_mb_per_s: f64) -> MachineType {
         MachineType {
             name: entry.name.clone(),
@@ -60,7 +62,8 @@
 }
 
 impl Leader {
-    /// Takes in the machine types on record. A measured fetch rate outlives a new catalog.
+    /// Loads the machine types from the cache. A measured fetch rate is kept when the catalog entry of the type
+    /// changes.
     pub fn load_machine_types(&mut self, cache: &mut StoreCache) {
         for entry in cache.machine_types.values() {
             let ix = cache.names.machine_types.intern(&entry.name);
@@ -78,7 +81,7 @@
         self.cluster.placement_index.recheck_backlog = true;
     }
 
-    /// The index of a machine of this name; an unknown one is registered as booting.
+    /// Returns the index of the machine with this name. If it is unknown, registers it as booting.
     pub fn register_machine(&mut self, identity: MachineIdentity<'_>, clock: Clock) -> MachineIx {
         if let Some(ix) = self.cluster.machines_by_name.get(identity.name) {
             return *ix;
--- a/src/coordination/leader/machine.rs
+++ b/src/coordination/leader/machine.rs
@@ -1,6 +1,6 @@
-//! A machine as the leader knows it.
+//! The leader's state of one machine.
 //!
-//! Heartbeats, the cloud's list and the records say what it is; placement decides what it gets.
+//! Heartbeats, the cloud's machine list and the records determine this state; placement assigns tasks based on it.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -10,55 +10,60 @@
 use super::records::assignment_log::SegmentId;
 use crate::ids::{AgentEpoch, Attempt, ImageIx, JobId, MachineTypeIx, Millis, Resources, TaskId, ZoneIx};
 
-/// Task starts in a row that a machine must not have received before its receive path counts as down. One may be a lost
-/// packet, or a pause of this controller.
+/// Consecutive messages with task starts that must be unacknowledged before a machine's receive path counts as down. A
+/// single one may be due to a lost packet or a pause of this controller.
 const RECEIVE_PATH_DOWN_STARTS: u32 = 2;
 
-/// Whether a machine runs, as far as the leader can know.
+/// Lifecycle state of a machine, as far as the leader can know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Requested from the cloud; no heartbeat yet.
+    /// Requested from the cloud; no heartbeat has been received yet.
     Booting,
-    /// Its agent sends heartbeats, or its lease may still be valid.
+    /// Its agent sends heartbeats, or the agent's lease may still be valid.
     Up,
-    /// Its agent's lease has expired, so no task is on it. It may come back with a new epoch.
+    /// Its agent's lease has expired, or the cloud lists it as failed: it runs no task. It may come back with a new
+    /// epoch.
     Unreachable,
-    /// Returned or reclaimed: nothing is on it.
+    /// Released by the cloud: it runs no task.
     Gone,
 }
 
-/// A machine with its agent, its queues and the tasks that may be on it.
+/// A machine with the state of its agent, its queues and the tasks that may be on it.
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
-    /// Where its agent listens, `ip:port`.
+    /// Address at which its agent listens, `ip:port`. Empty if it is not known yet.
     pub endpoint: String,
     pub machine_type: MachineTypeIx,
     pub zone: ZoneIx,
     pub spot: bool,
     pub state: MachineState,
-    /// The cloud lists it as running: its agent may only not have found this leader yet.
+    /// The cloud has listed it as running. Without a heartbeat, its agent may still be looking for this leader.
     pub cloud_running: bool,
-    /// When it was requested from the cloud, as far as known.
+    /// Best estimate of when it was requested from the cloud.
     pub created_at: Millis,
-    /// The newest epoch and, in it, the newest heartbeat sequence number that were seen in any message.
+    /// The latest agent epoch that was seen in any message.
     pub epoch: AgentEpoch,
-    /// When `epoch` was first seen: the lease of that epoch began no later.
+    /// When `epoch` was first seen: the lease of that epoch began no later than this.
     pub epoch_first_seen: Option<Millis>,
+    /// The highest heartbeat sequence number that was seen in `epoch`, in any message.
     pub sequence: u64,
-    /// Epoch and sequence number of the newest heartbeat that came as a request, not in the response to a direct command.
+    /// Epoch and sequence number of the latest heartbeat that arrived as a request, not in the response to a direct
+    /// command.
     pub last_heartbeat_id: (AgentEpoch, u64),
-    /// It has acknowledged the fencing token of this term: it rejects commands of earlier leaders.
+    /// Its agent has acknowledged the fencing token of this term, so it rejects commands of earlier leaders.
     pub token_acknowledged: bool,
-    /// When it first acknowledged the token in the response to a direct command, if that came before a heartbeat.
+    /// When its agent first acknowledged the token, if it did so in the response to a direct command and not in a
+    /// heartbeat.
     pub token_first_acknowledged: Option<Millis>,
-    /// When the last heartbeat that was answered was received.
+    /// Time of the last heartbeat that this leader answered and did not reject.
     pub last_answered_heartbeat_at: Option<Millis>,
-    /// Since when its heartbeats arrive without any sign that it received a response of this term.
+    /// Time of the first heartbeat that did not acknowledge the token of this term. `None` once a heartbeat has
+    /// acknowledged it.
     pub unacknowledged_since: Option<Millis>,
-    /// Task starts in a row that it did not receive.
+    /// Consecutive messages with task starts that it has not received, or is not known to have received.
     pub unacknowledged_starts: u32,
-    /// When the cloud reclaims it, by its notice.
+    /// When the cloud reclaims it, according to the reclaim notice.
     pub reclaim_notice_until: Option<Millis>,
     /// It is being returned to the cloud.
     pub returning: bool,
@@ -66,56 +71,58 @@
     pub return_log_segment: Option<SegmentId>,
     /// Tasks that may be on it.
     pub bindings: Vec<Binding>,
-    /// Sum of the bindings' resources.
+    /// Sum of the resources that `bindings` need.
     pub used: Resources,
     pub capacity: Resources,
     /// Tasks that other machines may steal (DAWS, section 2.2.2).
     pub shared_queue: Queue,
     /// Tasks bound to it by their image or input (DAWS, section 2.2.2).
     pub dedicated_queue: Queue,
-    /// Wait after the next failed steal, in milliseconds; doubles with each (DAWS, section 2.2.1).
+    /// Backoff after the next failed steal, in milliseconds; doubles with each failure (DAWS, section 2.2.1).
     pub steal_backoff_ms: f64,
     pub steal_not_before: Millis,
-    /// Kept free for a gang or a preempting job.
+    /// Reservation for a gang that waits for capacity on this machine.
     pub hold: Option<gangs::Hold>,
-    /// Images it should have, most recently used last, with their size in MB.
+    /// Images that its cache should hold, least recently used first, with their size in MB.
     pub images: Vec<(ImageIx, u64)>,
-    /// A direct command to it is unanswered.
+    /// A direct message to it is in flight.
     pub direct_send_in_flight: bool,
     pub direct_send_not_before: Millis,
-    /// Exited attempts whose direct start may still arrive: they are not removed from the agent in this epoch.
+    /// Attempts whose direct start command may still arrive late. In this epoch the agent is not told to forget them
+    /// once they have exited, so that it does not start them again.
     pub late_starts: HashSet<(TaskId, Attempt)>,
     pub idle_since: Millis,
-    /// Jobs that failed on it since a task last succeeded there.
+    /// Jobs with tasks that failed on it since a task last succeeded on it.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Different jobs failed on it: it gets no tasks and is replaced.
+    /// Several different jobs have failed on it: it gets no tasks and is replaced.
     pub quarantined: bool,
-    /// How its run times compare with those of other machines.
+    /// Comparison of its run times with the mean run times of the same jobs.
     pub run_time_ratios: RunTimeRatios,
-    /// Its runs take far longer than elsewhere: it gets no tasks and is replaced.
+    /// Tasks run much longer on it than on other machines: it gets no tasks and is replaced.
     pub slow: bool,
-    /// Not needed by the capacity plan: takes no queued tasks, so that it runs empty.
+    /// The capacity plan does not need it: it takes no queued tasks, so that it becomes empty.
     pub cordoned: bool,
-    /// Gangs wait for machines of its type: takes no queued tasks.
+    /// Gangs wait for machines of its type: it takes no queued tasks.
     pub reserved: bool,
-    /// Times of the tasks it finished within the last minute.
+    /// Times at which tasks finished on it. Those older than a minute are removed when another task finishes.
     pub recent_finishes: Vec<Millis>,
 }
 
-/// Run times of a machine in proportion to the means of their jobs.
+/// Run times on a machine relative to the mean run times of their jobs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunTimeRatios {
-    /// Finished runs that could be compared.
+    /// Number of finished runs that were compared.
     pub runs: u32,
-    /// Sum of run time over the job's mean run time.
+    /// Sum of the ratios: run time divided by the job's mean run time.
     pub sum: f64,
 }
 
-/// What a heartbeat, the cloud's list or a record says of a machine that may be new.
+/// The properties that identify a machine in a heartbeat, in the cloud's list or in a record. The machine may be new to
+/// the leader.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineIdentity<'a> {
     pub name: &'a str,
-    /// Where its agent listens, `ip:port`.
+    /// Address at which its agent listens, `ip:port`. Empty if it is not known yet.
     pub endpoint: &'a str,
     pub machine_type: MachineTypeIx,
     pub zone: ZoneIx,
@@ -123,7 +130,7 @@
 }
 
 impl Machine {
-    /// A machine of which no heartbeat has been received.
+    /// Creates a booting machine, from which no heartbeat has been received.
     pub fn new(
         identity: MachineIdentity<'_>,
         capacity: Resources,
@@ -174,12 +181,12 @@
         }
     }
 
-    /// Capacity that no binding uses.
+    /// Returns the capacity that no binding uses.
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.used)
     }
 
-    /// Whether it may get more tasks.
+    /// Returns whether placement may assign more tasks to it.
     pub fn is_schedulable(&self) -> bool {
         self.state == MachineState::Up
             && self.token_acknowledged
@@ -190,12 +197,13 @@
             && self.reclaim_notice_until.is_none()
     }
 
-    /// Its heartbeats arrive, but responses and commands do not reach it: it gets no task until one has been received.
+    /// Returns whether its heartbeats arrive while responses and commands do not reach it. It gets no task until it has
+    /// received a message again.
     pub fn receive_path_down(&self) -> bool {
         self.unacknowledged_starts >= RECEIVE_PATH_DOWN_STARTS
     }
 
-    /// Whether its cache should hold the image.
+    /// Returns whether its cache should hold the image.
     pub fn has_image(&self, image: ImageIx) -> bool {
         self.images.iter().any(|(held, _)| *held == image)
     }
--- a/src/coordination/leader/machines/capacity_plan/array_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/array_demand.rs
@@ -1,26 +1,28 @@
-//! Capacity for job arrays: CPU time until the job should complete, on any machines that fit a task.
+//! Capacity for job arrays: CPU time before the job should complete, on any machines that fit one of its
+//! tasks.
 
 use super::CapacityPlan;
 use super::planned_machines::cpu_ms;
 use crate::coordination::leader::machines::provisioner::MIN_BILLED_MS;
 use crate::coordination::leader::{JobState, MachineType};
 
-/// The shortest time planned for, however late a job is.
+/// The minimum planning horizon, even for a job that is late.
 const MIN_HORIZON_MS: u64 = 10_000;
-/// Machines that one plan may request for a single job.
+/// The maximum number of machines that one plan requests for a single job.
 const MAX_ADDED_PER_JOB: u32 = 50;
 
-/// Tasks of an array that are not placed yet.
+/// The demand of an array's waiting tasks that the plan has not met yet.
 struct ArrayDemand<'a> {
     job_state: &'a JobState,
     run_ms: u64,
-    /// Within this time the last task should start.
+    /// The time from now within which the last task should start.
     horizon_ms: u64,
     unplaced_cpu_ms: u64,
 }
 
 impl<'a> ArrayDemand<'a> {
-    /// `start_deadline_fraction`: the share of the time left within which the last task should start.
+    /// Creates the demand of `waiting_tasks`. `start_deadline_fraction` is the fraction of the time left
+    /// within which the last task should finish.
     fn new(
         job_state: &'a JobState,
         waiting_tasks: u64,
@@ -42,16 +44,16 @@
         self.unplaced_cpu_ms == 0
     }
 
-    /// Places as much as possible on what is available, and returns how much that is. Both in CPU
-    /// milliseconds.
+    /// Assigns as much of the demand as `available_cpu_ms` allows, and returns the CPU milliseconds assigned.
     fn assign(&mut self, available_cpu_ms: u64) -> u64 {
         let assigned = self.unplaced_cpu_ms.min(available_cpu_ms);
         self.unplaced_cpu_ms -= assigned;
         assigned
     }
 
-    /// CPU milliseconds of a new machine that are of use. It comes late and is billed for a minimum time:
-    /// unless there is work for that long, present machines are the better choice.
+    /// Returns the CPU milliseconds of a new machine that count as usable. A new machine takes time to boot
+    /// and is billed for a minimum time: unless there is work for that long, present machines are the better
+    /// choice.
     fn usable_cpu_ms(&self, machine_type: &MachineType) -> u64 {
         let billed_ms = self.horizon_ms.max(MIN_BILLED_MS);
         let usable_ms = billed_ms.saturating_sub(machine_type.boot_ms).max(self.run_ms);
@@ -60,7 +62,8 @@
 }
 
 impl CapacityPlan<'_> {
-    /// Assigns waiting tasks of an array to machines, then to requested ones, and requests what is missing.
+    /// Assigns the waiting tasks of an array to machines, then to spare capacity and pending requests, and
+    /// requests the missing machines.
     pub(super) fn assign_array(&mut self, job_state: &JobState, time_left_ms: u64) {
         for (ix, _) in job_state.placements.values().flatten() {
             self.needed_machines.insert(*ix);
--- a/src/coordination/leader/machines/capacity_plan/gang_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/gang_demand.rs
@@ -1,4 +1,4 @@
-//! Capacity for gangs and services: all of their tasks at the same time, in the zones that suit them.
+//! Capacity for gangs and services, which need all of their tasks at the same time, in zones that suit them.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::ids::{JobIx, MachineIx, ZoneIx};
 
 impl CapacityPlan<'_> {
-    /// Assigns a waiting gang to machines, then to pending requests, and requests what is missing.
+    /// Assigns a waiting gang to machines, then to pending requests, and requests the missing machines.
     pub(super) fn assign_gang(&mut self, ix: JobIx, job_state: &JobState) {
         if !self.leader.placement.waiting_gangs.contains(&job_state.rank) {
             return;
@@ -50,7 +50,7 @@
 
     fn request_machines_for_gang(&mut self, job_state: &JobState, demand: &mut ZoneDemand) {
         let leader = self.leader;
-        // A job that fails everywhere is not worth new machines.
+        // No machines are requested for a job that is itself at fault: it would fail on them too.
         while !demand.is_met() && !job_state.is_at_fault() {
             let zone_allowed = |zone: ZoneIx| demand.available(zone) > 0;
             let Some(offer) = leader.cheapest_offer(job_state, self.clock, zone_allowed) else { return };
@@ -61,8 +61,9 @@
         }
     }
 
-    /// The zone for a job that must be in a single one: the one with most capacity for it among those that
-    /// have or can get enough.
+    /// Returns the zone for a job that must be in a single zone: of the zones that have or can get enough
+    /// capacity, the one with most present capacity for the job. If there is none, returns the zone of the
+    /// cheapest offer.
     fn choose_zone(&self, ix: JobIx, job_state: &JobState) -> Option<ZoneIx> {
         let mut slots_by_zone: BTreeMap<ZoneIx, u64> = BTreeMap::new();
         for planned in &self.planned_machines {
@@ -85,7 +86,8 @@
 }
 
 impl Leader {
-    /// Tasks of a gang for which a machine has capacity, counting what is held for this gang.
+    /// Returns the number of tasks of a gang for which a machine has capacity. A machine that is held for
+    /// this gang counts with its whole capacity.
     fn gang_capacity(&self, job: JobIx, job_state: &JobState, ix: MachineIx) -> u64 {
         if job_state.failed_on.contains(&ix) {
             return 0;
--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -1,9 +1,9 @@
 //! The capacity plan: which machines the jobs need to complete in time, and how many have to be requested.
 //!
-//! Jobs are assigned to machines in the order of their objectives, the cheapest machines first. What does not
-//! fit is requested from the cloud. Machines to which nothing was assigned are cordoned: they take no queued
-//! tasks, so that they become empty and can be returned. A plan is computed from scratch each time and
-//! changes nothing until it is complete.
+//! Jobs are assigned to machines in the order of their urgency and objectives, to the cheapest machines
+//! first. For tasks that do not fit, machines are requested from the cloud. Machines to which nothing was
+//! assigned are cordoned: they take no queued tasks, so that they become empty and can be returned. A plan is
+//! computed from scratch each time and changes nothing until it is complete.
 
 mod array_demand;
 mod deadlines;
@@ -22,22 +22,22 @@
 use crate::protocol::cloud::MAX_SCALE_OUT_COUNT;
 use planned_machines::PlannedMachine;
 
-/// A plan in progress.
+/// A capacity plan while it is being computed.
 struct CapacityPlan<'a> {
     leader: &'a Leader,
     clock: Clock,
     planned_machines: Vec<PlannedMachine>,
     needed_machines: MachineSet,
     gang_machines: MachineSet,
-    /// Pending requests that no job of the plan uses yet.
+    /// Machines of pending requests that no job of the plan uses yet.
     pending: BTreeMap<InstanceOffer, u32>,
-    /// CPU milliseconds on machines wanted so far that no job uses yet.
+    /// CPU milliseconds that no job uses yet on the machines that the plan wants to request.
     spare_capacity: BTreeMap<InstanceOffer, u64>,
-    /// Machines to request of each offer, pending requests included.
+    /// The number of machines that the plan wants of each offer, including those of pending requests.
     wanted_offers: BTreeMap<InstanceOffer, u32>,
 }
 
-/// A job in the order of planning.
+/// A job with the properties that determine its place in the planning order.
 struct PlannedJob<'a> {
     ix: JobIx,
     state: &'a JobState,
@@ -46,7 +46,7 @@
 }
 
 impl Leader {
-    /// Plans capacity: requests missing machines, and cordons those that are not needed.
+    /// Plans capacity: requests missing machines and cordons machines that are not needed.
     pub(super) fn plan_capacity(&mut self, clock: Clock, cache: &StoreCache) {
         self.remove_settled_requests(clock);
         if self.cluster.machine_types.is_empty() {
@@ -61,7 +61,7 @@
         self.request_wanted_machines(wanted_offers, cache);
     }
 
-    /// Refreshes what depends on the load and on time: the plan is based on it.
+    /// Updates the measures against overload, which depend on load and time. The plan is based on them.
     fn update_overload_measures(&mut self, clock: Clock) {
         self.update_guaranteed_jobs();
         self.update_past_slo_jobs(clock);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Gangs first, then by urgency and the time left.
+    /// Assigns all jobs: gangs and services first, then arrays, each ordered by urgency and the time left.
     fn assign_jobs(&mut self) {
         let leader = self.leader;
         let mut jobs: Vec<PlannedJob<'_>> = leader
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Counts machines of pending requests as wanted, as long as `try_use` has a use for one more.
+    /// Counts machines of pending requests that suit the job as wanted, as long as `try_use` accepts one
+    /// more.
     fn use_pending_requests(
         &mut self,
         job_state: &JobState,
--- a/src/coordination/leader/machines/capacity_plan/planned_machines.rs
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -1,35 +1,35 @@
-//! The machines a capacity plan may use, and the CPU time on them that is already reserved.
+//! The machines that a capacity plan may use, and the CPU time on them that is already reserved.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, Leader, Machine, MachineState};
 use crate::ids::MachineIx;
 
-/// A booting machine counts as usable no sooner than this.
+/// A booting machine is expected to be available no sooner than in this time.
 const MIN_BOOT_WAIT_MS: u64 = 5_000;
-/// A running task counts as running at least this much longer.
+/// A running task is expected to run at least this much longer.
 const MIN_REMAINING_RUN_MS: u64 = 1_000;
 
 /// CPUs are counted in thousandths.
 const MILLI_PER_CPU: u64 = 1_000;
 
-/// CPU milliseconds of `cpu` thousandths of a CPU in use for `ms` milliseconds.
+/// Returns the CPU milliseconds that `cpu` thousandths of a CPU provide in `ms` milliseconds.
 pub(super) fn cpu_ms(cpu: u64, ms: u64) -> u64 {
     cpu * ms / MILLI_PER_CPU
 }
 
-/// A machine of the plan.
+/// A machine that the plan may use.
 pub(super) struct PlannedMachine {
     pub(super) ix: MachineIx,
     price: f64,
-    /// In thousandths.
+    /// Capacity in thousandths of a CPU.
     cpu: u64,
     available_in_ms: u64,
-    /// CPU milliseconds that running tasks and jobs planned so far use.
+    /// CPU milliseconds that running tasks and the jobs assigned so far are expected to use.
     pub(super) reserved_cpu_ms: u64,
 }
 
 impl PlannedMachine {
-    /// CPU milliseconds that are free until the horizon, counted from now.
+    /// Returns the CPU milliseconds that are free within the next `horizon_ms`.
     pub(super) fn free_cpu_ms(&self, horizon_ms: u64) -> u64 {
         let usable_ms = horizon_ms.saturating_sub(self.available_in_ms);
         cpu_ms(self.cpu, usable_ms).saturating_sub(self.reserved_cpu_ms)
@@ -37,7 +37,7 @@
 }
 
 impl Leader {
-    /// Machines that are up or booting, the cheapest first.
+    /// Returns the machines that are up or booting and that a plan may use, the cheapest per CPU first.
     pub(super) fn planned_machines(&self, clock: Clock) -> Vec<PlannedMachine> {
         let machines = self.cluster.machine_indices().zip(&self.cluster.machines);
         let mut planned: Vec<PlannedMachine> =
@@ -67,7 +67,7 @@
         })
     }
 
-    /// CPU milliseconds that a task is expected to need still.
+    /// Returns the CPU milliseconds that a task is expected to need until it finishes.
     pub(in crate::coordination::leader) fn remaining_cpu_ms(&self, binding: &Binding, clock: Clock) -> u64 {
         let Some(job_state) = binding.job.and_then(|job| self.workload.jobs.get(&job)) else { return 0 };
         let ran_ms = binding.running_since.map_or(0, |since| clock.now.saturating_since(since));
--- a/src/coordination/leader/machines/capacity_plan/zone_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/zone_demand.rs
@@ -1,15 +1,15 @@
-//! Tasks of a gang or service that still need a machine, and the zones in which they may be placed.
+//! The tasks of a gang or service that need a machine, and the zones in which they may be placed.
 
 use std::collections::HashMap;
 
 use crate::coordination::leader::JobState;
 use crate::ids::ZoneIx;
 
-/// Demand of one job, by zone.
+/// The demand of one job, with its constraints on zones.
 pub(super) struct ZoneDemand {
     unplaced: u64,
     required_zone: Option<ZoneIx>,
-    /// Most tasks in one zone, if the job has to be spread.
+    /// The maximum number of tasks in one zone. Limits only jobs that have to be spread.
     max_per_zone: u64,
     placed_by_zone: HashMap<ZoneIx, u64>,
 }
@@ -31,17 +31,17 @@
         self.unplaced == 0
     }
 
-    /// Whether the job must be in one zone that none of its tasks determines yet.
+    /// Returns whether the job must be in a single zone and has no placed task that determines the zone.
     pub(super) fn needs_zone(&self, job_state: &JobState) -> bool {
         job_state.spec.single_zone && self.required_zone.is_none()
     }
 
-    /// Restricts the job to a zone; `None`: to no single one.
+    /// Restricts the job to a zone. `None` lifts the restriction.
     pub(super) fn require_zone(&mut self, zone: Option<ZoneIx>) {
         self.required_zone = zone;
     }
 
-    /// Tasks that may still be placed in the zone.
+    /// Returns the number of tasks that may still be placed in the zone.
     pub(super) fn available(&self, zone: ZoneIx) -> u64 {
         if self.required_zone.is_some_and(|required| required != zone) {
             return 0;
@@ -51,7 +51,7 @@
             .min(self.unplaced)
     }
 
-    /// Places as many tasks as may be placed on `slots` in the zone, and returns their number.
+    /// Assigns as many tasks as possible to `slots` in the zone, and returns their number.
     pub(super) fn assign(&mut self, zone: ZoneIx, slots: u64) -> u64 {
         let assigned = slots.min(self.available(zone));
         *self.placed_by_zone.entry(zone).or_default() += assigned;
@@ -60,7 +60,8 @@
     }
 }
 
-/// The zone with most of a job's tasks: after a failover, records of other zones may be stale.
+/// Returns the zone with most of a job's tasks. After a failover, the records of tasks in other zones may be
+/// stale.
 fn zone_with_most_tasks(tasks_per_zone: &HashMap<ZoneIx, u32>) -> Option<ZoneIx> {
     tasks_per_zone.iter().max_by_key(|(zone, count)| (**count, **zone)).map(|(zone, _)| *zone)
 }
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -1,8 +1,8 @@
-//! Commands to workers: in the response to a heartbeat, or in a direct message.
+//! Commands to workers, sent in the response to a heartbeat or in a direct message.
 //!
-//! Decides which commands are due, which workers are sent a direct message, and what follows from its
-//! outcome. A run command is sent only when the binding is recorded, and at most one direct message to a
-//! machine is in flight.
+//! Decides which commands are due and which workers are sent a direct message, and handles its outcome. A run
+//! command is sent only once the binding is recorded durably, and at most one direct message to a machine is
+//! in flight.
 
 use olivelatch_admission::pressure::PressureLevel;
 
@@ -11,54 +11,53 @@
 use crate::ids::{AgentEpoch, Attempt, MachineIx, Millis, TaskId};
 use crate::protocol::workers::{TaskPhase, WorkerCommand};
 
-/// A stop command is sent again after this while the worker still shows the task.
+/// A stop command is sent again after this time while the worker still reports the task.
 const STOP_RESEND_MS: u64 = 1_500;
-/// After a direct message failed, none is sent to the machine for this long: its next heartbeat is answered
-/// instead.
+/// After a direct message to a machine has failed, no other is sent to it for this long. Meanwhile commands
+/// are sent in the responses to its heartbeats.
 const DIRECT_BACKOFF_MS: u64 = 3_000;
-/// Machines to which the leader is announced in one step.
+/// The maximum number of machines to which the leader is announced in one step.
 const MAX_ANNOUNCEMENTS: u64 = 16;
-/// The same while the leader is behind its events.
+/// The same limit while the leader is behind with handling its events.
 const MAX_ANNOUNCEMENTS_UNDER_PRESSURE: u64 = 1;
-/// Most commands in one message.
+/// The maximum number of commands in one message.
 const MAX_COMMANDS: usize = 400;
 
 /// A direct message to a worker.
 #[derive(Debug)]
 pub struct DirectMessage {
-    /// The machine of the worker.
     pub machine: MachineIx,
-    /// The epoch the message is meant for; 0 if it is not known yet.
+    /// The agent epoch for which the message is meant; 0 if it is not known yet.
     pub epoch: AgentEpoch,
     /// The tasks that the commands start.
     pub task_starts: Vec<(TaskId, Attempt)>,
-    /// None if the message only announces the leader.
+    /// Empty if the message only announces the leader.
     pub commands: Vec<WorkerCommand>,
 }
 
-/// What became of a direct message.
+/// The outcome of a direct message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectOutcome {
     /// The commands were executed.
     Executed,
-    /// Nothing was executed and nothing will be.
+    /// No command was executed, and none will be.
     Refused,
-    /// The commands may have been executed, or may be minutes later.
+    /// The commands may have been executed, or may still be executed minutes later.
     Unknown,
 }
 
-/// What a direct message to a machine would be for.
+/// The purpose of a direct message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DirectPurpose {
-    /// To make the fencing token known to a worker that has not acknowledged it, or whose receive path is
-    /// down.
+    /// Sends the fencing token to a worker that has not acknowledged it, or whose receive path is down.
     Announcement,
     Commands,
 }
 
 impl Leader {
-    /// Takes the commands that are due for a machine. `sequence`: that of the heartbeat to which they
-    /// respond, none for a direct message. `may_start`: this controller may have tasks started now.
+    /// Returns the commands that are due for a machine, and marks them as sent. `sequence` is the sequence
+    /// number of the heartbeat to which they respond, or `None` for a direct message. `may_start` tells
+    /// whether this controller may start tasks now.
     pub(super) fn take_due_commands(
         &mut self,
         ix: MachineIx,
@@ -84,7 +83,7 @@
         due.take(MAX_COMMANDS).collect()
     }
 
-    /// Takes the direct messages that are due.
+    /// Returns the direct messages that are due, and marks them as in flight.
     pub(in crate::coordination) fn take_direct_messages(
         &mut self,
         clock: Clock,
@@ -98,8 +97,8 @@
         for ix in std::mem::take(&mut self.cluster.pending_announcements) {
             let Some(purpose) = self.direct_purpose(ix, clock.now) else { continue };
             if purpose == DirectPurpose::Announcement {
-                // All at once they would delay renewals and heartbeats; a machine that sends a heartbeat
-                // first needs none.
+                // Sent all at once, announcements would delay lease renewals and heartbeats. A machine whose
+                // heartbeat arrives first needs no announcement.
                 if announcements >= max_announcements {
                     self.cluster.pending_announcements.insert(ix);
                     continue;
@@ -119,8 +118,9 @@
         messages
     }
 
-    /// Whether a direct message should be sent to the machine now, and what for. A machine whose receive path
-    /// is down stays pending, so that the leader learns when it receives again.
+    /// Returns the purpose of a direct message to the machine, or `None` if none should be sent now. A
+    /// machine whose receive path is down stays pending, so that the leader learns when the machine receives
+    /// again.
     fn direct_purpose(&mut self, ix: MachineIx, now: Millis) -> Option<DirectPurpose> {
         let machine = &self.cluster.machines[ix.index()];
         if machine.state != MachineState::Up {
@@ -137,8 +137,8 @@
             let reachable = machine.epoch.0 != 0 || !machine.endpoint.is_empty();
             return reachable.then_some(DirectPurpose::Announcement);
         }
-        // Under pressure only stops are sent directly: starts go with the next heartbeat response, which
-        // costs no connection.
+        // Under pressure, commands are sent directly only to machines with tasks to stop. Starts elsewhere
+        // wait for the next heartbeat response, which needs no additional connection.
         let has_stops = machine.bindings.iter().any(|binding| binding.stop_grace_ms.is_some());
         let postponed = self.pressure > PressureLevel::Calm && !has_stops;
         (!postponed).then_some(DirectPurpose::Commands)
@@ -157,7 +157,7 @@
         DirectMessage { machine: ix, epoch: machine.epoch, task_starts, commands }
     }
 
-    /// Takes in the outcome of a direct message.
+    /// Handles the outcome of a direct message.
     pub(in crate::coordination) fn handle_direct_outcome(
         &mut self,
         message: &DirectMessage,
@@ -168,13 +168,13 @@
         let machine = &mut self.cluster.machines[ix.index()];
         machine.direct_send_in_flight = false;
         if outcome == DirectOutcome::Refused && machine.epoch > message.epoch {
-            // A worker ignores a token that comes with another epoch than its own. The epoch is
-            // in no record; it came with the refusal, so the message is sent again.
+            // A worker ignores a token that comes with an epoch other than its own. The records do not hold
+            // the epoch, but the refusal carried it, so the message can be sent again at once.
             self.cluster.pending_announcements.insert(ix);
         } else if outcome != DirectOutcome::Executed {
             machine.direct_send_not_before = clock.now.saturating_add(DIRECT_BACKOFF_MS);
         }
-        settle_direct_starts(machine, message, outcome);
+        update_direct_starts(machine, message, outcome);
         match outcome {
             DirectOutcome::Executed => self.refresh_placement_index(ix),
             DirectOutcome::Refused | DirectOutcome::Unknown if machine.receive_path_down() => {
@@ -190,7 +190,8 @@
     }
 }
 
-/// The stop command of a binding, if it is due. While the task saves a checkpoint it is not sent again.
+/// Returns the stop command of a binding if it is due. It is not sent again while the task saves a checkpoint
+/// within a grace period.
 fn take_due_stop(binding: &mut Binding, now: Millis) -> Option<WorkerCommand> {
     let grace_ms = binding.stop_grace_ms?;
     let is_due = binding.stop_sent_at.is_none_or(|sent_at| now.saturating_since(sent_at) >= STOP_RESEND_MS);
@@ -202,8 +203,8 @@
     Some(WorkerCommand::Stop { task: binding.task, attempt: binding.attempt, grace_ms })
 }
 
-/// Updates the bindings that the message was to start.
-fn settle_direct_starts(machine: &mut Machine, message: &DirectMessage, outcome: DirectOutcome) {
+/// Updates the bindings whose start commands the message carried.
+fn update_direct_starts(machine: &mut Machine, message: &DirectMessage, outcome: DirectOutcome) {
     if outcome == DirectOutcome::Executed {
         machine.unacknowledged_starts = 0;
     }
@@ -214,14 +215,15 @@
     for binding in machine.bindings.iter_mut().filter(is_started) {
         binding.dispatch = match outcome {
             DirectOutcome::Executed => DispatchState::Observed,
-            // After an unknown outcome, the next heartbeat response repeats the command and settles it. Until
-            // then the task stays bound to this machine and epoch.
+            // After an unknown outcome, the command is repeated in the next heartbeat response, which
+            // resolves it. Until then the task stays bound to this machine and epoch.
             DirectOutcome::Refused | DirectOutcome::Unknown => DispatchState::Recorded,
         };
         binding.late_start_possible |= outcome == DirectOutcome::Unknown;
     }
     if outcome == DirectOutcome::Unknown {
-        // Tasks that have exited meanwhile too: a delayed copy of the command must find them on the worker.
+        // This includes tasks that have exited in the meantime: the worker must still have them when a
+        // delayed copy of the command arrives, or it would start them again.
         machine.late_starts.extend(message.task_starts.iter().copied());
     }
 }
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -1,12 +1,12 @@
-//! Failed tasks: is the machine or the job at fault?
+//! Decides for failed tasks whether the machine or the job is at fault.
 //!
 //! A machine is quarantined when tasks of different jobs fail on it with no success in between. A job is at
 //! fault when it has failed on several machines and has never succeeded. It is then **on probation**: one
-//! task at a time is attempted, after growing delays, and nothing else of it is queued, planned for or
-//! counted in priorities until a task succeeds. Without probation one faulty array started its tasks 2,563
-//! times, and the whole cluster was provisioned for them (docs/incidents/broken-jobs.md).
+//! task at a time is attempted, after growing delays, and none of its other tasks are queued, planned for or
+//! counted in priorities until a task succeeds. Without probation, the tasks of one faulty array were started
+//! 2,563 times, and the whole cluster was provisioned for them (docs/incidents/broken-jobs.md).
 //!
-//! All of this is evidence, not record: a new leader begins without it.
+//! This state is not recorded: a new leader starts without it.
 
 use std::collections::HashSet;
 
@@ -18,35 +18,37 @@
 
 /// A machine is quarantined after this many different jobs have failed on it.
 const QUARANTINE_FAILED_JOBS: usize = 2;
-/// The same if none of these jobs has succeeded anywhere yet: faulty jobs fail on good machines too.
+/// The same threshold if none of these jobs has succeeded on any machine yet: faulty jobs also fail on
+/// machines that work.
 const QUARANTINE_UNPROVEN_JOBS: usize = 3;
 /// A job that has failed on this many machines is at fault itself.
 const JOB_FAULT_MACHINES: usize = 3;
-/// The same for gangs: they succeed only as a whole.
+/// The same threshold for gangs and services, which succeed only as a whole.
 const GANG_FAULT_MACHINES: usize = 2 * JOB_FAULT_MACHINES;
-/// Delay before a task that failed is attempted again, in milliseconds.
+/// Delay before a failed task is attempted again, before the job's backoff factor.
 pub(super) const ERROR_RETRY_DELAY_MS: u64 = 1_000;
-/// Repeated failures double the delay at most this often.
+/// Repeated failures double the delay at most this many times.
 const MAX_BACKOFF_DOUBLINGS: usize = 5;
 
 impl JobState {
-    /// The number of machines on which the job failed, counting those twice on which it failed again after an
-    /// exclusion.
+    /// Returns the number of machines on which the job has failed. A machine counts again if the job fails on
+    /// it after its exclusion was lifted.
     fn failure_count(&self) -> usize {
         self.failed_on.len() + self.retried_exclusions
     }
 
-    /// How many times the usual delay passes before the next attempt, as the job's failures add up.
+    /// Returns the factor by which the delay before the next attempt is multiplied. From `JOB_FAULT_MACHINES`
+    /// failures on, it doubles with each failure, up to a limit.
     pub(super) fn failure_backoff_factor(&self) -> u64 {
         1 << self.failure_count().saturating_sub(JOB_FAULT_MACHINES - 1).min(MAX_BACKOFF_DOUBLINGS)
     }
 
-    /// Whether a task has succeeded: later failures are then the fault of machines.
+    /// Returns whether a task of the job has succeeded. Later failures are then the fault of machines.
     fn has_succeeded(&self) -> bool {
         self.finished_runs > 0 || !self.finished.is_empty()
     }
 
-    /// Whether the job is at fault itself, not the machines on which it failed.
+    /// Returns whether the job itself is at fault, and not the machines on which it failed.
     pub(in crate::coordination::leader) fn is_at_fault(&self) -> bool {
         let threshold = if self.spec.is_all_or_nothing() { GANG_FAULT_MACHINES } else { JOB_FAULT_MACHINES };
         !self.has_succeeded() && self.failure_count() >= threshold
@@ -59,14 +61,14 @@
         self.probation.take().is_some()
     }
 
-    /// Whether it has failed on at least as many machines as run its tasks: a few bad machines among many are
-    /// no reason for probation.
+    /// Returns whether the job has failed on at least as many machines as may be running its tasks. A few bad
+    /// machines among many are no reason for probation.
     fn failures_outnumber_running_machines(&self) -> bool {
         let running: HashSet<MachineIx> = self.placements.values().flatten().map(|(ix, _)| *ix).collect();
         self.failure_count() >= JOB_FAULT_MACHINES.max(running.len())
     }
 
-    /// Whether the next task of a job on probation has to be queued.
+    /// Returns whether the job is on probation and its next task has to be queued.
     fn is_probation_attempt_due(&self, now: Millis) -> bool {
         let is_due = |probation: Probation| !probation.queued && probation.next_attempt_at <= now;
         self.probation.is_some_and(is_due) && self.placements.is_empty() && !self.finishing
@@ -74,8 +76,8 @@
 }
 
 impl Leader {
-    /// Lifts the exclusions of jobs that have failed on every machine they may use, after growing delays:
-    /// with few machines, one failure on each would otherwise keep such a job waiting for good.
+    /// Lifts the exclusion of machines for jobs that have failed on every machine they may use, after growing
+    /// delays. With few machines, one failure on each would otherwise keep such a job waiting forever.
     pub(in crate::coordination::leader) fn retry_after_exclusion(&mut self, clock: Clock) {
         let is_due = |job_state: &JobState| {
             !job_state.failed_on.is_empty() && clock.now >= job_state.retry_exclusion_not_before
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Whether the job has failed on each machine that could run its tasks. Cordoned machines run only gangs.
+    /// Returns whether the job has failed on every machine that could run its tasks. Cordoned and
+    /// reserved machines take only gangs and services.
     fn has_failed_everywhere(&self, job_state: &JobState) -> bool {
         let placement_index = &self.cluster.placement_index;
         let mut has_failed = false;
@@ -116,7 +119,7 @@
     /// Records that a task failed on a machine, and quarantines the machine or starts the job's probation.
     pub(super) fn record_failure(&mut self, ix: MachineIx, binding: &Binding, clock: Clock) {
         let machine = self.cluster.machines[ix.index()].name.as_str();
-        log::info!(event = "failed", task:% = binding.task, machine; "{} failed on {machine}", binding.task);
+        log::info!(event = "failed", task:% = binding.task, machine; "task {} failed on machine {machine}", binding.task);
         let Some(job) = binding.job else { return };
         let Some(job_state) = self.workload.jobs.get_mut(&job) else { return };
         job_state.failed_on.insert(ix);
@@ -129,7 +132,8 @@
         }
     }
 
-    /// The job is at fault itself: machines on which nothing else failed leave quarantine.
+    /// Removes a job that is itself at fault from the failures of all machines, and ends the quarantine of
+    /// machines on which too few other jobs have failed.
     fn clear_machine_failures(&mut self, id: JobId) {
         for ix in self.cluster.machine_indices() {
             if self.cluster.machines[ix.index()].failed_jobs.remove(&id) {
@@ -145,15 +149,15 @@
             return;
         }
         let machine = &mut self.cluster.machines[ix.index()];
-        log::info!(event = "quarantined", machine = machine.name.as_str(); "machine {} quarantined", machine.name);
+        log::info!(event = "quarantined", machine = machine.name.as_str(); "machine {} quarantined: tasks of several jobs failed on it", machine.name);
         machine.quarantined = true;
         self.requeue_machine_queues(ix);
     }
 
-    /// Whether enough different jobs have failed on the machine since a task last succeeded there.
+    /// Returns whether enough different jobs have failed on the machine since a task last succeeded on it.
     fn should_quarantine(&self, ix: MachineIx) -> bool {
         let failed_jobs = &self.cluster.machines[ix.index()].failed_jobs;
-        // A job that is not in the workload any more has succeeded: cancelled ones are removed from
+        // A job that is no longer in the workload has succeeded, because cancelled jobs are removed from
         // `failed_jobs`.
         let is_unproven = |id: &JobId| {
             let mut jobs = self.workload.jobs.values();
@@ -167,11 +171,12 @@
         failed_jobs.len() >= threshold
     }
 
-    /// Puts a job at fault on probation, or delays its next attempt if it is already: nothing of it stays in
-    /// any queue.
+    /// Puts a job that is itself at fault on probation and removes its tasks from all queues. If it is on
+    /// probation already, delays its next attempt.
     fn start_probation(&mut self, ix: JobIx, clock: Clock) {
         let Some(job_state) = self.workload.jobs.get_mut(&ix) else { return };
-        // Gangs are attempted one at a time anyway, and DAGs have their own retry limits.
+        // Gangs and services have only one attempt at a time anyway, and DAG nodes have their own retry
+        // limits.
         let is_exempt = job_state.spec.is_all_or_nothing() || job_state.dag_node.is_some();
         if is_exempt || !self.tunables.overload.probation {
             return;
@@ -194,7 +199,7 @@
         }
     }
 
-    /// Queues one task of each job on probation whose delay is over, unless a task of it is placed.
+    /// Queues one task of each job on probation whose delay has passed, unless one of its tasks is placed.
     pub(in crate::coordination::leader) fn queue_probation_tasks(&mut self, clock: Clock) {
         let jobs = self.workload.jobs.iter();
         let due: Vec<JobIx> = jobs
@@ -211,9 +216,9 @@
         }
     }
 
-    /// A task of a job on probation has succeeded: all others are queued.
+    /// Ends the probation of a job after a task has succeeded: queues all of its other tasks.
     pub(super) fn end_probation(&mut self, ix: JobIx) {
-        // The next task to be attempted may be in a queue, where it must not be twice.
+        // The next task to be attempted may be queued already, and must not be queued twice.
         self.remove_queued_tasks(ix);
         self.enqueue_jobs([ix]);
     }
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Heartbeats from workers: what the leader learns from each one, and whether and how it answers.
+//! Handles heartbeats from workers: updates the leader's state and decides on the response.
 //!
 //! An answered heartbeat renews the worker's lease, so a heartbeat that must not keep the worker alive is
-//! rejected. No command is sent to a worker before it has acknowledged the leader's fencing token, and
-//! everything learned in an earlier agent epoch is void once a later one is seen. The state lives in
+//! rejected. No command is sent to a worker before it has acknowledged the leader's fencing token, and state
+//! that was learned in an earlier agent epoch is void once a later one is seen. The state is kept in
 //! `Machine`; this module does no I/O and reads no clock. Task statuses are handled in `task_status`,
 //! differences between a heartbeat and the leader's bindings in `reconcile`.
 
@@ -13,17 +13,18 @@
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 
-/// How to respond to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatReply {
     /// Renew the worker's lease and send it these commands.
     Commands(Vec<WorkerCommand>),
-    /// Do not renew the worker's lease: what it runs has to stop when the lease expires.
+    /// Do not renew the worker's lease: its tasks have to stop when the lease expires.
     Reject,
 }
 
 impl Leader {
-    /// Handles a heartbeat that came as a request. `may_start`: this controller may have tasks started now.
+    /// Handles a heartbeat that arrived as a request. `may_start` tells whether this controller may start
+    /// tasks now.
     pub(in crate::coordination) fn handle_heartbeat(
         &mut self,
         cache: &mut StoreCache,
@@ -33,13 +34,13 @@
     ) -> HeartbeatReply {
         let ix = self.register_reporting_machine(cache, heartbeat, clock);
         if self.is_duplicate_heartbeat(ix, heartbeat) {
-            // Nobody waits for the response to a delayed copy, and it renews no lease.
+            // The worker does not wait for the response to a delayed copy, and the copy renews no lease.
             return HeartbeatReply::Reject;
         }
         self.cluster.machines[ix.index()].last_heartbeat_id = (heartbeat.epoch, heartbeat.sequence);
-        // A command response that overtook this heartbeat may have shown a later state. The heartbeat may
-        // still be the worker's latest, so its response renews the lease like any other, but it carries
-        // nothing new.
+        // The response to a direct message may have overtaken this heartbeat and shown a later state. The
+        // heartbeat may still be the worker's latest one, so its response renews the lease like any other,
+        // but the heartbeat contains nothing new.
         let is_newer = self.is_newer_heartbeat(ix, heartbeat);
         let acknowledged = heartbeat.token == self.term.token();
         self.mark_machine_up(ix, clock);
@@ -60,7 +61,7 @@
         }
         self.cluster.machines[ix.index()].last_answered_heartbeat_at = Some(clock.now);
         if !is_newer || !acknowledged {
-            // The response makes the token known to the worker; commands follow once it has acknowledged it.
+            // The response tells the worker the token; commands follow once the worker has acknowledged it.
             return HeartbeatReply::Commands(Vec::new());
         }
         let mut commands = self.build_forget_commands(ix, cache, heartbeat);
@@ -68,9 +69,9 @@
         HeartbeatReply::Commands(commands)
     }
 
-    /// Takes in the worker's status from its response to a direct message. Commands that are still on their
-    /// way to the worker in a heartbeat response cannot show in it, so nothing is concluded from tasks that
-    /// are missing.
+    /// Applies the worker's status from its response to a direct message. The status does not reflect
+    /// commands in a heartbeat response that is still in flight to the worker, so missing tasks prove
+    /// nothing.
     pub(in crate::coordination) fn observe_command_response(
         &mut self,
         ix: MachineIx,
@@ -82,8 +83,8 @@
         }
         self.apply_heartbeat(ix, clock, heartbeat);
         let machine = &mut self.cluster.machines[ix.index()];
-        // After a failover the worker's heartbeats may go to a partitioned controller for another 16 s. The
-        // token in this response acknowledges the leader just as well.
+        // After a failover, the worker may go on sending its heartbeats to a partitioned controller for
+        // another 16 s. The token in this response acknowledges the leader just as a heartbeat does.
         if heartbeat.token == self.term.token() && !machine.token_acknowledged {
             machine.token_acknowledged = true;
             machine.token_first_acknowledged = Some(clock.now);
@@ -112,13 +113,13 @@
         ix
     }
 
-    /// Whether this heartbeat, or a later one, has already come as a request.
+    /// Returns whether this heartbeat, or a later one, has already arrived as a request.
     fn is_duplicate_heartbeat(&self, ix: MachineIx, heartbeat: &Heartbeat) -> bool {
         (heartbeat.epoch, heartbeat.sequence) <= self.cluster.machines[ix.index()].last_heartbeat_id
     }
 
-    /// Whether the heartbeat is later than everything seen of the worker, responses to direct messages
-    /// included.
+    /// Returns whether the heartbeat is later than every message of the worker so far, including responses to
+    /// direct messages.
     fn is_newer_heartbeat(&self, ix: MachineIx, heartbeat: &Heartbeat) -> bool {
         let machine = &self.cluster.machines[ix.index()];
         (heartbeat.epoch, heartbeat.sequence) > (machine.epoch, machine.sequence)
@@ -130,8 +131,8 @@
         machine.unacknowledged_since = None;
     }
 
-    /// Whether the machine still has a task of a cancelled job that only the expiry of its lease stops in
-    /// time.
+    /// Returns whether the machine still has a task of a cancelled job that only the expiry of the machine's
+    /// lease can stop in time.
     fn is_lease_renewal_cut_off(&self, ix: MachineIx, clock: Clock) -> bool {
         let is_overdue =
             |binding: &Binding| binding.lease_renewal_cutoff.is_some_and(|cutoff| cutoff <= clock.now);
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Takes in everything a heartbeat shows. The caller refreshes the placement index afterwards.
+    /// Applies the epoch, the reclaim notice and the task statuses of a heartbeat. The caller has to refresh
+    /// the placement index afterwards.
     fn apply_heartbeat(&mut self, ix: MachineIx, clock: Clock, heartbeat: &Heartbeat) {
         let previous = self.cluster.machines[ix.index()].epoch;
         if heartbeat.epoch > previous {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// `notice_ms`: how long the cloud leaves a spot machine that it reclaims; none if it reclaims nothing.
+    /// Applies a reclaim notice. `notice_ms` is the time until the cloud reclaims the spot machine, or `None`
+    /// if it has not announced that it will.
     fn apply_reclaim_notice(&mut self, ix: MachineIx, notice_ms: Option<u64>, clock: Clock) {
         let machine = &mut self.cluster.machines[ix.index()];
         let Some(notice_ms) = notice_ms else {
@@ -184,7 +187,8 @@
         self.on_interruption_notice(ix, notice_ms);
     }
 
-    /// The worker's lease had expired: tasks and commands of its earlier epoch are void.
+    /// Handles a new agent epoch: the worker's lease had expired, so tasks and commands of its earlier epoch
+    /// are void.
     fn start_agent_epoch(&mut self, ix: MachineIx, previous: AgentEpoch, current: AgentEpoch, clock: Clock) {
         self.cluster.machines[ix.index()].late_starts.clear();
         if previous == AgentEpoch(0) {
@@ -204,9 +208,10 @@
     }
 }
 
-/// Whether a binding of an earlier epoch is certainly void in the current one. An inherited binding is not:
-/// if the earlier epoch was seen in a delayed heartbeat, the task may have been started in the current epoch.
-/// The first heartbeat with our token settles it.
+/// Returns whether a binding of an earlier epoch is guaranteed to be void in the current one. A binding whose
+/// start command cannot have been executed is kept. So is an inherited one: if the earlier epoch was seen in
+/// a delayed heartbeat, the task may have been started in the current epoch. The first heartbeat that
+/// acknowledges this leader's token resolves it.
 fn is_lost_with_epoch(binding: &Binding) -> bool {
     let unsent_or_inherited = matches!(
         binding.dispatch,
@@ -215,7 +220,7 @@
     binding.late_start_possible || !unsent_or_inherited
 }
 
-/// Whether a run command was sent of which the worker has shown nothing.
+/// Returns whether a run command was sent and the worker has shown no sign of having received it.
 fn is_start_unacknowledged(binding: &Binding) -> bool {
     binding.late_start_possible || matches!(binding.dispatch, DispatchState::SentInResponse { .. })
 }
--- a/src/coordination/leader/machines/machine_set.rs
+++ b/src/coordination/leader/machines/machine_set.rs
@@ -1,18 +1,18 @@
-//! Machines by their dense index: iteration over all, and sets of them.
+//! Iteration over the dense machine indices, and sets of machines.
 
 use crate::coordination::leader::cluster::ClusterState;
 use crate::ids::MachineIx;
 
 impl ClusterState {
-    /// The indices of all machines, ascending. The iterator borrows nothing, so that machines can be changed
-    /// meanwhile.
+    /// Returns the indices of all machines, ascending. The iterator borrows nothing, so machines can be
+    /// modified during the iteration.
     pub(in crate::coordination::leader) fn machine_indices(&self) -> impl Iterator<Item = MachineIx> + use<> {
         (0..self.machines.len() as u32).map(MachineIx)
     }
 }
 
-/// A set of machines. A plan inserts and looks up one for every running task; hashing took a sixth of its
-/// time.
+/// A set of machines. A capacity plan inserts and looks up a machine for every running task; with a hash set,
+/// hashing took a sixth of the planning time.
 #[derive(Debug, Default)]
 pub(super) struct MachineSet(Vec<bool>);
 
--- a/src/coordination/leader/machines/mod.rs
+++ b/src/coordination/leader/machines/mod.rs
@@ -1,5 +1,5 @@
-//! The machines of the cluster: what they report and are commanded, when they count as lost, which are scaled
-//! out and in.
+//! The machines of the cluster: their heartbeats, the commands to them, the detection of lost machines, and
+//! scaling out and in.
 
 mod capacity_plan;
 pub mod commands;
--- a/src/coordination/leader/machines/placement_index.rs
+++ b/src/coordination/leader/machines/placement_index.rs
@@ -1,8 +1,8 @@
-//! Index of the machines that placement has to examine: those where something changed, not all.
+//! Index of the machines that placement has to examine: only those on which something changed.
 //!
-//! Owns the sets of schedulable machines, by type and zone, and the machines whose queues are to be filled,
-//! in backoff, or blocked by a quota. What makes a machine schedulable is decided elsewhere and passed to
-//! `PlacementIndex::update`.
+//! Owns the sets of schedulable machines, by type and zone, and the sets of machines that are to be filled
+//! with queued tasks, that are in backoff, or that are blocked by a quota. Whether a machine is schedulable
+//! is decided elsewhere and passed to `PlacementIndex::update`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,7 +11,7 @@
 
 use crate::ids::{MachineIx, MachineTypeIx, Millis, ZoneIx};
 
-/// Freed capacity of a team lets about one task start: this many blocked machines are tried for it.
+/// When a task leaves, its team's limit lets about one more task start: this many blocked machines are tried.
 const QUOTA_BLOCKED_WAKE_COUNT: usize = 8;
 
 /// The type and the zone of a machine.
@@ -20,35 +20,37 @@
 /// The index. Its size is bounded by the number of machines.
 #[derive(Debug, Default)]
 pub(in crate::coordination::leader) struct PlacementIndex {
-    /// Machines that may get tasks; those that are cordoned or reserved get only gangs.
+    /// Machines that may get tasks; those that are cordoned or reserved get only gangs and services.
     open: BTreeSet<MachineIx>,
-    /// The same by type and zone.
+    /// The machines of `open`, by type and zone.
     open_by_type_zone: BTreeMap<TypeAndZone, BTreeSet<MachineIx>>,
     /// The type of each machine that was ever open.
     machine_types: HashMap<MachineIx, MachineTypeIx>,
-    /// How often free capacity has grown, or is about to, on machines of a type: a task left or was ordered
-    /// to stop, a machine opened or a hold was released.
+    /// For each machine type, how often free capacity has grown on its machines or is about to grow: a task
+    /// left or was ordered to stop, a machine became schedulable, or a hold was released.
     capacity_growths: BTreeMap<MachineTypeIx, u64>,
-    /// Machines that take queued tasks, in no order, so that one can be drawn by index.
+    /// Machines that take queued tasks, in no particular order, so that random ones can be drawn by position.
     queue_eligible: Vec<MachineIx>,
-    /// Where each machine is in `queue_eligible`.
+    /// The position of each machine in `queue_eligible`.
     eligible_position: HashMap<MachineIx, usize>,
-    /// Machines whose free capacity or queues changed since they were last filled.
+    /// Machines whose free capacity or queues have changed since they were last filled with queued tasks.
     to_fill: BTreeSet<MachineIx>,
-    /// Thieves in backoff, by its end.
+    /// Machines whose work stealing is in backoff, by the end of the backoff.
     backoffs: BTreeSet<(Millis, MachineIx)>,
-    /// Thieves that stopped stealing until tasks arrive (DAWS).
+    /// Machines that have stopped stealing until tasks arrive (DAWS).
     paused: BTreeSet<MachineIx>,
-    /// Machines with queued tasks that their teams' limits keep from starting.
+    /// Machines with queued tasks that cannot start because of their teams' limits.
     quota_blocked: BTreeSet<MachineIx>,
     /// Machines that may have tasks in their dedicated queue.
     dedicated_nonempty: BTreeSet<MachineIx>,
-    /// A machine opened that may suit tasks of the backlog.
+    /// Tasks of the backlog may be placeable now: a machine takes queued tasks again, or the catalog or a
+    /// quota has changed.
     pub recheck_backlog: bool,
 }
 
 impl PlacementIndex {
-    /// Updates a machine. `open`: it may get tasks; `accepts_queued`: queued ones too.
+    /// Updates a machine. `open` tells whether it may get tasks, `accepts_queued` whether these may be queued
+    /// tasks.
     pub fn update(&mut self, ix: MachineIx, type_zone: TypeAndZone, open: bool, accepts_queued: bool) {
         self.update_open(ix, type_zone, open);
         let eligible = open && accepts_queued;
@@ -89,12 +91,12 @@
         self.quota_blocked.remove(&ix);
     }
 
-    /// Machines that may get tasks.
+    /// Returns the machines that may get tasks.
     pub fn open(&self) -> &BTreeSet<MachineIx> {
         &self.open
     }
 
-    /// Open machines of matching types and zones, ascending by type and zone.
+    /// Returns the machines of matching types and zones that may get tasks, ascending by type and zone.
     pub fn open_matching(
         &self,
         matches: impl Fn(MachineTypeIx, ZoneIx) -> bool,
@@ -105,14 +107,14 @@
             .flat_map(|(_, machines)| machines.iter().copied())
     }
 
-    /// Free capacity has grown on the machine, or is about to.
+    /// Records that free capacity has grown on the machine, or is about to grow.
     pub fn record_capacity_growth(&mut self, ix: MachineIx) {
         if let Some(machine_type) = self.machine_types.get(&ix) {
             *self.capacity_growths.entry(*machine_type).or_default() += 1;
         }
     }
 
-    /// How often free capacity has grown on machines of matching types.
+    /// Returns how often free capacity has grown on machines of matching types.
     pub fn capacity_growth_count(&self, matches: impl Fn(MachineTypeIx) -> bool) -> u64 {
         self.capacity_growths
             .iter()
@@ -121,18 +123,19 @@
             .sum()
     }
 
-    /// Whether the machine takes queued tasks.
+    /// Returns whether the machine takes queued tasks.
     pub fn accepts_queued(&self, ix: MachineIx) -> bool {
         self.eligible_position.contains_key(&ix)
     }
 
-    /// Machines that take queued tasks, in no particular order.
+    /// Returns the machines that take queued tasks, in no particular order.
     pub fn queue_eligible(&self) -> &[MachineIx] {
         &self.queue_eligible
     }
 
-    /// A random sample of the machines that take queued tasks: as many draws as the square root of their
-    /// number, rounded up (DAWS). Machines that are not drawn cost nothing.
+    /// Returns a random sample of the machines that take queued tasks: as many draws as the square root of
+    /// their number, rounded up (DAWS). The cost depends on the number of draws, not on the number of
+    /// machines.
     pub fn sample_queue_eligible(&self, rng: &mut SmallRng) -> Vec<MachineIx> {
         let eligible = self.queue_eligible.len();
         if eligible == 0 {
@@ -145,7 +148,8 @@
         positions.into_iter().map(|position| self.queue_eligible[position]).collect()
     }
 
-    /// The machine has more free capacity, or something new in its queues.
+    /// Marks the machine to be filled with queued tasks, because its free capacity has grown or its queues
+    /// have new tasks. Some machines that are blocked by a quota are tried again with it.
     pub fn mark_to_fill(&mut self, ix: MachineIx) {
         self.record_capacity_growth(ix);
         if self.accepts_queued(ix) {
@@ -157,42 +161,42 @@
         }
     }
 
-    /// A quota has been raised: all machines that were blocked by one are filled again.
+    /// Marks all machines that were blocked by a quota to be filled, after a quota has been raised.
     pub fn wake_quota_blocked(&mut self) {
         self.to_fill.append(&mut self.quota_blocked);
     }
 
-    /// The machine has queued tasks that a team's limit keeps from starting.
+    /// Records that the machine has queued tasks that cannot start because of a team's limit.
     pub fn add_quota_blocked(&mut self, ix: MachineIx) {
         self.quota_blocked.insert(ix);
     }
 
-    /// The machine's dedicated queue has got tasks.
+    /// Records that tasks were added to the machine's dedicated queue.
     pub fn mark_dedicated_nonempty(&mut self, ix: MachineIx) {
         self.dedicated_nonempty.insert(ix);
     }
 
-    /// The machine's dedicated queue is empty.
+    /// Records that the machine's dedicated queue is empty.
     pub fn unmark_dedicated_nonempty(&mut self, ix: MachineIx) {
         self.dedicated_nonempty.remove(&ix);
     }
 
-    /// Machines that may have tasks in their dedicated queue, ascending.
+    /// Returns the machines that may have tasks in their dedicated queue, ascending.
     pub fn dedicated_nonempty(&self) -> Vec<MachineIx> {
         self.dedicated_nonempty.iter().copied().collect()
     }
 
-    /// A thief found nothing: it tries again at `until`.
+    /// Records that the machine found no task to steal and tries again at `until`.
     pub fn back_off_until(&mut self, until: Millis, ix: MachineIx) {
         self.backoffs.insert((until, ix));
     }
 
-    /// A thief stops stealing until tasks arrive.
+    /// Records that the machine stops stealing until tasks arrive.
     pub fn pause(&mut self, ix: MachineIx) {
         self.paused.insert(ix);
     }
 
-    /// Tasks have arrived: at most `limit` paused thieves try again.
+    /// Lets at most `limit` of the paused machines steal again, after tasks have arrived.
     pub fn resume_paused(&mut self, limit: usize) {
         for _ in 0..limit {
             let Some(ix) = self.paused.pop_first() else { return };
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Takes the machines whose queues are to be filled now, ascending.
+    /// Removes and returns the machines that are to be filled with queued tasks now, ascending.
     pub fn take_machines_to_fill(&mut self, now: Millis) -> Vec<MachineIx> {
         while let Some((until, ix)) = self.backoffs.first().copied()
             && until <= now
--- a/src/coordination/leader/machines/probation.rs
+++ b/src/coordination/leader/machines/probation.rs
@@ -1,12 +1,12 @@
-//! The probation of a job that fails everywhere; `faults` decides on it.
+//! State of a job on probation. Module `faults` decides when probation starts and ends.
 
 use crate::ids::Millis;
 
-/// A job at fault, of which one task at a time is attempted.
+/// The probation of a job that is itself at fault: one of its tasks is attempted at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Probation {
-    /// When the next task is attempted.
+    /// Earliest time at which the next task is attempted.
     pub next_attempt_at: Millis,
-    /// Whether that task is in a queue already.
+    /// Whether that task has been queued already.
     pub queued: bool,
 }
--- a/src/coordination/leader/machines/provisioner/cloud_replies.rs
+++ b/src/coordination/leader/machines/provisioner/cloud_replies.rs
@@ -1,6 +1,6 @@
-//! Replies of the cloud: the catalog, the list of machines, and the results of scale-out requests.
+//! Handles replies of the cloud: the catalog, the list of machines, and the results of scale-out requests.
 //!
-//! A reply that is unknown leaves the request to be sent again; all of them are idempotent.
+//! A request whose outcome is unknown is sent again; all requests are idempotent.
 
 use super::offers::InstanceOffer;
 use super::requests::RequestStage;
@@ -12,16 +12,17 @@
 use crate::protocol::HttpOutcome;
 use crate::protocol::cloud::{CloudMachine, CloudMachineState, CloudReply, CloudRequest, MachineTypeRecord};
 
-/// Time between listings of all machines.
+/// Time between the end of one listing of all machines and the start of the next.
 const LIST_INTERVAL_MS: u64 = 4_000;
-/// Before a catalog request that failed is sent again.
+/// Delay before a failed catalog request is sent again.
 const CATALOG_RETRY_MS: u64 = 2_000;
-/// Before a scale-out request without a result is sent again: this for each attempt, up to the maximum.
+/// Delay before a scale-out request without a known result is sent again. It grows by this much with each
+/// attempt, up to `MAX_RETRY_DELAY_ATTEMPTS` attempts.
 const SCALE_OUT_RETRY_MS: u64 = 500;
 const MAX_RETRY_DELAY_ATTEMPTS: u32 = 8;
 
 impl Leader {
-    /// Whether a response belongs to a request of the provisioner.
+    /// Returns whether a response belongs to a request of the provisioner.
     pub(in crate::coordination) fn owns_outbound(&self, outbound: OutboundId) -> bool {
         self.provisioner.in_flight.contains_key(&outbound)
     }
@@ -64,7 +65,8 @@
             if !unchanged || !recorded {
                 self.writer.queue_machine_type(&entry);
             }
-            // Prices change often and are only used by the leader: they are not worth a write.
+            // Prices change often and only the leader uses them, so a new price alone is not written to the
+            // store.
             cache.machine_types.insert(entry.name.clone(), entry);
         }
         self.load_machine_types(cache);
@@ -106,9 +108,9 @@
         if machine.endpoint.is_empty() {
             machine.endpoint.clone_from(&listed.endpoint);
         }
-        // A failed machine runs nothing. The cloud lists it until it is released.
+        // A failed machine runs no task. The cloud lists it until it is released.
         if failed && machine.state != MachineState::Gone && !machine.returning {
-            log::info!("machine {} failed", machine.name);
+            log::info!("machine {} has failed according to the cloud, returning it", machine.name);
             machine.state = MachineState::Unreachable;
             self.return_machine(ix);
             self.remove_all_bindings(ix, clock);
@@ -128,7 +130,7 @@
                 } else {
                     provisioner.offer_backoff.reset(offer);
                 }
-                log::info!("provisioned {} for {name}", machines.join(" "));
+                log::info!("provisioned machines {} for request {name}", machines.join(" "));
                 self.register_granted_machines(&machines, offer, sent_at, clock);
             }
             CloudReply::NoCapacity => {
@@ -136,8 +138,8 @@
                 provisioner.offer_backoff.record_refusal(offer, clock.now);
                 self.writer.queue_write(RecordKey::ProvisioningRequest(name.into()), None);
             }
-            // The same name again yields the same machines if the request was executed, and executes it if
-            // not.
+            // Sending the same name again yields the same machines if the request was executed, and executes
+            // it if it was not.
             _ => {
                 request.stage = RequestStage::Ready;
                 let delay_ms = SCALE_OUT_RETRY_MS * u64::from(request.attempts.min(MAX_RETRY_DELAY_ATTEMPTS));
@@ -167,7 +169,7 @@
     }
 }
 
-/// Whether two entries of the catalog agree in all that is recorded for the next leader.
+/// Returns whether two catalog entries agree in all fields whose changes are recorded for the next leader.
 fn has_same_hardware(known: &MachineTypeRecord, entry: &MachineTypeRecord) -> bool {
     known.cpus == entry.cpus
         && known.gpus == entry.gpus
--- a/src/coordination/leader/machines/provisioner/mod.rs
+++ b/src/coordination/leader/machines/provisioner/mod.rs
@@ -1,7 +1,8 @@
-//! The provisioner: scale-out and scale-in requests to the cloud, its catalog and its list of machines.
+//! The provisioner: scale-out and scale-in requests to the cloud, the cloud's catalog and its list of
+//! machines.
 //!
 //! Owns the requests in flight, the rate budget for the cloud and the backoff of refused offers. It returns
-//! actions and does no I/O itself. What the cluster needs is decided by the capacity plan.
+//! actions and does no I/O itself. The capacity plan decides which machines the cluster needs.
 
 mod cloud_replies;
 mod offer_backoff;
@@ -30,12 +31,12 @@
 /// Time between capacity plans.
 const PLAN_INTERVAL_MS: u64 = 1_000;
 const CLOUD_TIMEOUT_MS: u64 = 5_000;
-/// Outbound ids of the provisioner carry this bit, those of the key-value client do not.
+/// This bit is set in the outbound ids of the provisioner, and not in those of the key-value client.
 const CLOUD_OUTBOUND_BIT: u64 = 1 << 62;
-/// Share of the cloud's rate limit that is used.
+/// Fraction of the cloud's rate limit that the leader uses.
 const RATE_LIMIT_SHARE: f64 = 0.9;
 
-/// Requests to the cloud and what they have to achieve.
+/// The state of requests to the cloud, and the machines that they are to provide or release.
 #[derive(Debug)]
 pub(in crate::coordination::leader) struct Provisioner {
     token: FencingToken,
@@ -43,26 +44,26 @@
     /// Scale-out requests by name; the names are unique over all terms.
     requests: BTreeMap<String, ProvisioningRequest>,
     request_counter: u32,
-    /// Requests without a response yet.
+    /// Requests that were sent and have no response yet.
     in_flight: HashMap<OutboundId, CloudRequest>,
     last_outbound: u64,
     offer_backoff: OfferBackoff,
     list_in_flight: bool,
     next_list_at: Millis,
-    /// The last machine of the page listed before; none at the start of the list.
+    /// The last machine of the previously listed page. `None` if the next page is the first one.
     list_after: Option<String>,
     release_in_flight: bool,
     next_release_at: Millis,
     next_catalog_at: Millis,
     last_planned_at: Millis,
-    /// Machines that the last capacity plan uses.
+    /// Machines that the last capacity plan needs.
     pub(super) needed_machines: MachineSet,
-    /// Machines whose return is durable and that the cloud has not released yet.
+    /// Machines whose return is durably recorded and that the cloud has not released yet.
     pub to_release: BTreeSet<MachineIx>,
 }
 
 impl Provisioner {
-    /// `rps`: requests per second that the cloud allows.
+    /// Creates a provisioner for a term. `rps` is the number of requests per second that the cloud allows.
     pub fn new(rps: f64, token: FencingToken, now: Millis) -> Provisioner {
         Provisioner {
             token,
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Takes over the scale-out requests on record: sent again, they return the machines that they yielded.
+    /// Recovers the scale-out requests on record. They are sent again, and the cloud's responses name the
+    /// machines that they already yielded.
     pub fn recover_requests(&mut self, cache: &mut StoreCache) {
         for (name, record) in &cache.provisioning_requests {
             let offer = InstanceOffer {
@@ -97,12 +99,13 @@
         }
     }
 
-    /// Offers in backoff after a refusal, and until when.
+    /// Returns the offers in backoff after a refusal, with the end of the backoff.
     pub fn offers_in_backoff(&self, now: Millis) -> impl Iterator<Item = (InstanceOffer, Millis)> + '_ {
         self.offer_backoff.active(now)
     }
 
-    /// Machines requested of each offer, as far as the result is unknown.
+    /// Returns the number of machines requested of each offer, counting only requests whose result is
+    /// unknown.
     pub fn pending_requests(&self) -> BTreeMap<InstanceOffer, u32> {
         let mut pending = BTreeMap::new();
         for request in self.requests.values().filter(|request| request.is_pending()) {
@@ -111,7 +114,7 @@
         pending
     }
 
-    /// Names of the scale-out requests that match, ascending.
+    /// Returns the names of the scale-out requests that match, ascending.
     fn request_names(&self, matches: impl Fn(&ProvisioningRequest) -> bool) -> Vec<String> {
         let matching = self.requests.iter().filter(|(_, request)| matches(request));
         matching.map(|(name, _)| name.clone()).collect()
@@ -143,7 +146,7 @@
 }
 
 impl Leader {
-    /// Sends the requests to the cloud that are due, and plans capacity when it is time.
+    /// Sends the requests to the cloud that are due, and plans capacity if a plan is due.
     pub(in crate::coordination) fn run_provisioner(
         &mut self,
         clock: Clock,
@@ -163,7 +166,8 @@
     }
 }
 
-/// Planning is the first thing that a leader postpones while it is behind its events.
+/// Returns the time between capacity plans. Planning is the first work that a leader postpones while it is
+/// behind with handling its events.
 fn plan_interval_ms(pressure: PressureLevel) -> u64 {
     match pressure {
         PressureLevel::Calm => PLAN_INTERVAL_MS,
--- a/src/coordination/leader/machines/provisioner/offers.rs
+++ b/src/coordination/leader/machines/provisioner/offers.rs
@@ -1,52 +1,53 @@
-//! What the cloud offers, what it costs, and which offer suits a job best.
+//! The cloud's offers, their prices, and the choice of the cheapest offer for a job.
 
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::{JobState, Leader, MachineType};
 use crate::ids::{MachineIx, MachineTypeIx, ZoneIx};
 
-/// A machine is billed for at least this long, in milliseconds.
+/// The minimum time for which the cloud bills a machine.
 pub(in crate::coordination::leader::machines) const MIN_BILLED_MS: u64 = 60_000;
-/// Share by which each machine already requested from an offer raises its cost, so that zones take turns.
+/// Fraction by which each machine already requested of an offer raises the offer's cost, so that requests
+/// alternate between zones.
 const PENDING_REQUEST_SURCHARGE: f64 = 0.01;
-/// Tasks that fit a machine count up to this many: those without any need would fit without limit.
+/// The maximum number of tasks that count as fitting a machine. Tasks that need no resources would fit
+/// without limit.
 const MAX_TASK_SLOTS: u64 = 1_000_000;
 
-/// A sort of machine that the cloud provides on request.
+/// A combination of machine type, zone and purchase option (on demand or spot) that the cloud offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(in crate::coordination::leader) struct InstanceOffer {
-    /// The machine type.
     pub machine_type: MachineTypeIx,
-    /// The zone.
     pub zone: ZoneIx,
     /// Whether it is a spot (preemptible) instance.
     pub spot: bool,
 }
 
 impl InstanceOffer {
-    /// The name of the machine type.
+    /// Returns the name of the machine type.
     pub(super) fn machine_type_name(self, cache: &StoreCache) -> &str {
         cache.names.machine_types.name_or_unknown(self.machine_type.index())
     }
 
-    /// The name of the zone.
+    /// Returns the name of the zone.
     pub(super) fn zone_name(self, cache: &StoreCache) -> &str {
         cache.names.zones.name_or_unknown(self.zone.index())
     }
 }
 
 impl MachineType {
-    /// The price of an on-demand or a spot instance; none if the type has no spot instances.
+    /// Returns the price of a spot instance or of an on-demand instance. `None` if the type is not offered as
+    /// spot instance.
     fn offered_price(&self, spot: bool) -> Option<f64> {
         if spot { self.spot_price } else { Some(self.price) }
     }
 
-    /// A price divided by the CPUs of the type (in thousandths).
+    /// Returns `price` divided by the CPU capacity of the type, in thousandths of a CPU.
     fn per_cpu(&self, price: f64) -> f64 {
         price / self.capacity.cpu.max(1) as f64
     }
 
-    /// The lower of the type's prices per CPU.
+    /// Returns the lower of the type's prices per CPU: on demand or spot.
     pub(super) fn lowest_price_per_cpu(&self) -> f64 {
         let prices = [Some(self.price), self.spot_price].into_iter().flatten();
         prices.map(|price| self.per_cpu(price)).fold(f64::MAX, f64::min)
@@ -54,7 +55,7 @@
 }
 
 impl Leader {
-    /// What a CPU of the machine costs.
+    /// Returns the price of the machine per thousandth of a CPU.
     pub(in crate::coordination::leader) fn price_per_cpu(&self, ix: MachineIx) -> f64 {
         let machine = &self.cluster.machines[ix.index()];
         let Some(machine_type) = self.cluster.machine_types.get(&machine.machine_type) else {
@@ -63,8 +64,8 @@
         machine_type.per_cpu(machine_type.offered_price(machine.spot).unwrap_or(machine_type.price))
     }
 
-    /// The offer with the least cost per task of the job, in the zones that are allowed. Offers in backoff
-    /// are left out.
+    /// Returns the offer with the lowest cost per task of the job, in the zones that `zone_allowed` accepts.
+    /// Offers in backoff are left out.
     pub(in crate::coordination::leader::machines) fn cheapest_offer(
         &self,
         job_state: &JobState,
--- a/src/coordination/leader/machines/provisioner/requests.rs
+++ b/src/coordination/leader/machines/provisioner/requests.rs
@@ -1,6 +1,6 @@
-//! Scale-out requests, from the record in the key-value store to the listing of their machines.
+//! Scale-out requests, from recording them in the key-value store until the cloud lists their machines.
 //!
-//! A request is recorded before it is sent, under a name that identifies it to the cloud: after a failover
+//! A request is recorded before it is sent, under a name that identifies it to the cloud. After a failover,
 //! the next leader sends it again and learns which machines it yielded.
 
 use crate::bookkeeping::records::{ProvisioningRecord, RecordKey};
@@ -12,19 +12,19 @@
 
 use super::offers::InstanceOffer;
 
-/// A request stays on record for this many listing delays after it was granted.
+/// A request stays on record for this many times the cloud's listing delay after it was granted.
 const GRANTED_LISTING_DELAYS: u64 = 3;
 
-/// How far a scale-out request has come.
+/// Progress of a scale-out request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestStage {
-    /// Its record is being written.
+    /// The record of the request is being written.
     Recording,
-    /// Recorded, to be sent.
+    /// Recorded durably and ready to be sent.
     Ready,
-    /// Sent, result unknown.
+    /// Sent; the result is unknown.
     Sent,
-    /// Machines were granted; the record stays until the cloud certainly lists them.
+    /// Machines were granted. The record is kept until the cloud is guaranteed to list them.
     Granted { granted_at: Millis },
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl ProvisioningRequest {
-    /// A request that has not been sent in this term.
+    /// Creates a request that has not been sent in this term.
     pub(super) fn new(offer: InstanceOffer, count: u32, stage: RequestStage) -> ProvisioningRequest {
         ProvisioningRequest {
             offer,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether its result is still unknown.
+    /// Returns whether the result of the request is unknown.
     pub(super) fn is_pending(&self) -> bool {
         !matches!(self.stage, RequestStage::Granted { .. })
     }
@@ -61,6 +61,7 @@
         matches!(self.stage, RequestStage::Recording | RequestStage::Ready)
     }
 
+    /// Returns whether the request was granted more than `listing_delay_ms` ago.
     fn is_settled(&self, now: Millis, listing_delay_ms: u64) -> bool {
         matches!(self.stage, RequestStage::Granted { granted_at }
             if now.saturating_since(granted_at) > listing_delay_ms)
@@ -77,7 +78,7 @@
     ) {
         let provisioner = &mut self.provisioner;
         provisioner.request_counter += 1;
-        // With the fencing token in it, no other leader ever uses the name.
+        // The name contains the fencing token, so no other leader ever uses it.
         let name = format!("r-{}-{}", provisioner.token.0, provisioner.request_counter);
         let record = ProvisioningRecord {
             machine_type: offer.machine_type_name(cache).into(),
@@ -92,8 +93,8 @@
         provisioner.requests.insert(name, request);
     }
 
-    /// Sends the requests that are durable and due, in the order of their names, as far as the rate budget
-    /// goes.
+    /// Sends the requests that are durably recorded and due, in the order of their names, until the rate
+    /// budget is used up.
     pub(super) fn send_provisioning_requests(
         &mut self,
         clock: Clock,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Removes granted requests whose machines the cloud certainly lists by now.
+    /// Removes granted requests whose machines the cloud is guaranteed to list by now.
     pub(in crate::coordination::leader::machines) fn remove_settled_requests(&mut self, clock: Clock) {
         let listing_delay_ms = GRANTED_LISTING_DELAYS * self.settings.cloud_list_lag_ms;
         let is_settled = |request: &ProvisioningRequest| request.is_settled(clock.now, listing_delay_ms);
--- a/src/coordination/leader/machines/provisioner/scale_in.rs
+++ b/src/coordination/leader/machines/provisioner/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale in: which machines are not worth keeping, and the cloud requests that release them.
+//! Scaling in: decides which machines are not worth keeping, and sends the cloud requests that release them.
 
 use super::offers::MIN_BILLED_MS;
 use crate::coordination::leader::{Leader, Machine, MachineState};
@@ -6,20 +6,21 @@
 use crate::ids::MachineIx;
 use crate::protocol::cloud::{CloudReply, CloudRequest, MAX_SCALE_IN_BATCH};
 
-/// Before a scale-in request that failed is sent again.
+/// Delay before a failed scale-in request is sent again.
 const SCALE_IN_RETRY_MS: u64 = 1_000;
-/// How long an empty machine may be unreachable.
+/// An empty machine is returned when it has been unreachable for longer than this.
 const MAX_UNREACHABLE_MS: u64 = 20_000;
-/// After a failover, idle workers may try every other controller first, each for four seconds, before they
-/// find the leader.
+/// Time that idle workers may need to find the leader after a failover: they may try every other controller
+/// first, each for four seconds.
 const IDLE_LEADER_DISCOVERY_MS: u64 = 30_000;
-/// A machine that takes this many times its usual boot time, and the margin, never comes up.
+/// A machine is assumed never to come up once this many times its usual boot time, plus the margin, have
+/// passed.
 const BOOT_TIMEOUT_FACTOR: u64 = 3;
 const BOOT_TIMEOUT_MARGIN_MS: u64 = 10_000;
-/// Boot time of a machine of unknown type.
+/// Assumed boot time of a machine of unknown type.
 const DEFAULT_BOOT_MS: u64 = 60_000;
 
-/// Why a machine without tasks is returned.
+/// The reason for returning a machine without tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReturnReason {
     NeverCameUp,
@@ -42,8 +43,8 @@
 }
 
 impl Leader {
-    /// Returns machines without tasks that are not needed, never came up, became unreachable or do not work
-    /// well.
+    /// Starts returning those machines without tasks to the cloud that are not needed, never came up, became
+    /// unreachable, or are quarantined or slow.
     pub(super) fn scale_in(&mut self, clock: Clock) {
         let lowest_price = self
             .cluster
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Whether a machine without tasks has not been needed for long enough. The cheaper it is, the longer it
-    /// may wait for the next job.
+    /// Returns whether a machine without tasks has been unneeded for long enough to be returned. The lower
+    /// its price per CPU, the longer it is kept for the next job.
     fn is_idle(&self, ix: MachineIx, lowest_price: f64, clock: Clock) -> bool {
         let machine = &self.cluster.machines[ix.index()];
         let idle_factor = (lowest_price / self.price_per_cpu(ix)).clamp(0.0, 1.0);
@@ -87,9 +88,9 @@
             && !self.provisioner.needed_machines.contains(ix)
     }
 
-    /// Whether a booting machine should have sent a heartbeat long ago. One that was up before this term may
-    /// still be looking for the leader: without that allowance a new leader returned 147 idle machines within
-    /// a second, and provisioned them anew.
+    /// Returns whether a booting machine should have sent a heartbeat long ago. A machine that was up before
+    /// this term may still be looking for the leader: without that allowance, a new leader returned 147 idle
+    /// machines within a second and provisioned them anew.
     pub(in crate::coordination::leader::machines) fn is_boot_overdue(
         &self,
         machine: &Machine,
@@ -104,7 +105,7 @@
         overdue && !seeking_leader
     }
 
-    /// Asks the cloud to release machines whose return is durable.
+    /// Requests the cloud to release machines whose return is durably recorded.
     pub(super) fn release_machines(&mut self, clock: Clock, actions: &mut Vec<Action>) {
         let provisioner = &mut self.provisioner;
         if provisioner.release_in_flight || clock.now < provisioner.next_release_at {
@@ -116,7 +117,7 @@
             return;
         }
         provisioner.release_in_flight = true;
-        log::info!("releasing {}", machines.join(" "));
+        log::info!("releasing machines {}", machines.join(" "));
         provisioner.send_cloud_request(CloudRequest::ScaleIn { machines }, actions);
     }
 
--- a/src/coordination/leader/machines/reconcile.rs
+++ b/src/coordination/leader/machines/reconcile.rs
@@ -1,8 +1,8 @@
 //! Reconciles heartbeats with the leader's bindings: tasks that a heartbeat proves to be missing, results of
-//! tasks that are bound to no machine any more, and exited tasks that the worker may forget.
+//! tasks that are no longer bound to a machine, and exited tasks that the worker may forget.
 //!
-//! A worker forgets an exited task only when everything that follows from the exit is durable: the next
-//! leader learns of it from the worker otherwise.
+//! A worker is told to forget an exited task only once all consequences of the exit are durable. Until then,
+//! the next leader would have to learn of the exit from the worker.
 
 use std::collections::HashSet;
 
@@ -15,19 +15,20 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{ExitCause, Heartbeat, TaskPhase, TaskStatus, WorkerCommand};
 
-/// What follows for a binding whose task a heartbeat does not show.
+/// What to do with a binding whose task is missing from a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MissingTaskAction {
-    /// The heartbeat proves nothing.
+    /// The heartbeat does not prove that the task is missing: the binding stays as it is.
     Keep,
-    /// The run command was lost and will never be executed: it is sent again.
+    /// The run command was lost and will never be executed: it is sent again to the same machine.
     Resend,
-    /// The task is not on the machine: it is placed anew.
+    /// The task is not on the machine: the binding is removed and the task is queued again.
     Requeue,
 }
 
 impl Leader {
-    /// Handles tasks that a heartbeat with our token proves not to be on the machine.
+    /// Handles tasks that are proven not to be on the machine by a heartbeat that acknowledges this leader's
+    /// token.
     pub(super) fn reconcile_missing_tasks(&mut self, ix: MachineIx, clock: Clock, heartbeat: &Heartbeat) {
         let reported: HashSet<(TaskId, Attempt)> =
             heartbeat.tasks.iter().map(|status| (status.task, status.attempt)).collect();
@@ -45,7 +46,7 @@
                     binding.dispatch = DispatchState::Recorded;
                     index += 1;
                 }
-                // Another binding takes its index.
+                // Another binding now has this index, so it is not incremented.
                 MissingTaskAction::Requeue => {
                     let binding = self.remove_binding(ix, index, clock);
                     self.requeue(&binding, 0, clock);
@@ -55,8 +56,8 @@
         self.drop_unsent_bindings(ix, clock);
     }
 
-    /// Commands to forget exited tasks of the heartbeat, as far as everything that follows from the exits is
-    /// durable.
+    /// Returns the commands to forget those exited tasks of the heartbeat for which all consequences of the
+    /// exit are durable.
     pub(super) fn build_forget_commands(
         &self,
         ix: MachineIx,
@@ -76,8 +77,8 @@
             .collect()
     }
 
-    /// Whether the status is a failed attempt of a DAG node that is counted here and not in the records: if
-    /// the worker forgot it now, the next leader would not count it.
+    /// Returns whether the status is a failed attempt of a DAG node that this leader has counted but not yet
+    /// persisted. If the worker forgot the task now, the next leader would not count the attempt.
     fn has_unpersisted_failure(&self, status: &TaskStatus, cache: &StoreCache) -> bool {
         let Some(job_state) = cache.find(status.task.job).and_then(|job| self.workload.jobs.get(&job)) else {
             return false;
@@ -95,7 +96,8 @@
             && !is_counted(persisted)
     }
 
-    /// Counts finished tasks that an earlier leader had started and removed from its record.
+    /// Marks as finished those tasks that the heartbeat reports as done and that have no binding: an earlier
+    /// leader started them and removed them from its records.
     pub(super) fn reconcile_done_tasks(&mut self, cache: &StoreCache, heartbeat: &Heartbeat, clock: Clock) {
         for status in &heartbeat.tasks {
             if status.state == TaskPhase::Exited(ExitCause::Done) {
@@ -121,10 +123,11 @@
     }
 }
 
-/// What the heartbeat with this sequence number proves of a binding that it does not show.
+/// Returns what to do with a binding whose task is missing from the heartbeat with this sequence number.
 fn missing_task_action(binding: &Binding, sequence: u64, receive_path_down: bool) -> MissingTaskAction {
     match binding.dispatch {
-        // The worker sent this heartbeat without having received that response, and never executes it later.
+        // The worker had not received that response when it sent this heartbeat, and will not execute it if
+        // it arrives later.
         DispatchState::SentInResponse { sequence: answered } if answered < sequence => {
             if receive_path_down && !binding.late_start_possible {
                 MissingTaskAction::Requeue
@@ -139,7 +142,8 @@
     }
 }
 
-/// Whether the task has exited, nothing can start it again, and its result is durable or does not count.
+/// Returns whether the task has exited, no command can start it again, and its result is durable or is not
+/// needed.
 fn is_forgettable(machine: &Machine, status: &TaskStatus, cache: &StoreCache) -> bool {
     let TaskPhase::Exited(cause) = status.state else { return false };
     // A delayed direct command would start the task again on a worker that had forgotten it.
--- a/src/coordination/leader/machines/task_status.rs
+++ b/src/coordination/leader/machines/task_status.rs
@@ -1,7 +1,7 @@
-//! Task statuses in heartbeats: tasks that start, run, exit, or should not be there at all.
+//! Handles task statuses in heartbeats: tasks that start, run or exit, and orphan tasks.
 //!
-//! Updates the bindings of the reporting machine, the measured fetch rates and run times, and decides when a
-//! task that exited without success is attempted again.
+//! Updates the bindings of the reporting machine and the measured fetch rates and run times, and decides when
+//! a task that exited without success is attempted again.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::machines::faults::ERROR_RETRY_DELAY_MS;
@@ -11,31 +11,33 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{ExitCause, TaskPhase, TaskStatus};
 
-/// Delay before a task is attempted again that its worker had no capacity for.
+/// Delay before retrying a task that its worker refused: the machine had too little free capacity, or another
+/// attempt of the task was on it.
 const REFUSAL_RETRY_DELAY_MS: u64 = 700;
-/// Delay before a task is attempted again that the worker knows nothing of.
+/// Delay before retrying a task whose worker had no description of the job.
 const UNKNOWN_EXIT_RETRY_DELAY_MS: u64 = 3_000;
 
-/// A machine on which runs take this many times their jobs' mean is replaced.
+/// A machine is replaced if its runs take more than this many times the mean of their jobs, on average.
 const SLOW_RATIO: f64 = 2.0;
-/// Runs that a job, and a machine, must have finished before run times are compared.
+/// The minimum number of finished runs of a job, and of compared runs on a machine, before run times are
+/// judged.
 const MIN_COMPARED_RUNS: u32 = 4;
-/// How long a finished task counts as recent.
+/// How long the time at which a task finished is kept in `Machine::recent_finishes`.
 const RECENT_FINISH_WINDOW_MS: u64 = 60_000;
 
-/// Shorter fetches are not measured: heartbeats are too far apart to time them.
+/// Fetches shorter than this are not measured: heartbeats are too far apart to time them accurately.
 const MIN_MEASURED_FETCH_MS: u64 = 2_000;
 /// Weight of one measured fetch in the moving average of its machine type.
 const FETCH_RATE_WEIGHT: f64 = 0.1;
 
 impl Leader {
-    /// Takes in the status of one task.
+    /// Applies the status of one task.
     pub(super) fn apply_task_status(&mut self, ix: MachineIx, clock: Clock, status: &TaskStatus) {
-        let known = self.cluster.machines[ix.index()]
+        let binding_index = self.cluster.machines[ix.index()]
             .bindings
             .iter()
             .position(|binding| binding.task == status.task && binding.attempt == status.attempt);
-        match (known, status.state) {
+        match (binding_index, status.state) {
             (Some(index), TaskPhase::Exited(cause)) => {
                 self.handle_task_exit(ix, index, status, cause, clock);
             }
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The task at `index` of the machine's bindings has been started and has not exited.
+    /// Updates the binding at `index` of the machine: its task has been started and has not exited.
     fn update_running_task(&mut self, ix: MachineIx, index: usize, status: &TaskStatus, clock: Clock) {
         let phase = status.state;
         let machine = &mut self.cluster.machines[ix.index()];
@@ -55,7 +57,7 @@
         }
         binding.dispatch = DispatchState::Observed;
         if binding.reported_state != Some(phase) {
-            log::debug!("{} {:?} on {}", status.task, phase, ix.0);
+            log::debug!("task {} is {:?} on machine {}", status.task, phase, machine.name);
         }
         binding.reported_state = Some(phase);
         binding.late_start_possible = false;
@@ -84,7 +86,7 @@
         self.start_time_limit(ix, job, status, clock);
     }
 
-    /// Updates the fetch rate of the machine's type: an image of the job was fetched within `fetch_ms`.
+    /// Updates the fetch rate of the machine's type after the image of the job was fetched in `fetch_ms`.
     fn update_fetch_rate(&mut self, ix: MachineIx, job: Option<JobIx>, fetch_ms: u64) {
         let Some(job_state) = job.and_then(|job| self.workload.jobs.get(&job)) else { return };
         let type_ix = self.cluster.machines[ix.index()].machine_type;
@@ -97,7 +99,8 @@
         machine_type.fetch_mb_per_s += (mb_per_s - machine_type.fetch_mb_per_s) * FETCH_RATE_WEIGHT;
     }
 
-    /// A task that is bound to no job of ours counts as present until its worker shows that it has stopped.
+    /// Stops an orphan task, which has no binding on the machine. It is bound without a job, so that it
+    /// counts as present until the worker's reports show that it has stopped.
     fn stop_orphan_task(&mut self, ix: MachineIx, status: &TaskStatus) {
         let name = self.cluster.machines[ix.index()].name.as_str();
         log::info!("orphan task {} on {name}, stopping it", status.task);
@@ -145,7 +148,7 @@
         let Some(job) = binding.job else { return };
         let Some(job_state) = self.workload.jobs.get_mut(&job) else { return };
         let was_on_probation = job_state.reset_failures();
-        // Only runs that were observed from start to end tell how long a task takes.
+        // Only runs whose start this leader observed are measured.
         if let Some(since) = binding.running_since {
             let run_ms = clock.now.saturating_since(since);
             update_run_time_ratio(machine, job_state, run_ms);
@@ -158,11 +161,11 @@
         }
     }
 
-    /// Counts the task as finished, and finishes the job with its last task.
+    /// Marks the task as finished, and finishes the job if this was its last task.
     pub(super) fn mark_task_done(&mut self, ix: JobIx, task: TaskId, clock: Clock) {
         let Some(job_state) = self.workload.jobs.get_mut(&ix) else { return };
         if job_state.spec.kind == JobKind::Gang {
-            // The tasks of a gang complete together: one that is done proves it for all.
+            // The tasks of a gang complete together: one finished task proves that all have finished.
             for task in 0..job_state.spec.tasks {
                 job_state.finished.insert(task);
             }
@@ -175,7 +178,7 @@
     }
 }
 
-/// A task without a job, to be stopped at once.
+/// Returns the binding of an orphan task: it has no job and is to be stopped without a grace period.
 fn orphan_binding(status: &TaskStatus) -> Binding {
     Binding {
         task: status.task,
@@ -198,7 +201,8 @@
     }
 }
 
-/// How long a task that exited without success waits, before the job's backoff factor.
+/// Returns the delay before a task that exited without success is attempted again, not yet multiplied by the
+/// job's backoff factor.
 fn exit_retry_delay_ms(cause: ExitCause) -> u64 {
     match cause {
         ExitCause::Error => ERROR_RETRY_DELAY_MS,
@@ -208,8 +212,8 @@
     }
 }
 
-/// Compares a run with the mean of its job's earlier ones, and marks the machine as slow if its runs take too
-/// long.
+/// Compares the time of a run with the mean of the job's earlier runs, and marks the machine as slow if runs
+/// on it take too long on average.
 fn update_run_time_ratio(machine: &mut Machine, job_state: &JobState, run_ms: u64) {
     if job_state.finished_runs >= MIN_COMPARED_RUNS {
         let mean_ms = (job_state.total_run_ms / u64::from(job_state.finished_runs)).max(1);
