--- a/src/coordination/leader/job_tracking.rs
+++ b/src/coordination/leader/job_tracking.rs
@@ -44,7 +44,7 @@
 
     /// How long a quarter of the schedulable machines would be busy with the whole job.
     fn size_penalty_ms(&self, spec: &JobSpec) -> u64 {
-        let machines = self.cluster.placement_index.open().iter();
+        let machines = self.cluster.placement_index.schedulable().iter();
         let cpu: u64 = machines.map(|ix| self.cluster.machines[ix.index()].capacity.cpu).sum();
         let tasks = u64::from(spec.tasks);
         let cpu_ms = spec.task_resources.cpu.saturating_mul(tasks).saturating_mul(spec.estimated_run_ms);
--- a/src/coordination/leader/machines/faults.rs
+++ b/src/coordination/leader/machines/faults.rs
@@ -105,7 +105,7 @@
     fn has_failed_everywhere(&self, job_state: &JobState) -> bool {
         let placement_index = &self.cluster.placement_index;
         let mut has_failed = false;
-        for ix in placement_index.open() {
+        for ix in placement_index.schedulable() {
             let usable = job_state.spec.is_all_or_nothing() || placement_index.accepts_queued(*ix);
             match self.machine_blocker(*ix, job_state) {
                 None if usable => return false,
--- a/src/coordination/leader/machines/placement_index.rs
+++ b/src/coordination/leader/machines/placement_index.rs
@@ -92,12 +92,12 @@
     }
 
     /// Returns the machines that may get tasks.
-    pub fn open(&self) -> &BTreeSet<MachineIx> {
+    pub fn schedulable(&self) -> &BTreeSet<MachineIx> {
         &self.open
     }
 
     /// Returns the machines of matching types and zones that may get tasks, ascending by type and zone.
-    pub fn open_matching(
+    pub fn schedulable_matching(
         &self,
         matches: impl Fn(MachineTypeIx, ZoneIx) -> bool,
     ) -> impl Iterator<Item = MachineIx> {
--- a/src/coordination/leader/placement/gang_search.rs
+++ b/src/coordination/leader/placement/gang_search.rs
@@ -115,7 +115,7 @@
         let mut candidates: Vec<Candidate> = self
             .cluster
             .placement_index
-            .open_matching(is_wanted)
+            .schedulable_matching(is_wanted)
             .filter_map(|machine_ix| self.candidate(search, machine_ix, policy))
             .collect();
         candidates.sort_by_key(|candidate| (candidate.delay_ms, candidate.slots, candidate.machine_ix));
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -173,7 +173,7 @@
     /// gangs wait longer than their objectives.
     fn gang_backlog_ms(&self, ranks: &[Rank]) -> Option<u64> {
         let excess = self.gang_backlogs(ranks).into_iter().filter_map(|(machine_type, backlog)| {
-            let open = self.cluster.placement_index.open_matching(|other, _| other == machine_type);
+            let open = self.cluster.placement_index.schedulable_matching(|other, _| other == machine_type);
             let machines = open.count() as u64;
             let wait_ms = backlog.machine_ms / machines.max(1);
             (machines > 0 && wait_ms > backlog.objective_ms).then_some(wait_ms)
--- a/src/coordination/leader/placement/reserved_machines.rs
+++ b/src/coordination/leader/placement/reserved_machines.rs
@@ -87,7 +87,7 @@
     }
 
     fn reservable_machines(&self, machine_type: MachineTypeIx, demand: &GangDemand) -> Vec<Reservable> {
-        let open = self.cluster.placement_index.open_matching(|other, _| other == machine_type);
+        let open = self.cluster.placement_index.schedulable_matching(|other, _| other == machine_type);
         let reservable = open.filter_map(|machine_ix| {
             let machine = &self.cluster.machines[machine_ix.index()];
             let usage = self.usage_by_gangs(machine_ix);
@@ -132,7 +132,7 @@
     /// Whether there are machines of types that no gang waits for.
     fn has_other_machine_types(&self, machine_type: MachineTypeIx, demand: &GangDemandByType) -> bool {
         let is_other = |other, _| other != machine_type && !demand.contains_key(&other);
-        self.cluster.placement_index.open_matching(is_other).next().is_some()
+        self.cluster.placement_index.schedulable_matching(is_other).next().is_some()
     }
 
     /// Whether queued work waits that fits only types that gangs wait for too.
