--- a/src/coordination/leader/machines/placement_index.rs
+++ b/src/coordination/leader/machines/placement_index.rs
@@ -21,10 +21,10 @@
 #[derive(Debug, Default)]
 pub(in crate::coordination::leader) struct PlacementIndex {
     /// Machines that may get tasks; those that are cordoned or reserved get only gangs and services.
-    open: BTreeSet<MachineIx>,
-    /// The machines of `open`, by type and zone.
-    open_by_type_zone: BTreeMap<TypeAndZone, BTreeSet<MachineIx>>,
-    /// The type of each machine that was ever open.
+    schedulable: BTreeSet<MachineIx>,
+    /// The machines of `schedulable`, by type and zone.
+    schedulable_by_type_zone: BTreeMap<TypeAndZone, BTreeSet<MachineIx>>,
+    /// The type of each machine for which `update` was ever called.
     machine_types: HashMap<MachineIx, MachineTypeIx>,
     /// For each machine type, how often free capacity has grown on its machines or is about to grow: a task
     /// left or was ordered to stop, a machine became schedulable, or a hold was released.
@@ -49,11 +49,11 @@
 }
 
 impl PlacementIndex {
-    /// Updates a machine. `open` tells whether it may get tasks, `accepts_queued` whether these may be queued
-    /// tasks.
-    pub fn update(&mut self, ix: MachineIx, type_zone: TypeAndZone, open: bool, accepts_queued: bool) {
-        self.update_open(ix, type_zone, open);
-        let eligible = open && accepts_queued;
+    /// Updates a machine. `schedulable` tells whether it may get tasks, `accepts_queued` whether these may be
+    /// queued tasks.
+    pub fn update(&mut self, ix: MachineIx, type_zone: TypeAndZone, schedulable: bool, accepts_queued: bool) {
+        self.update_schedulable(ix, type_zone, schedulable);
+        let eligible = schedulable && accepts_queued;
         match (self.eligible_position.get(&ix).copied(), eligible) {
             (None, true) => self.add_queue_eligible(ix),
             (Some(position), false) => self.remove_queue_eligible(ix, position),
@@ -61,13 +61,13 @@
         }
     }
 
-    fn update_open(&mut self, ix: MachineIx, type_zone: TypeAndZone, open: bool) {
-        let same_type_zone = self.open_by_type_zone.entry(type_zone).or_default();
+    fn update_schedulable(&mut self, ix: MachineIx, type_zone: TypeAndZone, schedulable: bool) {
+        let same_type_zone = self.schedulable_by_type_zone.entry(type_zone).or_default();
         self.machine_types.insert(ix, type_zone.0);
-        if !open {
-            self.open.remove(&ix);
+        if !schedulable {
+            self.schedulable.remove(&ix);
             same_type_zone.remove(&ix);
-        } else if self.open.insert(ix) {
+        } else if self.schedulable.insert(ix) {
             same_type_zone.insert(ix);
             self.record_capacity_growth(ix);
         }
@@ -93,7 +93,7 @@
 
     /// Returns the machines that may get tasks.
     pub fn schedulable(&self) -> &BTreeSet<MachineIx> {
-        &self.open
+        &self.schedulable
     }
 
     /// Returns the machines of matching types and zones that may get tasks, ascending by type and zone.
@@ -101,7 +101,7 @@
         &self,
         matches: impl Fn(MachineTypeIx, ZoneIx) -> bool,
     ) -> impl Iterator<Item = MachineIx> {
-        self.open_by_type_zone
+        self.schedulable_by_type_zone
             .iter()
             .filter(move |((machine_type, zone), _)| matches(*machine_type, *zone))
             .flat_map(|(_, machines)| machines.iter().copied())
