--- a/src/coordination/leader/job_tracking.rs
+++ b/src/coordination/leader/job_tracking.rs
@@ -1,4 +1,4 @@
-//! Jobs come to the leader from the records and leave it once they are finished everywhere.
+//! Adds jobs from the records to the leader's workload, and removes them once none of their tasks may be on a machine.
 
 use super::placement::policy::Rank;
 use super::{JobState, Leader};
@@ -6,15 +6,16 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{JobId, JobIx, Millis};
 
-/// Jobs without a deadline or objective come after those with an objective of a few minutes.
+/// Objective assumed for jobs without a deadline or objective, so that they come after jobs with one of a few minutes.
 pub(super) const DEFAULT_SLO_MS: u64 = 600_000;
-/// The size of a job lets jobs pass that were accepted at most so much later.
+/// Upper bound on the size penalty: because of its size, a job is passed only by jobs accepted at most this much later.
 const MAX_SIZE_PENALTY_MS: u64 = 120_000;
-/// The size of a job is compared with this part of the cluster (one in so many CPUs).
-const SIZE_PENALTY_CLUSTER_PART: u64 = 4;
+/// The size penalty is the run time of the whole job on the cluster's CPUs divided by this number.
+const SIZE_PENALTY_CLUSTER_DIVISOR: u64 = 4;
 
 impl Leader {
-    /// Takes in a job of the cache. Its ready tasks are queued by [`Leader::enqueue_jobs`].
+    /// Adds a job of the cache to the workload; its ready tasks are queued by [`Leader::enqueue_jobs`]. For a job
+    /// that has a terminal record, queues only the cleanup of its records.
     pub fn track_job(&mut self, ix: JobIx, cache: &StoreCache) {
         let Some(job) = cache.job(ix) else { return };
         if job.terminal.is_some() {
@@ -35,29 +36,31 @@
         self.init_node_state(ix, cache);
     }
 
-    /// Within what time after acceptance the job should complete: its deadline or its class's first objective.
+    /// Returns the time after acceptance within which the job should complete: its deadline or the first objective of
+    /// its class, whichever is earlier. Without either, returns [`DEFAULT_SLO_MS`].
     fn completion_slo_ms(&self, spec: &JobSpec) -> u64 {
         let deadline = spec.slo_wall_ms.map(|deadline| deadline.saturating_sub(spec.accepted_wall_ms));
         let objective = self.slos.completion_slos.get(&spec.class).and_then(|slos| slos.first().copied());
         deadline.into_iter().chain(objective).min().unwrap_or(DEFAULT_SLO_MS)
     }
 
-    /// How long a quarter of the schedulable machines would be busy with the whole job.
+    /// Returns the time for which a quarter of the schedulable machines' CPUs would be busy with the whole job, up to
+    /// [`MAX_SIZE_PENALTY_MS`].
     fn size_penalty_ms(&self, spec: &JobSpec) -> u64 {
         let machines = self.cluster.placement_index.open().iter();
         let cpu: u64 = machines.map(|ix| self.cluster.machines[ix.index()].capacity.cpu).sum();
         let tasks = u64::from(spec.tasks);
         let cpu_ms = spec.task_resources.cpu.saturating_mul(tasks).saturating_mul(spec.estimated_run_ms);
-        (cpu_ms / (cpu / SIZE_PENALTY_CLUSTER_PART).max(1)).min(MAX_SIZE_PENALTY_MS)
+        (cpu_ms / (cpu / SIZE_PENALTY_CLUSTER_DIVISOR).max(1)).min(MAX_SIZE_PENALTY_MS)
     }
 
-    /// Queues every task of new jobs that is neither finished nor placed.
+    /// Queues the tasks of new jobs that are neither finished nor placed.
     pub fn enqueue_jobs(&mut self, jobs: impl IntoIterator<Item = JobIx>) {
         jobs.into_iter().for_each(|ix| self.enqueue_waiting_tasks(ix));
         self.update_guaranteed_jobs();
     }
 
-    /// Forgets a finished job once none of its tasks may be on a machine.
+    /// Removes a finished job from the workload if none of its tasks may be on a machine.
     pub fn remove_finished_job(&mut self, id: JobId, ix: Option<JobIx>) {
         if !self.workload.placed_task_counts.contains_key(&id)
             && let Some(ix) = ix
@@ -85,7 +88,7 @@
         }
     }
 
-    /// All tasks of the job have finished: its terminal record is queued for writing, once.
+    /// Queues the terminal record of a job whose tasks have all finished, unless this has been done already.
     pub fn finish_job(&mut self, ix: JobIx) {
         let Some(job) = self.workload.jobs.get(&ix).filter(|job| !job.finishing) else { return };
         let id = job.spec.id;
@@ -101,7 +104,7 @@
 
 fn log_tracked(spec: &JobSpec) {
     log::debug!(
-        "job {}: {:?} of {} tasks, {} mCPU, {} MB image, {} ms, team {}, class {}",
+        "tracking job {}: {:?} of {} tasks, {} mCPU per task, image {} MB, estimated run {} ms, team {}, class {}",
         spec.id,
         spec.kind,
         spec.tasks,
--- a/src/coordination/leader/placement/binding.rs
+++ b/src/coordination/leader/placement/binding.rs
@@ -1,4 +1,4 @@
-//! Binds tasks to machines. A bound task is started only once its record is durable (`records`).
+//! Binds tasks to machines. A bound task is started only after the record of its binding is durable (`records`).
 
 use crate::bookkeeping::jobs::JobSpec;
 use crate::coordination::leader::records::assignment_log::TaskPlacement;
@@ -7,7 +7,7 @@
 use crate::protocol::operators::JobEventKind;
 
 impl Leader {
-    /// Binds the task to the machine and queues the record of it.
+    /// Binds the task to the machine and queues the record of the binding.
     pub(super) fn bind(&mut self, machine_ix: MachineIx, job_ix: JobIx, task: u32, attempt: Attempt) {
         let Some(job) = self.workload.jobs.get_mut(&job_ix) else {
             return;
@@ -28,7 +28,7 @@
         self.counters.tasks_bound += 1;
     }
 
-    /// The binding of a task to a machine, if the task may be there.
+    /// Returns the binding of the task on the machine, if there is one.
     pub(in crate::coordination::leader) fn binding_of(
         &self,
         machine_ix: MachineIx,
--- a/src/coordination/leader/placement/dispatch.rs
+++ b/src/coordination/leader/placement/dispatch.rs
@@ -1,7 +1,8 @@
-//! The placement pass: queues what can be queued, places gangs, and fills machines from their queues, dedicated first.
+//! The placement pass: moves due tasks to queues, places gangs, and fills machines from their queues, dedicated queues
+//! first.
 //!
-//! Examines only machines with new room or new tasks and thieves whose back-off is over, so that the work of a pass is in
-//! proportion to what changed.
+//! A pass examines only machines with new room or new tasks, and thieves whose backoff has ended, so that its cost is
+//! proportional to what changed.
 
 use olivelatch_admission::pressure::PressureLevel;
 
@@ -14,25 +15,26 @@
 use crate::coordination::leader::placement::steal::QueuedTask;
 use crate::ids::{MachineIx, Resources};
 
-/// Steal attempts of one machine within one pass.
+/// Maximum number of steal attempts of one machine within one pass.
 const MAX_STEALS_PER_PASS: usize = 4;
-/// Paused thieves that resume at each sweep while tasks wait somewhere.
+/// Paused thieves that resume at each sweep while any shared queue holds tasks.
 const THIEVES_RESUMED_PER_SWEEP: usize = 4;
-/// Time between searches for waiting gangs: more often nothing has changed for them.
+/// Minimum time between searches for machines for waiting gangs: within a shorter time too little changes for them.
 const GANG_SEARCH_INTERVAL_MS: u64 = 150;
-/// The same while the leader is behind its events.
+/// Minimum time between these searches while the leader is behind its events.
 const GANG_SEARCH_INTERVAL_UNDER_PRESSURE_MS: u64 = 1_000;
 
-/// What a machine may start from a queue.
+/// The first job of a queue from which a machine may start a task.
 pub(super) struct FirstStartable {
-    /// The first job that may start a task.
+    /// The position of that job; None if no job of the queue may start a task.
     pub(super) order: Option<QueueOrder>,
-    /// A limit that is not the machine's own kept other jobs from starting.
-    pub(super) others_limited: bool,
+    /// At least one examined job was kept from starting only by something other than the machine: a cluster-wide
+    /// limit or a preempting job.
+    pub(super) any_limited: bool,
 }
 
 impl Leader {
-    /// One placement pass.
+    /// Runs one placement pass.
     pub(in crate::coordination) fn place_tasks(&mut self, clock: Clock) {
         self.requeue_delayed(clock);
         self.release_expired_holds(clock);
@@ -40,7 +42,7 @@
             self.enqueue_backlog();
         }
         if !self.placement.waiting_gangs.is_empty() {
-            // Gangs come first: no machine is filled before they have been searched for.
+            // Gangs come first: no machine is filled from its queues before the search for the waiting gangs.
             if clock.now < self.placement.gang_search_not_before {
                 return;
             }
@@ -60,10 +62,12 @@
         }
     }
 
-    /// What changes by time alone: dedicated queues grow too long, back-offs end, run times exceed limits; and thieves
-    /// may have missed all waiting tasks in their samples, so some of those that paused resume.
+    /// Handles what depends on time alone: spills dedicated queues that have become too long, retries excluded
+    /// machines, queues probation tasks and enforces time limits. Also resumes some paused thieves, as their samples
+    /// may have missed all waiting tasks.
     ///
-    /// For a periodic timer: at every event, 300 machines with a dedicated queue cost more than all placement.
+    /// Runs on a periodic timer. When it ran at every event, 300 machines with a dedicated queue made it cost more than
+    /// all of placement.
     pub(in crate::coordination) fn sweep(&mut self, clock: Clock) {
         self.spill_dedicated_queues(clock);
         self.retry_after_exclusion(clock);
@@ -78,7 +82,7 @@
     fn fill_machines(&mut self, clock: Clock) {
         let mut machines = self.cluster.placement_index.take_machines_to_fill(clock.now);
         machines.retain(|ix| self.cluster.machines[ix.index()].hold.is_none());
-        // Cheap machines take tasks first, so that expensive ones run empty and can be returned.
+        // Cheap machines are filled first, so that expensive ones become empty and can be returned to the cloud.
         machines.sort_by(|a, b| self.price_per_cpu(*a).total_cmp(&self.price_per_cpu(*b)));
         for ix in machines {
             self.fill_machine(ix, clock);
@@ -89,7 +93,7 @@
         self.counters.machines_examined += 1;
         let mut steals = 0;
         loop {
-            // Dedicated first (source): those tasks wait for this machine alone.
+            // The dedicated queue comes first (DAWS): its tasks wait for this machine alone.
             while self.bind_next_task(machine_ix, QueueKind::Dedicated)
                 || self.bind_next_task(machine_ix, QueueKind::Shared)
             {}
@@ -105,13 +109,13 @@
         }
     }
 
-    /// Where a job stands in the order of service, which [`policy`](super::policy) defines.
+    /// Returns the job's position in the order of service, which [`policy`](super::policy) defines.
     pub(in crate::coordination::leader) fn queue_order(&self, rank: &Rank) -> QueueOrder {
         QueueOrder::new(rank, self.placement.priority_inputs.get(rank.job))
     }
 
-    /// Binds the first task of a queue that may start now. Instead of one of its own shared queue a machine takes an
-    /// earlier one, if it finds one in a sample. Returns whether a task was bound.
+    /// Binds the first task of a queue that may start now, and returns whether there was one. For the shared queue, a
+    /// task from a random sample of other shared queues is bound instead if it comes earlier in the order of service.
     fn bind_next_task(&mut self, machine_ix: MachineIx, kind: QueueKind) -> bool {
         let machine = &self.cluster.machines[machine_ix.index()];
         if machine.bindings.len() >= self.placement.max_tasks_per_record {
@@ -120,7 +124,7 @@
         let free = machine.free();
         let first = self.first_startable(machine.queue(kind), machine_ix, &free);
         let Some(own_order) = first.order else {
-            if first.others_limited {
+            if first.any_limited {
                 self.cluster.placement_index.add_quota_blocked(machine_ix);
             }
             return false;
@@ -139,7 +143,7 @@
         true
     }
 
-    /// The first job of a queue that may start a task on a machine with this much free capacity.
+    /// Finds the first job of a queue that may start a task on this machine, whose free capacity is `free`.
     pub(super) fn first_startable(
         &self,
         queue: &Queue,
@@ -147,10 +151,10 @@
         free: &Resources,
     ) -> FirstStartable {
         let present = self.placement.priority_inputs.present;
-        let mut others_limited = false;
+        let mut any_limited = false;
         let mut first: Option<QueueOrder> = None;
         for rank in queue.ranks() {
-            // Long queues are not scanned to their ends: later ranks cannot come before this one.
+            // Stops early in long queues: no later rank can come before the job that was found.
             if first.is_some_and(|first| first.precedes_all_from(rank, present)) {
                 break;
             }
@@ -160,10 +164,10 @@
             }
             match self.check_start(machine_ix, free, rank.job) {
                 StartCheck::Allowed => first = Some(order),
-                StartCheck::Limited => others_limited = true,
+                StartCheck::Limited => any_limited = true,
                 StartCheck::Blocked => {}
             }
         }
-        FirstStartable { order: first, others_limited }
+        FirstStartable { order: first, any_limited }
     }
 }
--- a/src/coordination/leader/placement/eligibility.rs
+++ b/src/coordination/leader/placement/eligibility.rs
@@ -1,37 +1,40 @@
-//! Whether a task may start on a machine: the one set of rules that placement acts on and [`explain`] counts.
+//! Decides whether a task may start on a machine. Placement and [`explain`] share this one set of rules.
 //!
-//! Reads the leader's state and changes nothing.
+//! The functions read the leader's state and change nothing.
 //!
 //! [`explain`]: crate::coordination::leader::explain
 
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{JobIx, MachineIx, Resources};
 
-/// What keeps a task off a machine. A task may start where nothing does.
+/// A reason why a task cannot start on a machine. A task may start if there is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementBlocker {
-    /// The task does not fit into the free capacity.
+    /// The task does not fit into the machine's free capacity.
     InsufficientRoom,
-    /// Not up, not confirmed, unreachable for commands, being returned, quarantined, slow or about to be reclaimed.
+    /// The machine is not up, has not acknowledged the leader's fencing token, does not receive commands, is being
+    /// returned, quarantined or slow, or is about to be reclaimed.
     Unavailable,
-    /// The job does not allow its type, its zone or spot machines.
+    /// The job does not allow the machine's type or zone, or allows no spot machines.
     NotAllowed,
-    /// The task would not fit into the empty machine.
+    /// The task would not fit even if the machine were empty.
     TooSmall,
-    /// A task of the job has failed there.
+    /// A task of the job has failed on the machine.
     FailedBefore,
-    /// One zone for all tasks, or at most half of them in one.
+    /// The job's zone rule excludes the machine's zone: all tasks must run in one zone, or at most half of them in
+    /// each.
     ZoneRule,
-    /// The team is at its limit.
+    /// The task would exceed its team's limit.
     TeamLimit,
-    /// The pool has no free slots.
+    /// The job's pool has no free slot.
     PoolFull,
-    /// Best-effort tasks already use what they may.
+    /// Best-effort tasks already use all the capacity that they may.
     BestEffortLimit,
 }
 
 impl PlacementBlocker {
-    /// A limit on all machines together: the task may start as soon as others end elsewhere.
+    /// Returns whether this is a limit on all machines together: the task may start as soon as tasks on any machine
+    /// end.
     fn is_cluster_wide_limit(self) -> bool {
         matches!(
             self,
@@ -40,17 +43,17 @@
     }
 }
 
-/// Whether a task may start on a machine now.
+/// The result of checking whether a task may start on a machine now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartCheck {
     Allowed,
-    /// Only a limit that is not the machine's own, or preemption for more urgent work, keeps it from starting.
+    /// Only a cluster-wide limit, or yielding to jobs for which room is being made, keeps the task from starting.
     Limited,
     Blocked,
 }
 
 impl Leader {
-    /// What keeps a task of this job off this machine, leaving room and quota aside.
+    /// Returns why tasks of this job cannot run on this machine, regardless of free capacity, zone rules and quotas.
     pub(in crate::coordination::leader) fn machine_blocker(
         &self,
         machine_ix: MachineIx,
@@ -70,12 +73,12 @@
         }
     }
 
-    /// Whether a task of this job may start on this machine, leaving room and quota aside.
+    /// Returns whether tasks of this job may run on this machine, regardless of free capacity, zone rules and quotas.
     pub(super) fn is_eligible(&self, machine_ix: MachineIx, job: &JobState) -> bool {
         self.machine_blocker(machine_ix, job).is_none()
     }
 
-    /// What keeps a task of this job from starting now on a machine with this much free capacity.
+    /// Returns why a task of this job cannot start now on this machine, whose free capacity is `free`.
     pub(in crate::coordination::leader) fn placement_blocker(
         &self,
         machine_ix: MachineIx,
@@ -100,10 +103,12 @@
         (self.best_effort_slots(job) == 0).then_some(PlacementBlocker::BestEffortLimit)
     }
 
-    /// The zone rules, applied to every machine where a task of the job may still be.
+    /// Returns whether the job's zone rules allow this machine. Every placement counts where a task of the job may
+    /// still be.
     pub(super) fn zone_rules_allow(&self, machine_ix: MachineIx, job: &JobState) -> bool {
         let zone = self.cluster.machines[machine_ix.index()].zone;
-        // After a failover there may be records of two zones, one of them stale: neither is allowed until one is empty.
+        // After a failover the records may name two zones, one of them stale. No zone is allowed until only one is
+        // left.
         if job.spec.single_zone && job.tasks_per_zone.keys().any(|other| *other != zone) {
             return false;
         }
@@ -111,7 +116,7 @@
         !job.spec.spread || tasks_in_zone < job.spec.tasks.div_ceil(2)
     }
 
-    /// Whether a queued task of this job may start now on a machine with this much free capacity.
+    /// Checks whether a queued task of this job may start now on this machine, whose free capacity is `free`.
     pub(super) fn check_start(&self, machine_ix: MachineIx, free: &Resources, job_ix: JobIx) -> StartCheck {
         let Some(job) = self.workload.jobs.get(&job_ix) else { return StartCheck::Blocked };
         match self.placement_blocker(machine_ix, free, job) {
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Whether a queued task of this job may start now, with no limit in its way either.
+    /// Returns whether a queued task of this job may start now: neither the machine nor a limit prevents it.
     pub(super) fn can_start(&self, machine_ix: MachineIx, free: &Resources, job_ix: JobIx) -> bool {
         self.check_start(machine_ix, free, job_ix) == StartCheck::Allowed
     }
--- a/src/coordination/leader/placement/gang_search.rs
+++ b/src/coordination/leader/placement/gang_search.rs
@@ -1,7 +1,7 @@
-//! Searches machines for all tasks of a gang or service: over the machine types and zones that fit, counting room that is
-//! free or can be made.
+//! Searches machines for all tasks of a gang or service, among the machine types and zones that fit. Counts room that
+//! is free, or that preemption or draining can make.
 //!
-//! Reads the leader's state and changes nothing.
+//! The functions read the leader's state and change nothing.
 
 use std::collections::HashMap;
 
@@ -14,50 +14,50 @@
 use crate::coordination::leader::{JobState, Leader, Machine};
 use crate::ids::{JobIx, MachineIx, MachineTypeIx, Resources, TeamIx, ZoneIx};
 
-/// Until a stop command has reached a worker and its effect is known.
+/// Estimated time until a stop command has reached a worker and its effect is known to the leader.
 const STOP_LATENCY_MS: u64 = 500;
-/// Fetch rate of a machine whose type is unknown, in megabytes a second.
+/// Fetch rate assumed for machines of an unknown type, in megabytes per second.
 const DEFAULT_FETCH_MB_PER_S: f64 = 100.0;
 
-/// What is searched.
+/// The parameters of a search.
 #[derive(Clone, Copy)]
 pub(in crate::coordination::leader) struct GangSearch<'a> {
     pub(in crate::coordination::leader) job_ix: JobIx,
     pub(in crate::coordination::leader) job: &'a JobState,
-    /// Tasks to find machines for.
+    /// Number of tasks that need a machine.
     pub(in crate::coordination::leader) count: usize,
     pub(in crate::coordination::leader) method: PlacementMethod,
     pub(in crate::coordination::leader) clock: Clock,
 }
 
-/// What a search found.
+/// The machines that a search found.
 pub(in crate::coordination::leader) struct GangPlacement {
-    /// Until the last task can start, in milliseconds; lost work counts as time.
+    /// Estimated delay until the last task can start, in milliseconds. Lost work counts as delay.
     pub(super) delay_ms: u64,
-    /// A machine for each task.
+    /// One machine for each placed task; a machine that gets several tasks is repeated.
     pub(in crate::coordination::leader) machines: Vec<MachineIx>,
 }
 
-/// Room on a machine, free or to be made.
+/// Room on a machine that is free or can be made.
 struct RoomEstimate {
     room: Resources,
-    /// What making it costs, in milliseconds.
+    /// Cost of making the room in milliseconds: waiting time, and lost work divided by the CPUs of one task.
     delay_ms: u64,
-    /// Borrowed capacity that is reclaimed for it.
+    /// Borrowed capacity that is reclaimed to make the room.
     claims: Vec<BorrowedClaim>,
 }
 
 /// A machine that a gang could use.
 struct Candidate {
     delay_ms: u64,
-    /// Tasks that it has room for.
+    /// Number of tasks for which the machine has room.
     slots: u64,
     machine_ix: MachineIx,
     claims: Vec<BorrowedClaim>,
 }
 
 impl Leader {
-    /// A machine for each task, or None.
+    /// Returns machines for all `count` tasks with the least delay, or None if there is not enough room.
     pub(super) fn find_gang_placement(
         &self,
         job_ix: JobIx,
@@ -74,7 +74,7 @@
             .min_by_key(|placement| placement.delay_ms)
     }
 
-    /// The zones to be tried one by one; None is all of them together.
+    /// Returns the zones to search one by one. None stands for all zones together.
     pub(in crate::coordination::leader) fn gang_zones(&self, job: &JobState) -> Vec<Option<ZoneIx>> {
         if !job.spec.single_zone {
             return vec![None];
@@ -91,7 +91,7 @@
         zones.into_iter().map(Some).collect()
     }
 
-    /// Machines for as many of the tasks as there is room for.
+    /// Returns machines for as many of the tasks as there is room for.
     pub(in crate::coordination::leader) fn find_partial_placement(
         &self,
         search: &GangSearch<'_>,
@@ -102,7 +102,7 @@
         self.choose_machines(search, candidates, policy.borrowed().clone())
     }
 
-    /// Machines with room for at least one task, the cheapest first.
+    /// Returns the machines with room for at least one task, in ascending order of delay.
     fn candidates(
         &self,
         search: &GangSearch<'_>,
@@ -131,7 +131,7 @@
         let GangSearch { job_ix, job, method, clock, .. } = *search;
         let need = &job.spec.task_resources;
         let machine = &self.cluster.machines[machine_ix.index()];
-        // The cheap checks come first: a search examines every machine of the types that fit.
+        // The cheap checks come first, because a search examines every machine of the types that fit.
         if !can_hold(machine, job_ix, method)
             || (method == PlacementMethod::Free && !need.fits_in(&machine.free()))
             || !self.is_eligible(machine_ix, job)
@@ -153,7 +153,8 @@
         })
     }
 
-    /// As many machines as the tasks need. What is reclaimed on all of them together must be borrowed.
+    /// Chooses machines for the tasks, in the order of the candidates. Skips a candidate if what it would reclaim,
+    /// together with what the chosen ones reclaim, exceeds what is borrowed.
     fn choose_machines(
         &self,
         search: &GangSearch<'_>,
@@ -189,20 +190,22 @@
         GangPlacement { delay_ms, machines }
     }
 
-    /// How often room has grown on machines of the types that the job's tasks fit.
+    /// Returns how often room has grown on machines of the types that the job's tasks fit. A failed search is
+    /// repeated when this number has changed.
     pub(super) fn room_generation(&self, job: &JobState) -> u64 {
         self.cluster
             .placement_index
             .capacity_growth_count(|machine_type| self.fits_machine_type(job, machine_type))
     }
 
-    /// The types that the job's tasks fit.
+    /// Returns the machine types that the job allows and its tasks fit.
     pub(super) fn machine_types_for(&self, job: &JobState) -> Vec<MachineTypeIx> {
         let all = self.cluster.machine_types.keys().copied();
         all.filter(|machine_type| self.fits_machine_type(job, *machine_type)).collect()
     }
 
-    /// Whether the job allows the type and its tasks fit into it. A type that is not in the catalog fits.
+    /// Returns whether the job allows the type and its tasks fit into it. A type that is not in the catalog counts as
+    /// large enough.
     fn fits_machine_type(&self, job: &JobState, ix: MachineTypeIx) -> bool {
         let machine_type = self.cluster.machine_types.get(&ix);
         job.spec.allows_machine_type(ix)
@@ -219,8 +222,8 @@
         (job.spec.image_mb as f64 / mb_per_s.max(1.0) * MS_PER_S) as u64
     }
 
-    /// Room for one task once enough of the machine's tasks have ended; none if that takes longer than a machine may be
-    /// held.
+    /// Estimates the room once enough of the machine's tasks have ended for one task of the job to fit. There is no
+    /// room if that takes longer than a machine may be held.
     fn room_after_drain(&self, machine: &Machine, job: &JobState, clock: Clock) -> RoomEstimate {
         let mut room = machine.free();
         let mut remaining: Vec<(u64, Resources)> = machine
@@ -243,8 +246,8 @@
         RoomEstimate { room, delay_ms, claims: Vec::new() }
     }
 
-    /// Room for one task once less urgent or borrowing tasks have stopped. It costs the time that they take to save and
-    /// the work that is lost.
+    /// Estimates the room once enough tasks that are less urgent or use borrowed capacity have stopped for one task
+    /// of the job to fit. The cost is the time that they take to save checkpoints plus the work that is lost.
     fn room_after_preemption(
         &self,
         machine: &Machine,
@@ -266,7 +269,8 @@
     }
 }
 
-/// A gang that may stop tasks may use a machine that another one is only draining.
+/// Returns whether the machine may be held for the gang: it is not held, is held for this gang, or is only being
+/// drained for another gang while this one preempts.
 fn can_hold(machine: &Machine, job_ix: JobIx, method: PlacementMethod) -> bool {
     machine.hold.is_none_or(|hold| {
         hold.job == job_ix || (method == PlacementMethod::Preempt && hold.method == PlacementMethod::Drain)
--- a/src/coordination/leader/placement/gang_search_cache.rs
+++ b/src/coordination/leader/placement/gang_search_cache.rs
@@ -1,4 +1,4 @@
-//! Negative cache of gang searches: a search that found no machines need not be repeated before there is more room.
+//! Negative cache of gang searches: a search that found no placement need not be repeated before there is more room.
 //!
 //! Memory: one entry for each distinct requirement of waiting gangs; expired entries are dropped with each insertion.
 
@@ -9,11 +9,11 @@
 use crate::ids::{MachineTypeIx, Millis, Resources, TeamIx, ZoneIx};
 use crate::protocol::users::PriorityClass;
 
-/// An entry expires after this time whatever has changed: running tasks come nearer to their ends, and borrowed capacity
-/// becomes reclaimable.
+/// An entry expires after this time even if no room has grown: meanwhile running tasks come closer to their ends, and
+/// borrowed capacity becomes reclaimable.
 const ENTRY_TTL_MS: u64 = 1_000;
 
-/// What gangs that fit into the same room have in common: one search is valid for all of them.
+/// The requirements that decide where a gang can be placed. A search is valid for all gangs with the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct GangSearchKey {
     task_resources: Resources,
@@ -43,19 +43,20 @@
 
 #[derive(Debug, Clone, Copy)]
 struct FailedSearch {
-    /// Tasks that were searched room for.
+    /// Number of tasks for which the search looked for room.
     count: usize,
-    /// The capacity growth count at the time of the search.
+    /// The number of capacity growths (`Leader::room_generation`) at the time of the search.
     room_generation: u64,
     expires_at: Millis,
 }
 
-/// Searches that found nothing. Less room makes them no better, so they hold until room grows.
+/// Searches that found nothing. With less room they would fail as well, so an entry is valid until room grows or the
+/// entry expires.
 #[derive(Debug, Default)]
 pub struct GangSearchCache(HashMap<GangSearchKey, FailedSearch>);
 
 impl GangSearchCache {
-    /// Whether a search for this many tasks would find nothing, as an earlier one did.
+    /// Returns whether an earlier failed search shows that a search for this many tasks would find nothing.
     pub(super) fn is_known_failure(
         &self,
         job: &JobState,
@@ -69,8 +70,8 @@
         })
     }
 
-    /// Records that a search found nothing. Failures of a gang that its own history keeps from machines or zones are not
-    /// recorded: they say nothing about other gangs.
+    /// Records that a search found nothing. Not recorded are searches for a gang whose own history excludes machines or
+    /// zones, as their failure does not apply to other gangs.
     pub(super) fn record_failure(&mut self, job: &JobState, count: usize, room_generation: u64, now: Millis) {
         if !job.failed_on.is_empty() || !job.tasks_per_zone.is_empty() {
             return;
--- a/src/coordination/leader/placement/gangs.rs
+++ b/src/coordination/leader/placement/gangs.rs
@@ -1,7 +1,7 @@
-//! Places gangs and services: before all other work, and all of their tasks or none.
+//! Places gangs and services before all other work, and either all of their tasks or none.
 //!
-//! A gang starts where there is room, else room is made for it: less urgent or borrowing tasks are stopped, or machines
-//! are held until their tasks have ended.
+//! A gang starts on machines that have room. If there are none, room is made for it: tasks that are less urgent or use
+//! borrowed capacity are stopped, or machines are held until their tasks have ended.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -15,28 +15,28 @@
 
 pub use super::holds::{Hold, PlacementMethod};
 
-/// What became of a gang in one pass.
+/// The result of trying to place a gang in one pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GangOutcome {
-    /// It has started, room is being made for it, or nothing more is done for it.
+    /// The gang has started, room is being made for it, or nothing is done for it because it is at fault.
     Settled,
-    /// It can only wait for the tasks of others to end.
+    /// Stopping tasks would not make enough room, so the gang can only wait until tasks of other jobs end.
     Waiting,
 }
 
 impl JobState {
-    /// Unfinished tasks that are on no machine.
+    /// Returns the unfinished tasks that are on no machine.
     pub(in crate::coordination::leader) fn unplaced_tasks(&self) -> Vec<u32> {
         self.finished.iter_missing().filter(|task| !self.placements.contains_key(task)).collect()
     }
 }
 
 impl Leader {
-    /// Tries all waiting gangs and reserves machines for those that must go on waiting.
+    /// Tries to place all waiting gangs, and reserves machines for those that have to keep waiting.
     pub(super) fn place_gangs(&mut self, clock: Clock) {
         self.recount_stopping();
         let ranks = self.gang_order();
-        let holders: HashSet<JobIx> =
+        let holding_jobs: HashSet<JobIx> =
             self.placement.held_machines.iter().filter_map(|ix| self.holding_job(*ix)).collect();
         let mut unmet_demand = GangDemandByType::default();
         for rank in ranks {
@@ -48,7 +48,7 @@
             if !self.may_place_gang(rank.job, tasks.len()) {
                 continue;
             }
-            let is_holding = holders.contains(&rank.job);
+            let is_holding = holding_jobs.contains(&rank.job);
             let known_failure = !is_holding && self.is_known_gang_failure(rank.job, tasks.len(), clock);
             if (known_failure || self.place_gang(rank, &tasks, is_holding, clock) == GangOutcome::Waiting)
                 && let Some(job) = self.workload.jobs.get(&rank.job)
@@ -59,7 +59,8 @@
         self.reserve_scarce_machines(&unmet_demand);
     }
 
-    /// Whether the limits of its team and pool allow all tasks, and no task of an earlier attempt is left.
+    /// Returns whether the limits of the job's team and pool allow `count` more tasks and, for a gang, no task of an
+    /// earlier attempt is left on a machine.
     fn may_place_gang(&self, job_ix: JobIx, count: usize) -> bool {
         let Some(job) = self.workload.jobs.get(&job_ix) else { return false };
         let has_old_attempt = job.spec.kind == JobKind::Gang && !job.placements.is_empty();
@@ -82,23 +83,24 @@
         self.counters.gang_searches += 2;
         let free = self.find_gang_placement(rank.job, count, PlacementMethod::Free, clock);
         if free.is_none() && self.workload.jobs.get(&rank.job).is_some_and(JobState::is_at_fault) {
-            // It has failed wherever it was tried: no task is stopped and no machine held for it.
+            // The job has failed on several machines and succeeded on none, so no task is stopped and no machine is
+            // held for it.
             return GangOutcome::Settled;
         }
         let after_preemption = self.find_gang_placement(rank.job, count, PlacementMethod::Preempt, clock);
-        // Free room may cost more time than room to be made: an image has to be fetched.
+        // Starting on free capacity can take longer than preempting, as the image may have to be fetched first.
         if let Some(free) = free
             && after_preemption.as_ref().is_none_or(|preempting| free.delay_ms <= preempting.delay_ms)
         {
             self.start_gang(rank, tasks, &free.machines);
             return GangOutcome::Settled;
         }
-        // Only a gang that may stop no tasks waits for them to end.
+        // If stopping tasks makes enough room, they are stopped. Otherwise the gang waits until tasks end.
         if let Some(preempting) = after_preemption {
             self.make_room(rank.job, &preempting.machines, PlacementMethod::Preempt, clock);
             return GangOutcome::Settled;
         }
-        // A gang that already holds machines waits for their room, not for that of still others.
+        // A gang that already holds machines waits for these and does not hold others in addition.
         if !is_holding {
             self.drain_for_gang(rank.job, count, clock);
         }
@@ -114,7 +116,8 @@
         self.placement.waiting_gangs.remove(&rank);
     }
 
-    /// Holds machines whose tasks end soon enough; if there are none, the gang is not searched for again too soon.
+    /// Holds machines whose tasks end soon enough. If there are not enough of them, records the failed search, so
+    /// that it is not repeated too soon.
     fn drain_for_gang(&mut self, job_ix: JobIx, count: usize, clock: Clock) {
         self.counters.gang_searches += 1;
         if let Some(found) = self.find_gang_placement(job_ix, count, PlacementMethod::Drain, clock) {
@@ -125,9 +128,9 @@
         }
     }
 
-    /// Holds machines for a gang, and stops tasks on them if that is the method.
+    /// Holds the machines for a gang, and stops tasks on them if the method is preemption.
     fn make_room(&mut self, job_ix: JobIx, machines: &[MachineIx], method: PlacementMethod, clock: Clock) {
-        // A drain is replaced by preemption, never the other way round.
+        // Preemption replaces a drain for the same gang, but a drain never replaces preemption.
         let is_held_already = |ix: &MachineIx| {
             let hold = self.cluster.machines[ix.index()].hold;
             hold.is_some_and(|hold| hold.job == job_ix && hold.method <= method)
@@ -145,7 +148,7 @@
             *tasks_per_machine.entry(*machine_ix).or_default() += 1;
         }
         for (machine_ix, tasks) in tasks_per_machine {
-            // Held before tasks are stopped, so that none of them is queued there again.
+            // The machine is held before its tasks are stopped, so that none of them is queued there again.
             let previous_hold = self.cluster.machines[machine_ix.index()].hold.replace(hold);
             if method == PlacementMethod::Preempt
                 && !self.preempt_for_gang(machine_ix, &need.saturating_mul(tasks), job_ix, clock)
@@ -157,7 +160,8 @@
         }
     }
 
-    /// Stops tasks until `need` fits. Returns false and stops none if it cannot be made to fit.
+    /// Stops tasks on the machine so that `need` fits. If stopping all tasks that may be stopped does not suffice,
+    /// stops none and returns false.
     fn preempt_for_gang(
         &mut self,
         machine_ix: MachineIx,
--- a/src/coordination/leader/placement/mod.rs
+++ b/src/coordination/leader/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Which task starts on which machine: queues, the ordinary path, gangs, preemption and shares.
+//! Decides which task starts on which machine: queueing and stealing, gangs, preemption, quotas and minimum shares.
 //!
-//! Placement decides on the leader's state alone: no I/O, the time comes in with each call, and all randomness is drawn
-//! from the seeded generator in [`state`].
+//! Placement depends on the leader's state alone: it does no I/O, each call passes in the time, and all randomness is
+//! drawn from the seeded generator in [`state`].
 
 mod best_effort;
 mod binding;
@@ -25,9 +25,10 @@
 mod team_quota;
 
 const MS_PER_S: f64 = 1000.0;
-/// Thousandths in a CPU, and milliseconds in a second.
+/// Thousandths of a CPU in one CPU, and milliseconds in a second.
 const MILLI: u64 = 1000;
-/// Bound of the tasks that a machine is expected to run at once: tasks without resources would fit any number of times.
+/// Upper bound on the number of tasks that a machine is expected to run at once. Without it, any number of tasks that
+/// request no resources would fit.
 const MAX_EXPECTED_SLOTS: u64 = 1_000;
 
 #[cfg(test)]
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -1,5 +1,5 @@
-//! The order of service while not all jobs can meet their objectives: minimum shares for team classes that are behind,
-//! small gangs first. docs/overload.md argues for it.
+//! The order of service while not all jobs can meet their objectives: team classes below their minimum share come
+//! first, and small gangs come before large ones. docs/overload.md gives the reasons.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,36 +12,38 @@
 use crate::ids::{ClassIx, JobIx, MachineTypeIx, TeamIx};
 use crate::protocol::users::PriorityClass;
 
-/// The jobs of a class that a team owns: what a minimum share is given to.
+/// A team and a job class. Minimum shares are assigned to the jobs of a class that belong to one team.
 pub type TeamClass = (TeamIx, ClassIx);
 
-/// Service within this time counts for minimum shares.
+/// Minimum shares are computed from the service within this time.
 pub(super) const SERVICE_WINDOW_MS: u64 = 60_000;
-/// A team class that got less than this part of its weight is served first.
+/// A team class that got less than this fraction of its share by weight is served first.
 const MINIMUM_SHARE: f64 = 0.5;
-/// A team without a guarantee weighs this part of all guarantees.
+/// The weight of a team without a guarantee is the sum of all guarantees divided by this.
 const UNGUARANTEED_WEIGHT_DIVISOR: u64 = 20;
 
-/// An array job that may still complete in time. In the order in which they would, the smaller first.
+/// An array job that has not missed its last objective. The order of the fields is the order in which such jobs are
+/// assumed to run: by urgency, then with the least remaining work first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ArrayWork {
     urgency: PriorityClass,
+    /// CPU milliseconds.
     remaining_work: u64,
     job_ix: JobIx,
-    /// Until its last objective.
+    /// Time until the job's last objective.
     time_left_ms: u64,
 }
 
 /// Gangs that wait for machines of one type.
 struct GangBacklog {
-    /// Machine milliseconds that they take.
+    /// Machine time that the gangs need, in milliseconds.
     machine_ms: u64,
-    /// The shortest of their objectives.
+    /// The smallest last objective of these gangs, in milliseconds from acceptance.
     objective_ms: u64,
 }
 
 impl Leader {
-    /// Records the service that a task of the job gets by its start.
+    /// Records a task start of the job as service to its team class: the expected CPU milliseconds of the task.
     pub(super) fn record_start(&mut self, job_ix: JobIx) {
         if let Some(job) = self.workload.jobs.get(&job_ix) {
             let cpu_ms = job.spec.task_resources.cpu.saturating_mul(job.expected_run_ms()) / MILLI;
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Updates which jobs have missed their objectives or will, and which team classes have such jobs waiting and are
-    /// below their minimum share.
+    /// Updates which jobs have missed their objectives or are expected to, and which team classes have such jobs
+    /// waiting and are below their minimum share.
     pub(in crate::coordination::leader) fn update_past_slo_jobs(&mut self, clock: Clock) {
         self.placement.recently_served.advance_to(clock.now.0);
         let past_slo = self.past_slo_jobs(clock);
@@ -59,13 +61,13 @@
         inputs.present.past_slo = !past_slo.is_empty();
         inputs.present.below_minimum_share = !below_minimum.is_empty();
         for (ix, job) in &self.workload.jobs {
-            let of_job = inputs.get_mut(*ix);
-            of_job.past_slo_work = past_slo.get(ix).copied();
-            of_job.below_minimum_share = below_minimum.contains(&(job.spec.team, job.spec.class));
+            let job_inputs = inputs.get_mut(*ix);
+            job_inputs.past_slo_work = past_slo.get(ix).copied();
+            job_inputs.below_minimum_share = below_minimum.contains(&(job.spec.team, job.spec.class));
         }
     }
 
-    /// Of the team classes with jobs waiting, those below their minimum share with a job past its objectives among them.
+    /// Returns the team classes that are below their minimum share and have a waiting job past its objectives.
     fn classes_below_minimum_share(&self, past_slo: &BTreeMap<JobIx, u64>) -> BTreeSet<TeamClass> {
         if !self.tunables.overload.overload_ordering {
             return BTreeSet::new();
@@ -83,9 +85,9 @@
         below
     }
 
-    /// Jobs whose last objective has passed, and array jobs that could not meet theirs even if all smaller ones went first
-    /// and nothing that is past its objectives came in between (Moore's rule for the fewest late jobs), with the work left
-    /// of each.
+    /// Returns the jobs past their objectives with the remaining work of each: jobs whose last objective has passed,
+    /// and array jobs that could not meet theirs even if only more urgent and smaller array jobs that can meet their
+    /// own objectives ran before them (after Moore's rule for the fewest late jobs).
     fn past_slo_jobs(&self, clock: Clock) -> BTreeMap<JobIx, u64> {
         let overload_ordering = self.tunables.overload.overload_ordering;
         let mut past_slo = BTreeMap::new();
@@ -118,14 +120,14 @@
         past_slo
     }
 
-    /// From now until the job's deadline, or the last objective of its class.
+    /// Returns the time from now until the job's deadline or, if it has none, the last objective of its class.
     fn time_to_last_objective_ms(&self, job: &JobState, clock: Clock) -> u64 {
         let class_slo = self.longest_slo_ms(job).map(|slo_ms| job.spec.accepted_wall_ms + slo_ms);
         let last = job.spec.slo_wall_ms.or(class_slo);
         last.map_or(u64::MAX, |last| last.saturating_sub(clock.wall_ms))
     }
 
-    /// CPUs of the machines that are present or coming, in thousandths.
+    /// Returns the CPUs of all machines that are present or booting and not being returned, in thousandths.
     pub(super) fn fleet_cpu(&self) -> u64 {
         let machines = self.cluster.machines.iter();
         machines
@@ -134,14 +136,14 @@
             .sum()
     }
 
-    /// What of them gangs do not use.
+    /// Returns the CPUs of the fleet that placed gangs and services do not use, in thousandths.
     fn cpu_for_arrays(&self) -> u64 {
         let gangs = self.workload.jobs.values().filter(|job| job.spec.is_all_or_nothing());
         let used: u64 = gangs.map(|job| job.spec.task_resources.cpu * job.placements.len() as u64).sum();
         self.fleet_cpu().saturating_sub(used)
     }
 
-    /// A team weighs what it is guaranteed; one without a guarantee a little.
+    /// Returns the weight of a team: its guaranteed CPUs and GPUs, but at least a small part of all guarantees.
     fn team_weight(&self, team: TeamIx) -> u64 {
         let teams = &self.quotas.team_settings;
         let own = teams.get(&team).map_or(0, |team| team.guaranteed.cpu + team.guaranteed.gpu);
@@ -149,9 +151,10 @@
         own.max(all / UNGUARANTEED_WEIGHT_DIVISOR).max(1)
     }
 
-    /// The order in which waiting gangs are tried: by rank, unless there are so many for the machines that fit them that
-    /// one that came now would not even start before its objectives had passed. Then those of team classes that are behind
-    /// come first, and small ones before large ones that came only a little earlier, so that more of them complete.
+    /// Returns the order in which waiting gangs are tried: by rank, unless the backlog of gangs for the machines that
+    /// fit them is so long that a gang that came now would not even start before its objectives had passed. In that
+    /// case gangs of team classes below their minimum share come first, and small gangs come before large ones that
+    /// came only a little earlier, so that more gangs complete.
     pub(super) fn gang_order(&self) -> Vec<Rank> {
         let mut ranks: Vec<Rank> = self.placement.waiting_gangs.iter().copied().collect();
         let excess_backlog_ms =
@@ -169,8 +172,9 @@
         ranks
     }
 
-    /// How long the machines of some type are busy with the gangs that wait for it, in milliseconds; None if no type's
-    /// gangs wait longer than their objectives.
+    /// Returns the longest time, in milliseconds, for which the machines of one type would be busy with the gangs
+    /// that wait for it, among the types for which that exceeds an objective of those gangs. None if there is no such
+    /// type.
     fn gang_backlog_ms(&self, ranks: &[Rank]) -> Option<u64> {
         let excess = self.gang_backlogs(ranks).into_iter().filter_map(|(machine_type, backlog)| {
             let open = self.cluster.placement_index.open_matching(|other, _| other == machine_type);
@@ -181,6 +185,7 @@
         excess.max()
     }
 
+    /// Returns the backlog of waiting gangs for each machine type that they fit.
     fn gang_backlogs(&self, ranks: &[Rank]) -> BTreeMap<MachineTypeIx, GangBacklog> {
         let mut backlogs: BTreeMap<MachineTypeIx, GangBacklog> = BTreeMap::new();
         for job in ranks.iter().filter_map(|rank| self.workload.jobs.get(&rank.job)) {
@@ -192,7 +197,7 @@
                 let slots = machine_type.map_or(0, |machine_type| {
                     job.spec.task_resources.max_count_in(&machine_type.capacity).min(MAX_EXPECTED_SLOTS)
                 });
-                // The types share the gang equally.
+                // The work of a gang is divided equally among the types that it fits.
                 let machine_ms = task_ms / slots.max(1) / machine_types.len() as u64;
                 let backlog =
                     backlogs.entry(*ix).or_insert(GangBacklog { machine_ms: 0, objective_ms: u64::MAX });
@@ -204,7 +209,7 @@
     }
 }
 
-/// CPU milliseconds that the job still needs, in thousandths of CPUs.
+/// Returns the work that the job still needs, in CPU milliseconds.
 fn remaining_work(job: &JobState) -> u64 {
     let task_work = job.spec.task_resources.cpu.saturating_mul(u64::from(job.unfinished_tasks()));
     task_work.saturating_mul(job.expected_run_ms()) / MILLI
--- a/src/coordination/leader/placement/policy.rs
+++ b/src/coordination/leader/placement/policy.rs
@@ -1,22 +1,26 @@
-//! The order of service: which job gets the next free room. One order for plain jobs and for nodes of graphs alike, by
-//! these criteria:
+//! The order of service: which job gets the next free capacity. Plain jobs and DAG nodes share one order, with these
+//! criteria:
 //!
-//! 1. **urgency** of the job;
-//! 2. what fits into its team's **guarantee** together with the team's earlier jobs, before what borrows;
-//! 3. what can still meet one of its **objectives**, before what cannot; of the latter what has least **work left**, so
-//!    that more jobs complete (docs/overload.md);
-//! 4. the time by which it has to **start**, in buckets of 10 s: acceptance (of a node: when it became ready) plus the time
-//!    to its objective, less its own run time. Later by the size of the job, at most two minutes, so that many small jobs
-//!    pass a large one; **earlier by the longest path downstream** of a node, at most two minutes as well;
-//! 5. larger images (source), then older jobs.
+//! 1. **Urgency** of the job.
+//! 2. **Guarantee**: jobs that fit into their team's guarantee together with the team's earlier jobs come before jobs
+//!    that borrow.
+//! 3. **Objectives**: jobs that can still meet an objective come before jobs that cannot. Of the latter, those with the
+//!    least **remaining work** come first, so that more jobs complete (docs/overload.md).
+//! 4. **Start-by time** in buckets of 10 s: the time of acceptance (for a node, the time when it became ready) plus
+//!    the time to its objective, minus its own run time. The size of the job makes it later by at most two minutes,
+//!    so that many small jobs pass a large one. The **longest downstream path** of a node makes it earlier by at most
+//!    two minutes.
+//! 5. Larger images come first (DAWS), then older jobs.
 //!
-//! Before all of these come team classes that have jobs past their objectives waiting and got less than their minimum share
-//! of recent service, until they have it: jobs that come last by the third criterion must not starve.
+//! Above all of these, a team class comes first if it has waiting jobs past their objectives and got less than its
+//! minimum share of recent service, until it has that share. Otherwise the third criterion would starve jobs past their
+//! objectives.
 //!
-//! No job starves by the fourth: it is a time of day. It stays the same while that of later jobs advances, so a node with
-//! ever so long a path downstream passes a plain job only if it came less than two minutes later.
+//! The fourth criterion starves no job, because it is a wall-clock time: it stays the same while the start-by times
+//! of newer jobs advance. A node passes a plain job only if it came less than two minutes later, however long its
+//! downstream path is.
 //!
-//! Pure: no I/O and no clock. Memory: one entry for each job.
+//! This module does no I/O and reads no clock. Memory: one entry for each job.
 
 use std::cmp::Reverse;
 
@@ -24,29 +28,32 @@
 use crate::ids::{JobIx, Revision};
 use crate::protocol::users::PriorityClass;
 
-/// Jobs that have to start within the same bucket go by image size.
+/// Jobs whose start-by times are in the same bucket are ordered by image size.
 const START_BUCKET_MS: u64 = 10_000;
-/// The path downstream of a node puts it at most this much before its time.
+/// Upper bound on how much earlier a node's downstream path makes its start-by time.
 const MAX_CRITICAL_PATH_MS: u64 = 120_000;
 
-/// The part of the order that never changes, so that a queued task is found again: urgency and criteria 4 and 5.
+/// The part of the order that never changes: criteria 1, 4 and 5. Queues use it as their key, so that a queued task can
+/// be found again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     urgency: PriorityClass,
     start_by_bucket: u64,
     image_mb: Reverse<u64>,
     accepted_revision: Revision,
-    /// The job itself.
+    /// The ranked job, which also breaks ties.
     pub job: JobIx,
 }
 
 impl Rank {
-    /// The rank of a job that should complete within `objective_ms` of its acceptance. `size_ms`: how long it keeps a good
-    /// part of the fleet busy; under overload, many small jobs in time are worth more than one large one.
-    pub fn new(job: JobIx, spec: &JobSpec, objective_ms: u64, size_ms: u64) -> Rank {
+    /// Returns the rank of a job that should complete within `objective_ms` of its acceptance.
+    ///
+    /// `size_penalty_ms` grows with the time for which the job would occupy a large part of the fleet: under overload,
+    /// completing many small jobs in time is worth more than completing one large job.
+    pub fn new(job: JobIx, spec: &JobSpec, objective_ms: u64, size_penalty_ms: u64) -> Rank {
         let downstream_path_ms = spec.node.as_ref().map_or(0, |node| node.downstream_path_ms);
         let critical_path_ms = downstream_path_ms.min(MAX_CRITICAL_PATH_MS);
-        let start_by_ms = (spec.accepted_wall_ms + objective_ms + size_ms)
+        let start_by_ms = (spec.accepted_wall_ms + objective_ms + size_penalty_ms)
             .saturating_sub(spec.estimated_run_ms + critical_path_ms);
         Rank {
             urgency: spec.urgency,
@@ -57,49 +64,51 @@
         }
     }
 
-    /// The first criterion.
+    /// Returns the job's urgency, the first criterion.
     pub(super) fn urgency(&self) -> PriorityClass {
         self.urgency
     }
 }
 
-/// What the order takes into account beyond a job's rank, and changes.
+/// Inputs of the order that change during the life of a job, unlike its rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PriorityInputs {
-    /// It fits into its team's guarantee together with the team's earlier jobs.
+    /// The job fits into its team's guarantee together with the team's earlier jobs.
     pub guaranteed: bool,
-    /// It has missed all its objectives or will: the work left in CPU milliseconds (thousandths of CPUs).
+    /// Set if the job has missed its last objective or is expected to: its remaining work in CPU milliseconds, or 0 if
+    /// overload ordering is disabled.
     pub past_slo_work: Option<u64>,
-    /// Its team class is below its minimum share.
+    /// The job's team class is below its minimum share.
     pub below_minimum_share: bool,
 }
 
-/// Which inputs occur with any job at all.
+/// Records for each input whether at least one job has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PresentInputs {
-    /// Some job is guaranteed.
+    /// At least one job fits into its team's guarantee.
     pub guaranteed: bool,
-    /// Some job is past its objectives.
+    /// At least one job is past its objectives.
     pub past_slo: bool,
-    /// Some job's team class is below its minimum share.
+    /// At least one job's team class is below its minimum share.
     pub below_minimum_share: bool,
 }
 
-/// The inputs of each job, by its dense index: they are read for every job in a sample of queues.
+/// The inputs of each job. A vector indexed by the dense job index, because the inputs are read for every job in a
+/// sample of queues.
 #[derive(Debug, Default)]
 pub struct PriorityInputsTable {
     jobs: Vec<PriorityInputs>,
-    /// What occurs in the table.
+    /// The inputs that at least one job has.
     pub present: PresentInputs,
 }
 
 impl PriorityInputsTable {
-    /// The inputs of a job; the default if none have been set.
+    /// Returns the inputs of a job, or the default if none have been set.
     pub fn get(&self, job: JobIx) -> PriorityInputs {
         self.jobs.get(job.index()).copied().unwrap_or_default()
     }
 
-    /// The inputs of a job, to be set.
+    /// Returns the inputs of a job for modification.
     pub fn get_mut(&mut self, job: JobIx) -> &mut PriorityInputs {
         if self.jobs.len() <= job.index() {
             self.jobs.resize(job.index() + 1, PriorityInputs::default());
@@ -108,20 +117,21 @@
     }
 }
 
-/// A job's place in the order by all criteria: the smaller is served first.
+/// A job's position in the order by all criteria; the smallest is served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueOrder {
     has_minimum_share: bool,
     urgency: PriorityClass,
     is_borrowing: bool,
-    /// None, which comes first, if the job can still meet an objective. Roughly equal amounts of work go by rank.
+    /// None, which sorts first, if the job can still meet an objective. The logarithm makes jobs with roughly equal
+    /// remaining work compare by rank.
     past_slo_work_log2: Option<u32>,
-    /// The remaining criteria.
+    /// Holds the remaining criteria.
     pub rank: Rank,
 }
 
 impl QueueOrder {
-    /// The place of a job with this rank and these inputs.
+    /// Returns the position of a job with this rank and these inputs.
     pub fn new(rank: &Rank, inputs: PriorityInputs) -> QueueOrder {
         QueueOrder {
             has_minimum_share: !inputs.below_minimum_share,
@@ -132,7 +142,7 @@
         }
     }
 
-    /// Whether it certainly comes before any job with this rank or a later one.
+    /// Returns whether this job is guaranteed to come before every job with the given rank or a later one.
     pub fn precedes_all_from(&self, rank: &Rank, present: PresentInputs) -> bool {
         if self.has_minimum_share && present.below_minimum_share {
             return false;
--- a/src/coordination/leader/placement/preemption.rs
+++ b/src/coordination/leader/placement/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption for array jobs that may stop tasks of others: less urgent ones, or what other teams have borrowed while the
-//! own one is within its guarantee.
+//! Preemption for array jobs. An array job may stop tasks that are less urgent and, while its own team is within its
+//! guarantee, tasks that use capacity borrowed by other teams.
 //!
-//! Queues give such jobs the next room that becomes free. Where long tasks occupy all of it none does for minutes, so a
-//! few of those are stopped: only where the lost work is far less than what they would still take.
+//! Queues give such jobs the next capacity that becomes free. When long tasks occupy all of it, none becomes free for
+//! minutes. Then a few of these tasks are stopped, but only those for which the lost work is far less than their
+//! remaining run time.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::placement::preemption_cost::{
@@ -13,26 +14,27 @@
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::users::PriorityClass;
 
-/// Tasks that one pass stops at most.
+/// Maximum number of tasks that one pass stops.
 const MAX_PREEMPTIONS_PER_PASS: usize = 128;
-/// Jobs for which one pass makes room at most.
+/// Maximum number of jobs for which one pass makes room.
 const MAX_JOBS_PER_PASS: usize = 4;
-/// A task that ends within this time is waited for: where all do, room becomes free all the time. With a quarter of
-/// this, borrowed tasks of half a minute were stopped 5,058 times on one day, and their array never ended.
+/// Tasks whose remaining run time is at most this are not stopped: if all tasks are that short, room becomes free all
+/// the time. With a quarter of this value, tasks of half a minute on borrowed capacity were stopped 5,058 times on
+/// one day, and their array never completed.
 const MIN_REMAINING_MS: u64 = 60_000;
-/// The time a task still takes must be at least this many times the time lost by stopping it.
+/// The remaining run time of a task must be more than this many times the time lost by stopping it.
 const MIN_GAIN_RATIO: u64 = 3;
 
-/// The jobs for which room is being made.
+/// The priority of the jobs for which room is being made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreemptorPriority {
     urgency: PriorityClass,
-    /// They fit into their teams' guarantees.
+    /// All of these jobs fit into their teams' guarantees.
     guaranteed: bool,
 }
 
 impl PreemptorPriority {
-    /// Of several preemptors, only jobs that come after all of them have to yield.
+    /// Combines two priorities into the lower one, so that only jobs that come after all preemptors have to yield.
     fn lowest(self, other: PreemptorPriority) -> PreemptorPriority {
         PreemptorPriority {
             urgency: self.urgency.max(other.urgency),
@@ -41,17 +43,18 @@
     }
 }
 
-/// What an array job asks of preemption.
+/// The room that an array job requests through preemption.
 struct PreemptionRequest {
     /// CPUs of one task, in thousandths.
     task_cpu: u64,
+    /// Number of tasks that need room.
     tasks: u64,
     policy: PreemptionPolicy,
 }
 
 /// A task that may be stopped.
 struct Candidate {
-    /// Work lost for each of its CPUs, in milliseconds.
+    /// Work lost per CPU of the task, in milliseconds.
     lost_ms: u64,
     machine_ix: MachineIx,
     binding_index: usize,
@@ -59,13 +62,13 @@
 }
 
 impl Leader {
-    /// Stops tasks for array jobs that have waited a while and find no room.
+    /// Stops tasks for array jobs that have waited long enough to reclaim and for which too little room becomes free.
     pub(in crate::coordination::leader) fn preempt_for_waiting_arrays(&mut self, clock: Clock) {
         self.recount_stopping();
         let mut becoming_free = self.cpu_becoming_free();
         let mut preemptions_left = MAX_PREEMPTIONS_PER_PASS;
         let mut jobs_tried = 0;
-        self.placement.preemption_state = None;
+        self.placement.preemptor_priority = None;
         for job_ix in self.long_waiting_arrays(clock) {
             let Some(request) = self.array_preemption_request(job_ix) else { continue };
             let wanted = request.task_cpu.saturating_mul(request.tasks);
@@ -88,7 +91,7 @@
         }
     }
 
-    /// In the order of service.
+    /// Returns the array jobs that have waited long enough to reclaim, in the order of service.
     fn long_waiting_arrays(&self, clock: Clock) -> Vec<JobIx> {
         let waiting = self.workload.jobs.iter().filter(|(_, job)| is_long_waiting_array(job, clock));
         let mut jobs: Vec<(JobIx, &JobState)> = waiting.map(|(ix, job)| (*ix, job)).collect();
@@ -100,23 +103,26 @@
         let Some(job) = self.workload.jobs.get(&job_ix) else { return };
         let guaranteed = self.placement.priority_inputs.get(job_ix).guaranteed;
         let preemptor = PreemptorPriority { urgency: job.spec.urgency, guaranteed };
-        let current = &mut self.placement.preemption_state;
+        let current = &mut self.placement.preemptor_priority;
         *current = Some(current.map_or(preemptor, |other| other.lowest(preemptor)));
     }
 
-    /// Whether room is being made for more important work, so that the job starts no tasks: it would take the room again.
+    /// Returns whether the job must not start tasks because room is being made for jobs of higher priority: it would
+    /// take that room. Gangs, services and jobs of team classes below their minimum share do not yield.
     pub(super) fn yields_to_preemptor(&self, job_ix: JobIx, job: &JobState) -> bool {
         let inputs = self.placement.priority_inputs.get(job_ix);
         let yields_to = |preemptor: PreemptorPriority| {
             job.spec.urgency > preemptor.urgency || (preemptor.guaranteed && !inputs.guaranteed)
         };
-        self.placement.preemption_state.is_some_and(yields_to)
+        self.placement.preemptor_priority.is_some_and(yields_to)
             && !job.spec.is_all_or_nothing()
             && !inputs.below_minimum_share
     }
 
-    /// As many of the job's tasks as its team's guarantee covers may reclaim borrowed capacity. If it covers none, all of
-    /// them may stop less urgent tasks only.
+    /// Requests room for as many of the waiting tasks as the team's guarantee covers; these may reclaim borrowed
+    /// capacity. If it covers none, requests room for all waiting tasks, which may only stop less urgent tasks. At
+    /// most [`MAX_PREEMPTIONS_PER_PASS`] tasks are requested, and none if the team's limit does not allow one more
+    /// task.
     fn array_preemption_request(&self, job_ix: JobIx) -> Option<PreemptionRequest> {
         let job = self.workload.jobs.get(&job_ix)?;
         let (team, need) = (job.spec.team, job.spec.task_resources);
@@ -132,7 +138,7 @@
         Some(PreemptionRequest { task_cpu: need.cpu, tasks, policy: PreemptionPolicy::new(job, borrowed) })
     }
 
-    /// Thousandths of CPUs that are free for queued tasks, or are being freed.
+    /// Returns the CPUs that are free for queued tasks or are being freed, in thousandths.
     fn cpu_becoming_free(&self) -> u64 {
         let queue_eligible = self.cluster.placement_index.queue_eligible();
         let free: u64 = queue_eligible
@@ -144,7 +150,8 @@
         free + self.total_stopping().cpu
     }
 
-    /// Stops tasks worth `cpu_needed`, those first that lose least. Returns how many it stopped.
+    /// Stops up to `max_stopped` tasks until they free `cpu_needed` (thousandths of CPUs), those with the least lost
+    /// work per CPU first. Returns how many it stopped.
     fn preempt_for_array(
         &mut self,
         job_ix: JobIx,
@@ -154,7 +161,9 @@
         clock: Clock,
     ) -> usize {
         let mut candidates = self.preemption_candidates(job_ix, &policy, clock);
-        candidates.sort_unstable_by_key(|victim| (victim.lost_ms, victim.machine_ix, victim.binding_index));
+        candidates.sort_unstable_by_key(|candidate| {
+            (candidate.lost_ms, candidate.machine_ix, candidate.binding_index)
+        });
         let mut freed_cpu = 0;
         let mut stopped = 0;
         for Candidate { machine_ix, binding_index, cost, .. } in candidates {
@@ -192,7 +201,8 @@
         candidates
     }
 
-    /// A gang is never stopped for a task of an array: all of its tasks would be lost.
+    /// Returns the cost of stopping the task for an array job; None if it must not be stopped or that is not
+    /// worthwhile. Gangs and services are never stopped for an array: a gang would lose the work of all its tasks.
     fn preemption_cost_if_worthwhile(
         &self,
         binding: &Binding,
--- a/src/coordination/leader/placement/preemption_cost.rs
+++ b/src/coordination/leader/placement/preemption_cost.rs
@@ -1,6 +1,6 @@
-//! Which tasks a job may stop to make room, and what that costs.
+//! Decides which tasks a job may stop to make room, and estimates what that costs.
 //!
-//! Only estimates: nothing is stopped here (`stop_tasks`).
+//! Nothing is stopped here; `stop_tasks` does that.
 
 use olivelatch_admission::borrowed::{BorrowedCapacity, QuotaAmount};
 
@@ -11,16 +11,17 @@
 use crate::ids::{JobIx, Resources, TeamIx};
 use crate::protocol::users::{JobKind, PriorityClass};
 
-/// A team waits this long for room before it reclaims what others have borrowed: renting costs less than lost work.
+/// Time for which a job waits for room before it reclaims what other teams have borrowed. Renting a machine costs
+/// less than lost work.
 const RECLAIM_DELAY_MS: u64 = 2_000;
-/// About what a gang takes to be placed, fetch its image and start all its tasks once more.
+/// Approximate time until a stopped gang has been placed again, fetched its image and started all its tasks.
 const GANG_RESTART_MS: u64 = 10_000;
 
-/// Which tasks a job may stop to make room.
+/// The rules by which a job may stop tasks to make room.
 pub(super) struct PreemptionPolicy {
     urgency: PriorityClass,
     team: TeamIx,
-    /// What it may reclaim of what other teams have borrowed.
+    /// Capacity borrowed by other teams that the job may reclaim.
     borrowed: BorrowedCapacity<TeamIx, JobIx>,
 }
 
@@ -29,17 +30,17 @@
         PreemptionPolicy { urgency: job.spec.urgency, team: job.spec.team, borrowed }
     }
 
-    /// What may still be reclaimed.
+    /// Returns the borrowed capacity that may still be reclaimed.
     pub(super) fn borrowed(&self) -> &BorrowedCapacity<TeamIx, JobIx> {
         &self.borrowed
     }
 
-    /// Reclaims what stopping the task takes of borrowed capacity; false if that is not borrowed any more.
+    /// Reclaims the borrowed capacity that stopping the task frees. Returns false if that much is no longer borrowed.
     pub(super) fn reclaim(&mut self, cost: &PreemptionCost) -> bool {
         cost.borrowed_claim.is_none_or(|claim| claim.reclaim_from(&mut self.borrowed))
     }
 
-    /// Whether it may stop tasks of this job, and what that reclaims.
+    /// Returns whether tasks of the job with this specification may be stopped, and whether that reclaims `claim`.
     fn permission(&self, spec: &JobSpec, claim: BorrowedClaim) -> Permission {
         if spec.urgency > self.urgency {
             Permission::Granted
@@ -52,9 +53,9 @@
 }
 
 enum Permission {
-    /// The task is less urgent.
+    /// The task is less urgent, so it may be stopped without reclaiming anything.
     Granted,
-    /// The task's team has borrowed that much.
+    /// The task's team has borrowed this capacity, which stopping the task reclaims.
     Reclaims(BorrowedClaim),
     Denied,
 }
@@ -64,45 +65,47 @@
 pub(super) struct BorrowedClaim {
     team: TeamIx,
     amount: QuotaAmount,
-    /// The job, if all of it stops.
+    /// The job, if all of its tasks stop together.
     whole_job: Option<JobIx>,
 }
 
 impl BorrowedClaim {
-    /// Takes it off what is borrowed; false if so much is not borrowed any more.
+    /// Deducts the claim from what is borrowed. Returns false if that much is no longer borrowed.
     pub(super) fn reclaim_from(&self, borrowed: &mut BorrowedCapacity<TeamIx, JobIx>) -> bool {
         borrowed.reclaim(self.team, self.amount, self.whole_job)
     }
 }
 
-/// What stopping a task costs.
+/// The cost of stopping a task.
 pub(super) struct PreemptionCost {
-    /// How long it takes to save, in milliseconds.
+    /// Time to save a checkpoint, in milliseconds; 0 if none is saved.
     pub(super) save_ms: u64,
-    /// CPU milliseconds lost, in thousandths of CPUs.
+    /// Lost work: thousandths of CPUs times milliseconds.
     pub(super) lost_work: u64,
+    /// Borrowed capacity that stopping the task reclaims.
     pub(super) borrowed_claim: Option<BorrowedClaim>,
 }
 
 /// A task of a machine that would be stopped.
 pub(super) struct Victim {
-    /// Its place in the machine's bindings.
+    /// Index of the task in the machine's bindings.
     pub(super) binding_index: usize,
     pub(super) cost: PreemptionCost,
 }
 
-/// How a machine gets room by stopping tasks.
+/// A plan for making room on a machine by stopping tasks.
 pub(super) struct PreemptionPlan {
-    /// Free once the tasks have stopped; may be less than was wanted.
+    /// Free capacity once the victims have stopped; may be less than was needed.
     pub(super) room: Resources,
-    /// Some of the room is being freed already.
+    /// Part of the room is used by tasks that are being stopped already.
     pub(super) includes_stopping_tasks: bool,
-    /// To be stopped in this order, the least lost work first.
+    /// The tasks to stop, in this order: the least lost work first.
     pub(super) victims: Vec<Victim>,
 }
 
 impl Leader {
-    /// Less urgent tasks may be stopped and, to give the team its guarantee, what other teams have borrowed.
+    /// Returns the rules for this job: it may stop less urgent tasks. If it has waited long enough and its team's
+    /// guarantee covers all its unfinished tasks, it may also reclaim what other teams have borrowed.
     pub(super) fn preemption_policy(&self, job: &JobState, clock: Clock) -> PreemptionPolicy {
         let total_need = job.spec.task_resources.saturating_mul(u64::from(job.unfinished_tasks()));
         let can_reclaim =
@@ -112,7 +115,7 @@
         PreemptionPolicy::new(job, borrowed)
     }
 
-    /// What stopping the task costs; None if it must not be stopped.
+    /// Estimates the cost of stopping the task; None if it must not be stopped.
     pub(super) fn preemption_cost(
         &self,
         binding: &Binding,
@@ -121,8 +124,8 @@
     ) -> Option<PreemptionCost> {
         let job_ix = binding.job?;
         let spec = &self.workload.jobs.get(&job_ix)?.spec;
-        // A gang stops as a whole, and what it has fetched and set up is lost too. Otherwise gangs that borrow were
-        // stopped again and again before they ran at all.
+        // A gang stops as a whole, and the time spent on fetching and starting is lost as well. Without counting
+        // that, gangs on borrowed capacity were stopped repeatedly before they ran at all.
         let is_gang = spec.kind == JobKind::Gang;
         let (stopped_tasks, restart_ms) =
             if is_gang { (u64::from(spec.tasks), GANG_RESTART_MS) } else { (1, 0) };
@@ -147,7 +150,8 @@
         Some(PreemptionCost { save_ms, lost_work, borrowed_claim })
     }
 
-    /// The tasks to stop on a machine until `need` fits, or all that may be stopped if it does not.
+    /// Plans which tasks to stop on a machine until `need` fits. If it cannot fit, the plan holds all tasks that may be
+    /// stopped.
     pub(super) fn plan_preemption(
         &self,
         machine: &Machine,
@@ -166,7 +170,7 @@
                 candidates.push(Victim { binding_index, cost });
             }
         }
-        // The sort is stable: equal costs go by the order of the bindings.
+        // The sort is stable: candidates of equal cost keep the order of the bindings.
         candidates.sort_by_key(|victim| (victim.cost.lost_work, victim.cost.save_ms));
         let mut borrowed = policy.borrowed.clone();
         let mut victims = Vec::new();
@@ -183,13 +187,13 @@
         PreemptionPlan { room, includes_stopping_tasks, victims }
     }
 
-    /// How long the task will still run, in milliseconds.
+    /// Returns the expected remaining run time of the task in milliseconds.
     pub(super) fn remaining_run_ms(&self, binding: &Binding, clock: Clock) -> u64 {
         self.remaining_cpu_ms(binding, clock) * MILLI / binding.need.cpu.max(1)
     }
 }
 
-/// Whether the job has waited long enough to reclaim what other teams have borrowed.
+/// Returns whether the job has waited long enough to reclaim what other teams have borrowed.
 pub(super) fn has_waited_to_reclaim(job: &JobState, clock: Clock) -> bool {
     clock.wall_ms.saturating_sub(job.spec.accepted_wall_ms) >= RECLAIM_DELAY_MS
 }
--- a/src/coordination/leader/placement/queue_assignment.rs
+++ b/src/coordination/leader/placement/queue_assignment.rs
@@ -1,7 +1,8 @@
-//! Which queue a ready task joins: the t split between dedicated and shared queues (source, Algorithm 1).
+//! Chooses the queue that a ready task joins: the split by the threshold `t` between dedicated and shared queues (DAWS,
+//! Algorithm 1).
 //!
-//! Fills the machines' queues and, with tasks that no present machine may take, the backlog. Starts nothing itself: it
-//! marks machines to be filled.
+//! Tasks that no present machine may run join the backlog. No task is started here: machines whose queues changed are
+//! marked, and the next placement pass fills them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -16,36 +17,36 @@
 use crate::ids::{JobIx, MachineIx};
 use crate::protocol::operators::JobEventKind;
 
-/// Samples drawn for a task before all machines are examined.
-const SAMPLES_PER_TASK: usize = 3;
-/// A machine counts as having room for at most this many tasks.
+/// Random samples drawn to choose a queue before all machines are examined.
+const SAMPLES_PER_CHOICE: usize = 3;
+/// Upper bound on the number of tasks for which a machine counts as having room.
 const MAX_ROOM_TASKS: u64 = 1_000_000;
-/// Makes an integer of tasks per thousandth of a CPU.
+/// Scales tasks per thousandth of a CPU to an integer.
 const LOAD_SCALE: u64 = 1_000_000;
-/// Makes an integer of a price per CPU.
+/// Scales a price per CPU to an integer.
 const PRICE_SCALE: f64 = 1e9;
 const MB_PER_GB: f64 = 1000.0;
-/// Thieves that resume at an arrival, beside those for each task.
+/// Paused thieves that resume whenever tasks arrive, in addition to those that resume for each task.
 const EXTRA_THIEVES_RESUMED: usize = 2;
 
-/// How well a machine's shared queue suits a job; the smallest is the best.
+/// How well a machine's shared queue suits a job; the smallest rating is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRating {
     is_full: bool,
     input_elsewhere: bool,
-    /// The queue's length for the machine's size if it is full, else the price per CPU.
+    /// Queue length per CPU of the machine if it is full, otherwise the price per CPU.
     load_or_price: u64,
     room: Reverse<u64>,
 }
 
-/// A machine whose shared queue tasks may join, and how many of them it can start.
+/// A machine whose shared queue tasks may join, and how many more tasks it has room for.
 struct QueueChoice {
     machine_ix: MachineIx,
     room: usize,
 }
 
 impl Leader {
-    /// Time to fetch the image and inputs over the expected run time.
+    /// Returns the time to fetch the image and the inputs, divided by the expected run time.
     fn fetch_to_run_ratio(&self, job: &JobState) -> f64 {
         let rates = self
             .cluster
@@ -55,14 +56,15 @@
             .map(|(_, machine_type)| machine_type.fetch_mb_per_s);
         let best_rate = rates.fold(0.0, f64::max);
         let rate = if best_rate > 0.0 { best_rate } else { self.tunables.fetch_gb_per_s * MB_PER_GB };
-        // Output that a node reads is data to be fetched like its image.
+        // A DAG node fetches the output that it reads in the same way as its image.
         let data_mb = job.spec.image_mb + job.spec.node.as_ref().map_or(0, |node| node.input_mb);
         let fetch_ms = data_mb as f64 / rate * MS_PER_S;
         fetch_ms / job.expected_run_ms().max(1) as f64
     }
 
-    /// The t split: what is cheap to move joins a shared queue, the rest the shortest dedicated queue of a machine that
-    /// has the image, else a shared one.
+    /// Queues ready tasks of a job. If the job's data is cheap to move (a fetch-to-run ratio of at most `t`), they join
+    /// shared queues. Otherwise they join the shortest dedicated queues of machines that have the image or input, or
+    /// shared queues if no eligible machine has it.
     pub(in crate::coordination::leader) fn enqueue(&mut self, job_ix: JobIx, tasks: &[u32]) {
         let Some(job) = self.workload.jobs.get(&job_ix) else {
             return;
@@ -75,12 +77,12 @@
         } else {
             self.enqueue_dedicated(rank, tasks, &holders);
         }
-        // Idle thieves pause until tasks arrive (source); some for each task resume now.
+        // Idle thieves pause until tasks arrive (DAWS). Some of them resume for each task that arrives.
         let resumed = THIEVES_RESUMED_PER_TASK * tasks.len() + EXTRA_THIEVES_RESUMED;
         self.cluster.placement_index.resume_paused(resumed);
     }
 
-    /// Eligible machines that have the job's image, then those that have its inputs only.
+    /// Returns the eligible machines that have the job's image, followed by those that have only its inputs.
     fn image_holders(&self, job: &JobState) -> Vec<MachineIx> {
         let holders = self.cluster.image_holders.get(&job.spec.image);
         let input_holders = self.output_holders(job);
@@ -95,7 +97,7 @@
             .collect()
     }
 
-    /// Each task joins the dedicated queue that is the shortest at that moment.
+    /// Queues each task in the dedicated queue that is the shortest at that moment.
     fn enqueue_dedicated(&mut self, rank: Rank, tasks: &[u32], holders: &[MachineIx]) {
         self.counters.machines_examined += holders.len() as u64;
         self.counters.queued_dedicated += tasks.len() as u64;
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Tasks join the shared queue of the best machine of a random sample, as many at once as it has room for.
+    /// Queues tasks in the shared queue of the best machine of a random sample, as many at once as that machine has
+    /// room for, but at least an even share. Each further portion draws a new sample.
     fn enqueue_shared(&mut self, rank: Rank, tasks: &[u32]) {
         self.counters.queued_shared += tasks.len() as u64;
         self.log_queued(rank.job, tasks, JobEventKind::QueuedShared);
@@ -136,8 +139,8 @@
         }
     }
 
-    /// A random sample of the machines that take queued tasks. Whatever its size, it draws exactly one number from the
-    /// leader's generator, so that runs with the same events repeat exactly.
+    /// Returns a random sample of the machines that accept queued tasks. Each call draws exactly one number from the
+    /// leader's generator, whatever the size of the sample, so that runs with the same events are reproducible.
     pub(super) fn sample_machines(&mut self) -> Vec<MachineIx> {
         let mut rng = SmallRng::seed_from_u64(self.placement.rng.next_u64());
         let sample = self.cluster.placement_index.sample_queue_eligible(&mut rng);
@@ -145,17 +148,18 @@
         sample
     }
 
-    /// The machine of a sample that can start most of the job's tasks, cheap ones first; else the one with the shortest
-    /// queue for its size.
+    /// Returns the best machine for the job's tasks among a random sample and the machines that have the job's input.
+    /// Machines with room come first, ordered by whether they have the input, by price and by room. Without room, the
+    /// machine with the shortest queue per CPU is the best.
     fn choose_shared_queue(&mut self, job_ix: JobIx) -> Option<QueueChoice> {
-        for _ in 0..SAMPLES_PER_TASK {
+        for _ in 0..SAMPLES_PER_CHOICE {
             let sample = self.sample_machines();
             let choice = self.best_shared_queue(job_ix, sample.into_iter());
             if choice.is_some() {
                 return choice;
             }
         }
-        // Few machines suit the job: only after all of them have been examined is it certain that none does.
+        // Few machines suit the job. Only examining all of them shows whether there is one.
         let all = self.cluster.placement_index.queue_eligible();
         self.counters.machines_examined += all.len() as u64;
         self.best_shared_queue(job_ix, all.iter().copied())
@@ -194,14 +198,15 @@
         let price = (self.price_per_cpu(machine_ix) * PRICE_SCALE) as u64;
         QueueRating {
             is_full,
-            // A node starts soonest where its input is; without room there it is placed like any other job.
+            // A DAG node starts soonest on a machine that has its input. If those are full, it is placed like other
+            // jobs.
             input_elsewhere: !is_full && !input_holders.is_empty() && !input_holders.contains(&machine_ix),
             load_or_price: if is_full { load } else { price },
             room: Reverse(room),
         }
     }
 
-    /// Queues the backlog's tasks for which there is an eligible machine now.
+    /// Moves the tasks of the backlog for which there is an eligible machine now to the machines' queues.
     pub(super) fn enqueue_backlog(&mut self) {
         for rank in self.placement.backlog.ranks().copied().collect::<Vec<Rank>>() {
             let Some(job) = self.workload.jobs.get(&rank.job) else {
--- a/src/coordination/leader/placement/queues.rs
+++ b/src/coordination/leader/placement/queues.rs
@@ -1,4 +1,4 @@
-//! One queue of a machine: tasks in the order of service, those of a job kept together.
+//! A queue of a machine: waiting tasks grouped by job, with the jobs sorted by rank.
 //!
 //! Memory: one number for each queued task, and one entry for each job.
 
@@ -8,17 +8,17 @@
 use crate::coordination::leader::Machine;
 use crate::ids::JobIx;
 
-/// Which of a machine's two queues (source, 2.2.2).
+/// Names one of a machine's two queues (DAWS, section 2.2.2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueueKind {
-    /// Tasks bound to the machine by their data.
+    /// Holds tasks whose image or input is on the machine; other machines cannot steal them.
     Dedicated,
-    /// Tasks that other machines may steal.
+    /// Holds tasks that other machines may steal.
     Shared,
 }
 
 impl Machine {
-    /// The queue of this kind.
+    /// Returns the queue of this kind.
     pub(super) fn queue(&self, kind: QueueKind) -> &Queue {
         match kind {
             QueueKind::Dedicated => &self.dedicated_queue,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The queue of this kind, to be changed.
+    /// Returns the queue of this kind for modification.
     pub(super) fn queue_mut(&mut self, kind: QueueKind) -> &mut Queue {
         match kind {
             QueueKind::Dedicated => &mut self.dedicated_queue,
@@ -35,10 +35,10 @@
     }
 }
 
-/// Waiting tasks by rank.
+/// Waiting tasks, grouped by the rank of their job.
 #[derive(Debug, Default)]
 pub struct Queue {
-    /// No job has an empty list.
+    /// Every list holds at least one task: a job without queued tasks has no entry.
     tasks: BTreeMap<Rank, VecDeque<u32>>,
     len: usize,
 }
@@ -54,23 +54,23 @@
         self.len == 0
     }
 
-    /// Adds a task behind the others of its job.
+    /// Appends a task to those of its job.
     pub fn push(&mut self, rank: Rank, task: u32) {
         self.tasks.entry(rank).or_default().push_back(task);
         self.len += 1;
     }
 
-    /// The jobs with tasks here, by rank.
+    /// Iterates over the ranks of the jobs with queued tasks, in ascending order.
     pub fn ranks(&self) -> impl DoubleEndedIterator<Item = &Rank> {
         self.tasks.keys()
     }
 
-    /// The job with the lowest rank.
+    /// Returns the lowest rank of the jobs with queued tasks.
     pub fn first(&self) -> Option<Rank> {
         self.tasks.keys().next().copied()
     }
 
-    /// Removes the first task of a job.
+    /// Removes and returns the first task of the job with this rank.
     pub fn pop(&mut self, rank: Rank) -> Option<u32> {
         let tasks = self.tasks.get_mut(&rank)?;
         let task = tasks.pop_front();
@@ -83,7 +83,8 @@
         task
     }
 
-    /// Removes up to `limit` tasks of the wanted jobs from the end: the owner continues with its first tasks.
+    /// Removes up to `limit` tasks of the wanted jobs, the last task of the last job first, so that the owner of the
+    /// queue keeps the tasks that it serves next.
     pub fn take_from_back(&mut self, limit: usize, is_wanted: impl Fn(JobIx) -> bool) -> Vec<(Rank, u32)> {
         let mut taken = Vec::new();
         let ranks: Vec<Rank> = self.ranks().rev().copied().filter(|rank| is_wanted(rank.job)).collect();
@@ -102,7 +103,7 @@
         taken
     }
 
-    /// Number of tasks of the wanted jobs.
+    /// Returns the number of tasks of the wanted jobs.
     pub fn count_where(&self, is_wanted: impl Fn(JobIx) -> bool) -> usize {
         self.tasks.iter().filter(|(rank, _)| is_wanted(rank.job)).map(|(_, tasks)| tasks.len()).sum()
     }
@@ -119,7 +120,7 @@
         });
     }
 
-    /// Removes all tasks, the last first.
+    /// Removes and returns all tasks, the last one first.
     pub fn drain(&mut self) -> Vec<(Rank, u32)> {
         self.take_from_back(self.len, |_| true)
     }
--- a/src/coordination/leader/placement/reserved_machines.rs
+++ b/src/coordination/leader/placement/reserved_machines.rs
@@ -1,59 +1,63 @@
-//! Machines of scarce types are reserved for gangs whose tasks fit nothing else, while queued tasks would fit elsewhere.
+//! Reserves machines of scarce types for gangs whose tasks fit no other type, while queued tasks fit elsewhere.
 //!
-//! Filled with small tasks each time one of them becomes free, such machines are never free together, and a gang can only
-//! hold some and wait until they are empty: with six times the gangs, more than a quarter of the large machines stood held
-//! and half empty. As many of them as gangs wait for take no queued tasks, and those queued there are queued elsewhere.
+//! If each such machine were filled with small tasks as soon as it becomes free, they would never be free together,
+//! and a gang could only hold some of them and wait until they are empty. With six times as many gangs, more than a
+//! quarter of the large machines were held and half empty. Therefore as many machines as gangs wait for accept no
+//! queued tasks, and the tasks in their queues move to other machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{MachineIx, MachineTypeIx, Resources};
 
-/// Gangs that wait for room on machines of a type.
+/// Demand of the gangs that wait for room on machines of one type.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct GangDemand {
+    /// Number of tasks that wait for a machine.
     tasks: u64,
-    /// The largest of each resource that one task needs.
+    /// The largest need of one task, for each resource separately.
     max_need: Resources,
 }
 
-/// Demand by the machine types that the tasks fit.
+/// Demand of waiting gangs, by the machine types that their tasks fit.
 pub(super) type GangDemandByType = BTreeMap<MachineTypeIx, GangDemand>;
 
-/// A machine that can be reserved, the best first.
+/// A machine that can be reserved. The order of the fields sorts the best machine first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Reservable {
     is_unreserved: bool,
-    /// CPUs that tasks use which are not part of a gang, in thousandths.
-    queued_task_cpu: u64,
+    /// CPUs used by tasks that belong to no gang or service, in thousandths.
+    non_gang_cpu: u64,
     machine_ix: MachineIx,
 }
 
-/// What the tasks on a machine use.
+/// Resources that the tasks on a machine use.
 #[derive(Default)]
 struct MachineUsage {
-    /// By tasks of gangs and services.
+    /// Resources used by tasks of gangs and services.
     gangs: Resources,
-    /// CPUs of all other tasks, in thousandths.
-    queued_task_cpu: u64,
+    /// CPUs used by all other tasks, in thousandths.
+    non_gang_cpu: u64,
 }
 
 impl Leader {
-    /// Adds a gang that may stop no tasks and found no room.
+    /// Adds a gang for which stopping tasks would not make enough room to the demand for each machine type that it
+    /// fits.
     pub(super) fn record_gang_demand(&self, job: &JobState, tasks: usize, demand: &mut GangDemandByType) {
         let need = &job.spec.task_resources;
         for machine_type in self.machine_types_for(job) {
-            let of_type = demand.entry(machine_type).or_default();
-            of_type.tasks += tasks as u64;
-            of_type.max_need = Resources {
-                cpu: of_type.max_need.cpu.max(need.cpu),
-                gpu: of_type.max_need.gpu.max(need.gpu),
-                mem: of_type.max_need.mem.max(need.mem),
+            let type_demand = demand.entry(machine_type).or_default();
+            type_demand.tasks += tasks as u64;
+            type_demand.max_need = Resources {
+                cpu: type_demand.max_need.cpu.max(need.cpu),
+                gpu: type_demand.max_need.gpu.max(need.gpu),
+                mem: type_demand.max_need.mem.max(need.mem),
             };
         }
     }
 
-    /// Reserves as many machines as gangs wait for, those first that are nearest to empty, and releases all others.
+    /// Reserves up to one machine of each scarce type for each gang task that waits for it, and releases all others.
+    /// Machines that are reserved already are preferred, then those that are closest to empty.
     pub(super) fn reserve_scarce_machines(&mut self, demand: &GangDemandByType) {
         if !self.tunables.overload.overload_ordering {
             return;
@@ -71,16 +75,16 @@
 
     fn machines_to_reserve(&self, demand: &GangDemandByType) -> BTreeSet<MachineIx> {
         let mut reserved = BTreeSet::new();
-        for (machine_type, of_type) in demand {
+        for (machine_type, type_demand) in demand {
             if !self.has_other_machine_types(*machine_type, demand) {
                 continue;
             }
-            let mut reservable = self.reservable_machines(*machine_type, of_type);
+            let mut reservable = self.reservable_machines(*machine_type, type_demand);
             reservable.sort_unstable();
-            // Half of them stay open for queued work that has nowhere else to go.
+            // Half of the machines stay open if queued tasks wait that fit no other type.
             let limit =
                 if self.has_queued_work_only_for(demand) { reservable.len() / 2 } else { reservable.len() };
-            let count = limit.min(of_type.tasks as usize);
+            let count = limit.min(type_demand.tasks as usize);
             reserved.extend(reservable.into_iter().take(count).map(|machine| machine.machine_ix));
         }
         reserved
@@ -90,11 +94,11 @@
         let open = self.cluster.placement_index.open_matching(|other, _| other == machine_type);
         let reservable = open.filter_map(|machine_ix| {
             let machine = &self.cluster.machines[machine_ix.index()];
-            let usage = self.usage_by_gangs(machine_ix);
+            let usage = self.machine_usage(machine_ix);
             let room = machine.capacity.saturating_sub(&usage.gangs);
             demand.max_need.fits_in(&room).then_some(Reservable {
                 is_unreserved: !machine.reserved,
-                queued_task_cpu: usage.queued_task_cpu,
+                non_gang_cpu: usage.non_gang_cpu,
                 machine_ix,
             })
         });
@@ -116,26 +120,26 @@
         }
     }
 
-    fn usage_by_gangs(&self, machine_ix: MachineIx) -> MachineUsage {
+    fn machine_usage(&self, machine_ix: MachineIx) -> MachineUsage {
         let mut usage = MachineUsage::default();
         for binding in &self.cluster.machines[machine_ix.index()].bindings {
             let job = binding.job.and_then(|job_ix| self.workload.jobs.get(&job_ix));
             if job.is_some_and(|job| job.spec.is_all_or_nothing()) {
                 usage.gangs.add(&binding.need);
             } else {
-                usage.queued_task_cpu += binding.need.cpu;
+                usage.non_gang_cpu += binding.need.cpu;
             }
         }
         usage
     }
 
-    /// Whether there are machines of types that no gang waits for.
+    /// Returns whether there are open machines of another type for which no gang waits.
     fn has_other_machine_types(&self, machine_type: MachineTypeIx, demand: &GangDemandByType) -> bool {
         let is_other = |other, _| other != machine_type && !demand.contains_key(&other);
         self.cluster.placement_index.open_matching(is_other).next().is_some()
     }
 
-    /// Whether queued work waits that fits only types that gangs wait for too.
+    /// Returns whether there are waiting queued tasks that fit only types for which gangs wait too.
     fn has_queued_work_only_for(&self, demand: &GangDemandByType) -> bool {
         let fits_elsewhere =
             |job: &JobState| self.machine_types_for(job).iter().any(|ix| !demand.contains_key(ix));
--- a/src/coordination/leader/placement/spill.rs
+++ b/src/coordination/leader/placement/spill.rs
@@ -1,5 +1,5 @@
-//! Spills (source, 2.2.2, 4): a dedicated queue that would take longer than tt gives the share above tt to its machine's
-//! shared queue, from where other machines may steal it.
+//! Spills (DAWS, sections 2.2.2 and 4): if the estimated run time of a dedicated queue exceeds the threshold `tt`, the
+//! excess part of its tasks moves to the machine's shared queue, from which other machines may steal them.
 
 use crate::coordination::Clock;
 use crate::coordination::leader::Leader;
@@ -8,15 +8,15 @@
 use crate::ids::MachineIx;
 use crate::protocol::operators::JobEventKind;
 
-/// Throughput is taken over the tasks that finished within this time.
+/// Throughput is measured over the tasks that finished within this time.
 const THROUGHPUT_WINDOW_MS: u64 = 60_000;
-/// A machine counts as having been up for at least this long.
+/// Lower bound on the uptime by which the number of finished tasks is divided.
 const MIN_UPTIME_MS: u64 = 1_000;
-/// Tasks a second, at least: the divisor of the queue's run time must not be zero.
+/// Lower bound on the throughput in tasks per second: the queue length is divided by it, so it must not be zero.
 const MIN_THROUGHPUT: f64 = 1e-3;
 
 impl Leader {
-    /// Spills every dedicated queue that is too long.
+    /// Spills from every dedicated queue that is too long.
     pub(super) fn spill_dedicated_queues(&mut self, clock: Clock) {
         for ix in self.cluster.placement_index.dedicated_nonempty() {
             self.counters.machines_examined += 1;
@@ -48,7 +48,8 @@
         self.cluster.placement_index.resume_paused(THIEVES_RESUMED_PER_TASK * spilled.len());
     }
 
-    /// Tasks a second: those finished within the window; before any have, what the machine's size promises.
+    /// Returns the machine's throughput in tasks per second, measured over the tasks finished within the window. If
+    /// there are none, estimates it from the machine's capacity and the first job of its dedicated queue.
     fn throughput(&self, machine_ix: MachineIx, clock: Clock) -> f64 {
         let machine = &self.cluster.machines[machine_ix.index()];
         let is_recent = |finished_at| clock.now.saturating_since(finished_at) < THROUGHPUT_WINDOW_MS;
--- a/src/coordination/leader/placement/state.rs
+++ b/src/coordination/leader/placement/state.rs
@@ -1,4 +1,4 @@
-//! What placement keeps from one pass to the next.
+//! State that placement keeps between passes.
 
 use std::collections::BTreeSet;
 
@@ -17,39 +17,39 @@
 use crate::ids::{MachineIx, Millis};
 use crate::settings::Settings;
 
-/// Queues and caches of placement that belong to no single machine or job.
+/// Queues, caches and counters of placement that belong to no single machine or job.
 #[derive(Debug)]
 pub struct PlacementState {
-    /// What the order of service takes into account beside the jobs' ranks.
+    /// The changing inputs of the order of service; the fixed ones are in the jobs' ranks.
     pub(in crate::coordination::leader) priority_inputs: PriorityInputsTable,
-    /// CPU milliseconds started for each team class within the window, in thousandths of CPUs.
+    /// Expected work, in CPU milliseconds, of the tasks started for each team class within the service window.
     pub(in crate::coordination::leader) recently_served: ServiceWindow<TeamClass>,
-    /// CPUs that best-effort tasks use, in thousandths.
+    /// CPUs that placed best-effort tasks use, in thousandths.
     pub(in crate::coordination::leader) best_effort_cpu: u64,
-    /// Capacity kept free of best-effort tasks.
+    /// Computes how much of the fleet best-effort tasks may use.
     pub(in crate::coordination::leader) headroom: Headroom,
-    /// The jobs for which the last preemption pass stopped tasks.
-    pub(in crate::coordination::leader) preemption_state: Option<PreemptorPriority>,
-    /// Ready tasks that no present machine may take.
+    /// Priority of the jobs for which the last preemption pass stopped tasks; None if it stopped none.
+    pub(in crate::coordination::leader) preemptor_priority: Option<PreemptorPriority>,
+    /// Ready tasks for which no machine was eligible when they were queued.
     pub(in crate::coordination::leader) backlog: Queue,
-    /// Machines held for gangs.
+    /// Machines that are held for a gang.
     pub(in crate::coordination::leader) held_machines: BTreeSet<MachineIx>,
-    /// Machines that take no queued tasks because gangs wait for their type.
+    /// Machines that accept no queued tasks because gangs wait for machines of their type.
     pub(in crate::coordination::leader) reserved_machines: BTreeSet<MachineIx>,
-    /// Gangs and services with tasks to place.
+    /// Ranks of the gangs and services with tasks to place.
     pub(in crate::coordination::leader) waiting_gangs: BTreeSet<Rank>,
-    /// Negative cache of gang searches.
+    /// Negative cache: gang searches that recently found no placement.
     pub(in crate::coordination::leader) gang_search_cache: GangSearchCache,
-    /// When waiting gangs are next searched for.
+    /// Earliest time of the next search for machines for the waiting gangs.
     pub(in crate::coordination::leader) gang_search_not_before: Millis,
-    /// Tasks that the record of one machine can hold.
+    /// Maximum number of tasks that the record of one machine can hold.
     pub(in crate::coordination::leader) max_tasks_per_record: usize,
-    /// Seeded, so that a run with the same events repeats exactly.
+    /// Source of all randomness; seeded, so that a run with the same events is reproducible.
     pub(in crate::coordination::leader) rng: SmallRng,
 }
 
 impl PlacementState {
-    /// Nothing is queued or held. `seed`: of all randomness of the term.
+    /// Creates the state with nothing queued or held. `seed` determines all random choices of the leader's term.
     pub(in crate::coordination::leader) fn new(
         settings: &Settings,
         seed: u64,
@@ -60,7 +60,7 @@
             recently_served: ServiceWindow::new(SERVICE_WINDOW_MS, now.0),
             best_effort_cpu: 0,
             headroom: best_effort::new_headroom(),
-            preemption_state: None,
+            preemptor_priority: None,
             backlog: Queue::default(),
             held_machines: BTreeSet::new(),
             reserved_machines: BTreeSet::new(),
--- a/src/coordination/leader/placement/steal.rs
+++ b/src/coordination/leader/placement/steal.rs
@@ -1,5 +1,5 @@
-//! Adaptive stealing (source, 2.2.1): machines with nothing to start take tasks from shared queues of a random sample,
-//! and back off while they find none.
+//! Adaptive work stealing (DAWS, section 2.2.1): a machine with nothing to start takes tasks from the shared queues
+//! of a random sample of machines, and backs off while it finds none.
 
 use std::collections::HashSet;
 
@@ -11,12 +11,12 @@
 use crate::ids::{JobIx, MachineIx, Resources};
 use crate::protocol::operators::JobEventKind;
 
-/// Paused thieves that resume for each task that joins a queue.
+/// Number of paused thieves that resume for each task that joins a queue.
 pub(super) const THIEVES_RESUMED_PER_TASK: usize = 2;
-/// The back-off doubles after each failure.
+/// Factor by which the backoff grows after each failed steal.
 const BACKOFF_FACTOR: f64 = 2.0;
 
-/// The first task of a shared queue.
+/// The first task of a job in a machine's queue.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueuedTask {
     pub(super) machine_ix: MachineIx,
@@ -24,19 +24,20 @@
 }
 
 impl Leader {
-    /// Whether the machine may steal: its shared queue is empty, or limits keep all tasks in it from starting. Without
-    /// the latter, machines stood idle beside full queues, because their own held only tasks of a team at its limit.
+    /// Returns whether the machine may steal: its shared queue is empty, or it holds no task that may start and at
+    /// least one that only a limit keeps from starting. Without the second case, machines whose own queue held only
+    /// tasks of a team at its limit stayed idle while other queues were full.
     pub(super) fn has_nothing_to_start(&self, machine_ix: MachineIx) -> bool {
         let machine = &self.cluster.machines[machine_ix.index()];
         if machine.shared_queue.is_empty() {
             return true;
         }
         let first = self.first_startable(&machine.shared_queue, machine_ix, &machine.free());
-        first.order.is_none() && first.others_limited
+        first.order.is_none() && first.any_limited
     }
 
-    /// Takes half of what the thief could run from the longest of a random sample of shared queues (source). Returns
-    /// whether it found anything.
+    /// Moves tasks to the thief's shared queue: half of the tasks that it could start from the shared queue that has
+    /// most of them in a random sample (DAWS). Returns whether it found any; if not, the thief backs off.
     pub(super) fn steal(&mut self, thief: MachineIx, clock: Clock) -> bool {
         let stolen = self.take_half_of_longest(thief);
         if stolen.is_empty() {
@@ -54,7 +55,8 @@
         true
     }
 
-    /// Counts and takes only tasks that the thief could start: queues hold tasks of several sizes.
+    /// Removes the stolen tasks from the victim's queue. Counts and takes only tasks that the thief could start, as
+    /// queues hold tasks of different sizes.
     fn take_half_of_longest(&mut self, thief: MachineIx) -> Vec<(Rank, u32)> {
         let sample = self.sample_machines();
         let free = self.cluster.machines[thief.index()].free();
@@ -75,7 +77,8 @@
             .take_from_back(count.div_ceil(2), |job_ix| startable.contains(&job_ix))
     }
 
-    /// Waits twice as long as before; beyond the bound the thief pauses until tasks arrive (source).
+    /// Backs off, each time for twice as long as before. A thief whose next backoff would exceed the maximum pauses
+    /// until tasks arrive (DAWS).
     fn back_off_from_stealing(&mut self, thief: MachineIx, clock: Clock) {
         let max_backoff_ms = self.tunables.max_steal_backoff_s * MS_PER_S;
         let machine = &mut self.cluster.machines[thief.index()];
@@ -91,10 +94,11 @@
         }
     }
 
-    /// The task of a random sample of shared queues that comes first, if it comes before `own_order` and may start here.
+    /// Examines the first job of each shared queue in a random sample. Returns the first task of the earliest job that
+    /// comes before `own_order` and may start on this machine.
     ///
-    /// Thieves of the source are idle. With full queues everywhere no machine is, and a task that is due would wait for
-    /// its own machine however long the tasks there run.
+    /// In DAWS only idle machines steal. When all queues are full, no machine is idle, and a task that is due would
+    /// wait for its own machine however long the tasks there run.
     pub(super) fn find_earlier_task(
         &mut self,
         machine_ix: MachineIx,
@@ -112,10 +116,11 @@
         Some(QueuedTask { machine_ix: other, rank: order.rank })
     }
 
-    /// The job of a queue that is served first.
+    /// Returns the job of a queue that is served first.
     fn first_in_order(&self, queue: &Queue) -> Option<QueueOrder> {
         let present = self.placement.priority_inputs.present;
-        // Only then may the first in rank not be the first in order.
+        // These inputs can put a job before the one with the lowest rank. Guarantees can as well, but are not checked
+        // here.
         if present.past_slo || present.below_minimum_share {
             queue.ranks().map(|rank| self.queue_order(rank)).min()
         } else {
--- a/src/coordination/leader/placement/stop_tasks.rs
+++ b/src/coordination/leader/placement/stop_tasks.rs
@@ -1,16 +1,16 @@
-//! Asks for tasks on machines to be stopped: for preemption, for machines that are reclaimed, and for gangs that have lost
-//! a member. The commands go to the workers with the next response or direct command.
+//! Requests that tasks on machines be stopped: for preemption, on machines that the cloud reclaims, and for gangs
+//! that have lost a task. The stop commands are sent to the workers with the next response or direct command.
 
 use crate::coordination::leader::{Binding, DispatchState, JobState, Leader};
 use crate::ids::{JobIx, MachineIx};
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::users::JobKind;
 
-/// Added to the grace of a stop, so that a checkpoint has time to complete.
+/// Added to the grace period of a stop, so that a checkpoint has time to complete.
 const SAVE_GRACE_MS: u64 = 2_000;
 
 impl Leader {
-    /// Stops one task; a gang stops as a whole. A job with checkpoints gets the time to save one.
+    /// Stops one task, or all tasks of a gang. A job with checkpoints gets a grace period to save one.
     pub(super) fn stop_task(&mut self, machine_ix: MachineIx, binding_index: usize, reason: JobEventKind) {
         let binding = &self.cluster.machines[machine_ix.index()].bindings[binding_index];
         let task = binding.task;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Stops the rest of an unfinished gang that has lost a member: the others are of no use any more.
+    /// Stops the remaining tasks of an unfinished gang that has lost a task, as they are useless without it.
     pub(in crate::coordination::leader) fn on_gang_member_lost(&mut self, lost: &Binding) {
         let Some(job_ix) = lost.job else { return };
         let Some(job) = self.workload.jobs.get(&job_ix) else {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns how many tasks were not being stopped already.
+    /// Stops all tasks of the job on a machine. Returns how many of them were not being stopped already.
     fn stop_tasks_of_job_on(&mut self, machine_ix: MachineIx, job_ix: JobIx, grace_ms: u64) -> u64 {
         let mut stopped = 0;
         for binding in &mut self.cluster.machines[machine_ix.index()].bindings {
@@ -65,8 +65,8 @@
         stopped
     }
 
-    /// The machine is reclaimed in `notice_ms`: stops what can be saved by then or was not sent yet, and queues the
-    /// machine's waiting tasks elsewhere.
+    /// Handles the notice that the cloud reclaims the machine in `notice_ms`: stops tasks that can save a checkpoint
+    /// by then and tasks whose start has not been sent yet, and moves the machine's queued tasks to other machines.
     pub(in crate::coordination::leader) fn on_interruption_notice(
         &mut self,
         machine_ix: MachineIx,
@@ -85,12 +85,12 @@
     }
 }
 
-/// The time that a task needs to save a checkpoint, in milliseconds; None for a job without checkpoints.
+/// Returns the time that a task needs to save a checkpoint, in milliseconds; None for a job without checkpoints.
 fn checkpoint_ms(job: &JobState) -> Option<u64> {
     (job.spec.checkpoint_interval_ms > 0).then_some(job.spec.checkpoint_save_ms + SAVE_GRACE_MS)
 }
 
-/// Where the job's tasks may be: one entry for each task.
+/// Returns the machines where the job's tasks may be, with one entry for each placement of a task.
 fn machines_of(job: &JobState) -> Vec<MachineIx> {
     job.placements.values().flatten().map(|(machine_ix, _)| *machine_ix).collect()
 }
--- a/src/coordination/leader/placement/team_quota.rs
+++ b/src/coordination/leader/placement/team_quota.rs
@@ -1,4 +1,4 @@
-//! What teams may use, are guaranteed and have borrowed.
+//! Team quotas: the limit of each team, its guarantee, and the capacity that it has borrowed.
 
 use std::collections::HashMap;
 
@@ -16,8 +16,8 @@
 }
 
 impl Leader {
-    /// Puts the teams' guarantees and limits into force: the settings, lowered by the configuration on record where that is
-    /// enabled. Tasks that run above a lowered limit are left running.
+    /// Applies the teams' guarantees and limits from the settings. If recorded configuration is enabled, it may lower
+    /// them. Tasks that already run above a lowered limit keep running.
     pub(in crate::coordination) fn apply_config(&mut self, cache: &mut StoreCache) {
         let settings = self.settings.clone();
         let mut any_raised = false;
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Tasks that a limit kept from starting may start now on any machine.
+    /// Makes the next pass retry every placement. After a limit has been raised, tasks that it kept from starting may
+    /// start on any machine.
     fn retry_all_placements(&mut self) {
         for index in 0..self.cluster.machines.len() {
             self.cluster.placement_index.mark_to_fill(MachineIx(index as u32));
@@ -47,8 +48,8 @@
         self.placement.gang_search_cache = GangSearchCache::default();
     }
 
-    /// Updates which jobs fit into their teams' guarantees together with what is left of the teams' earlier ones: they
-    /// wait neither for other teams nor for later jobs of their own.
+    /// Updates which jobs fit into their team's guarantee together with the unfinished tasks of the team's earlier
+    /// jobs. Such jobs wait neither for other teams nor for later jobs of their own team.
     pub(in crate::coordination::leader) fn update_guaranteed_jobs(&mut self) {
         let mut jobs: Vec<(JobIx, &JobState)> =
             self.workload.jobs.iter().map(|(ix, job)| (*ix, job)).collect();
@@ -56,7 +57,7 @@
         let mut demand_by_team: HashMap<TeamIx, Resources> = HashMap::new();
         let mut any_guaranteed = false;
         for (ix, job) in jobs {
-            // A job that fails wherever it is tried takes nothing of its team's guarantee from others.
+            // A job on probation fails wherever it runs, so it uses up none of its team's guarantee.
             if job.probation.is_some() {
                 self.placement.priority_inputs.get_mut(ix).guaranteed = false;
                 continue;
@@ -75,7 +76,7 @@
         self.quotas.usage.get(&team).copied().unwrap_or_default()
     }
 
-    /// Whether the team's limit allows this much more.
+    /// Returns whether the team's limit allows it to use `need` in addition.
     pub(in crate::coordination::leader) fn within_quota(&self, team: TeamIx, need: &Resources) -> bool {
         let Some(settings) = self.quotas.team_settings.get(&team) else {
             return false;
@@ -85,7 +86,7 @@
         usage.fits_in(&settings.effective_limit())
     }
 
-    /// Whether the team's guarantee covers this much more.
+    /// Returns whether the team's guarantee covers `need` in addition to the team's usage.
     pub(super) fn within_guarantee(&self, team: TeamIx, need: &Resources) -> bool {
         let Some(settings) = self.quotas.team_settings.get(&team) else { return false };
         let mut usage = self.team_usage(team);
@@ -93,7 +94,7 @@
         is_within(&usage, &settings.guaranteed)
     }
 
-    /// What other teams have borrowed and is not being stopped already.
+    /// Returns the capacity that other teams have borrowed, without the part that is being stopped already.
     pub(super) fn borrowed_by_others(&self, team: TeamIx) -> BorrowedCapacity<TeamIx, JobIx> {
         let mut borrowed = BorrowedCapacity::default();
         for (other, settings) in self.quotas.team_settings.iter().filter(|(other, _)| **other != team) {
@@ -108,7 +109,7 @@
         borrowed
     }
 
-    /// The part of all teams' usage that is being stopped, as last counted.
+    /// Returns the part of all teams' usage that is being stopped, as last counted.
     pub(super) fn total_stopping(&self) -> Resources {
         let mut total = Resources::default();
         for stopping in self.quotas.stopping_usage.values() {
@@ -117,7 +118,7 @@
         total
     }
 
-    /// Counts the part of each team's usage that is being stopped.
+    /// Recounts the part of each team's usage that is being stopped.
     pub(super) fn recount_stopping(&mut self) {
         self.quotas.stopping_usage.clear();
         let bindings = self.cluster.machines.iter().flat_map(|machine| &machine.bindings);
@@ -129,7 +130,7 @@
     }
 }
 
-/// Guarantees are given in CPUs and GPUs; memory does not count.
+/// Returns whether the usage is within the guarantee. Guarantees cover CPUs and GPUs; memory does not count.
 fn is_within(usage: &Resources, guaranteed: &Resources) -> bool {
     usage.cpu <= guaranteed.cpu && usage.gpu <= guaranteed.gpu
 }
--- a/src/coordination/leader/placement/tests/job_specs.rs
+++ b/src/coordination/leader/placement/tests/job_specs.rs
@@ -1,10 +1,10 @@
-//! Job specifications for the tests of placement.
+//! Job specifications for the placement tests.
 
 use crate::bookkeeping::jobs::{JobSpec, NameRegistry};
 use crate::ids::{JobId, Revision};
 
-/// An array job of one task, accepted so many seconds after the first that could be. The index gives its identity and the
-/// order of acceptance.
+/// Returns an array job of one task that is accepted `ready_s` seconds after a fixed time. `index` determines its id
+/// and the order of acceptance.
 pub(super) fn array_job(index: u32, urgency: &str, ready_s: u64) -> JobSpec {
     let spec = serde_json::json!({"uid": "job-000001", "jobclass": "c", "owner": "o", "shape": "array",
             "urgency": urgency, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
--- a/src/coordination/leader/placement/tests/policy.rs
+++ b/src/coordination/leader/placement/tests/policy.rs
@@ -6,14 +6,14 @@
 use crate::protocol::graphs::DagRunName;
 use std::sync::Arc;
 
-/// A job that waits for the last free room.
+/// A waiting job, with the inputs that determine its position in the order.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     urgency: &'static str,
     inputs: PriorityInputs,
     ready_s: u64,
     objective_s: u64,
-    /// The path downstream of a node; None for a plain job.
+    /// Length of a node's longest downstream path in seconds; None for a plain job.
     downstream_s: Option<u64>,
 }
 
@@ -54,7 +54,7 @@
     QueueOrder::new(&rank, candidate.inputs)
 }
 
-/// The first of these, which are sorted by rank, without examining those that cannot be it.
+/// Returns the first of `orders`, which are sorted by rank, and stops early as placement does.
 fn first_with_early_exit(orders: &[QueueOrder], present: PresentInputs) -> Option<QueueOrder> {
     let mut first: Option<QueueOrder> = None;
     for order in orders {
@@ -66,7 +66,7 @@
     first
 }
 
-/// Jobs that are skipped would not have come first: compared with a scan of all of them.
+/// Guards against an early exit that skips the job to be served first, by comparison with a scan of all jobs.
 #[test]
 fn early_exit_finds_the_same_first() {
     let mut all = Vec::new();
@@ -105,56 +105,64 @@
     }
 }
 
-/// The first of each pair is served first, whichever was accepted first.
+/// In each row the first job is served before the second.
 #[test]
 fn queue_order_table() {
     let plain = candidate("normal", BORROWING, 0, 600, None);
     let table: [(&str, Candidate, Candidate); 12] = [
         (
-            "urgency before all",
+            "urgency comes before guarantees and objectives",
             candidate("high", PAST_SLO_LITTLE_LEFT, 900, 900, None),
             candidate("normal", WITHIN_GUARANTEE, 0, 60, Some(500)),
         ),
         (
-            "a guarantee before the path downstream",
+            "a guarantee comes before the downstream path",
             candidate("normal", WITHIN_GUARANTEE, 0, 600, None),
             candidate("normal", BORROWING, 0, 600, Some(500)),
         ),
         (
-            "what can still meet an objective",
+            "a job that can still meet an objective comes before one past its objectives",
             plain,
             candidate("normal", PAST_SLO_LITTLE_LEFT, 0, 60, Some(500)),
         ),
         (
-            "of two past their objectives what has less left",
+            "of two jobs past their objectives, the one with less remaining work comes first",
             candidate("normal", PAST_SLO_LITTLE_LEFT, 0, 900, None),
             candidate("normal", PAST_SLO_MUCH_LEFT, 0, 60, None),
         ),
         (
-            "what is below its minimum share",
+            "a job below its minimum share comes before a more urgent one",
             candidate("normal", BELOW_MINIMUM_SHARE, 900, 900, None),
             candidate("high", WITHIN_GUARANTEE, 0, 60, None),
         ),
         (
-            "of two below their minimum shares the more urgent",
+            "of two jobs below their minimum shares, the more urgent comes first",
             candidate("high", BELOW_MINIMUM_SHARE, 900, 900, None),
             candidate("normal", BELOW_MINIMUM_SHARE, 0, 60, None),
         ),
-        ("the earlier objective", candidate("normal", BORROWING, 0, 300, None), plain),
-        ("a node with a path downstream", candidate("normal", BORROWING, 0, 600, Some(60)), plain),
+        ("the earlier objective comes first", candidate("normal", BORROWING, 0, 300, None), plain),
         (
-            "of two nodes the longer path",
+            "a node with a downstream path comes before a plain job",
+            candidate("normal", BORROWING, 0, 600, Some(60)),
+            plain,
+        ),
+        (
+            "of two nodes, the one with the longer downstream path comes first",
             candidate("normal", BORROWING, 0, 600, Some(90)),
             candidate("normal", BORROWING, 0, 600, Some(30)),
         ),
-        ("a node that came a little later", candidate("normal", BORROWING, 100, 600, Some(500)), plain),
         (
-            "aged: a plain job that came two minutes earlier",
+            "a node with a long downstream path passes a slightly older plain job",
+            candidate("normal", BORROWING, 100, 600, Some(500)),
+            plain,
+        ),
+        (
+            "a plain job two minutes older comes before a node, however long its downstream path",
             plain,
             candidate("normal", BORROWING, 130, 600, Some(100_000)),
         ),
         (
-            "a last node is like a plain job: the older one",
+            "a node without a downstream path is ordered by age like a plain job",
             plain,
             candidate("normal", BORROWING, 0, 600, Some(0)),
         ),
@@ -162,5 +170,5 @@
     for (why, first, second) in table {
         assert!(queue_order(1, first) < queue_order(2, second), "{why}");
     }
-    assert!(queue_order(2, plain) > queue_order(1, plain), "the older one");
+    assert!(queue_order(2, plain) > queue_order(1, plain), "the older of two equal jobs comes first");
 }
--- a/src/coordination/leader/placement/tests/queues.rs
+++ b/src/coordination/leader/placement/tests/queues.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::coordination::leader::placement::job_specs::array_job;
 
-/// Of the jobs of a test the one with the lower index ranks first.
+/// Returns the rank of a test job. Jobs with lower indices rank first.
 fn rank(index: u32) -> Rank {
     Rank::new(JobIx(index), &array_job(index, "normal", 0), 600_000, 0)
 }
 
-/// Tasks 0, 1 and 2 of each job.
+/// Returns a queue with tasks 0, 1 and 2 of each job.
 fn queue_of(jobs: &[u32]) -> Queue {
     let mut queue = Queue::default();
     for job in jobs {
@@ -26,7 +26,7 @@
     let mut queue = queue_of(&[2, 1]);
     assert_eq!(queue.first(), Some(rank(1)));
     assert_eq!([(); 4].map(|()| queue.pop(rank(1))), [Some(0), Some(1), Some(2), None]);
-    assert_eq!((queue.len(), queue.first()), (3, Some(rank(2))), "an empty job has no rank any more");
+    assert_eq!((queue.len(), queue.first()), (3, Some(rank(2))), "a job without queued tasks is removed");
 }
 
 #[test]
--- a/src/coordination/leader/slos.rs
+++ b/src/coordination/leader/slos.rs
@@ -5,15 +5,15 @@
 use crate::ids::{ClassIx, Interner};
 use crate::settings::ServiceLevelObjective;
 
-/// The kind of an objective on the time from submission to completion.
+/// The kind of objectives for the time from submission to completion, as named in the settings.
 const COMPLETION_KIND: &str = "finished";
 
-/// Which classes have objectives, and within what time their jobs should complete.
+/// The classes that have objectives, and the times within which their jobs should complete.
 #[derive(Debug, Default)]
 pub struct ClassObjectives {
-    /// Milliseconds from acceptance to completion, ascending.
+    /// Objectives for the time from acceptance to completion, in milliseconds, ascending.
     pub(super) completion_slos: HashMap<ClassIx, Vec<u64>>,
-    /// Classes with an objective of any kind; the others are best effort.
+    /// Classes with an objective of any kind. Jobs of other classes may be best effort.
     pub(super) slo_classes: BTreeSet<ClassIx>,
 }
 
--- a/src/coordination/leader/workload.rs
+++ b/src/coordination/leader/workload.rs
@@ -1,4 +1,4 @@
-//! The jobs the leader places, and how many of their tasks may be on machines.
+//! The jobs that the leader places, and how many of their tasks may be on machines.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -11,50 +11,52 @@
 use crate::bookkeeping::jobs::{Job, JobSpec};
 use crate::ids::{Attempt, JobId, JobIx, MachineIx, Millis, ZoneIx};
 
-/// Expected run time of a task of which nothing is known, at least.
+/// Lower bound on the expected run time of a job's tasks until a run has been measured.
 const MIN_EXPECTED_RUN_MS: u64 = 1000;
 
 /// All unfinished jobs of the term.
 #[derive(Debug, Default)]
 pub struct Workload {
-    /// By dense index, so that they are visited in the same order everywhere.
+    /// Jobs by dense index, so that every iteration visits them in the same order.
     pub jobs: BTreeMap<JobIx, JobState>,
-    /// Tasks of each job that may be on some machine; finished and cancelled jobs included.
+    /// Number of tasks of each job that may be on some machine. Includes finished and cancelled jobs.
     pub(super) placed_task_counts: HashMap<JobId, u32>,
-    /// Tasks in backoff, by the time at which they are queued again.
+    /// Tasks that wait to be queued again, by the time when that is due.
     pub(super) retry_queue: BTreeMap<Millis, Vec<(JobIx, u32)>>,
 }
 
-/// A job with what is known of its tasks beyond the durable records.
+/// A job, with what the leader knows about its tasks beyond the durable records.
 #[derive(Debug)]
 pub struct JobState {
     pub spec: Arc<JobSpec>,
     pub rank: Rank,
     /// Finished tasks, including those whose record is not durable yet.
     pub finished: BitSet,
-    /// Where each unfinished task may be; after a failover that can be several machines.
+    /// The machines where each unfinished task may be; after a failover there can be several for a task.
     pub placements: HashMap<u32, Vec<(MachineIx, Attempt)>>,
+    /// Number of tasks that may be in each zone.
     pub tasks_per_zone: HashMap<ZoneIx, u32>,
-    /// Finished runs that were observed from start to end, and the sum of their run times.
+    /// Number of finished runs that were observed from start to end.
     pub finished_runs: u32,
+    /// Sum of the run times of these runs, in milliseconds.
     pub total_run_ms: u64,
-    /// Machines excluded because its tasks failed on them, since one last succeeded.
+    /// Machines excluded because tasks of the job have failed on them since one last succeeded.
     pub failed_on: HashSet<MachineIx>,
-    /// Exclusions that were lifted to retry, since a task last succeeded.
+    /// Number of exclusions lifted for a retry since a task last succeeded.
     pub retried_exclusions: usize,
-    /// Exclusions are not lifted again before.
+    /// Earliest time at which exclusions are lifted again.
     pub retry_exclusion_not_before: Millis,
-    /// Set while it fails on every machine: one task at a time is started.
+    /// Set while the job fails on every machine: only one task at a time is started.
     pub probation: Option<Probation>,
-    /// Its terminal record is queued or being written.
+    /// The job's terminal record is queued or being written.
     pub finishing: bool,
     pub first_run: FirstRun,
-    /// Set for a node of a DAG run.
+    /// Set if the job is a node of a DAG run.
     pub dag_node: Option<Box<DagNodeState>>,
 }
 
 impl JobState {
-    /// A job of which nothing is known but its records.
+    /// Creates the state of a job of which only the durable records are known.
     pub(super) fn new(job: &Job, rank: Rank, first_run: FirstRun) -> JobState {
         JobState {
             spec: job.spec.clone(),
@@ -74,7 +76,8 @@
         }
     }
 
-    /// Expected run time of a task: the mean of those finished, else the submitter's estimate, in milliseconds.
+    /// Returns the expected run time of a task in milliseconds: the mean of the measured runs or, if there are none,
+    /// the submitter's estimate.
     pub fn expected_run_ms(&self) -> u64 {
         if self.finished_runs > 0 {
             self.total_run_ms / u64::from(self.finished_runs)
@@ -83,18 +86,18 @@
         }
     }
 
-    /// Tasks that are neither finished nor placed; of a job on probation at most one.
+    /// Returns the number of tasks that are neither finished nor placed; at most one for a job on probation.
     pub fn waiting_tasks(&self) -> u64 {
         let waiting = u64::from(self.unfinished_tasks()).saturating_sub(self.placements.len() as u64);
         if self.probation.is_some() { waiting.min(1) } else { waiting }
     }
 
-    /// Whether it has waiting tasks and is not on probation.
+    /// Returns whether the job has waiting tasks and is not on probation.
     pub fn has_waiting_tasks(&self) -> bool {
         self.probation.is_none() && self.waiting_tasks() > 0
     }
 
-    /// Tasks that have not finished, placed ones included.
+    /// Returns the number of unfinished tasks, including placed ones.
     pub fn unfinished_tasks(&self) -> u32 {
         self.spec.tasks - self.finished.count()
     }
