--- a/src/coordination/leader/records/assignment_log/append.rs
+++ b/src/coordination/leader/records/assignment_log/append.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the assignment log: filling the next segment, and acting on a segment once it is durable.
+//! The leader's side of the assignment log: fills the next segment, and acts on a segment once it is durable.
 
 use super::segment::{FinishedBlock, SegmentContents, SegmentId, TaskPlacement};
 use super::{WriteBudget, needs_finished_record};
@@ -9,9 +9,9 @@
 use crate::coordination::leader::{DispatchState, Leader, MachineState};
 use crate::ids::{Attempt, MachineIx};
 
-/// Room that a segment needs to take a further machine.
+/// Free space that a segment must have before a machine is added, in bytes.
 const MACHINE_ENTRY_BYTES: usize = 400;
-/// Room that a segment needs to take a further task.
+/// Free space that a segment must have before a task is added, in bytes.
 const TASK_ENTRY_BYTES: usize = 60;
 const BYTES_PER_KB: f64 = 1024.0;
 
@@ -26,7 +26,7 @@
 struct SegmentBuilder {
     record: AssignmentLogRecord,
     contents: SegmentContents,
-    /// Largest value that the store takes.
+    /// Size limit of a value in the store.
     max_bytes: usize,
 }
 
@@ -45,8 +45,8 @@
 }
 
 impl Leader {
-    /// The next segment of the log, if one is due. Its entries leave the queues of the log: a write that fails has to
-    /// queue them again.
+    /// Returns the next segment of the log, if one is due. Its entries are no longer pending in the log, so they have
+    /// to be queued again if the write fails.
     pub(in crate::coordination::leader::records) fn next_log_segment(
         &mut self,
         clock: Clock,
@@ -121,7 +121,7 @@
         self.assignment_log.pending_finished_since = None;
     }
 
-    /// A segment is durable: its starts may be sent, its machines returned.
+    /// Handles a segment that has become durable: its run commands may now be sent, its machines released.
     pub(in crate::coordination::leader::records) fn apply_persisted_segment(
         &mut self,
         contents: SegmentContents,
@@ -157,7 +157,7 @@
         self.assignment_log.add_start(segment, start, previous);
     }
 
-    /// It is durable that the machine is returned to the cloud: it may be released.
+    /// Records that the machine's return to the cloud is durable, so that the machine may be released.
     pub(in crate::coordination::leader::records) fn mark_return_persisted(
         &mut self,
         ix: MachineIx,
--- a/src/coordination/leader/records/assignment_log/mod.rs
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -1,10 +1,11 @@
-//! The assignment log in the key-value store: which tasks may be on which machines, which machines are being returned,
-//! which tasks have finished.
+//! The assignment log in the key-value store: which tasks may be on which machines, which machines are being returned
+//! to the cloud, and which tasks have finished.
 //!
-//! Writes per second are the scarcest resource of the store, so one segment holds everything since the segment before,
-//! however many machines that concerns. A segment is deleted once newer records supersede all its entries; compaction
+//! Writes per second are the scarcest resource of the store, so one segment holds all entries since the previous
+//! segment, for any number of machines. A segment is deleted once newer records supersede all its entries; compaction
 //! rewrites sparse segments so that the log stays short. `AssignmentLog` owns the live segments and the entries that
-//! are not durable yet; both are bounded by the running tasks. It does no I/O: the store writer writes the segments.
+//! are not durable yet; both are bounded by the number of running tasks. It does no I/O: the store writer writes the
+//! segments.
 
 mod append;
 mod segment;
@@ -19,29 +20,30 @@
 pub(in crate::coordination::leader) use segment::TaskPlacement;
 pub(super) use segment::{FinishedBlock, SegmentContents};
 
-/// Compaction starts above this number of segments, and only with sparse ones. A fixed limit on the number alone would be
-/// wrong: when more tasks run than that many segments can hold, all live entries were rewritten again and again, and starts
-/// waited 17 s.
+/// Compaction starts above this number of segments and rewrites only sparse ones. A fixed limit on the number alone was
+/// wrong: when more tasks ran than that many segments can hold, all live entries were rewritten again and again, and
+/// task starts waited 17 s.
 const COMPACTION_THRESHOLD: usize = 64;
-/// A segment is sparse when no more than one in this many of its initial entries is live.
+/// A segment is sparse when at most one in this many of its initial entries is live.
 const SPARSE_DIVISOR: usize = 4;
-/// With more segments than this in which only finished tasks are live, their blocks get records of their own.
+/// Above this number of segments in which only finished tasks are live, the blocks of the oldest such segment get
+/// records of their own.
 const MAX_FINISHED_ONLY_SEGMENTS: usize = 32;
-/// How long finished tasks wait for a segment that is written anyway, in milliseconds.
+/// How long finished tasks wait for a segment that is written for other entries, in milliseconds.
 const FINISHED_DELAY_MS: u64 = 1_000;
-/// Share of the leader's writes that may be new segments: deleting a segment costs a write as well, and other records need
-/// some.
+/// Share of the leader's writes that may be new segments. The rest is for deleting segments, which costs a write each,
+/// and for other records.
 const LOG_WRITE_SHARE: f64 = 0.4;
-/// Share of a second's writes that has to be unused for a segment to be written without delay.
+/// A segment is written without delay if at least this share of a second's writes is unused.
 const SPARE_WRITES_SHARE: f64 = 0.6;
-/// Lower bound of the write rate (1/s) in computing the interval between segments.
+/// Lower bound of the write rate (1/s) from which the interval between segments is computed.
 const MIN_WRITES_PER_SECOND: f64 = 0.1;
 
-/// The log of one term: its live segments and what the next ones will hold.
+/// The log of one term: the segments in the store and the entries that are pending for the next ones.
 #[derive(Debug, Default)]
 pub(in crate::coordination::leader) struct AssignmentLog {
     segments: BTreeMap<SegmentId, LogSegment>,
-    /// Segments without live entries.
+    /// Segments without live entries, whose records can be deleted.
     obsolete: BTreeSet<SegmentId>,
     /// Blocks that need a record of their own before old segments can be deleted.
     blocks_to_write: BTreeSet<FinishedBlock>,
@@ -55,33 +57,34 @@
     last_write_at: Millis,
 }
 
-/// What the store's rate limit allows now.
+/// What the store's rate limit currently allows.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WriteBudget {
-    /// Mutations that may be sent at once.
+    /// Mutations that may be sent immediately.
     pub spare_writes: usize,
-    /// Mutations per second in the long run.
+    /// Sustained rate of mutations per second.
     pub writes_per_second: f64,
 }
 
 impl AssignmentLog {
-    /// A task was bound to a machine. Its run command may be sent once this is durable.
+    /// Queues the start of a task on a machine. The run command may be sent once the entry is durable.
     pub(in crate::coordination::leader) fn queue_start(&mut self, start: TaskPlacement) {
         self.pending_starts.insert(start);
     }
 
-    /// A machine is to be returned to the cloud. It may be released once this is durable.
+    /// Queues the return of a machine to the cloud. The machine may be released once the entry is durable.
     pub(in crate::coordination::leader) fn queue_return(&mut self, machine: MachineIx) {
         self.pending_returns.insert(machine);
     }
 
-    /// A task has finished. Its number is written with a segment that is written anyway, or after a delay.
+    /// Queues a finished task. It is recorded by the next segment that other entries require, or after a delay.
     pub(in crate::coordination::leader) fn queue_finished(&mut self, task: TaskId, now: Millis) {
         self.pending_finished.insert(task);
         self.pending_finished_since.get_or_insert(now);
     }
 
-    /// The attempt is certainly not on the machine any more. `segment`: where it was last recorded.
+    /// Removes a start, because the attempt is guaranteed not to be on the machine or a newer segment records it.
+    /// `segment` is the segment that recorded it last, if any.
     pub(super) fn remove_start(&mut self, segment: Option<SegmentId>, start: TaskPlacement) {
         self.pending_starts.remove(&start);
         self.update_segment(segment, |segment| {
@@ -89,7 +92,8 @@
         });
     }
 
-    /// The machine is gone, so its return needs no record any more. `segment`: where it was last recorded.
+    /// Removes a return, because the machine no longer exists or a newer segment records it. `segment` is the segment
+    /// that recorded it last, if any.
     pub(in crate::coordination::leader) fn remove_return(
         &mut self,
         machine: MachineIx,
@@ -110,13 +114,13 @@
         }
     }
 
-    /// The job has a terminal record: it covers all its finished tasks.
+    /// Removes the finished tasks of a job, because its terminal record covers them all.
     pub(super) fn remove_finished_job(&mut self, job: JobId) {
         self.remove_covered(|covered| covered.job == job);
         self.pending_finished.retain(|task| task.job != job);
     }
 
-    /// The block has a record of its own.
+    /// Removes a block of finished tasks, because a separate record covers it.
     pub(super) fn remove_finished_block(&mut self, block: FinishedBlock) {
         self.remove_covered(|covered| *covered == block);
     }
@@ -131,29 +135,29 @@
         self.blocks_to_write.retain(|block| !is_covered(block));
     }
 
-    /// Blocks whose record has to be written before old segments can be deleted.
+    /// Returns the blocks that need a record of their own before old segments can be deleted.
     pub(super) fn blocks_to_write(&self) -> Vec<FinishedBlock> {
         self.blocks_to_write.iter().copied().collect()
     }
 
-    /// At most `limit` segments without live entries: their records can be deleted.
+    /// Returns at most `limit` segments without live entries, whose records can be deleted.
     pub(super) fn obsolete_segments(&self, limit: usize) -> Vec<(SegmentId, RecordKey)> {
         let key = |id: &SegmentId| Some((*id, self.segments.get(id)?.key.clone()));
         self.obsolete.iter().filter_map(key).take(limit).collect()
     }
 
-    /// The segment's record has been deleted.
+    /// Removes a segment whose record has been deleted.
     pub(super) fn remove_segment(&mut self, segment: SegmentId) {
         self.obsolete.remove(&segment);
         self.segments.remove(&segment);
     }
 
-    /// Segments whose records are in the store.
+    /// Returns the number of segments whose records are in the store.
     pub(in crate::coordination::leader) fn segment_count(&self) -> usize {
         self.segments.len()
     }
 
-    /// Registers a durable segment. [`finish_segment`](Self::finish_segment) has to follow once its entries are added.
+    /// Registers a durable segment. Call [`finish_segment`](Self::finish_segment) once all its entries are added.
     pub(super) fn add_segment(&mut self, key: RecordKey) -> SegmentId {
         let id = SegmentId(self.next_segment);
         self.next_segment += 1;
@@ -161,7 +165,7 @@
         id
     }
 
-    /// The segment records the start; the entry in an earlier segment is superseded.
+    /// Adds a start that the segment records. It supersedes the entry in the segment `previous`, if there is one.
     pub(super) fn add_start(
         &mut self,
         segment: SegmentId,
@@ -183,20 +187,20 @@
         }
     }
 
-    /// The segment records finished tasks of the block.
+    /// Adds a block of which the segment records finished tasks.
     pub(super) fn add_finished(&mut self, segment: SegmentId, block: FinishedBlock) {
         if let Some(segment) = self.segments.get_mut(&segment) {
             segment.finished.insert(block);
         }
     }
 
-    /// All entries of the segment have been added: without a live one it is obsolete.
+    /// Ends the registration of a segment: if it has no live entry, it is obsolete.
     pub(super) fn finish_segment(&mut self, segment: SegmentId) {
         self.update_segment(Some(segment), |_| {});
     }
 
-    /// Keeps the log short: live entries of sparse segments are queued for a new one, finished tasks that keep many
-    /// segments alive get records of their own.
+    /// Keeps the log short: queues the live entries of sparse segments for a new segment, and gives the finished tasks
+    /// of the oldest segment records of their own if finished tasks alone keep too many segments live.
     fn compact(&mut self) {
         let surplus = self.segments.len().saturating_sub(COMPACTION_THRESHOLD);
         let is_sparse = |segment: &&mut LogSegment| {
@@ -220,8 +224,8 @@
         }
     }
 
-    /// Whether to write the next segment. With writes to spare at once, otherwise at intervals, so that many starts share
-    /// one write.
+    /// Whether to write the next segment now. With enough spare writes it is written immediately, otherwise at
+    /// intervals, so that many starts share one write.
     fn is_write_due(&self, now: Millis, budget: WriteBudget) -> bool {
         let finished_due =
             self.pending_finished_since.is_some_and(|since| now.saturating_since(since) >= FINISHED_DELAY_MS);
@@ -234,8 +238,9 @@
             || now.saturating_since(self.last_write_at) >= interval_ms
     }
 
-    /// The name of the next segment. A transaction whose reply was lost may have written a segment of that name: it is
-    /// registered without entries, so that it is deleted, and its contents are written again under another name.
+    /// Returns an unused name for the next segment. A transaction whose reply was lost may have written a segment of
+    /// the next name in order. That segment is registered without entries, so that it is deleted, and its contents are
+    /// written again under another name.
     fn next_free_name(&mut self, token: FencingToken, cache: &StoreCache) -> String {
         loop {
             let name = format!("{}-{}", token.0, self.next_name_suffix);
@@ -248,7 +253,8 @@
         }
     }
 
-    /// The segment was not written, or not certainly: a later one takes its entries.
+    /// Queues the contents of a segment that was not written, or whose write has an unknown outcome, for a later
+    /// segment.
     pub(super) fn requeue_unwritten(&mut self, contents: SegmentContents, now: Millis) {
         self.pending_starts.extend(contents.starts);
         self.pending_returns.extend(contents.returns);
@@ -259,7 +265,8 @@
     }
 }
 
-/// Whether finished tasks of the job need a record: its terminal record, if it has one, covers them.
+/// Whether finished tasks of the job need a record. They need none if the job has a terminal record, which covers them,
+/// or if its records no longer exist.
 pub(super) fn needs_finished_record(job: JobId, cache: &StoreCache) -> bool {
     cache.terminal_state(job).is_none() && cache.find(job).is_some()
 }
--- a/src/coordination/leader/records/assignment_log/segment.rs
+++ b/src/coordination/leader/records/assignment_log/segment.rs
@@ -1,11 +1,11 @@
-//! One segment of the assignment log and what it may contain. Data only.
+//! Data types of the assignment log: a segment and its entries.
 
 use std::collections::{BTreeSet, HashSet};
 
 use crate::bookkeeping::records::RecordKey;
 use crate::ids::{Attempt, JobId, MachineIx, TaskId};
 
-/// Number of a log segment, ascending in the order of writing. Valid within one term.
+/// Number of a log segment, valid within one term. Segments that were written later have higher numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId(pub(super) u64);
 
@@ -17,29 +17,29 @@
     pub attempt: Attempt,
 }
 
-/// A block of a job's task numbers, as records of finished tasks divide them.
+/// A block of a job's task numbers. Each record of finished tasks covers one block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::coordination::leader::records) struct FinishedBlock {
     pub job: JobId,
     pub block: u32,
 }
 
-/// A durable segment and the entries of it that no newer record supersedes.
+/// A durable segment with its live entries, which are those that no newer record supersedes.
 #[derive(Debug)]
 pub(super) struct LogSegment {
     pub key: RecordKey,
     pub starts: HashSet<TaskPlacement>,
     pub returns: BTreeSet<MachineIx>,
-    /// Blocks with finished tasks that no other record covers.
+    /// Blocks with finished tasks that neither a block record nor a terminal record covers.
     pub finished: BTreeSet<FinishedBlock>,
-    /// Starts and returns that were added to it.
+    /// Number of starts and returns that were ever added to the segment.
     pub initial_entries: usize,
-    /// Its live entries have been queued for a newer segment.
+    /// Whether the live entries have been queued for a newer segment.
     pub rewriting: bool,
 }
 
 impl LogSegment {
-    /// Without entries. `key`: of its record.
+    /// Creates a segment without entries. `key` is the key of its record.
     pub(super) fn new(key: RecordKey) -> LogSegment {
         LogSegment {
             key,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Live starts and returns.
+    /// Returns the number of live starts and returns.
     pub(super) fn machine_entries(&self) -> usize {
         self.starts.len() + self.returns.len()
     }
 
-    /// Whether its record is still needed.
+    /// Whether any entry is live, so that the segment's record is still needed.
     pub(super) fn has_live_entries(&self) -> bool {
         self.machine_entries() > 0 || !self.finished.is_empty()
     }
--- a/src/coordination/leader/records/assignment_log/tests/assignment_log.rs
+++ b/src/coordination/leader/records/assignment_log/tests/assignment_log.rs
@@ -22,7 +22,7 @@
     FinishedBlock { job: JOB, block }
 }
 
-/// A log of segments with these starts.
+/// Returns a log with one segment for each list of started tasks, and the ids of the segments.
 fn log_of(segments: &[&[u32]]) -> (AssignmentLog, Vec<SegmentId>) {
     let mut log = AssignmentLog::default();
     let mut ids = Vec::new();
@@ -39,7 +39,7 @@
     log.obsolete_segments(usize::MAX).into_iter().map(|(id, _)| id).collect()
 }
 
-/// A segment is deleted only when every entry of it has ended or is in a newer segment.
+/// A segment is obsolete only when each of its entries has been removed or is in a newer segment.
 #[test]
 fn a_segment_is_obsolete_without_live_entries() {
     let (mut log, ids) = log_of(&[&[1, 2], &[3], &[]]);
@@ -52,9 +52,9 @@
     assert_eq!((obsolete(&log), log.segment_count()), (vec![ids[2]], 2));
 }
 
-/// Finished tasks keep a segment until a record of their own or the job's terminal record covers them.
+/// Finished tasks keep a segment live until a record of their block or the job's terminal record covers them.
 #[test]
-fn finished_tasks_keep_a_segment() {
+fn finished_tasks_keep_a_segment_live() {
     let (mut log, ids) = log_of(&[&[1]]);
     log.add_finished(ids[0], block(0));
     log.add_finished(ids[0], block(1));
@@ -67,7 +67,7 @@
     assert!(log.pending_finished.is_empty());
 }
 
-/// Above the threshold the oldest segments are written again, each once, if few of their entries are live.
+/// Above the threshold the oldest segments are rewritten, each only once, if few of their entries are live.
 #[test]
 fn compaction_rewrites_sparse_segments_once() {
     let full: &[u32] = &[1, 2, 3, 4];
@@ -77,15 +77,19 @@
         log.remove_start(Some(ids[2]), start(task));
     }
     log.compact();
-    assert_eq!(log.pending_starts, BTreeSet::from([start(4)]), "of the surplus only the sparse segment");
+    assert_eq!(
+        log.pending_starts,
+        BTreeSet::from([start(4)]),
+        "only the sparse segment of the surplus is rewritten"
+    );
     assert!(log.segments[&ids[1]].rewriting && !log.segments[&ids[0]].rewriting);
-    assert!(!log.segments[&ids[2]].rewriting, "not among the surplus");
+    assert!(!log.segments[&ids[2]].rewriting, "this segment is not part of the surplus");
     log.pending_starts.clear();
     log.compact();
     assert!(log.pending_starts.is_empty());
 }
 
-/// When finished tasks alone keep too many segments, the oldest segment's blocks get records of their own.
+/// When finished tasks alone keep too many segments live, the blocks of the oldest one get records of their own.
 #[test]
 fn compaction_writes_blocks_of_the_oldest_finished_segment() {
     let (mut log, ids) = log_of(&vec![[].as_slice(); MAX_FINISHED_ONLY_SEGMENTS + 1]);
@@ -101,9 +105,10 @@
     assert_eq!(log.blocks_to_write(), []);
 }
 
-/// With writes to spare a segment is written at once, otherwise at intervals; finished tasks alone wait for their delay.
+/// With enough spare writes a segment is written immediately, otherwise at intervals. Finished tasks alone wait for
+/// their delay.
 #[test]
-fn segments_share_the_writes() {
+fn segment_writes_follow_the_write_budget() {
     let spare = WriteBudget { spare_writes: 6, writes_per_second: 10.0 };
     let scarce = WriteBudget { spare_writes: 5, ..spare };
     let interval_ms = 250;
@@ -118,7 +123,7 @@
     assert!(log.is_write_due(NOW.saturating_add(interval_ms), scarce));
 }
 
-/// The contents of a segment that was not written are queued for the next one.
+/// The contents of a segment that was not written are queued again for the next segment.
 #[test]
 fn unwritten_contents_are_queued_again() {
     let mut log = AssignmentLog::default();
--- a/src/coordination/leader/records/bindings.rs
+++ b/src/coordination/leader/records/bindings.rs
@@ -1,4 +1,4 @@
-//! Binding tasks to machines and removing them again, with everything that is derived from the bindings: used resources,
+//! Adds and removes bindings of tasks to machines, and updates everything that is derived from them: used resources,
 //! team usage, pool slots, placements of jobs, and the entries of the assignment log.
 
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use crate::protocol::operators::JobEventKind;
 
 impl Leader {
-    /// The task may be on the machine from now on.
+    /// Adds a binding to the machine: from now on the task may be there.
     pub(in crate::coordination::leader) fn add_binding(&mut self, ix: MachineIx, binding: Binding) {
         let machine = &mut self.cluster.machines[ix.index()];
         machine.used.add(&binding.need);
@@ -31,7 +31,8 @@
         machine.bindings.push(binding);
     }
 
-    /// The task is certainly not on the machine any more. `index`: of the binding on the machine.
+    /// Removes the binding at position `index` of the machine's bindings. The caller must be sure that the task is no
+    /// longer on the machine.
     pub(in crate::coordination::leader) fn remove_binding(
         &mut self,
         ix: MachineIx,
@@ -48,15 +49,15 @@
             remove_placement(state, &binding, ix, machine.zone);
         }
         decrement_count(&mut self.workload.placed_task_counts, &binding.task.job);
-        self.release_shares(&binding);
+        self.release_usage(&binding);
         let start = TaskPlacement { machine: ix, task: binding.task, attempt: binding.attempt };
         self.assignment_log.remove_start(binding.log_segment, start);
         self.cluster.placement_index.mark_to_fill(ix);
         binding
     }
 
-    /// Gives back what the binding took from its team, its pool and the best-effort tasks.
-    fn release_shares(&mut self, binding: &Binding) {
+    /// Subtracts the binding from the usage of its team, its pool and the best-effort class.
+    fn release_usage(&mut self, binding: &Binding) {
         if binding.best_effort {
             self.placement.best_effort_cpu = self.placement.best_effort_cpu.saturating_sub(binding.need.cpu);
         }
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Removes bindings that are to stop and whose run command has never been sent: there is nothing to stop.
+    /// Removes the bindings of a machine that are to be stopped and whose run command was never sent, because there is
+    /// nothing to stop. Their tasks are queued again.
     pub(in crate::coordination::leader) fn drop_unsent_bindings(&mut self, ix: MachineIx, clock: Clock) {
         let is_unsent = |binding: &Binding| {
             binding.stop_grace_ms.is_some()
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Removes every task from a machine that is certainly gone or empty, and queues them again.
+    /// Removes all bindings from a machine on which no task can be running, because the machine was lost, failed or
+    /// released, and queues the tasks again.
     pub(in crate::coordination::leader) fn remove_all_bindings(&mut self, ix: MachineIx, clock: Clock) {
         while let Some(index) = self.cluster.machines[ix.index()].bindings.len().checked_sub(1) {
             let binding = self.remove_binding(ix, index, clock);
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The binding of the attempt on its machine.
+    /// Returns the binding of the attempt on its machine, if there is one.
     pub(super) fn binding_mut(&mut self, placement: &TaskPlacement) -> Option<&mut Binding> {
         let bindings = &mut self.cluster.machines[placement.machine.index()].bindings;
         bindings
@@ -100,7 +103,7 @@
     }
 }
 
-/// The job's task may be on the machine from now on.
+/// Records in the job's state that the bound task may be on the machine.
 pub(super) fn add_placement(state: &mut JobState, binding: &Binding, ix: MachineIx, zone: ZoneIx) {
     state.placements.entry(binding.task.task).or_default().push((ix, binding.attempt));
     *state.tasks_per_zone.entry(zone).or_default() += 1;
@@ -116,7 +119,7 @@
     decrement_count(&mut state.tasks_per_zone, &zone);
 }
 
-/// Counts of zero are removed, so that the map stays as small as what it counts.
+/// Decrements a count and removes it at zero, so that the map holds only keys with a count.
 fn decrement_count<K: Hash + Eq>(counts: &mut HashMap<K, u32>, key: &K) {
     if let Some(count) = counts.get_mut(key) {
         *count -= 1;
--- a/src/coordination/leader/records/image_locality.rs
+++ b/src/coordination/leader/records/image_locality.rs
@@ -1,13 +1,13 @@
-//! Which machines should have which images in their caches, so that placement can prefer them.
+//! Estimates which machines have which images in their caches, so that placement can prefer these machines.
 //!
-//! An estimate: images leave the list in the order of their last use once the machine type's cache is full, as they leave
-//! the cache itself.
+//! The estimate follows the eviction order of the real caches: once the images of a machine exceed the cache size of
+//! its type, the least recently used ones are dropped.
 
 use crate::coordination::leader::Leader;
 use crate::ids::{ImageIx, MachineIx};
 
 impl Leader {
-    /// The machine is about to use the image, of `mb` megabytes.
+    /// Records that the machine is about to use the image, which has `mb` megabytes.
     pub(in crate::coordination::leader) fn record_image_use(
         &mut self,
         ix: MachineIx,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Nothing is known of the machine's cache any more.
+    /// Clears the machine's estimate, because the contents of its cache are unknown.
     pub(in crate::coordination::leader) fn forget_images(&mut self, ix: MachineIx) {
         for (image, _) in std::mem::take(&mut self.cluster.machines[ix.index()].images) {
             self.remove_image_holder(image, ix);
--- a/src/coordination/leader/records/mod.rs
+++ b/src/coordination/leader/records/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's durable records: the assignment log, the write pipeline, the tasks bound to machines, and recovery of all
-//! of it after a failover.
+//! The leader's durable records: the assignment log, the store writer, the bindings of tasks to machines, and the
+//! recovery of all of these after a failover.
 
 pub mod assignment_log;
 mod bindings;
--- a/src/coordination/leader/records/recovery.rs
+++ b/src/coordination/leader/records/recovery.rs
@@ -1,7 +1,8 @@
-//! What a new leader takes over from the records of earlier ones: machines, the tasks that may be on them, and jobs.
+//! Recovery after a failover: restores machines, the tasks that may be on them, and jobs from the records of earlier
+//! leaders.
 //!
-//! Decides nothing new: a task that may be on a machine is bound to it, so that it is not started a second time. Heartbeats
-//! then show what is really there.
+//! Recovery starts no task itself. A task that may be on a machine is bound to it, so that it is not started a second
+//! time; heartbeats then show which tasks the machine really has.
 
 use super::assignment_log::{FinishedBlock, SegmentId, TaskPlacement, needs_finished_record};
 use super::bindings::add_placement;
@@ -12,14 +13,14 @@
 use crate::coordination::leader::{Binding, DispatchState, Leader, MachineIdentity, MachineState};
 use crate::ids::{Attempt, JobIx, MachineIx, TaskId};
 
-/// Grace of a task whose job was cancelled under an earlier leader, in milliseconds.
+/// Grace period for stopping a task whose job was cancelled or failed under an earlier leader, in milliseconds.
 const INHERITED_STOP_GRACE_MS: u64 = 0;
 
-/// A segment of an earlier leader's log, or a machine's record from before the log.
+/// A segment of an earlier leader's log, or a machine record in the format that preceded the log.
 struct RecoveredSegment {
     key: RecordKey,
     machines: Vec<RecordedMachine>,
-    /// Blocks with finished tasks.
+    /// Blocks of task numbers that contain finished tasks.
     finished: Vec<FinishedBlock>,
 }
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// All segments in the store, oldest first.
+/// Returns all segments in the store, oldest first.
 fn recovered_segments(cache: &StoreCache) -> Vec<RecoveredSegment> {
     let legacy_machines = cache.machines.iter().map(|(name, record)| RecoveredSegment {
         key: RecordKey::LegacyMachine(name.clone()),
@@ -52,7 +53,8 @@
 }
 
 impl Leader {
-    /// Takes over the assignment log, oldest segment first, so that newer entries supersede older ones.
+    /// Restores the assignment log with its machines and bindings. The oldest segment comes first, so that newer
+    /// entries supersede older ones.
     pub(in crate::coordination::leader) fn recover_machines(&mut self, cache: &mut StoreCache, clock: Clock) {
         for recovered in recovered_segments(cache) {
             let segment = self.assignment_log.add_segment(recovered.key);
@@ -68,7 +70,8 @@
         }
     }
 
-    /// A machine whose tasks have all finished is not taken over, unless it is being returned.
+    /// Registers a recorded machine and binds the tasks that may still run on it. A machine whose tasks have all
+    /// finished is skipped, unless it is being returned to the cloud.
     fn recover_machine(
         &mut self,
         segment: SegmentId,
@@ -77,7 +80,8 @@
         clock: Clock,
     ) {
         let may_still_run = |task: &TaskId| {
-            // A job's record is deleted only once none of its tasks may be on a machine.
+            // A task of a job without a record cannot be running: the record is deleted only once none of the job's
+            // tasks may be on a machine.
             cache.find_job(task.job).is_some_and(|job| !job.finished_tasks.contains(task.task))
         };
         let tasks: Vec<(TaskId, Attempt)> =
@@ -93,7 +97,7 @@
         for (task, attempt) in tasks {
             self.recover_binding(segment, TaskPlacement { machine: ix, task, attempt }, cache, clock);
         }
-        // A worker that learns the new token early rejects commands of the deposed leader from then on.
+        // Announces the new token early, because a worker that has received it rejects commands of the deposed leader.
         self.cluster.pending_announcements.insert(ix);
     }
 
@@ -124,7 +128,7 @@
         clock: Clock,
     ) {
         if let Some(binding) = self.binding_mut(&placement) {
-            // An earlier segment records it as well.
+            // An earlier segment also records this attempt; the entry in this segment supersedes it.
             let previous = binding.log_segment.replace(segment);
             self.assignment_log.add_start(segment, placement, previous);
             return;
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Takes over all unfinished jobs and queues their tasks, except those that may be on a machine.
+    /// Restores all unfinished jobs and queues their tasks, except those that may be on a machine.
     pub(in crate::coordination::leader) fn recover_jobs(&mut self, cache: &StoreCache) {
         let live_jobs: Vec<JobIx> = cache.live_jobs().map(|(ix, _)| ix).collect();
         for ix in live_jobs {
@@ -175,13 +179,15 @@
         for index in 0..self.cluster.machines.len() {
             self.recover_placements(MachineIx(index as u32));
         }
-        // Finished DAG nodes are not live jobs any more, but their retry states may still be recorded.
+        // Finished DAG nodes are no longer live jobs, but records of their retry states may remain to be deleted.
         cache.dag_runs.terminal_jobs_with_retry_states(cache).for_each(|id| self.writer.queue_cleanup(id));
         let jobs: Vec<JobIx> = self.workload.jobs.keys().copied().collect();
         self.enqueue_jobs(jobs);
     }
 
-    /// Bindings are recovered before the jobs: what [`add_binding`](Leader::add_binding) notes in a job is made up for.
+    /// Adds the machine's bindings to the placements of their jobs, and the images of these jobs to the machine's
+    /// estimated cache. [`add_binding`](Leader::add_binding) could not do it, because bindings are recovered before
+    /// jobs.
     fn recover_placements(&mut self, ix: MachineIx) {
         let machine = &self.cluster.machines[ix.index()];
         let mut images = Vec::new();
--- a/src/coordination/leader/records/requeue.rs
+++ b/src/coordination/leader/records/requeue.rs
@@ -1,4 +1,4 @@
-//! Tasks that go back to the queues after they have left a machine, at once or after a backoff.
+//! Queues tasks again after they have left a machine, immediately or after a backoff.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use crate::ids::{JobIx, MachineIx};
 
 impl Leader {
-    /// Queues the binding's task again after `delay_ms`, unless it has finished, is still placed elsewhere, or its job is
-    /// ending.
+    /// Queues the binding's task again after `delay_ms`, unless the task has finished or may be on another machine, or
+    /// its job is cancelled, finishing or on probation.
     pub(in crate::coordination::leader) fn requeue(
         &mut self,
         binding: &Binding,
@@ -18,7 +18,7 @@
         let Some(ix) = binding.job else { return };
         let Some(state) = self.workload.jobs.get(&ix) else { return };
         let task = binding.task.task;
-        // Probation queues its one task itself.
+        // While a job is on probation, one task at a time is queued by the probation itself.
         if !is_waiting(state, task) || state.probation.is_some() {
             return;
         }
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Queues the tasks whose backoff is over.
+    /// Queues the tasks whose backoff has elapsed.
     pub(in crate::coordination::leader) fn requeue_delayed(&mut self, clock: Clock) {
         while let Some(due) = self.workload.retry_queue.first_entry().filter(|due| *due.key() <= clock.now) {
             for (ix, task) in due.remove() {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Distributes the queues of a machine that takes no more tasks.
+    /// Moves the queued tasks of a machine that accepts no more tasks to other queues.
     pub(in crate::coordination::leader) fn requeue_machine_queues(&mut self, ix: MachineIx) {
         let machine = &mut self.cluster.machines[ix.index()];
         let mut tasks = machine.shared_queue.drain();
@@ -63,8 +63,9 @@
     }
 }
 
-/// Whether the task still has to start. After a failover it may be bound to several machines, because an older record
-/// can list it elsewhere: gone from one of them, it must not start again while it may run on another.
+/// Whether the task still has to start. After a failover a task may be bound to several machines, because an older
+/// record can list it on another one: after it has left one machine, it must not start again while it may run on
+/// another.
 fn is_waiting(state: &JobState, task: u32) -> bool {
     !state.finishing && !state.finished.contains(task) && !state.placements.contains_key(&task)
 }
--- a/src/coordination/leader/records/store_writer/batch.rs
+++ b/src/coordination/leader/records/store_writer/batch.rs
@@ -1,4 +1,4 @@
-//! One transaction of the leader while it is being filled.
+//! The batch of mutations that becomes the leader's next transaction.
 
 use serde::Serialize;
 
@@ -8,9 +8,10 @@
 use crate::ids::{FencingToken, JobId, JobIx, Revision};
 use crate::protocol::kv::{KvMutation, Precondition};
 
-/// A batch of this many bytes takes no more: one more value of up to 16 KiB still fits the 64 KiB of a transaction.
+/// A batch that has reached this size is full. The last mutation may exceed it by a value of up to 16 KiB, which still
+/// fits the 64 KiB limit of a transaction.
 const BATCH_FULL_BYTES: usize = 40 * 1024;
-/// JSON of a mutation and its precondition besides key and value, in bytes, at most.
+/// Upper bound for the JSON of a mutation and its precondition without key and value, in bytes.
 const MUTATION_OVERHEAD_BYTES: usize = 120;
 
 /// What the leader does once a mutation is durable.
@@ -21,32 +22,32 @@
     FinishedBlockPersisted(FinishedBlock),
     JobSucceeded(JobId, Option<JobIx>),
     JobRecordRemoved(JobId, Option<JobIx>),
-    /// A DAG node ended without success: what of it is on machines has to stop.
+    /// A DAG node ended without success: its tasks that may be on machines have to be stopped.
     NodeStopped(JobId, Option<JobIx>),
     RetriesPersisted(RetryBlock),
     NoEffect,
 }
 
-/// A block of a job's task numbers, as records of retry states divide them.
+/// A block of a job's task numbers. Each record of retry states covers one block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RetryBlock {
     pub job: JobId,
     pub block: u32,
 }
 
-/// The batch takes no further mutation; what is left is planned again for the next one.
+/// The batch accepts no further mutation. The remaining writes are planned again for the next batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct BatchFull;
 
-/// Limits of a batch, and what it may contain.
+/// The size limit of a batch and the contents of its records.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BatchOptions {
     pub max_mutations: usize,
-    /// Terminal records contain details for operators.
+    /// Whether terminal records contain details for operators.
     pub with_details: bool,
 }
 
-/// Mutations of one transaction, with their preconditions and effects.
+/// The mutations of one transaction, with their preconditions and effects.
 pub(super) struct WriteBatch<'a> {
     pub(super) cache: &'a StoreCache,
     options: BatchOptions,
@@ -57,7 +58,7 @@
 }
 
 impl<'a> WriteBatch<'a> {
-    /// An empty batch that commits only while this term's leader key exists.
+    /// Creates an empty batch, which can commit only while the leader key of this term exists.
     pub(super) fn new(cache: &'a StoreCache, token: FencingToken, options: BatchOptions) -> WriteBatch<'a> {
         let leader_precondition = Precondition { key: LEADER_KEY.into(), revision: Revision(token.0) };
         WriteBatch {
@@ -70,58 +71,60 @@
         }
     }
 
-    /// Whether it takes no further mutation.
+    /// Whether the batch accepts no further mutation.
     pub(super) fn is_full(&self) -> bool {
         self.mutations.len() >= self.options.max_mutations || self.bytes >= BATCH_FULL_BYTES
     }
 
+    /// Checks that the batch accepts a further mutation.
+    ///
     /// # Errors
-    /// [`BatchFull`] if the batch takes no further mutation.
+    /// [`BatchFull`] if it does not.
     pub(super) fn ensure_room(&self) -> Result<(), BatchFull> {
         if self.is_full() { Err(BatchFull) } else { Ok(()) }
     }
 
-    /// How many mutations it takes in all.
+    /// Returns the maximum number of mutations in the batch.
     pub(super) fn max_mutations(&self) -> usize {
         self.options.max_mutations
     }
 
-    /// Terminal records contain details for operators.
+    /// Whether terminal records contain details for operators.
     pub(super) fn with_details(&self) -> bool {
         self.options.with_details
     }
 
-    /// How many mutations it still takes.
+    /// Returns how many mutations can still be added.
     pub(super) fn remaining(&self) -> usize {
         self.options.max_mutations.saturating_sub(self.mutations.len())
     }
 
-    /// Whether it changes the key already.
+    /// Whether the batch already changes the key.
     pub(super) fn has_key(&self, key: &RecordKey) -> bool {
         let key = key.encode();
         self.mutations.iter().any(|mutation| mutation.key() == key)
     }
 
-    /// Writes a record. One that cannot be serialized is logged and left out.
+    /// Adds the write of a record. A record that cannot be serialized is left out, and the error is logged.
     pub(super) fn put(&mut self, key: &RecordKey, record: &impl Serialize, effect: WriteEffect) {
         match serde_json::to_string(record) {
             Ok(value) => self.put_json(key, value, effect),
-            Err(error) => log::error!("cannot serialize {}: {error}", key.encode()),
+            Err(error) => log::error!("record {} not written, serialization failed: {error}", key.encode()),
         }
     }
 
-    /// Writes a record that is serialized already.
+    /// Adds the write of a record that is already serialized.
     pub(super) fn put_json(&mut self, key: &RecordKey, value: String, effect: WriteEffect) {
         let value_bytes = value.len();
         self.push(key, value_bytes, effect, |key| KvMutation::Put { key, value, lease: None });
     }
 
-    /// Deletes a record.
+    /// Adds the deletion of a record.
     pub(super) fn delete(&mut self, key: &RecordKey, effect: WriteEffect) {
         self.push(key, 0, effect, |key| KvMutation::Delete { key });
     }
 
-    /// The transaction fails if the key has changed since the cache last saw it.
+    /// Adds a mutation with the precondition that the key has not changed since the cache last read it.
     fn push(
         &mut self,
         key: &RecordKey,
--- a/src/coordination/leader/records/store_writer/effects.rs
+++ b/src/coordination/leader/records/store_writer/effects.rs
@@ -1,4 +1,5 @@
-//! Replies to the leader's transactions: effects of a committed one, and what is queued again after any other.
+//! Handles replies to the leader's transactions: applies the effects of a committed transaction and queues the writes
+//! of any other again.
 
 use super::batch::WriteEffect;
 use super::persists;
@@ -13,7 +14,8 @@
 use crate::protocol::operators::JobEventKind;
 
 impl Leader {
-    /// Takes in the reply to the transaction in flight. False if it shows that this controller does not lead any more.
+    /// Handles the reply to the transaction in flight. Returns false if it shows that this controller is no longer
+    /// leader.
     #[must_use]
     pub(in crate::coordination) fn handle_write_reply(
         &mut self,
@@ -32,7 +34,8 @@
                 true
             }
             KvReply::PreconditionFailed { failed_keys } => {
-                // An earlier transaction of ours that came late, or another controller's: poll before writing again.
+                // A delayed earlier transaction of ours, or another controller, changed a key: poll before writing
+                // again.
                 self.requeue_unwritten_effects(clock.now);
                 self.writer.poll_before_write = Some(clock.now);
                 !failed_keys.iter().any(|key| key == LEADER_KEY)
@@ -49,7 +52,8 @@
         }
     }
 
-    /// The transaction is not known to be committed. Only what planning has taken out of its queues is queued again.
+    /// Handles a transaction that is not known to be committed. Only writes that planning removed from their queues are
+    /// queued again; all others are still due.
     pub(super) fn requeue_unwritten_effects(&mut self, now: Millis) {
         for effect in std::mem::take(&mut self.writer.effects_in_flight) {
             match effect {
@@ -102,7 +106,8 @@
 
     fn stop_ended_node(&mut self, id: JobId, ix: Option<JobIx>, clock: Clock) {
         self.writer.terminal_due.remove(&id);
-        // Without an index the node never was ready, and without placed tasks nothing of it is on a machine.
+        // A node without an index was never ready to run, and without placed tasks none of its tasks can be on a
+        // machine.
         if ix.is_some() || self.workload.placed_task_counts.contains_key(&id) {
             self.assignment_log.remove_finished_job(id);
             self.cancel_job(id, ix, clock.wall_ms, clock);
--- a/src/coordination/leader/records/store_writer/mod.rs
+++ b/src/coordination/leader/records/store_writer/mod.rs
@@ -1,12 +1,14 @@
-//! The write pipeline: which records have to be written, in which order, and what may happen once they are durable.
+//! The store writer: which records have to be written, in which order, and what the leader may do once they are
+//! durable.
 //!
-//! One transaction is in flight at a time. Each is a compare-and-swap guarded by the leader key, so that a deposed leader
-//! writes nothing, and by the revision of every key it changes. What must not happen before its record is durable (sending
-//! a run command, releasing a machine, removing a job) is a [`WriteEffect`] of the mutation, applied when the transaction has
-//! committed. After a transaction whose outcome is not known nothing is written until the cache shows the outcome.
+//! One transaction is in flight at a time. Each is a compare-and-swap on the leader key, so that a deposed leader
+//! cannot write, and on the revision of every key it changes. An action that must wait until a record is durable
+//! (sending a run command, releasing a machine, removing a job) is a [`WriteEffect`] of the mutation and is applied
+//! when the transaction has committed. After a transaction with a failed precondition or an unknown outcome, nothing is
+//! written until a later poll has updated the cache.
 //!
-//! [`StoreWriter`] owns the pending writes of the term; they are bounded by the live jobs, runs and machines. It does no
-//! I/O: transactions go out as actions of the [`KvClient`].
+//! [`StoreWriter`] owns the pending writes of the term; they are bounded by the live jobs, runs and machines. It does
+//! no I/O: transactions go out as actions of the [`KvClient`].
 
 mod batch;
 mod effects;
@@ -27,21 +29,22 @@
 use crate::protocol::kv::KvMutation;
 use batch::{BatchOptions, RetryBlock, WriteBatch, WriteEffect};
 
-/// The term's pending writes, and the transaction in flight.
+/// The pending writes of the term and the transaction in flight.
 #[derive(Debug, Default)]
 pub(in crate::coordination::leader) struct StoreWriter {
-    /// Jobs that ended: succeeded ones, and DAG nodes with their terminal record.
+    /// Jobs whose terminal record is due: the record of a DAG node, or `None` for any other job, which has succeeded.
     terminal_due: BTreeMap<JobId, Option<NodeTerminalRecord>>,
-    /// Blocks of tasks with failures that are not durable.
+    /// Blocks of tasks whose retry states are not durable yet.
     retries_due: BTreeSet<RetryBlock>,
-    /// Ended jobs whose records have to be deleted.
+    /// Finished and cancelled jobs whose records have to be deleted.
     cleanup_due: BTreeSet<JobId>,
-    /// Records that nothing waits for: provisioning requests, machine types.
+    /// Writes without an effect: provisioning requests and machine types. The provisioner sends a request once the
+    /// cache shows its record.
     other_writes: VecDeque<PendingWrite>,
     effects_in_flight: Vec<WriteEffect>,
     txn_in_flight: bool,
-    /// Set after a transaction without a certain outcome: nothing is written before a poll that was sent later has shown
-    /// the outcome.
+    /// When the reply to the last transaction was received, if a precondition had failed or the outcome is unknown.
+    /// Nothing is written until a poll that was sent later has updated the cache.
     poll_before_write: Option<Millis>,
 }
 
@@ -53,12 +56,12 @@
 }
 
 impl StoreWriter {
-    /// All tasks of the job have finished: its terminal record is due.
+    /// Queues the terminal record of a job whose tasks have all finished.
     pub(in crate::coordination::leader) fn queue_job_success(&mut self, id: JobId) {
         self.terminal_due.insert(id, None);
     }
 
-    /// The DAG node has ended with this outcome.
+    /// Queues the terminal record of a DAG node.
     pub(in crate::coordination::leader) fn queue_node_terminal(
         &mut self,
         id: JobId,
@@ -67,38 +70,38 @@
         self.terminal_due.insert(id, Some(terminal));
     }
 
-    /// A task of a DAG node has a new retry state.
+    /// Queues the changed retry state of a task of a DAG node.
     pub(in crate::coordination::leader) fn queue_retry_state(&mut self, job: JobId, task: u32) {
         self.retries_due.insert(RetryBlock { job, block: task / RETRY_BLOCK_TASKS });
     }
 
-    /// The job has ended: its records can be deleted.
+    /// Queues the records of a finished or cancelled job for deletion.
     pub(in crate::coordination::leader) fn queue_cleanup(&mut self, id: JobId) {
         self.cleanup_due.insert(id);
     }
 
-    /// Replaces an earlier pending write of the key. Written and deleted by one transaction, the key's two changes would
-    /// have one revision, and followers would take the first for the newest.
+    /// Queues a write, which replaces an earlier pending write of the same key. If one transaction wrote and deleted
+    /// the key, both changes would have the same revision, and followers would take the first for the newest.
     pub(in crate::coordination::leader) fn queue_write(&mut self, key: RecordKey, value: Option<String>) {
         self.other_writes.retain(|pending| pending.key != key);
         self.other_writes.push_back(PendingWrite { key, value });
     }
 
-    /// The catalog has a new or changed machine type.
+    /// Queues the record of a machine type that is new or changed in the catalog.
     pub(in crate::coordination::leader) fn queue_machine_type(&mut self, entry: &MachineTypeRecord) {
         let key = RecordKey::MachineType(entry.name.clone());
         match serde_json::to_string(entry) {
             Ok(value) => self.queue_write(key, Some(value)),
-            Err(error) => log::error!("cannot serialize {}: {error}", key.encode()),
+            Err(error) => log::error!("record {} not written, serialization failed: {error}", key.encode()),
         }
     }
 
-    /// Whether [`queue_write`](Self::queue_write) holds a write of the key that is not durable.
+    /// Whether a write of the key by [`queue_write`](Self::queue_write) is not durable yet.
     pub(in crate::coordination::leader) fn has_pending_write(&self, key: &RecordKey) -> bool {
         self.other_writes.iter().any(|pending| pending.key == *key)
     }
 
-    /// Whether the cache shows what became of the last transaction.
+    /// Whether the outcome of the last transaction is known, from its reply or because the cache shows it.
     fn is_outcome_known(&mut self, cache_fresh_as_of: Option<Millis>) -> bool {
         if let Some(since) = self.poll_before_write
             && cache_fresh_as_of.is_none_or(|fresh| fresh <= since)
@@ -111,7 +114,8 @@
 }
 
 impl Leader {
-    /// Sends the next transaction, unless one is in flight or the rate limit allows none.
+    /// Sends the next transaction, unless one is in flight, the outcome of the last one is unknown, or the rate limit
+    /// allows none.
     pub(in crate::coordination) fn write_records(
         &mut self,
         clock: Clock,
@@ -130,7 +134,7 @@
         let options = BatchOptions { max_mutations, with_details: self.tunables.operators.enabled };
         let budget = WriteBudget { spare_writes, writes_per_second: kv.write_bucket.rate() };
         let mut batch = WriteBatch::new(cache, self.term.token(), options);
-        // A full batch is sent like any other: what is left is planned again for the next one.
+        // A full batch is sent like any other; the writes that did not fit are planned again for the next one.
         let _ = self.plan_batch(clock, budget, &mut batch);
         if !batch.mutations.is_empty() {
             self.send_batch(clock, batch, kv, out);
@@ -150,7 +154,7 @@
     }
 }
 
-/// The mutation that persists a pending write.
+/// Whether the mutation persists the pending write.
 fn persists(mutation: &KvMutation, pending: &PendingWrite) -> bool {
     let value = match mutation {
         KvMutation::Put { value, .. } => Some(value),
--- a/src/coordination/leader/records/store_writer/plan.rs
+++ b/src/coordination/leader/records/store_writer/plan.rs
@@ -1,7 +1,8 @@
-//! Which records go into the next transaction, and in which order.
+//! Plans which records go into the next transaction, and in which order.
 //!
-//! Retry states come first, before anything that makes a new leader forget the attempts they count; terminal records next,
-//! because users wait for them; then the assignment log, and last what only frees space.
+//! Retry states come first, before any record that makes a new leader forget the attempts they count. Terminal records
+//! are next, because users wait for them, followed by the records of DAG runs and the writes without an effect. The
+//! assignment log comes after these, and last the writes that only free space.
 
 use std::collections::BTreeSet;
 
@@ -18,8 +19,10 @@
 use crate::ids::{JobId, Revision};
 
 impl Leader {
+    /// Fills the batch with the writes that are due.
+    ///
     /// # Errors
-    /// [`BatchFull`] if not all that is due fits into the batch.
+    /// [`BatchFull`] if not all of them fit into the batch.
     pub(super) fn plan_batch(
         &mut self,
         clock: Clock,
@@ -95,7 +98,8 @@
         Ok(())
     }
 
-    /// At most one segment per transaction, so that its name is certainly free.
+    /// Plans at most one segment per transaction. The next segment gets a new name only once this one is durable, so a
+    /// second one would have the same name.
     fn plan_log_segment(
         &mut self,
         clock: Clock,
@@ -125,7 +129,7 @@
         let FinishedBlock { job, block } = due;
         let state = batch.cache.find(job).and_then(|ix| self.workload.jobs.get(&ix));
         let Some(state) = state.filter(|state| !state.finishing) else {
-            // The terminal record covers all blocks, once it is durable.
+            // Once the terminal record is durable, it covers all blocks.
             if !needs_finished_record(job, batch.cache) {
                 self.assignment_log.remove_finished_job(job);
             }
@@ -135,7 +139,7 @@
         batch.put(&RecordKey::Finished(job, block), &record, WriteEffect::FinishedBlockPersisted(due));
     }
 
-    /// The records of an ended job are deleted once none of its tasks may be on a machine.
+    /// Plans the deletion of the records of finished jobs of which no task may be on a machine.
     fn plan_cleanup(&mut self, batch: &mut WriteBatch<'_>) -> Result<(), BatchFull> {
         for id in self.writer.cleanup_due.clone() {
             let is_placed = self.workload.placed_task_counts.contains_key(&id);
@@ -145,7 +149,7 @@
             plan_finished_block_deletion(id, batch)?;
             let retry_states_left = plan_retry_state_deletion(id, batch)?;
             batch.ensure_room()?;
-            // The job stays due until these deletions have committed.
+            // Retry states are deleted before the job record: the job remains due until their deletions have committed.
             if !retry_states_left {
                 self.plan_job_record_deletion(id, batch);
             }
@@ -155,7 +159,7 @@
 
     fn plan_job_record_deletion(&mut self, id: JobId, batch: &mut WriteBatch<'_>) {
         let ix = batch.cache.find(id);
-        // A DAG node has no job record, nor has a job whose record is already deleted.
+        // There is no job record to delete for a DAG node, or if the record is already deleted.
         if batch.cache.key_revision(&RecordKey::Job(id).encode()) == Revision(0) {
             self.writer.cleanup_due.remove(&id);
             self.remove_finished_job(id, ix);
@@ -177,7 +181,7 @@
     Ok(())
 }
 
-/// Whether the job had retry states to delete.
+/// Plans the deletion of the job's retry states. Returns whether there are any.
 fn plan_retry_state_deletion(id: JobId, batch: &mut WriteBatch<'_>) -> Result<bool, BatchFull> {
     let retries = batch.cache.dag_runs.retry_states_of(id);
     let blocks: BTreeSet<u32> =
--- a/src/coordination/leader/records/store_writer/plan_dag_runs.rs
+++ b/src/coordination/leader/records/store_writer/plan_dag_runs.rs
@@ -1,5 +1,5 @@
-//! Records of DAG runs in the leader's transactions: terminal records that follow from others, phases of runs, and the
-//! deletion of old or abandoned runs.
+//! Plans the records of DAG runs in the leader's transactions: terminal records of nodes that follow from other
+//! records, phases of runs, and the deletion of old or abandoned runs.
 
 use olivelatch_dag::{NodeIx, NodeOutcome};
 
@@ -13,7 +13,7 @@
 use crate::ids::JobId;
 
 impl Leader {
-    /// Plans until the batch is full; what is left is planned again for the next one.
+    /// Plans records until the batch is full. The remaining ones are planned again for the next batch.
     pub(super) fn plan_dag_records(&mut self, clock: Clock, batch: &mut WriteBatch<'_>) {
         let cache = batch.cache;
         for run in cache.dag_runs.pending_writes.iter().filter_map(|ix| cache.dag_runs.run(*ix)) {
@@ -34,8 +34,8 @@
         self.plan_run_deletion(batch);
     }
 
-    /// Uploads that nobody has committed in time. The record that forbids a commit comes first, the parts are deleted
-    /// afterwards.
+    /// Plans the expiry of uploads that were not committed in time. The record that prevents a later commit is written
+    /// first, and the parts are deleted afterwards.
     fn plan_abandoned_runs(&mut self, clock: Clock, batch: &mut WriteBatch<'_>) {
         let abandoned = std::mem::take(&mut self.dag_runs.abandoned);
         for run in abandoned.into_iter().filter_map(|ix| batch.cache.dag_runs.run(ix)) {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The phase record marks the deletion first, so that nobody schedules nodes of a run whose parts are being deleted;
-    /// then parts, phase and last the header go.
+    /// Plans the deletion of runs. The phase record marks the deletion first, so that no controller schedules nodes of
+    /// a run whose parts are being deleted. The parts, the phase record and finally the header are deleted afterwards.
     fn plan_run_deletion(&mut self, batch: &mut WriteBatch<'_>) {
         let cache = batch.cache;
         for run in self.dag_runs.deleting.iter().filter_map(|ix| cache.dag_runs.run(*ix)) {
@@ -70,7 +70,8 @@
     }
 }
 
-/// Terminal records of nodes that end without having run, and the run's own end.
+/// Plans the terminal records of nodes that a rerun, a cancellation or their trigger rules end, and the phase record
+/// that ends the run.
 fn plan_dag_run(run: &DagRun, clock: Clock, batch: &mut WriteBatch<'_>) {
     let Some(dag) = &run.dag else { return };
     for job in &run.replaced_jobs {
@@ -117,8 +118,8 @@
     }
 }
 
-/// Left out if the batch changes the run's phase already: the two changes would have one revision, and followers would
-/// take the first for the newest.
+/// Adds the phase record of a run, unless the batch already changes it: the two changes would have the same revision,
+/// and followers would take the first for the newest.
 fn put_run_phase(run: &DagRun, phase: &RunPhaseRecord, batch: &mut WriteBatch<'_>) {
     let key = RecordKey::RunPhase(run.name.clone());
     if !batch.is_full() && !batch.has_key(&key) {
@@ -126,7 +127,8 @@
     }
 }
 
-/// Left out if another end of the same job is recorded or in the batch: that one counts.
+/// Adds the terminal record of a node, unless the job already has one in the store or in the batch, which takes
+/// precedence.
 fn put_node_terminal(job: JobId, terminal: NodeTerminalRecord, clock: Clock, batch: &mut WriteBatch<'_>) {
     let key = RecordKey::Terminal(job);
     if batch.cache.terminal_state(job).is_some() || batch.has_key(&key) {
