--- a/src/coordination/leader/dag_runs/mod.rs
+++ b/src/coordination/leader/dag_runs/mod.rs
@@ -1,7 +1,8 @@
-//! DAG nodes and runs on the leader: retries, time limits, pools, output locality, and which runs are deleted.
+//! DAG nodes and runs on the leader: retries, time limits, pools, output locality, and the retention of runs.
 //!
-//! A DAG node's tasks are placed like all others; here is only what being a node adds. `DagRuns` owns state that is lost
-//! at a failover; what must survive is in the records, written by the store writer.
+//! The tasks of a DAG node are placed like all others; this module contains only what is specific to DAG nodes.
+//! `DagRuns` owns state that is lost at a failover; state that must survive is in records, which the store writer
+//! writes.
 
 mod node_results;
 mod run_retention;
@@ -18,42 +19,42 @@
 use run_retention::RetentionState;
 use time_limits::TimeLimits;
 
-/// What the leader knows of a job that is a DAG node, besides.
+/// Additional state of a job that is a DAG node.
 #[derive(Debug, Default)]
 pub struct DagNodeState {
-    /// Retry states of tasks that have failed.
+    /// Retry states of the tasks that have failed, by task number. The whole gang has one, under number 0.
     pub retries: BTreeMap<u32, RetryState>,
-    /// The published result of a node with one task, or of a gang.
+    /// The result that is published for a node with one task or for a gang.
     result: Option<NodeResult>,
 }
 
-/// What the leader knows of DAG nodes and runs besides the records.
+/// The leader's state of DAG nodes and runs that is not in records.
 #[derive(Debug, Default)]
 pub(super) struct DagRuns {
     time_limits: TimeLimits,
-    /// Slots of each pool.
+    /// Number of slots of each pool.
     pub(super) pool_slots: HashMap<PoolIx, u32>,
-    /// Slots that are taken by tasks which may be on machines.
+    /// Number of slots of each pool that are used by tasks which may be on machines.
     pub(super) pool_used: HashMap<PoolIx, u32>,
-    /// Machines on which tasks of nodes with downstream nodes have finished.
+    /// Machines on which tasks of a node with downstream nodes have finished, and which may hold its output.
     output_holders: HashMap<JobId, Vec<MachineIx>>,
     /// Runs whose records are being deleted.
     pub(super) deleting: BTreeSet<DagRunIx>,
-    /// Runs whose parts have waited too long for their commit.
+    /// Uploaded runs that were not committed within the upload expiry time.
     pub(super) abandoned: BTreeSet<DagRunIx>,
     retention: RetentionState,
 }
 
 impl Leader {
-    /// Takes in the pools of the settings.
+    /// Loads the pools and their slots from the tunables.
     pub(super) fn load_pools(&mut self, cache: &mut StoreCache) {
         for (pool, slots) in &self.tunables.graphs.pools {
             self.dag_runs.pool_slots.insert(cache.names.pools.intern(pool), *slots as u32);
         }
     }
 
-    /// Adds the node state to a new job that is a DAG node. A node whose retries are exhausted without a terminal record
-    /// fails now: the earlier leader did not get that far.
+    /// Adds the node state to a new job that is a DAG node. A node whose retries are exhausted fails now: the earlier
+    /// leader recorded the failures but not yet the terminal record.
     pub(super) fn init_node_state(&mut self, ix: JobIx, cache: &StoreCache) {
         let Some(state) = self.workload.jobs.get_mut(&ix) else { return };
         let Some(node) = state.spec.node.as_ref().filter(|_| state.dag_node.is_none()) else { return };
@@ -70,14 +71,14 @@
         }
     }
 
-    /// Whether the job's pool has slots for this many more tasks.
+    /// Whether the job's pool has free slots for `tasks` more tasks. A job without a pool is not limited.
     pub(super) fn pool_has_room(&self, state: &JobState, tasks: u32) -> bool {
         let Some(pool) = state.spec.pool() else { return true };
         let used = self.dag_runs.pool_used.get(&pool).copied().unwrap_or(0);
         self.dag_runs.pool_slots.get(&pool).is_none_or(|slots| used + tasks <= *slots)
     }
 
-    /// Machines that hold output which the job reads.
+    /// Returns the machines that may hold output which the job reads.
     pub(super) fn output_holders(&self, state: &JobState) -> Vec<MachineIx> {
         let Some(node) = &state.spec.node else { return Vec::new() };
         let mut holders: Vec<MachineIx> = node
--- a/src/coordination/leader/dag_runs/node_results.rs
+++ b/src/coordination/leader/dag_runs/node_results.rs
@@ -1,4 +1,4 @@
-//! Failures and successes of DAG nodes: what a task's exit means for its node, and the terminal record that follows.
+//! Failures and successes of DAG nodes: the effect of a task's exit on its node, and the resulting terminal record.
 
 use olivelatch_dag::{Failure, FailureEffect, NodeOutcome, RetryState};
 use rand::RngExt;
@@ -10,24 +10,25 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{ExitCause, TaskStatus};
 
-/// Machines remembered as holding a node's output.
+/// Maximum number of machines that are tracked as holders of a node's output.
 const MAX_OUTPUT_HOLDERS: usize = 8;
-/// Nodes whose output holders are remembered.
+/// Maximum number of nodes whose output holders are tracked.
 const MAX_TRACKED_OUTPUTS: usize = 20_000;
-/// Causes of failures, as records and users see them.
+/// Causes of failures as they are stored in records and shown to users.
 const CAUSE_ERROR: &str = "error";
 const CAUSE_TIME_LIMIT: &str = "time limit";
-/// The task number that stands for a whole gang.
+/// The task number under which the failures of a whole gang are counted.
 const GANG_TASK: u32 = 0;
 
-/// The attempt whose output is published, and the length of the list it produced.
+/// The attempt whose output is published, and the length of the list that it produced for mapped nodes, if any.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NodeResult {
     attempt: Attempt,
     list_len: Option<u32>,
 }
 
-/// The cause of a failure that counts for the node; `None` if the exit is no failure of the task.
+/// Returns the cause of a failure that counts against the node's retries, or `None` if the exit is not the task's
+/// failure.
 fn failure_cause(binding: &Binding, cause: ExitCause) -> Option<&'static str> {
     match cause {
         ExitCause::Error => Some(CAUSE_ERROR),
@@ -37,8 +38,8 @@
 }
 
 impl Leader {
-    /// Counts a task's exit without success if it is a failure of a DAG node. Returns the backoff before the next attempt
-    /// in milliseconds; `None` if it is no such failure or the node is not retried.
+    /// Counts the unsuccessful exit of a task if it is a failure of a DAG node. Returns the backoff before the next
+    /// attempt in milliseconds, or `None` if the exit is no such failure or the node is not retried.
     pub(in crate::coordination::leader) fn record_node_failure(
         &mut self,
         ix: MachineIx,
@@ -51,7 +52,7 @@
         let jitter: f64 = self.placement.rng.random();
         let state = self.workload.jobs.get_mut(&job)?;
         let policy = state.spec.node.as_ref()?.retry_policy;
-        // A gang fails as one.
+        // A gang fails as a whole.
         let task = if state.spec.kind == JobKind::Gang { GANG_TASK } else { binding.task.task };
         let retry_state = state.dag_node.as_mut()?.retries.entry(task).or_default();
         let failure = Failure { attempt: binding.attempt.0, machine, cause: cause.into() };
@@ -69,13 +70,13 @@
         (!finishing).then_some(backoff_ms)
     }
 
-    /// The retries of the node's `task` are exhausted: no task of the node starts any more, and once the terminal record is
-    /// durable those that run are stopped.
+    /// Fails a node, because the retries of `task` are exhausted. No further task of the node starts, and running ones
+    /// are stopped once the terminal record is durable.
     pub(super) fn fail_node(&mut self, job: JobIx, task: u32) {
         let Some(state) = self.workload.jobs.get_mut(&job) else { return };
         let Some((info, node)) = state.spec.node.as_ref().zip(state.dag_node.as_ref()) else { return };
         state.finishing = true;
-        // Only so many failures fit into the record: those of the task that decided the outcome come first.
+        // The record holds a limited number of failures: those of the task that decided the outcome come first.
         let decisive = node.retries.get_key_value(&task);
         let others = node.retries.iter().filter(|(other, _)| **other != task);
         let failed_attempts = decisive
@@ -87,7 +88,7 @@
         self.writer.queue_node_terminal(state.spec.id, terminal);
     }
 
-    /// A task of a DAG node has succeeded on the machine.
+    /// Records that a task of a DAG node has succeeded on the machine.
     pub(in crate::coordination::leader) fn record_node_task_done(
         &mut self,
         ix: MachineIx,
@@ -97,10 +98,10 @@
         let Some(state) = self.workload.jobs.get_mut(&job) else { return };
         let Some((info, node)) = state.spec.node.as_ref().zip(state.dag_node.as_mut()) else { return };
         if state.spec.tasks == 1 || state.spec.kind == JobKind::Gang {
-            let known_len = node.result.and_then(|result| result.list_len);
+            let previous_list_len = node.result.and_then(|result| result.list_len);
             node.result = Some(NodeResult {
                 attempt: status.published_attempt.unwrap_or(status.attempt),
-                list_len: status.output_list_len.or(known_len),
+                list_len: status.output_list_len.or(previous_list_len),
             });
         }
         if info.has_downstream {
@@ -111,7 +112,8 @@
 
     fn record_output_holder(&mut self, id: JobId, ix: MachineIx) {
         if self.dag_runs.output_holders.len() >= MAX_TRACKED_OUTPUTS {
-            // Most entries are of nodes whose downstream has run; for the others a missing entry costs only a fetch.
+            // Most entries belong to nodes whose downstream nodes have already run. For the others a missing entry
+            // costs only a fetch of the output.
             self.dag_runs.output_holders.clear();
         }
         let holders = self.dag_runs.output_holders.entry(id).or_default();
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The terminal record of a job that succeeded, if it is a DAG node.
+    /// Returns the terminal record of a job that succeeded, if it is a DAG node.
     pub(in crate::coordination::leader) fn success_record(
         &self,
         state: &JobState,
@@ -133,7 +135,7 @@
     }
 }
 
-/// The recorded failures of a task.
+/// Returns the failures of a task that its retry state keeps as evidence.
 fn failed_attempts(task: u32, retry_state: &RetryState) -> impl Iterator<Item = FailedAttempt> + '_ {
     retry_state.evidence.iter().map(move |failure| FailedAttempt { task, failure: failure.clone() })
 }
--- a/src/coordination/leader/dag_runs/run_retention.rs
+++ b/src/coordination/leader/dag_runs/run_retention.rs
@@ -1,4 +1,5 @@
-//! Which DAG runs are deleted: the oldest finished ones above the retention limits, and uploads that nobody commits.
+//! Selects the DAG runs to delete: the oldest finished runs above the retention limits, and uploads that were not
+//! committed in time.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,13 +9,14 @@
 use crate::coordination::leader::Leader;
 use crate::ids::{DagRunIx, Millis};
 
-/// Between two scans of all runs, in milliseconds.
+/// Interval between two scans of all runs, in milliseconds.
 const SCAN_INTERVAL_MS: u64 = 1_000;
 const MS_PER_SECOND: f64 = 1_000.0;
-/// Above this share of the node limit a finished run is deleted even if fewer are retained than allowed.
+/// Above this share of the node limit, the oldest finished run is deleted even if the number of retained runs is within
+/// its limit.
 const NODE_LIMIT_WATERMARK: f64 = 0.8;
 
-/// When runs were scanned, and since when uploads wait.
+/// When the runs are scanned next, and since when uploads have been uncommitted.
 #[derive(Debug, Default)]
 pub(super) struct RetentionState {
     next_scan_at: Millis,
@@ -22,13 +24,13 @@
     uncommitted_since: HashMap<DagRunIx, Millis>,
 }
 
-/// Runs that a scan found to be candidates for deletion.
+/// Runs that a scan found to be candidates for deletion or expiry.
 #[derive(Debug, Default)]
 struct RunScan {
     uncommitted: BTreeSet<DagRunIx>,
-    /// Already being deleted, or expired.
+    /// Runs whose deletion has begun, and expired uploads.
     deleting: Vec<DagRunIx>,
-    /// Finished runs, oldest first.
+    /// Finished runs in the order in which they finished, oldest first.
     finished: Vec<DagRunIx>,
 }
 
@@ -50,7 +52,7 @@
 }
 
 impl Leader {
-    /// At intervals: selects the runs whose records the store writer deletes.
+    /// Selects, at intervals, the runs whose records the store writer deletes.
     pub(in crate::coordination) fn scan_dag_runs(&mut self, cache: &StoreCache, clock: Clock) {
         if clock.now < self.dag_runs.retention.next_scan_at {
             return;
@@ -64,7 +66,8 @@
         self.expire_uploads(scan.uncommitted, clock);
     }
 
-    /// The oldest finished runs above the retention limits, except those of which a task may still be on a machine.
+    /// Returns the oldest finished runs above the retention limits, except those of which a task may still be on a
+    /// machine.
     fn surplus_runs(&self, finished: &[DagRunIx], cache: &StoreCache) -> Vec<DagRunIx> {
         let limits = &self.tunables.graphs;
         let near_node_limit = cache.dag_runs.node_count as f64 > limits.max_nodes * NODE_LIMIT_WATERMARK;
--- a/src/coordination/leader/dag_runs/time_limits.rs
+++ b/src/coordination/leader/dag_runs/time_limits.rs
@@ -1,4 +1,4 @@
-//! Time limits of DAG nodes: which running tasks have to be stopped, and when.
+//! Enforces the time limits of DAG nodes: stops running tasks that exceed them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +8,11 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::TaskStatus;
 
-/// Grace of a task that exceeded its time limit, in milliseconds.
+/// Grace period for stopping a task that exceeded its time limit, in milliseconds.
 const TIME_LIMIT_STOP_GRACE_MS: u64 = 0;
 
-/// Running tasks by the time at which their limit ends. Entries of tasks that finish earlier stay until then.
+/// Running tasks by the time at which their limit expires. Entries of tasks that finish earlier remain until
+/// that time.
 #[derive(Debug, Default)]
 pub(super) struct TimeLimits {
     due: BTreeMap<Millis, Vec<LimitedTask>>,
@@ -25,7 +26,7 @@
 }
 
 impl Leader {
-    /// The task was first seen running: its time limit, if it has one, begins.
+    /// Starts the time limit of a task, if it has one, when the task is first seen running.
     pub(in crate::coordination::leader) fn start_time_limit(
         &mut self,
         ix: MachineIx,
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Of a gang all tasks are stopped: it is as slow as its slowest.
+    /// Stops a task that exceeded its time limit. For a gang all tasks of the attempt are stopped, because
+    /// the gang is as slow as its slowest task.
     fn stop_over_time_limit(&mut self, limited: LimitedTask) {
         let LimitedTask { machine, task, attempt } = limited;
         let same_attempt = |binding: &Binding| binding.task.job == task.job && binding.attempt == attempt;
--- a/src/coordination/leader/explain/limits.rs
+++ b/src/coordination/leader/explain/limits.rs
@@ -1,4 +1,5 @@
-//! What keeps a job waiting whatever machines there are: its team's limit, its pool and jobs before it.
+//! Reasons that keep a job waiting regardless of the machines: its team's limit, its pool, and jobs ahead of
+//! it.
 
 use super::{Explanation, MAX_NAMES};
 use crate::coordination::leader::JobState;
@@ -6,7 +7,7 @@
 use crate::ids::from_milli;
 use crate::protocol::operators::{JobUsage, StateReason};
 
-/// A job that is served earlier.
+/// A job that is ahead of the explained one in the order of service.
 struct EarlierJob<'a> {
     order: QueueOrder,
     job: &'a JobState,
@@ -14,7 +15,7 @@
 }
 
 impl EarlierJob<'_> {
-    /// CPU seconds that its waiting tasks will take.
+    /// Returns the CPU seconds that its waiting tasks are expected to use.
     fn cpu_seconds(&self) -> f64 {
         from_milli(self.job.spec.task_resources.cpu)
             * from_milli(self.job.expected_run_ms())
@@ -23,7 +24,7 @@
 }
 
 impl Explanation<'_> {
-    /// Tasks that have to start together.
+    /// Returns how many tasks have to start together.
     fn tasks_at_once(&self) -> u64 {
         if self.job.spec.is_all_or_nothing() { self.job.unplaced_tasks().len() as u64 } else { 1 }
     }
@@ -34,7 +35,7 @@
         !self.leader.within_quota(self.job.spec.team, &need)
     }
 
-    /// The team's use and limit; None if the team is not configured.
+    /// Returns the team's usage and limit, or `None` if the team is not configured.
     pub(super) fn team_limit_reason(&self) -> Option<StateReason> {
         let team = self.job.spec.team;
         let limit = self.leader.quotas.team_settings.get(&team)?.effective_limit();
@@ -50,7 +51,7 @@
         })
     }
 
-    /// The team's jobs that use most CPUs, the largest first.
+    /// Returns the jobs of the team that use the most CPUs, in descending order.
     fn largest_users_of_team(&self) -> Vec<JobUsage> {
         let jobs = self.leader.workload.jobs.values();
         let mut users: Vec<(u64, String)> = jobs
@@ -65,7 +66,7 @@
         users.into_iter().map(|(cpu, job)| JobUsage { job, cpus: from_milli(cpu) }).collect()
     }
 
-    /// The use of the job's pool, if it has too few free slots.
+    /// Returns the usage of the job's pool, if the pool has too few free slots.
     pub(super) fn pool_full_reason(&self) -> Option<StateReason> {
         let pool = self.job.spec.pool()?;
         if self.leader.pool_has_room(self.job, self.tasks_at_once() as u32) {
@@ -78,8 +79,9 @@
         })
     }
 
-    /// Jobs that are served first on a machine type that the job may use too.
-    pub(super) fn behind_reason(&self) -> Option<StateReason> {
+    /// Returns the waiting jobs that are ahead of this one on a machine type that both may use, if there are
+    /// any.
+    pub(super) fn queued_behind_reason(&self) -> Option<StateReason> {
         let mut earlier = self.earlier_jobs();
         if earlier.is_empty() {
             return None;
--- a/src/coordination/leader/explain/machine_counts.rs
+++ b/src/coordination/leader/explain/machine_counts.rs
@@ -1,4 +1,4 @@
-//! What keeps a job's tasks off each machine, counted over all machines.
+//! Counts the machines by the reason that keeps a job's tasks off them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::ids::{JobIx, MachineIx, MachineTypeIx, Resources, from_milli};
 use crate::protocol::operators::{MachineTypeCapacity, StateReason};
 
-/// Machines by what keeps the tasks off them.
+/// Numbers of machines by the reason that keeps the job's tasks off them.
 #[derive(Default)]
 pub(super) struct MachineCounts {
     up: u32,
@@ -16,15 +16,16 @@
     wrong_zone: u32,
     wrong_spot: u32,
     too_small: u32,
-    /// Not up yet; the job may use them.
+    /// Machines that are not up yet and that the job may use.
     pub(super) booting: u32,
-    /// At most a limit of the team or pool keeps the tasks off them.
+    /// Machines that the tasks could use now, unless a cluster-wide limit such as that of the team or pool
+    /// prevents it.
     pub(super) usable: u32,
-    /// Held for gangs.
+    /// Machines that are held for other jobs.
     pub(super) held: u32,
-    /// The gangs that they are held for.
+    /// The jobs that these machines are held for.
     pub(super) holders: BTreeSet<JobIx>,
-    /// Capacity of the machines that the job may use, by type.
+    /// Capacity of the machines that the job may use, by machine type.
     pub(super) machine_types: BTreeMap<MachineTypeIx, MachineTypeCapacity>,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// A machine that the job may use, if not now.
+    /// Counts a machine that the job may use, now or later.
     fn add_eligible(
         &mut self,
         explanation: &Explanation<'_>,
@@ -72,41 +73,41 @@
         blocker: Option<PlacementBlocker>,
     ) {
         let machine = &explanation.leader.cluster.machines[machine_ix.index()];
-        let of_type = self.machine_types.entry(machine.machine_type).or_default();
-        if of_type.machines == 0 {
+        let type_capacity = self.machine_types.entry(machine.machine_type).or_default();
+        if type_capacity.machines == 0 {
             let name = explanation.names.machine_types.name_or_unknown(machine.machine_type.index());
-            of_type.machine_type = name.into();
+            type_capacity.machine_type = name.into();
         }
-        of_type.machines += 1;
+        type_capacity.machines += 1;
         match blocker {
-            Some(PlacementBlocker::Unavailable) => of_type.unschedulable += 1,
-            Some(_) => of_type.excluded_after_failure += 1,
+            Some(PlacementBlocker::Unavailable) => type_capacity.unschedulable += 1,
+            Some(_) => type_capacity.excluded_after_failure += 1,
             None => self.add_schedulable(explanation, machine_ix, machine),
         }
     }
 
-    /// A machine that would take the job's tasks if it had room.
+    /// Counts a schedulable machine on which the job has not failed.
     fn add_schedulable(&mut self, explanation: &Explanation<'_>, machine_ix: MachineIx, machine: &Machine) {
         let free = machine.free();
-        let of_type = self.machine_types.entry(machine.machine_type).or_default();
-        update_max_free(of_type, &free);
-        // Gangs and services may use machines that take no queued tasks.
-        let takes_job = !(machine.cordoned || machine.reserved) || explanation.job.spec.is_all_or_nothing();
+        let type_capacity = self.machine_types.entry(machine.machine_type).or_default();
+        update_max_free(type_capacity, &free);
+        // Gangs and services may use machines that accept no queued tasks.
+        let accepts_job = !(machine.cordoned || machine.reserved) || explanation.job.spec.is_all_or_nothing();
         let other_hold = machine.hold.filter(|hold| hold.job != explanation.job_ix);
         match explanation.leader.placement_blocker(machine_ix, &free, explanation.job) {
-            Some(PlacementBlocker::InsufficientRoom) => of_type.without_capacity += 1,
-            Some(PlacementBlocker::ZoneRule) => of_type.excluded_by_zone += 1,
+            Some(PlacementBlocker::InsufficientRoom) => type_capacity.without_capacity += 1,
+            Some(PlacementBlocker::ZoneRule) => type_capacity.excluded_by_zone += 1,
             _ if other_hold.is_some() => {
                 self.held += 1;
                 self.holders.extend(other_hold.map(|hold| hold.job));
             }
-            _ if !takes_job => of_type.cordoned += 1,
+            _ if !accepts_job => type_capacity.cordoned += 1,
             _ => self.usable += 1,
         }
     }
 
-    /// No machine may ever take the job's tasks.
-    pub(super) fn no_machine_reason(&self, job: &JobState) -> StateReason {
+    /// Returns the reason that no machine can ever run the job's tasks.
+    pub(super) fn no_eligible_machine_reason(&self, job: &JobState) -> StateReason {
         let need = &job.spec.task_resources;
         StateReason::NoEligibleMachine {
             requested_cpus: from_milli(need.cpu),
@@ -120,8 +121,8 @@
         }
     }
 
-    /// The machines that may take the job's tasks cannot now.
-    pub(super) fn no_room_reason(&self, job: &JobState) -> StateReason {
+    /// Returns the reason that the machines which the job may use lack the capacity now.
+    pub(super) fn insufficient_capacity_reason(&self, job: &JobState) -> StateReason {
         let need = &job.spec.task_resources;
         StateReason::InsufficientCapacity {
             requested_cpus: from_milli(need.cpu),
@@ -132,11 +133,11 @@
     }
 }
 
-/// Of machines with equally many free CPUs the last one counts.
-fn update_max_free(of_type: &mut MachineTypeCapacity, free: &Resources) {
-    if from_milli(free.cpu) >= of_type.max_free_cpus {
-        of_type.max_free_cpus = from_milli(free.cpu);
-        of_type.max_free_gpus = from_milli(free.gpu);
-        of_type.max_free_memory_gb = from_milli(free.mem);
+/// Keeps the free capacity of the machine with the most free CPUs. Among equals, the last one counts.
+fn update_max_free(type_capacity: &mut MachineTypeCapacity, free: &Resources) {
+    if from_milli(free.cpu) >= type_capacity.max_free_cpus {
+        type_capacity.max_free_cpus = from_milli(free.cpu);
+        type_capacity.max_free_gpus = from_milli(free.gpu);
+        type_capacity.max_free_memory_gb = from_milli(free.mem);
     }
 }
--- a/src/coordination/leader/explain/mod.rs
+++ b/src/coordination/leader/explain/mod.rs
@@ -1,4 +1,5 @@
-//! Why a job's tasks are where they are: the rules of [placement](super::placement), counted instead of acted upon.
+//! Explains to operators why a job is in its state: applies the rules of [placement](super::placement) to all machines
+//! and counts the results, without placing anything.
 //!
 //! Reads the leader's state and changes nothing.
 
@@ -18,11 +19,11 @@
 use crate::ids::{JobIx, MachineIx, from_milli};
 use crate::protocol::operators::StateReason;
 
-/// Jobs and machines named in one reason.
+/// Maximum number of jobs or machines that one reason names.
 const MAX_NAMES: usize = 5;
 
 impl Leader {
-    /// The reasons, each with its figures; those of one task if one is given.
+    /// Returns the reasons for the state of a job, or of one of its tasks if `task` is given.
     pub(in crate::coordination) fn explain(
         &self,
         job_ix: JobIx,
@@ -41,21 +42,21 @@
     }
 }
 
-/// An explanation in the making: the job and what is needed to explain it.
+/// The job to explain and the data that the explanation is derived from.
 struct Explanation<'a> {
     leader: &'a Leader,
     job_ix: JobIx,
     job: &'a JobState,
-    /// The task that is asked about; None is all of them.
+    /// The task to explain; `None` selects all tasks of the job.
     task: Option<u32>,
     names: &'a NameRegistry,
     clock: Clock,
 }
 
-/// Tasks that wait before they are retried.
+/// Tasks that wait for their retry backoff.
 struct RetryDelays {
     tasks: u32,
-    /// Until the first of them is retried, in milliseconds.
+    /// Time until the first of them is retried, in milliseconds.
     first_in_ms: u64,
 }
 
@@ -76,19 +77,20 @@
         reasons
     }
 
-    fn concerns(&self, task: u32) -> bool {
-        self.task.is_none_or(|asked| asked == task)
+    /// Whether the explanation covers the task.
+    fn covers(&self, task: u32) -> bool {
+        self.task.is_none_or(|selected| selected == task)
     }
 
-    /// Tasks in question that are on no machine.
+    /// Returns the number of covered tasks that are neither finished nor on a machine.
     fn unplaced_count(&self) -> u64 {
-        let is_unplaced = |task: &u32| self.concerns(*task) && !self.job.placements.contains_key(task);
+        let is_unplaced = |task: &u32| self.covers(*task) && !self.job.placements.contains_key(task);
         self.job.finished.iter_missing().filter(is_unplaced).count() as u64
     }
 
     fn retry_delays(&self) -> RetryDelays {
         if let Some(probation) = self.job.probation {
-            // One task is tried at a time, the others wait for its result.
+            // One task is attempted at a time; the others wait for its result.
             let queued = u64::from(probation.queued);
             return RetryDelays {
                 tasks: self.unplaced_count().saturating_sub(queued) as u32,
@@ -97,8 +99,8 @@
         }
         let mut delays = RetryDelays { tasks: 0, first_in_ms: 0 };
         for (retry_at, tasks) in &self.leader.workload.retry_queue {
-            let is_asked = |(job_ix, task): &&(JobIx, u32)| *job_ix == self.job_ix && self.concerns(*task);
-            let matching = tasks.iter().filter(is_asked).count() as u32;
+            let is_selected = |(job_ix, task): &&(JobIx, u32)| *job_ix == self.job_ix && self.covers(*task);
+            let matching = tasks.iter().filter(is_selected).count() as u32;
             if delays.tasks == 0 && matching > 0 {
                 delays.first_in_ms = retry_at.saturating_since(self.clock.now);
             }
@@ -114,7 +116,7 @@
         failed.iter().take(MAX_NAMES).map(|ix| machines[ix.index()].name.clone()).collect()
     }
 
-    /// Why tasks are on no machine.
+    /// Adds the reasons why unfinished tasks are on no machine.
     fn add_waiting_reasons(&self, reasons: &mut Vec<StateReason>) {
         let counts = MachineCounts::of(self);
         let is_team_limited = self.is_team_limited();
@@ -125,16 +127,16 @@
         let is_limited = is_team_limited || pool_full.is_some();
         reasons.extend(pool_full);
         if counts.machine_types.is_empty() {
-            reasons.push(counts.no_machine_reason(self.job));
+            reasons.push(counts.no_eligible_machine_reason(self.job));
         } else if self.job.spec.is_all_or_nothing() {
             self.add_gang_reasons(is_limited, &counts, reasons);
         } else if counts.usable == 0 {
-            reasons.push(counts.no_room_reason(self.job));
+            reasons.push(counts.insufficient_capacity_reason(self.job));
         } else if !is_limited {
             reasons.push(StateReason::Schedulable { machines: counts.usable });
         }
-        reasons.extend(self.held_reason(&counts));
-        reasons.extend(self.behind_reason());
+        reasons.extend(self.held_for_gang_reason(&counts));
+        reasons.extend(self.queued_behind_reason());
         self.add_provisioning_reasons(counts.booting, reasons);
     }
 
@@ -160,13 +162,13 @@
                 schedulable: schedulable as u32,
                 zone: zone.map(|zone| self.names.zones.name_or_unknown(zone.index()).into()),
             });
-            reasons.push(counts.no_room_reason(self.job));
+            reasons.push(counts.insufficient_capacity_reason(self.job));
         } else if !is_limited {
             reasons.push(StateReason::Schedulable { machines: schedulable as u32 });
         }
     }
 
-    fn held_reason(&self, counts: &MachineCounts) -> Option<StateReason> {
+    fn held_for_gang_reason(&self, counts: &MachineCounts) -> Option<StateReason> {
         let holders = counts.holders.iter().filter_map(|job_ix| self.leader.workload.jobs.get(job_ix));
         (counts.held > 0).then(|| StateReason::HeldForGang {
             machines: counts.held,
--- a/src/coordination/leader/explain/placed.rs
+++ b/src/coordination/leader/explain/placed.rs
@@ -1,4 +1,4 @@
-//! The state of a job's tasks that are on machines.
+//! Counts the tasks of a job that are on machines, by their state.
 
 use std::collections::HashSet;
 
@@ -9,7 +9,7 @@
 use crate::protocol::operators::StateReason;
 use crate::protocol::workers::TaskPhase;
 
-/// Tasks on machines, by state.
+/// Numbers of tasks on machines, by state.
 #[derive(Default)]
 pub(super) struct PlacedCounts {
     running: u32,
@@ -27,7 +27,7 @@
             machines.iter().flat_map(|ix| &explanation.leader.cluster.machines[ix.index()].bindings);
         let mut counts = PlacedCounts::default();
         for binding in bindings {
-            if binding.job == Some(explanation.job_ix) && explanation.concerns(binding.task.task) {
+            if binding.job == Some(explanation.job_ix) && explanation.covers(binding.task.task) {
                 counts.add(binding, explanation.clock);
             }
         }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// One reason for each state that occurs.
+    /// Returns one reason for each state that at least one task is in.
     pub(super) fn reasons(&self, explanation: &Explanation<'_>) -> Vec<StateReason> {
         let spec = &explanation.job.spec;
         let image_fetch = StateReason::ImageFetch {
--- a/src/coordination/leader/explain/provisioning.rs
+++ b/src/coordination/leader/explain/provisioning.rs
@@ -1,4 +1,4 @@
-//! Machines that are on their way, or that the cloud has refused.
+//! Machines that are being provisioned, and offers that the cloud has rejected.
 
 use super::Explanation;
 use crate::coordination::leader::machines::provisioner::InstanceOffer;
@@ -6,7 +6,8 @@
 use crate::protocol::operators::{InstanceOfferView, StateReason};
 
 impl Explanation<'_> {
-    /// Adds what is being provisioned and what is not requested again for a while, if the job may use it.
+    /// Adds the machines that are being provisioned and the offers that are in backoff after a rejection, as
+    /// far as the job may use them.
     pub(super) fn add_provisioning_reasons(&self, booting: u32, reasons: &mut Vec<StateReason>) {
         let requested = self.requested_offers();
         if booting > 0 || !requested.is_empty() {
