--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -1,8 +1,9 @@
-//! Cancelled jobs: nothing of them starts any more, and everything that runs is stopped before the
+//! Cancels jobs: no further task of a cancelled job starts, and its running tasks are stopped before the
 //! cancellation deadline.
 //!
-//! A worker that cannot be commanded is not kept alive either: from `Leader::cancel_deadline` on its
-//! heartbeats are rejected, so that the expiry of its lease stops the task in time.
+//! If a worker does not receive the command to stop, its lease is no longer renewed: from
+//! `Leader::cancel_deadline` on its heartbeats are rejected, so that the expiry of the lease stops the task
+//! in time.
 
 use super::Leader;
 use crate::coordination::Clock;
@@ -11,8 +12,8 @@
 use crate::protocol::operators::JobEventKind;
 
 impl Leader {
-    /// When the leader must stop renewing the lease of a worker that still runs tasks of the job, so that the
-    /// lease expires before the cancellation deadline.
+    /// Returns when the leader must stop renewing the lease of a worker that still runs tasks of the job, so
+    /// that the lease expires before the cancellation deadline.
     pub(super) fn cancel_deadline(&self, cancelled_wall_ms: u64, clock: Clock) -> Millis {
         let workers = &self.settings.worker_timings;
         let slack_ms = self.settings.time_bound_ms * 2 + 4 * SAFETY_MARGIN_MS;
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Handles the durable cancellation of a job: removes it from the workload and has its tasks stopped.
+    /// Handles the durable cancellation of a job: removes it from the workload and marks its tasks to be
+    /// stopped.
     pub(in crate::coordination) fn cancel_job(
         &mut self,
         id: JobId,
--- a/src/coordination/leader/counters.rs
+++ b/src/coordination/leader/counters.rs
@@ -1,6 +1,6 @@
-//! Counts of what the leader did in its term, for status lines and metrics.
+//! Counters of the leader's actions during its term, for status lines and metrics.
 
-/// Counts since the term began.
+/// Counters since the term began.
 #[derive(Debug, Default)]
 pub struct Counters {
     pub queued_shared: u64,
@@ -10,14 +10,16 @@
     pub spilled_tasks: u64,
     pub preempted_tasks: u64,
     pub machines_lost: u64,
-    /// Tasks bound to machines, and machines examined to fill them or to steal from.
+    /// Tasks bound to machines.
     pub tasks_bound: u64,
+    /// Machines examined as candidates for tasks, or to steal from.
     pub machines_examined: u64,
-    /// Searches for a place for a gang, over all machines that fit it.
+    /// Searches of all suitable machines for a placement of a gang.
     pub gang_searches: u64,
     /// Mutations sent to the key-value store.
     pub kv_mutations: u64,
-    /// Direct commands that announced the leader, and the most in one step.
+    /// Direct commands that announced the leader.
     pub leadership_announcements: u64,
+    /// The highest number of such commands in one step.
     pub max_announcements_per_step: u64,
 }
--- a/src/coordination/leader/debug_status.rs
+++ b/src/coordination/leader/debug_status.rs
@@ -1,23 +1,24 @@
-//! Periodic status lines at `debug`: free capacity by machine type, queue lengths and team usage.
+//! Periodic status lines at log level `debug`: free capacity by machine type, queue lengths and team usage.
 
 use std::collections::BTreeMap;
 
 use super::{Leader, Machine, MachineState};
 use crate::ids::{MachineTypeIx, Millis, TeamIx};
 
-/// Time between status lines.
+/// Interval between status lines, in milliseconds.
 const STATUS_INTERVAL_MS: u64 = 5_000;
 
-/// Machines of one type. CPUs in thousandths.
+/// Machines of one type, by state. CPUs are in thousandths.
 #[derive(Debug, Default)]
 struct MachineTypeStatus {
     machines: u32,
     booting: u32,
     cordoned: u32,
     held_for_gangs: u32,
+    /// Machines that accept no tasks (see `Machine::is_schedulable`).
     closed: u32,
     total_cpu: u64,
-    /// Free CPUs of machines that take queued tasks.
+    /// Free CPUs of the machines that accept queued tasks.
     free_cpu: u64,
     free_cpu_cordoned: u64,
     free_cpu_held: u64,
@@ -47,7 +48,7 @@
 }
 
 impl Leader {
-    /// Logs the status, if it is time and `debug` is enabled.
+    /// Logs the status, if the interval has elapsed and `debug` is enabled.
     pub(in crate::coordination) fn log_status(&mut self, now: Millis) {
         if now < self.next_status_at || !log::log_enabled!(log::Level::Debug) {
             return;
@@ -56,7 +57,7 @@
         for (ix, status) in self.status_by_machine_type() {
             let machine_type = self.cluster.machine_types.get(&ix);
             let name = machine_type.map_or("?", |machine_type| &machine_type.name);
-            log::debug!("status {name}: {status:?}");
+            log::debug!("status of machine type {name}: {status:?}");
         }
         let (mut shared, mut dedicated) = (0, 0);
         for machine in &self.cluster.machines {
@@ -66,7 +67,8 @@
         let team_cpu: BTreeMap<TeamIx, u64> =
             self.quotas.usage.iter().map(|(team, used)| (*team, used.cpu)).collect();
         log::debug!(
-            "status queues: shared {shared} dedicated {dedicated} backlog {} gangs {} segments {} teams {team_cpu:?} {:?}",
+            "status of queues: {shared} shared, {dedicated} dedicated and {} backlog tasks; {} waiting gangs; \
+             {} log segments; team CPUs in thousandths: {team_cpu:?}; {:?}",
             self.placement.backlog.len(),
             self.placement.waiting_gangs.len(),
             self.assignment_log.segment_count(),
--- a/src/coordination/leader/event_log.rs
+++ b/src/coordination/leader/event_log.rs
@@ -1,8 +1,8 @@
 //! The latest events of each job, for operators.
 //!
-//! Bounded: a number of events per job from the tunables, and `MAX_JOBS` jobs. It is no record: it begins
-//! anew with each term, and a history says when earlier events are unknown. With a limit of no events it
-//! costs nothing.
+//! The log is bounded by a number of events per job, which is a tunable, and by `MAX_JOBS` jobs. It is not
+//! durable: it starts empty with each term, and a history is marked as truncated if earlier events are
+//! unknown. With a limit of zero events per job the log is disabled and costs nothing.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,30 +12,31 @@
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::workers::ExitCause;
 
-/// Jobs with a history; the oldest one is evicted first.
+/// Maximum number of jobs with a history. The job whose history is the oldest is evicted first.
 const MAX_JOBS: usize = 2_048;
-/// An event like the one before it, on the same machine and within this time, is merged with it.
+/// An event is merged into the previous entry if it has the same kind and machine and occurs within this time
+/// after the first event of the entry, in milliseconds.
 const MERGE_WINDOW_MS: u64 = 1_000;
 
-/// One event of a job, or several that were merged.
+/// One event of a job, or several events that were merged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoggedEvent {
-    /// Wall-clock time of the first of them, in milliseconds.
+    /// Wall-clock time of the event, or of the first merged one, in milliseconds.
     pub at_wall_ms: u64,
-    /// What happened.
+    /// The kind of the event.
     pub event: JobEventKind,
-    /// The machine it happened on.
+    /// The machine that the event concerns, if any.
     pub machine: Option<MachineIx>,
-    /// The first task it happened to.
+    /// The first task that the event concerns.
     pub first_task: u32,
-    /// The number of tasks; 0 if the event concerns the job as a whole.
+    /// The number of tasks that the event concerns; 0 if it concerns the job as a whole.
     pub task_count: u32,
 }
 
-/// The events of one job, in order.
+/// The events of one job, oldest first.
 #[derive(Debug, Default)]
 pub struct EventHistory {
-    /// The latest events.
+    /// The latest events, oldest first.
     pub events: VecDeque<LoggedEvent>,
     /// Whether earlier events are unknown.
     pub truncated: bool,
@@ -61,23 +62,23 @@
 /// When a task of a job first ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FirstRun {
-    /// None has run yet.
+    /// No task has run yet.
     NotYet,
-    /// The wall-clock time, in milliseconds.
+    /// The wall-clock time at which the first task ran, in milliseconds.
     At(u64),
-    /// The job is older than this term.
+    /// Unknown, because the job is older than this term.
     Unknown,
 }
 
 impl FirstRun {
-    /// A task of the job runs; only the first one counts.
+    /// Records that a task of the job runs. Only the first call has an effect.
     pub fn record(&mut self, wall_ms: u64) {
         if *self == FirstRun::NotYet {
             *self = FirstRun::At(wall_ms);
         }
     }
 
-    /// The wall-clock time, if it is known.
+    /// Returns the wall-clock time of the first run in milliseconds, if it is known.
     pub fn wall_ms(self) -> Option<u64> {
         match self {
             FirstRun::At(wall_ms) => Some(wall_ms),
@@ -90,16 +91,17 @@
 #[derive(Debug)]
 pub struct EventLog {
     max_per_job: usize,
-    /// The current time.
+    /// Wall-clock time of the events that are recorded next, in milliseconds.
     wall_ms: u64,
-    /// The jobs registered now are older than this term.
+    /// Whether the leader is still recovering: jobs that are registered meanwhile are older than this term.
     recovering: bool,
     histories: HashMap<JobId, EventHistory>,
+    /// The jobs with a history, in the order in which their first event was recorded.
     insertion_order: VecDeque<JobId>,
 }
 
 impl EventLog {
-    /// A log of at most `max_per_job` events for each job; 0 keeps none.
+    /// Creates a log of at most `max_per_job` events per job; 0 disables the log.
     pub fn new(max_per_job: usize, wall_ms: u64) -> EventLog {
         EventLog {
             max_per_job,
@@ -110,33 +112,33 @@
         }
     }
 
-    /// Whether any events are kept.
+    /// Whether the log keeps any events.
     pub(super) fn is_enabled(&self) -> bool {
         self.max_per_job > 0
     }
 
-    /// All jobs of earlier terms are registered: those from now on are new.
+    /// Ends the recovery: jobs that are registered from now on are new in this term.
     pub fn finish_recovery(&mut self) {
         self.recovering = false;
     }
 
-    /// Sets the time of the events to come.
+    /// Sets the wall-clock time of the events that are recorded next, in milliseconds.
     pub(in crate::coordination) fn set_wall_time(&mut self, wall_ms: u64) {
         self.wall_ms = wall_ms;
     }
 
-    /// What is known of the first run of a job that is registered now.
+    /// Returns the initial state of `FirstRun` for a job that is registered now.
     pub fn initial_first_run(&self) -> FirstRun {
         if self.recovering { FirstRun::Unknown } else { FirstRun::NotYet }
     }
 
-    /// Records that this leader has got to know a job.
+    /// Records that a job was accepted or, during recovery, restored from the records.
     pub fn record_new_job(&mut self, id: JobId) {
         let event = if self.recovering { JobEventKind::Recovered } else { JobEventKind::Accepted };
         self.record_job_event(id, event);
     }
 
-    /// The events of a job; none if it has no history.
+    /// Returns the events of a job, if it has a history.
     pub fn history_of(&self, id: JobId) -> Option<&EventHistory> {
         self.histories.get(&id)
     }
@@ -151,8 +153,8 @@
         self.record(task.job, event, Some(machine), task.task, 1);
     }
 
-    /// Records an event, or merges it with the one before it. `task_count`: 0 if it concerns the job as a
-    /// whole.
+    /// Records an event, or merges it with the previous one. `task_count` is 0 if the event concerns the job
+    /// as a whole.
     pub fn record(
         &mut self,
         id: JobId,
@@ -185,7 +187,7 @@
 }
 
 impl Leader {
-    /// Logs tasks that were queued. `event`: in which queue.
+    /// Logs tasks that were queued. `event` tells in which kind of queue.
     pub(super) fn log_queued(&mut self, job: JobIx, tasks: &[u32], event: JobEventKind) {
         if !self.event_log.is_enabled() {
             return;
@@ -195,7 +197,8 @@
         self.event_log.record(job_state.spec.id, event, None, *first_task, tasks.len() as u32);
     }
 
-    /// Logs tasks that came to a machine's shared queue from another machine, or from its dedicated queue.
+    /// Logs tasks that were moved to a machine's shared queue, from another machine or from its own dedicated
+    /// queue.
     pub(super) fn log_moved(&mut self, moved: &[(Rank, u32)], event: JobEventKind, to: MachineIx) {
         if !self.event_log.is_enabled() {
             return;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,11 +1,11 @@
-//! The leader: everything that only one controller at a time knows and does. It places tasks, scales the cluster out and
-//! in, and keeps the records that let the next leader take over.
+//! The leader: all duties that only one controller at a time performs. It places tasks, scales the cluster out and in,
+//! and writes the records from which the next leader recovers.
 //!
 //! [`Leader`] owns its state in parts: the leadership [term], the [machines](cluster), the [jobs](workload), the
 //! [team quotas](quotas), [placement](placement::state), the [provisioner](machines::provisioner), the
-//! [assignment log](records) and the [write pipeline](records). It does no I/O and reads no
-//! clock: events and the time come in, actions go out. All of it is rebuilt from the records at failover, except what is
-//! only evidence (measured rates, failures of jobs and machines).
+//! [assignment log](records) and the [store writer](records). It does no I/O and reads no clock: it receives events and
+//! the time, and returns actions. After a failover its state is rebuilt from the records, except measurements and
+//! observations (measured rates, failures of jobs and machines).
 
 mod binding;
 pub mod cancellation;
@@ -52,7 +52,7 @@
 pub use workload::JobState;
 use workload::Workload;
 
-/// The leader's whole state. Each part owns one concern; the modules below work on the parts.
+/// The complete state of the leader. Each part owns one concern; the submodules implement the operations on the parts.
 #[derive(Debug)]
 pub struct Leader {
     pub(super) term: LeaderTerm,
@@ -65,12 +65,12 @@
     dag_runs: dag_runs::DagRuns,
     /// Pending writes to the key-value store.
     writer: StoreWriter,
-    /// Which tasks may be on which machines, as recorded.
+    /// The durable record of which tasks may be on which machines.
     assignment_log: AssignmentLog,
     pub counters: Counters,
-    /// What was decided about each job, for operators.
+    /// The latest events of each job, for operators.
     pub(super) event_log: EventLog,
-    /// How far the controller is behind its events.
+    /// How far the controller lags behind its events.
     pub(super) pressure: PressureLevel,
     next_status_at: Millis,
     settings: Arc<Settings>,
@@ -78,23 +78,24 @@
 }
 
 impl Leader {
-    /// A new leader, recovered from the records. `cache` has to hold all of them up to the revision of `token`.
+    /// Creates a leader that is recovered from the records. `cache` must hold all records up to the revision of
+    /// `token`.
     ///
-    /// `previous_lease_ms`: how long after its own lease a deposed leader may have answered heartbeats. Workers' leases
-    /// that it renewed last run out `recovery_until`.
+    /// `previous_serving_ms` is how long after its own lease a deposed leader may have answered heartbeats. The last
+    /// worker leases that it renewed have expired at the term's `recovery_until`.
     pub fn new(
         token: FencingToken,
-        previous_lease_ms: u64,
+        previous_serving_ms: u64,
         seed: u64,
         cache: &mut StoreCache,
         settings: &Arc<Settings>,
         tunables: &Arc<Tunables>,
         clock: Clock,
     ) -> Leader {
-        let grace = previous_lease_ms + settings.worker_timings.lease_duration_ms;
-        let slack = super::leadership::clock_slack_ms(grace);
+        let grace_ms = previous_serving_ms + settings.worker_timings.lease_duration_ms;
+        let slack_ms = super::leadership::clock_slack_ms(grace_ms);
         let mut leader = Leader {
-            term: LeaderTerm::new(token, clock.now, clock.now.saturating_add(grace + slack)),
+            term: LeaderTerm::new(token, clock.now, clock.now.saturating_add(grace_ms + slack_ms)),
             cluster: ClusterState::default(),
             workload: Workload::default(),
             quotas: TeamQuotas::default(),
@@ -122,20 +123,20 @@
         leader
     }
 
-    /// Updates the placement index after a change that decides whether the machine takes queued tasks.
+    /// Updates the placement index after a change that may affect whether the machine accepts tasks.
     pub fn refresh_placement_index(&mut self, ix: MachineIx) {
         let machine = &self.cluster.machines[ix.index()];
-        let queued = !machine.cordoned && !machine.reserved;
+        let accepts_queued = !machine.cordoned && !machine.reserved;
         self.cluster.placement_index.update(
             ix,
             (machine.machine_type, machine.zone),
             machine.is_schedulable(),
-            queued,
+            accepts_queued,
         );
     }
 
-    /// Begins the return of a machine to the cloud. Its queued tasks move to other queues; the return is sent to the cloud
-    /// once it is recorded.
+    /// Begins the return of a machine to the cloud. Its queued tasks move to other queues. The machine is released once
+    /// the return is durable.
     pub fn return_machine(&mut self, ix: MachineIx) {
         self.cluster.machines[ix.index()].returning = true;
         self.refresh_placement_index(ix);
--- a/src/coordination/leader/operator_views.rs
+++ b/src/coordination/leader/operator_views.rs
@@ -1,6 +1,6 @@
-//! Views of the leader's state for operators: tasks and events of a job, the leader's own status.
+//! Views of the leader's state for operators: tasks and events of a job, and the status of the leader itself.
 //!
-//! Only reads; whatever is shown here is known without asking the key-value store.
+//! The views change nothing and need no request to the key-value store.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,8 @@
 use crate::protocol::workers::TaskPhase;
 
 impl Leader {
-    /// Unfinished tasks of a job after the task `after`, at most `limit`, and the task after which the next
-    /// page begins.
+    /// Returns at most `limit` unfinished tasks of a job with numbers above `after`. If there are more, it also
+    /// returns the value of `after` for the next page.
     pub(in crate::coordination) fn task_rows(
         &self,
         ix: JobIx,
@@ -38,7 +38,7 @@
         (rows, next_after)
     }
 
-    /// Tasks of a job that wait for their retry delay to end.
+    /// Returns the tasks of a job that wait for their retry backoff.
     fn delayed_tasks(&self, ix: JobIx) -> Vec<u32> {
         let delayed = self.workload.retry_queue.values().flatten();
         delayed.filter(|(job, _)| *job == ix).map(|(_, task)| *task).collect()
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The latest events of a job, and whether earlier ones are unknown.
+    /// Returns the latest events of a job, and whether earlier ones are unknown.
     pub(in crate::coordination) fn event_rows(&self, id: JobId) -> (Vec<JobEvent>, bool) {
         let Some(history) = self.event_log.history_of(id) else { return (Vec::new(), true) };
         let row = |logged: &LoggedEvent| JobEvent {
@@ -73,7 +73,7 @@
         (history.events.iter().map(row).collect(), history.truncated)
     }
 
-    /// The leader's status: queues, counters, machines and teams.
+    /// Returns the leader's status: queues, counters, machines and teams.
     pub(in crate::coordination) fn leader_status(&self, registry: &NameRegistry) -> LeaderStatus {
         let mut status = LeaderStatus {
             queued_backlog: self.placement.backlog.len() as u64,
@@ -131,7 +131,7 @@
     TaskSummary { task, state, attempt: None, machines: Vec::new() }
 }
 
-/// The state of a task that is bound to a machine.
+/// Returns the state of a task that is bound to a machine.
 fn task_state_view(binding: &Binding) -> TaskStateView {
     if binding.stop_grace_ms.is_some() {
         return TaskStateView::Stopping;
--- a/src/coordination/leader/term.rs
+++ b/src/coordination/leader/term.rs
@@ -1,12 +1,12 @@
-//! One leadership term: who may command the workers, since when, and the attempt numbers of the term.
+//! One leadership term: its fencing token, its start, and the attempt numbers that it issues.
 
 use crate::ids::{Attempt, FencingToken, Millis};
 
-/// Bits of an attempt number that count within one term. The fencing token stands above them, so attempt numbers rise
-/// over all terms and are never reused.
+/// Number of low bits of an attempt number that count attempts within one term. The fencing token occupies the bits
+/// above them, so attempt numbers increase across terms and are never reused.
 const ATTEMPT_BITS: u32 = 24;
 
-/// The leadership term of this leader.
+/// The current leader's term.
 #[derive(Debug)]
 pub struct LeaderTerm {
     token: FencingToken,
@@ -16,32 +16,34 @@
 }
 
 impl LeaderTerm {
-    /// A term that began at `acquired_at`. Until `recovery_until` a deposed leader may have kept workers' leases alive.
+    /// Creates a term that began at `acquired_at`. Until `recovery_until`, leases that a deposed leader renewed may be
+    /// valid.
     pub fn new(token: FencingToken, acquired_at: Millis, recovery_until: Millis) -> LeaderTerm {
         LeaderTerm { token, acquired_at, recovery_until, attempts_issued: 0 }
     }
 
-    /// The fencing token that each command carries: the revision that created the leader key.
+    /// Returns the fencing token that each command carries: the revision that created the leader key.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// When this controller became leader.
+    /// Returns the time at which this controller became leader.
     pub fn acquired_at(&self) -> Millis {
         self.acquired_at
     }
 
-    /// From then on no worker can hold tasks of an earlier term without having heard from this leader.
+    /// Returns the time from which on no worker can run tasks of an earlier term unless it has received a response or
+    /// command from this leader.
     pub fn recovery_until(&self) -> Millis {
         self.recovery_until
     }
 
-    /// The lowest attempt number of the term; never issued itself.
+    /// Returns the lower bound of the term's attempt numbers, which is itself never issued.
     pub fn attempt_base(&self) -> Attempt {
         Attempt(self.token.0 << ATTEMPT_BITS)
     }
 
-    /// A new attempt number, higher than all before.
+    /// Issues a new attempt number, which is higher than all earlier ones.
     pub fn next_attempt(&mut self) -> Attempt {
         self.attempts_issued += 1;
         Attempt(self.attempt_base().0 + self.attempts_issued)
--- a/src/coordination/leader/tests/event_log.rs
+++ b/src/coordination/leader/tests/event_log.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// However much happens, a history keeps its length and is marked as truncated, and the oldest jobs are evicted first.
+/// A history that exceeds its maximum length drops its oldest events and is marked as truncated. With too many jobs,
+/// the oldest history is evicted.
 #[test]
 fn histories_are_bounded_and_marked_as_truncated() {
     let mut event_log = EventLog::new(4, 0);
@@ -14,7 +15,10 @@
     }
     let history = event_log.history_of(JobId(1)).expect("a history");
     assert_eq!((history.events.len(), history.truncated), (4, true));
-    assert!(history.events.iter().all(|event| event.task_count == 2), "neighbours are merged");
+    assert!(
+        history.events.iter().all(|event| event.task_count == 2),
+        "consecutive events of one machine are merged"
+    );
     for id in 2..2 + MAX_JOBS as u64 {
         event_log.record_new_job(JobId(id));
     }
