--- a/src/coordination/controller/watermarks.rs
+++ b/src/coordination/controller/watermarks.rs
@@ -14,7 +14,7 @@
     /// A page of the records was read: which of its terminal states are recent is not known.
     pub(super) fn record_page_read(&mut self, clock: Clock) {
         drop(self.state.cache.take_new_terminals());
-        self.state.watermarks.restart_load(clock.now);
+        self.state.watermarks.record_page_load(clock.now);
     }
 
     /// Answers requests whose job's terminal state has become stable, notifies controllers that have to read further,
--- a/src/coordination/read_watermarks.rs
+++ b/src/coordination/read_watermarks.rs
@@ -62,7 +62,7 @@
     }
 
     /// The cache is being loaded.
-    pub fn restart_load(&mut self, now: Millis) {
+    pub fn record_page_load(&mut self, now: Millis) {
         self.last_loading_at = Some(now);
         self.recent_terminals.clear();
     }
--- a/tests/watermarks.rs
+++ b/tests/watermarks.rs
@@ -76,7 +76,7 @@
 #[test]
 fn a_full_load_delays_all_reports() {
     let mut watermarks = watermarks_with_terminal(&["a"], 50, false);
-    watermarks.restart_load(Millis(20_000));
+    watermarks.record_page_load(Millis(20_000));
     assert!(!watermarks.is_stable(JobId(1), Millis(21_200), Revision(90), None));
     assert!(watermarks.is_stable(JobId(1), Millis(21_250), Revision(90), None));
     assert!(watermarks_with_terminal(&[], 50, true).is_stable(
