--- a/src/coordination/config_requests/mod.rs
+++ b/src/coordination/config_requests/mod.rs
@@ -1,6 +1,7 @@
-//! Changes of the configuration: decided behind a read barrier, written on the condition that the entry has not changed
-//! since, and watched until no controller can act by an older value (docs/design.md, "Changes of configuration").
-//! Owns the requests that wait, bounded in number and in time. Performs no I/O and reads no clock.
+//! Requests about the configuration. A change is decided after a read barrier, written on the condition that
+//! the entry has not changed since, and watched until no controller can act on an older value
+//! (docs/design.md, "Changes of configuration"). Owns the requests that wait; their number and waiting time
+//! are bounded. Performs no I/O and reads no clock.
 
 mod rollout;
 mod validation;
@@ -28,11 +29,12 @@
 use crate::protocol::kv::{KvMutation, KvReply, Precondition};
 use crate::protocol::peer::PeerMessage;
 
-/// Clients wait longer: the response has to be under way before.
+/// How long a request may wait. Clients' own time-outs are longer, so the response still reaches them.
 const REQUEST_TIMEOUT_MS: u64 = 2_900;
-/// Requests that may wait at the same time.
+/// Maximum number of requests that wait at the same time.
 const MAX_PENDING: usize = 200;
-/// Between two notices to a leader that has not announced that it has read a change.
+/// Minimum interval between two notices to a leader that has not announced that it has read a change, in
+/// milliseconds.
 const NOTIFY_RETRY_MS: u64 = 100;
 
 type Pending = PendingRequest<ConfigRequest>;
@@ -56,45 +58,46 @@
     next_notify_at: Millis,
 }
 
-/// What a request leads to.
+/// What a request results in.
 enum Decision {
     Respond(HttpResponse),
     Write(Precondition, KvMutation),
 }
 
-/// What became of one pending request.
+/// Whether a pending request left the queue, because it was answered or its write was sent.
 enum Progress {
     Removed,
     StillPending,
 }
 
 impl ConfigRequestHandler {
-    /// Whether a request waits for a newer read of the store.
+    /// Returns whether a request waits for a newer read of the store.
     pub fn needs_read_barrier(&self, cache: &StoreCache) -> bool {
         !self.pending.is_empty() || self.watchers.iter().any(|watcher| watcher.version > cache.revision)
     }
 
-    /// Requests that have not been answered.
+    /// Returns the number of requests that have not been answered.
     pub fn pending_count(&self) -> usize {
         self.pending.len() + self.watchers.len() + usize::from(self.write_in_flight.is_some())
     }
 
-    /// Changes wait to be written: polls must leave them a request of the rate limit.
+    /// Returns whether a change waits to be written, so that polls must leave a request of the rate limit for
+    /// it.
     pub fn has_writes_to_send(&self) -> bool {
         self.pending.iter().any(|pending| is_change(&pending.request))
     }
 
-    /// An entry has changed at this revision.
+    /// Records that an entry has changed at this revision.
     pub fn record_change(&mut self, revision: Revision, now: Millis) {
         self.versions.record_change(revision, now);
     }
 
-    /// The records have been read as a whole.
+    /// Records that all records have been loaded.
     pub fn record_full_read(&mut self, now: Millis) {
         self.versions.record_full_read(now);
     }
 
-    /// Receives a request; returns the response if there is one at once.
+    /// Queues a request, or returns the response that rejects it.
     pub fn receive(
         &mut self,
         clock: Clock,
@@ -193,22 +196,23 @@
             KvReply::Committed { revision } => {
                 apply_own_mutations(&completed.request, *revision, cache);
                 self.record_change(*revision, clock.now);
-                // Decided again at once: the change's id is recorded by now, so the response is the entry as it is.
+                // The request is decided again at once. The cached entry now has the change's id, so the
+                // response is the entry in its current state.
                 self.pending.push_front(written.awaiting_new_read(Millis::default()));
                 return Some(*revision);
             }
-            // Another controller was first: the change is decided again by what it has written.
+            // Another controller wrote first: the change is decided again on the basis of that write.
             KvReply::PreconditionFailed { .. } => {
                 self.pending.push_back(written.awaiting_new_read(clock.now));
             }
             KvReply::Rejected { status: RATE_LIMITED } => self.pending.push_front(written),
-            // The client repeats the request, and the change's id shows whether it was applied.
+            // The client repeats the request, and the change's id then shows whether the change was applied.
             _ => out.push(Action::respond(written.inbound, Unavailable::WriteOutcomeUnknown)),
         }
         None
     }
 
-    /// Refuses requests past their deadline.
+    /// Rejects requests past their deadline.
     pub fn expire(&mut self, clock: Clock, out: &mut Vec<Action>) {
         self.pending.retain(|pending| pending.retain_unless(pending.is_expired(clock.now), out));
     }
@@ -225,7 +229,8 @@
         }
     }
 
-    /// Sends a notice to the leader if a watcher waits for it and it has not announced that it has read the change.
+    /// Sends the leader a notice if a watcher waits for a version that the leader has not announced to have
+    /// read.
     fn notify_lagging_leader(&mut self, clock: Clock, state: &ControllerState, out: &mut Vec<Action>) {
         let Some(newest) = self.watchers.iter().map(|watcher| watcher.version).max() else { return };
         if clock.now < self.next_notify_at {
@@ -245,7 +250,7 @@
     matches!(request, ConfigRequest::Set { .. })
 }
 
-/// Decides a change by the entry as the cache holds it.
+/// Decides a change on the basis of the cached entry.
 fn decide_change(key: &ConfigKey, change: &ConfigChangeRequest, renderer: &EntryRenderer<'_>) -> Decision {
     let state = renderer.state;
     let Some(platform) = platform_team(key, &state.settings) else {
@@ -256,12 +261,12 @@
     }
     let config = &state.cache.config;
     if config.get(key).is_some_and(|entry| entry.record.change_id == change.change_id) {
-        // The change was applied before, and the response to it was lost.
+        // The change was applied before, but its response was lost.
         return Decision::Respond(renderer.entry_response(key));
     }
     if config.unrecognized_version(&key.to_string()).is_some() {
         let text = format!(
-            "{key}: its record is of a later version: change it through a controller of that version"
+            "{key}: the record was written by a later version: change it through a controller of that version"
         );
         return reject(409, &text);
     }
--- a/src/coordination/config_requests/rollout.rs
+++ b/src/coordination/config_requests/rollout.rs
@@ -1,4 +1,5 @@
-//! Whether a version of a configuration entry is in force: no controller can act by an older value any more.
+//! Determines whether a version of a configuration entry is in force: no controller can still act on an older
+//! value.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +9,14 @@
 use crate::ids::{Millis, Revision, from_milli};
 use crate::protocol::config::{ConfigKey, ENTRY_FORMAT_VERSION, PendingOn, PropagationBlocker};
 
-/// Versions are remembered for twice as long as a leader may act by an older one.
-const REMEMBERED_MS: u64 = 2 * STOPPED_AFTER_MS;
+/// How long versions are remembered, in milliseconds: twice as long as a leader may act on an older version.
+const RETENTION_MS: u64 = 2 * STOPPED_AFTER_MS;
 
-/// When versions of entries became known to this controller. Old ones are dropped.
+/// When this controller first saw recent versions of entries.
 #[derive(Debug, Default)]
 pub(super) struct ObservedVersions {
     seen_at: BTreeMap<Revision, Millis>,
-    /// When the records were last read as a whole: which of their versions are recent is not known.
+    /// When all records were last loaded, if that is recent: the age of their versions is unknown.
     full_read_at: Option<Millis>,
 }
 
@@ -29,14 +30,14 @@
         self.full_read_at = Some(now);
     }
 
-    /// Drops versions that every leader has stopped contradicting long ago.
+    /// Drops versions that are older than any that a leader can still be unaware of.
     pub fn prune(&mut self, now: Millis) {
-        let is_recent = |seen: Millis| now.saturating_since(seen) < REMEMBERED_MS;
+        let is_recent = |seen: Millis| now.saturating_since(seen) < RETENTION_MS;
         self.seen_at.retain(|_, seen| is_recent(*seen));
         self.full_read_at = self.full_read_at.filter(|read| is_recent(*read));
     }
 
-    /// What a version of an entry waits for; `None` once it is in force.
+    /// Returns what prevents a version of an entry from being in force; `None` once it is in force.
     pub fn blocker(
         &self,
         key: &ConfigKey,
@@ -58,7 +59,8 @@
         if cache.revision < version {
             return blocked_by(own, PropagationBlocker::RevisionNotRead);
         }
-        // The cache has read past the change, so whoever leads later has read it before it leads.
+        // The cache has read up to the change or further, so any controller that leads after the leader
+        // recorded there reads the change before it begins to lead.
         let leader = cache.leader.as_ref()?;
         if leader.config_format != Some(ENTRY_FORMAT_VERSION) {
             return blocked_by(&leader.controller, PropagationBlocker::LeaderConfigDisabled);
--- a/src/coordination/config_requests/tests/validation.rs
+++ b/src/coordination/config_requests/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Tests of the range that a quota has to lie in.
+//! Tests of the allowed range of a quota.
 
 use super::*;
 
@@ -14,11 +14,11 @@
 }
 
 #[test]
-fn other_values_are_refused_with_what_is_allowed() {
+fn other_values_are_rejected_with_the_allowed_range() {
     for value in [-0.1, 16.001, 17.0, f64::INFINITY, f64::NAN] {
         assert!(check_range(&key(), "limit_cpus", Some(value), 16.0).is_err(), "{value}");
     }
-    let error = check_range(&key(), "guaranteed_cpus", Some(17.5), 16.0).expect_err("too much");
+    let error = check_range(&key(), "guaranteed_cpus", Some(17.5), 16.0).expect_err("above the maximum");
     let expected = format!(
         "{}: guaranteed_cpus: expected 0 to 16 (what the platform's settings allow), not 17.5",
         key()
--- a/src/coordination/config_requests/validation.rs
+++ b/src/coordination/config_requests/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a configured quota lies within what the platform's settings allow.
+//! Checks that a configured quota is within the range that the platform's settings allow.
 
 use thiserror::Error;
 
@@ -6,10 +6,10 @@
 use crate::protocol::config::{ConfigKey, TeamQuota};
 use crate::settings::TeamSettings;
 
-/// CPUs that a quota may name where the platform sets no limit.
+/// Maximum number of CPUs in a quota if the platform sets no limit.
 const MAX_CPUS: f64 = 1e9;
 
-/// A value that is not allowed. The text is part of the interface.
+/// A value outside the allowed range. The text is sent to clients in the response body.
 #[derive(Debug, Error)]
 #[error("{key}: {field}: expected 0 to {max} (what the platform's settings allow), not {value}")]
 pub(super) struct QuotaOutOfRange {
@@ -32,7 +32,7 @@
     check_range(key, "guaranteed_cpus", quota.guaranteed_cpus, max_guaranteed)
 }
 
-/// Compares in thousandths of a CPU, which is how precisely quotas are enforced.
+/// Compares values in thousandths of a CPU, the precision with which quotas are enforced.
 fn check_range(
     key: &ConfigKey,
     field: &'static str,
--- a/src/coordination/config_requests/views.rs
+++ b/src/coordination/config_requests/views.rs
@@ -1,4 +1,5 @@
-//! Configuration entries as clients see them: configured and effective quota, and what a version waits for.
+//! Configuration entries as shown to clients: the configured and the effective quota, and what prevents a
+//! version from being in force.
 
 use super::rollout::ObservedVersions;
 use crate::bookkeeping::config::apply_team_value;
@@ -11,7 +12,7 @@
 };
 use crate::settings::{Settings, TeamSettings};
 
-/// Renders entries by the state of one moment.
+/// Renders entries from the state at one point in time.
 pub(super) struct EntryRenderer<'a> {
     pub versions: &'a ObservedVersions,
     pub clock: Clock,
@@ -19,7 +20,7 @@
 }
 
 impl EntryRenderer<'_> {
-    /// All entries: one per team, then those of formats that this controller does not know.
+    /// Lists all entries: one per team, then those whose format this controller does not know.
     pub fn list_response(&self) -> HttpResponse {
         let settings = &self.state.settings;
         let teams = &settings.teams;
@@ -37,7 +38,7 @@
         HttpResponse::json(200, &list)
     }
 
-    /// One entry, or 404 if neither the settings nor the records know it.
+    /// Returns one entry, or status 404 if neither the settings nor the records contain it.
     pub fn entry_response(&self, key: &ConfigKey) -> HttpResponse {
         let platform = platform_team(key, &self.state.settings);
         if platform.is_none() && self.state.cache.config.get(key).is_none() {
@@ -46,7 +47,7 @@
         HttpResponse::json(200, &self.entry_view(key, platform, None))
     }
 
-    /// One entry, with what the requested version waits for.
+    /// Returns one entry, with what prevents the requested version from being in force.
     pub fn entry_response_at(&self, key: &ConfigKey, version: Revision) -> HttpResponse {
         let platform = platform_team(key, &self.state.settings);
         HttpResponse::json(200, &self.entry_view(key, platform, Some(version)))
@@ -85,7 +86,7 @@
     }
 }
 
-/// The platform's own settings of the team that an entry is about.
+/// Returns the platform's settings for the team that an entry belongs to.
 pub(super) fn platform_team<'a>(key: &ConfigKey, settings: &'a Settings) -> Option<&'a TeamSettings> {
     settings.teams.iter().find(|team| team.name == key.team())
 }
@@ -94,7 +95,7 @@
     format!("{key}: no such team in the platform's settings")
 }
 
-/// An entry whose format this controller does not know.
+/// Returns the view of an entry whose format this controller does not know.
 fn unrecognized_entry_view(name: &str, version: Revision, controller: &str) -> ConfigEntryView {
     ConfigEntryView {
         key: name.into(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// A team's quota in whole CPUs; `None` stands for no limit.
+/// Returns a team's quota in CPUs; a limit of `None` means that there is no limit.
 fn team_quota(team: &TeamSettings) -> TeamQuota {
     let limit = team.effective_limit().cpu;
     TeamQuota {
--- a/src/coordination/controller/catalog.rs
+++ b/src/coordination/controller/catalog.rs
@@ -1,4 +1,5 @@
-//! The catalog of machine types: loaded from the cloud provider by a controller whose records hold none.
+//! The catalog of machine types, which a controller loads from the cloud provider if its records contain
+//! none.
 
 use super::Controller;
 use crate::coordination::{Action, Clock, OutboundId};
@@ -8,10 +9,10 @@
 
 const RETRY_MS: u64 = 3_000;
 const TIMEOUT_MS: u64 = 3_000;
-/// Apart from the ids of the leader's own requests and of direct commands.
+/// Id of catalog requests: it differs from the ids of the leader's other requests and of direct commands.
 const CATALOG_OUTBOUND_ID: OutboundId = OutboundId((1 << 63) - 1);
 
-/// Requests the catalog, and again while there is no reply.
+/// Requests the catalog, and repeats the request until the catalog has been loaded.
 #[derive(Debug, Default)]
 pub(super) struct CatalogLoader {
     next_request_at: Millis,
@@ -32,7 +33,7 @@
 }
 
 impl Controller {
-    /// Requests the catalog if the records hold no machine types.
+    /// Requests the catalog if the records contain no machine types and a request is due.
     pub(super) fn request_catalog(&mut self, clock: Clock, out: &mut Vec<Action>) {
         if self.kv_client.loaded && self.state.cache.machine_types.is_empty() {
             self.catalog.request(clock.now, out);
--- a/src/coordination/controller/config_requests.rs
+++ b/src/coordination/controller/config_requests.rs
@@ -1,4 +1,5 @@
-//! The configuration's interface of one controller: passes requests to their handler, and changes to the leader.
+//! The configuration interface of one controller: passes requests to their handler, and changes to the
+//! leader.
 
 use super::Controller;
 use crate::coordination::kv_client::CompletedRequest;
@@ -7,7 +8,7 @@
 use crate::protocol::config::ConfigRequest;
 
 impl Controller {
-    /// Whether the configuration's interface is enabled.
+    /// Returns whether the configuration interface is enabled.
     pub fn serves_config(&self) -> bool {
         self.state.tunables.config.enabled
     }
@@ -45,8 +46,8 @@
         }
     }
 
-    /// An entry has changed at this revision: the leader acts by it from now on, and announces it once it has read that
-    /// far.
+    /// Applies a change of an entry at this revision: the leader uses the new value from now on, and
+    /// announces so once it has read up to the revision.
     pub(super) fn apply_config_change(&mut self, clock: Clock, revision: Revision) {
         if !self.serves_config() {
             return;
--- a/src/coordination/controller/direct_commands.rs
+++ b/src/coordination/controller/direct_commands.rs
@@ -1,4 +1,5 @@
-//! Commands that the leader sends straight to a worker instead of in the response to its next heartbeat.
+//! Commands that the leader sends directly to a worker instead of in the response to the worker's next
+//! heartbeat.
 
 use std::collections::HashMap;
 
@@ -8,7 +9,7 @@
 use crate::protocol::workers::commands_request;
 
 const TIMEOUT_MS: u64 = 2_500;
-/// Direct commands are numbered from here on, apart from the leader's own requests.
+/// Base of the ids of direct commands: it keeps them distinct from the ids of the leader's other requests.
 const ID_BASE: u64 = 1 << 63;
 
 /// Direct commands whose outcome is not known yet.
@@ -31,12 +32,12 @@
         self.in_flight.insert(outbound, message);
     }
 
-    /// Takes the message that an outcome belongs to.
+    /// Removes and returns the message that an outcome belongs to.
     pub fn take(&mut self, outbound: OutboundId) -> Option<DirectMessage> {
         self.in_flight.remove(&outbound)
     }
 
-    /// Drops all messages: their outcomes do not matter to a controller that has stopped leading.
+    /// Drops all messages, because a controller that has stopped leading does not need their outcomes.
     pub fn clear(&mut self) {
         self.in_flight.clear();
     }
--- a/src/coordination/controller/graph_requests.rs
+++ b/src/coordination/controller/graph_requests.rs
@@ -1,5 +1,5 @@
-//! The graphs' interface of one controller: passes requests to their handler and ready nodes to the leader, and answers
-//! queries about runs from the records.
+//! The graph interface of one controller: passes requests to their handler and ready nodes to the leader, and
+//! answers queries about runs from the records.
 
 use super::Controller;
 use crate::bookkeeping::dag_records::RunPhase;
@@ -11,13 +11,13 @@
 use crate::protocol::graphs::{DagRequest, DagRunList, DagRunName, DagRunQuery};
 use crate::protocol::operators::StateReason;
 
-/// Size of the rows in one response, in bytes: it stays below the 64 KiB of a frame between controllers.
+/// Maximum size of the rows in one response, in bytes: below the 64 KiB limit of a frame between controllers.
 const MAX_PAGE_BYTES: usize = 48 * 1024;
-/// Unfinished upstream nodes listed in a reason.
+/// Maximum number of unfinished upstream nodes listed in a reason.
 const MAX_UPSTREAM_LISTED: usize = 5;
 
 impl Controller {
-    /// Whether the graphs' interface is enabled.
+    /// Returns whether the graph interface is enabled.
     pub fn serves_graphs(&self) -> bool {
         self.state.tunables.graphs.enabled
     }
@@ -41,7 +41,7 @@
         self.graph_requests.process_pending(clock, &self.state, &mut self.kv_client, out);
     }
 
-    /// Queues the nodes that have become ready with what was just read or written, if this controller leads.
+    /// Queues the nodes that have become ready through the latest read or write, if this controller leads.
     pub(super) fn enqueue_ready_nodes(&mut self) {
         let ready = self.state.cache.take_newly_ready();
         let Some(leader) = self.state.leader.as_mut().filter(|_| !ready.is_empty()) else { return };
@@ -80,7 +80,8 @@
         HttpResponse::json(200, &detail)
     }
 
-    /// Why a node of a graph is not a job yet, by the records alone: every controller can answer it.
+    /// Returns why a node of a graph is not a job yet. The answer depends on the records alone, so every
+    /// controller can give it.
     pub(super) fn waiting_node_reason(&self, id: JobId) -> Option<StateReason> {
         let (run, node) = self.state.cache.dag_runs.current_node(id)?;
         let dag = run.dag.as_ref()?;
--- a/src/coordination/controller/isolation.rs
+++ b/src/coordination/controller/isolation.rs
@@ -1,14 +1,15 @@
-//! Whether this controller alone has lost the store, as opposed to an outage for all.
+//! Detects that the store is unreachable for this controller alone, as opposed to an outage that affects all.
 
 use super::Controller;
 use crate::coordination::Clock;
 use crate::ids::Millis;
 
-/// A controller counts as isolated after this long: at both ends of an outage for all, controllers notice at different
-/// moments, and receive one another's health status with that much delay.
+/// How long a controller has to seem isolated before it counts as isolated, in milliseconds. When an outage
+/// that affects all begins or ends, controllers notice it at different times and receive one another's health
+/// status with a delay.
 const ISOLATED_AFTER_MS: u64 = 1_500;
 
-/// Remembers since when only this controller has had trouble with the store.
+/// Tracks since when only this controller has been unable to use the store.
 #[derive(Debug, Default)]
 pub(super) struct IsolationDetector {
     isolated_since: Option<Millis>,
@@ -25,7 +26,8 @@
 }
 
 impl Controller {
-    /// The store does not serve this controller, while it serves another one, or no other controller's health status arrives.
+    /// Records whether this controller seems isolated: the store does not serve it, and the store either
+    /// serves another controller or no other controller's health status arrives.
     pub(super) fn detect_isolation(&mut self, clock: Clock) {
         let is_cut_off = !self.peer_names.is_empty() && !self.peers.has_live_peer(clock.now);
         let seems_isolated = !self.kv_client.is_reachable(clock.now)
--- a/src/coordination/controller/job_counters.rs
+++ b/src/coordination/controller/job_counters.rs
@@ -1,4 +1,4 @@
-//! Counts of jobs by team and class, in the log and in the status.
+//! Job counters per team and class, as they appear in the log and in the status.
 
 use super::Controller;
 use crate::bookkeeping::job_counters::JobCounters;
@@ -7,12 +7,12 @@
 use crate::ids::Millis;
 use crate::protocol::operators::JobCountersView;
 
-/// How often counters that changed are logged.
+/// Interval at which changed counters are logged, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 30_000;
-/// The name of the row of all teams and classes that are not counted on their own.
+/// Name of the row that sums all teams and classes without a row of their own.
 const OTHERS: &str = "others";
 
-/// Logs counters that have changed since they were last logged.
+/// Logs the counters that have changed since they were last logged.
 #[derive(Debug)]
 pub(super) struct JobCountersLog {
     next_at: Millis,
@@ -44,7 +44,7 @@
 }
 
 impl Controller {
-    /// Logs a line for each team and class whose counters changed.
+    /// Logs one line for each team and class whose counters have changed, if the interval has passed.
     pub(super) fn log_job_counters(&mut self, clock: Clock) {
         if self.kv_client.loaded {
             self.counters_log.log_changes(clock.now, &self.state.cache);
@@ -52,12 +52,12 @@
     }
 }
 
-/// The counters of each team and class, as the status shows them.
+/// Returns the counters of each team and class as shown in the status.
 pub(super) fn job_counter_views(cache: &StoreCache) -> Vec<JobCountersView> {
     let names = &cache.names;
     let rows = cache.job_counters.rows();
-    rows.map(|(party, counters)| {
-        let (team, class) = party.map_or((OTHERS, OTHERS), |(team, class)| {
+    rows.map(|(team_and_class, counters)| {
+        let (team, class) = team_and_class.map_or((OTHERS, OTHERS), |(team, class)| {
             (names.teams.name_or_unknown(team.index()), names.classes.name_or_unknown(class.index()))
         });
         JobCountersView {
--- a/src/coordination/controller/kv_replies.rs
+++ b/src/coordination/controller/kv_replies.rs
@@ -1,5 +1,5 @@
-//! Replies of the key-value store, and what follows from them: the cache advances, jobs become known or terminal, reads
-//! that requests wait for are complete, and leadership begins or ends.
+//! Handles replies of the key-value store and their consequences: the cache advances, jobs become known or
+//! terminal, read barriers complete, and leadership begins or ends.
 
 use super::Controller;
 use crate::bookkeeping::jobs::TerminalState;
@@ -82,8 +82,8 @@
         if !has_entries {
             return;
         }
-        // After a slow read, another controller may already have reported a state that it does not show: users wait for
-        // the next one.
+        // If the read was slow, another controller may already have reported a state that is newer than this
+        // read, so users wait for the next read.
         if clock.now.saturating_since(sent_at) < MAX_READ_AGE_MS {
             self.user_requests.complete_read_barrier(clock, sent_at, &self.state, out);
         }
@@ -117,8 +117,8 @@
         self.step_down_if_superseded();
     }
 
-    /// Jobs that this controller accepted and cancelled itself reach the cache without a poll: the leader takes them over
-    /// from there.
+    /// Passes jobs that this controller accepted or cancelled itself to the leader. They reach the cache
+    /// without a poll, so no change event reports them.
     fn reconcile_leader_jobs(&mut self, clock: Clock) {
         let cache = &self.state.cache;
         let Some(leader) = &mut self.state.leader else {
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -10,12 +10,13 @@
 use crate::ids::{FencingToken, Millis, Revision};
 use crate::protocol::peer::PeerMessage;
 
-/// A new leader's workers get this long to find it before their silence counts against it.
+/// Silent workers are ignored for this many milliseconds after leadership begins, so that they can find the
+/// new leader.
 const LEADER_SETTLE_MS: u64 = 8_000;
-/// One silent worker may itself be at fault.
+/// Minimum number of silent workers that indicate a network failure: a single one may itself be at fault.
 const MIN_SILENT_WORKERS: usize = 2;
 
-/// Leadership that was acquired, but has not begun: the cache has not read up to the fencing token.
+/// Leadership that was acquired but has not begun, because the cache has not read up to the fencing token.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AcquiredLeadership {
     token: FencingToken,
@@ -23,12 +24,12 @@
 }
 
 impl Controller {
-    /// Whether this controller leads, or will once its cache has read up to its fencing token.
+    /// Returns whether this controller leads, or will lead once its cache has read up to its fencing token.
     pub(super) fn leads_or_will(&self) -> bool {
         self.state.is_leader() || self.acquired_leadership.is_some()
     }
 
-    /// Whether the leader may act: its lease is certainly valid and its cache is fresh.
+    /// Returns whether the leader may act: its lease is guaranteed to be valid and its cache is fresh.
     pub(super) fn may_act(&self, clock: Clock) -> bool {
         let is_fresh = self
             .kv_client
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Begins to lead once the cache holds all that earlier leaders could write: none of their writes succeeds later.
+    /// Begins to lead once the cache has read up to the fencing token, which covers all writes of earlier
+    /// leaders: none of their writes can succeed after it.
     pub(super) fn begin_leadership(&mut self, clock: Clock) {
         let Some(AcquiredLeadership { token, at }) = self.acquired_leadership else { return };
         if self.state.cache.revision.0 < token.0 {
@@ -105,16 +107,17 @@
         }
     }
 
-    /// Gives leadership up if workers cannot reach this controller.
+    /// Steps down if the workers cannot reach this controller.
     ///
-    /// Without this, a controller cut off from the network but not from the store would renew its lease while every
-    /// machine's lease runs out.
+    /// Without this, a controller cut off from the network but not from the store would renew its lease while
+    /// every machine's lease expires.
     pub(super) fn step_down_if_unreachable(&mut self, clock: Clock, out: &mut Vec<Action>) {
         let Some(leader) = &self.state.leader else { return };
-        // Under pressure, heartbeats wait in this controller's own queue: workers are not to blame for their silence.
-        let lags_behind = self.pressure.level() > PressureLevel::Calm;
+        // Under pressure, heartbeats wait in this controller's own queue, so silence does not mean that
+        // workers cannot reach it.
+        let is_overloaded = self.pressure.level() > PressureLevel::Calm;
         let is_settling = clock.now.saturating_since(leader.term.acquired_at()) < LEADER_SETTLE_MS;
-        if lags_behind || self.peer_names.is_empty() || is_settling {
+        if is_overloaded || self.peer_names.is_empty() || is_settling {
             return;
         }
         let (all, silent) = leader.count_overdue_workers(clock.now);
@@ -133,7 +136,7 @@
         self.step_down();
     }
 
-    /// Stops leading; the lease is given back or expires elsewhere.
+    /// Stops leading. This does not revoke the lease: the caller revokes it, or it expires.
     pub(super) fn step_down(&mut self) {
         if self.state.leader.take().is_some() {
             log::info!("stepped down");
@@ -145,11 +148,11 @@
     }
 }
 
-/// Whether the network, not the workers, explains the silence: all are silent, or at least one in seven is and most of
-/// the silent ones (60 %) send their heartbeats to another controller.
+/// Returns whether a network failure explains why workers are silent: either all workers are silent, or at
+/// least one in seven is, and at least 60% of the silent ones send their heartbeats to other controllers.
 fn is_cut_off(all: usize, silent: usize, misdirected: usize) -> bool {
-    let most_are_elsewhere = silent * 7 >= all && misdirected * 10 >= silent * 6;
-    silent >= MIN_SILENT_WORKERS && (silent >= all || most_are_elsewhere)
+    let most_report_elsewhere = silent * 7 >= all && misdirected * 10 >= silent * 6;
+    silent >= MIN_SILENT_WORKERS && (silent >= all || most_report_elsewhere)
 }
 
 #[cfg(test)]
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,7 +1,8 @@
-//! One controller: takes events in, keeps its cache of the store fresh, and returns the actions that follow. Owns all
-//! state of a controller's process; performs no I/O and reads no clock.
+//! One controller: receives events, keeps its cache of the store fresh, and returns the resulting actions. It
+//! owns all state of a controller's process, performs no I/O and reads no clock.
 //!
-//! Each submodule handles the events of one interface; `step` does what is due whatever the events were.
+//! Each submodule handles the events of one interface; `step` does the work that is due regardless of which
+//! events arrived.
 
 mod catalog;
 mod config_requests;
@@ -45,13 +46,13 @@
 /// The state of one controller's process.
 pub struct Controller {
     state: ControllerState,
-    /// Seeds each leader's random generator, and the numbers of forwarded queries.
+    /// Seeds the random generator of each term as leader, and the numbers of forwarded queries.
     seed: u64,
     kv_client: KvClient,
     leadership: Leadership,
-    /// The lease is held, but the cache has not read up to its fencing token yet.
+    /// Present while the leader key is held but the cache has not read up to its fencing token.
     acquired_leadership: Option<AcquiredLeadership>,
-    /// Times that this controller began to lead.
+    /// How many times this controller has begun to lead.
     leaderships_started: u64,
     user_requests: UserRequestHandler,
     graph_requests: GraphRequestHandler,
@@ -68,12 +69,12 @@
     /// When the last event was received.
     now: Millis,
     started_at: Millis,
-    /// When the leader next scans what only time changes.
+    /// When the periodic scans are next due.
     next_scan_at: Millis,
 }
 
 impl Controller {
-    /// A controller that has not read the store yet. `seed` differs from process to process.
+    /// Creates a controller that has not read the store yet. `seed` must differ from process to process.
     pub fn new(settings: Settings, tunables: Tunables, seed: u64, clock: Clock) -> Controller {
         let leader_lease_ms = (tunables.leader_lease_s * MILLIS_PER_SECOND) as u64;
         let config_format = tunables.config.enabled.then_some(ENTRY_FORMAT_VERSION);
@@ -103,32 +104,33 @@
         }
     }
 
-    /// Whether this controller can take users' requests.
+    /// Returns whether this controller can serve users' requests.
     ///
-    /// A controller that alone cannot reach the store sends its users elsewhere. In an outage for all, controllers keep
-    /// their place in the load balancer, so that recovery is quick.
+    /// A controller that alone cannot reach the store is not ready, so that users are sent to the others. In
+    /// an outage that affects all controllers, they stay in the load balancer, so that recovery is quick.
     pub fn is_ready(&self) -> bool {
         self.kv_client.loaded
             && !self.state.cache.machine_types.is_empty()
             && !self.isolation.is_isolated(self.now)
     }
 
-    /// Whether it follows a leader and no client waits for it: its next step may be delayed a little.
+    /// Returns whether this controller follows a leader and no client waits for it, so that its next step may
+    /// be delayed slightly.
     pub fn is_idle(&self) -> bool {
         let follows = !self.leads_or_will() && self.kv_client.loaded && self.state.known_leader().is_some();
-        let pending = self.user_requests.unsent_count()
+        let pending = self.user_requests.pending_count()
             + self.graph_requests.pending_count()
             + self.config_requests.pending_count();
         follows && pending == 0 && self.now >= self.peers.preferred_until
     }
 
-    /// The leader's state, while this controller leads.
+    /// Returns the leader's state while this controller leads.
     pub fn leader(&self) -> Option<&Leader> {
         self.state.leader.as_ref()
     }
 
-    /// Records how long a worker's event has waited; what the leader sheds under load follows from it
-    /// (docs/overload.md).
+    /// Records how long a worker's event has waited. The resulting pressure level determines what load the
+    /// leader sheds (docs/overload.md).
     pub fn record_event_wait(&mut self, now: Millis, wait_ms: u64) {
         if !self.state.tunables.overload.load_shedding {
             return;
@@ -142,14 +144,14 @@
         }
     }
 
-    /// Receives one event and does what is due.
+    /// Handles one event, then does the work that is due.
     pub fn handle_event(&mut self, clock: Clock, event: Event) -> Vec<Action> {
         let mut out = self.receive_event(clock, event);
         out.extend(self.step(clock));
         out
     }
 
-    /// Receives an event and responds to it; what else follows from it is left to the next step.
+    /// Handles one event and responds to it. All other work that results from it is left to the next step.
     pub fn receive_event(&mut self, clock: Clock, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.now = clock.now;
--- a/src/coordination/controller/operator_queries.rs
+++ b/src/coordination/controller/operator_queries.rs
@@ -1,4 +1,5 @@
-//! Operators' queries: routes each to a read barrier here or to the leader, and answers it when its time has come.
+//! Operators' queries: each waits for a read barrier here or is forwarded to the leader, and is then
+//! answered.
 
 use super::Controller;
 use crate::coordination::operator_queries::{Requester, respond_to};
@@ -9,16 +10,16 @@
 use crate::protocol::operators::OperatorRequest;
 use crate::protocol::peer::LeaderQuery;
 
-/// Status of a leader's response that it cannot answer a forwarded query now.
+/// HTTP status with which a leader responds to a forwarded query that it cannot answer now.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Controller {
-    /// Whether the operators' interface is enabled.
+    /// Returns whether the operators' interface is enabled.
     pub fn serves_operators(&self) -> bool {
         self.operator_queries.enabled
     }
 
-    /// Receives a query of one of this controller's own clients.
+    /// Handles a query from one of this controller's own clients.
     pub(super) fn handle_operator_query(
         &mut self,
         clock: Clock,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Returns the response if there is one at once; otherwise the query waits here or at the leader.
+    /// Returns the response if it is available at once; otherwise the query waits here or at the leader.
     fn respond_or_defer(
         &mut self,
         clock: Clock,
@@ -57,8 +58,9 @@
         result.err().map(HttpResponse::from)
     }
 
-    /// The leader, if it holds more about the query than the records do. Not if this controller leads, the leader cannot
-    /// be reached or the job is finished. Terminal states never change, so the records hold all of those.
+    /// Returns the leader if the query should be forwarded to it because it has more information than the
+    /// records. Returns `None` if this controller leads, the leader cannot be reached or the job has
+    /// finished: terminal states never change, so the records suffice for them.
     fn leader_to_forward_to(&self, clock: Clock, request: &OperatorRequest) -> Option<String> {
         if self.state.is_leader() || request.to_leader_query().is_none() {
             return None;
@@ -68,7 +70,8 @@
         (is_live && !self.concerns_finished_job(request)).then(|| leader.to_string())
     }
 
-    /// Events are not among the records, so a query for them concerns the leader even after the job's end.
+    /// Returns whether the records suffice because the job has finished. Events are not part of the records,
+    /// so queries for them need the leader even after the job has finished.
     fn concerns_finished_job(&self, request: &OperatorRequest) -> bool {
         match request {
             OperatorRequest::InspectJob { id, .. } | OperatorRequest::ExplainJob { id, .. } => {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Another controller forwards a query: this controller leads, or did a moment ago.
+    /// Handles a query that another controller forwarded because this controller leads or led until recently.
     pub(super) fn receive_forwarded_query(
         &mut self,
         clock: Clock,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// The leader has responded to a query that this controller forwarded.
+    /// Handles the leader's response to a query that this controller forwarded.
     pub(super) fn receive_leader_response(
         &mut self,
         clock: Clock,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// The leader does not answer: falls back to what the records hold.
+    /// Answers a query from the records if they suffice, because the leader does not answer it.
     fn answer_without_leader(
         &mut self,
         clock: Clock,
@@ -123,16 +126,16 @@
         request: OperatorRequest,
         out: &mut Vec<Action>,
     ) {
-        let is_on_record =
+        let is_answerable_from_records =
             matches!(request, OperatorRequest::InspectJob { .. } | OperatorRequest::ExplainJob { .. });
-        let is_enqueued = is_on_record
+        let is_enqueued = is_answerable_from_records
             && self.operator_queries.enqueue(clock.now, Requester::Client(inbound), request).is_ok();
         if !is_enqueued {
             out.push(Action::respond(inbound, Unavailable::LeaderUnresponsive));
         }
     }
 
-    /// Answers queries that the leader or the store have not answered in time.
+    /// Answers queries whose response from the leader or read barrier did not arrive in time.
     pub(super) fn expire_operator_queries(&mut self, clock: Clock, out: &mut Vec<Action>) {
         let expired = self.operator_queries.take_expired(clock);
         for (inbound, request) in expired.forwarded {
@@ -144,7 +147,8 @@
         }
     }
 
-    /// The cache holds everything up to a read that was sent at `read_sent_at`: answers the queries received before.
+    /// Answers the queries that were received before `read_sent_at`: a read that was sent then has been
+    /// applied to the cache.
     pub(super) fn respond_to_operator_queries(
         &mut self,
         clock: Clock,
--- a/src/coordination/controller/operator_views.rs
+++ b/src/coordination/controller/operator_views.rs
@@ -1,5 +1,5 @@
-//! What operators see of jobs and of this controller: rendered from the records, and from the leader's state while this
-//! controller leads.
+//! Operators' views of jobs and of this controller: rendered from the records, and from the leader's state
+//! while this controller leads.
 
 use super::Controller;
 use super::job_counters::job_counter_views;
@@ -15,11 +15,11 @@
 };
 use crate::protocol::peer::MAX_FRAME_BYTES;
 
-/// Room for the frame around a response that is sent to another controller, in bytes.
+/// Allowance for the frame around a response that is sent to another controller, in bytes.
 const FRAME_OVERHEAD_BYTES: usize = 1024;
 
 impl Controller {
-    /// This controller as operators see it.
+    /// Returns the status of this controller as shown to operators.
     pub fn status(&self, clock: Clock) -> ControllerStatus {
         let state = &self.state;
         let (jobs_active, jobs_terminal) = state.cache.live_and_terminal_counts();
@@ -35,7 +35,7 @@
             kv_reachable: self.kv_client.loaded && self.kv_client.is_reachable(clock.now),
             jobs_active: jobs_active as u64,
             jobs_terminal: jobs_terminal as u64,
-            requests_pending: self.user_requests.unsent_count() as u64,
+            requests_pending: self.user_requests.pending_count() as u64,
             failovers: self.leaderships_started,
             uptime_s: age_s(self.started_at),
             job_counters: job_counter_views(&state.cache),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Answers a query by the cache as it is.
+    /// Answers a query from the current state of the cache.
     pub(super) fn operator_response(&self, clock: Clock, request: &OperatorRequest) -> HttpResponse {
         let response = match request {
             OperatorRequest::ListJobs(query) => self.job_list_response(query),
@@ -59,12 +59,13 @@
             }
         };
         if response.body.len() + FRAME_OVERHEAD_BYTES > MAX_FRAME_BYTES {
-            return HttpResponse::error(400, "the answer is too long: ask for a smaller limit");
+            return HttpResponse::error(400, "the response is too large: request a smaller limit");
         }
         response
     }
 
-    /// The response while the store does not answer this controller. Whether a job exists is not known either.
+    /// Returns the response while the store does not answer this controller. Whether a job exists is unknown
+    /// then.
     pub(super) fn kv_unreachable_response(&self, clock: Clock, request: &OperatorRequest) -> HttpResponse {
         let OperatorRequest::ExplainJob { id, task } = request else {
             return Unavailable::KvUnreachable.into();
@@ -124,7 +125,7 @@
         HttpResponse::json(200, &self.explanation(id, task, reasons))
     }
 
-    /// Why a job or one of its tasks is in the state that it is in; `None` if there is no such job.
+    /// Returns why a job or one of its tasks is in its current state, or `None` if there is no such job.
     fn state_reasons(&self, clock: Clock, id: JobId, task: Option<u32>) -> Option<Vec<StateReason>> {
         let cache = &self.state.cache;
         if cache.terminal_state(id).is_some() {
@@ -167,8 +168,9 @@
     }
 }
 
-/// A page of a job's unfinished tasks and the task to go on after, by the records alone: a task is on a machine's record,
-/// or it waits.
+/// Returns a page of a job's unfinished tasks and, if there are more, the last task of the page, after which
+/// the next page begins. Only the records are consulted: a task either appears in a machine's record or is
+/// waiting.
 fn recorded_task_rows(
     cache: &StoreCache,
     id: JobId,
--- a/src/coordination/controller/peer_messages.rs
+++ b/src/coordination/controller/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers.
+//! Handles messages from other controllers, and notifies the leader of new revisions.
 
 use super::Controller;
 use crate::coordination::{Action, Clock};
@@ -6,7 +6,7 @@
 use crate::protocol::HttpResponse;
 use crate::protocol::peer::PeerMessage;
 
-/// How long a controller that was asked to take over seeks leadership ahead of the others.
+/// How long a controller that was asked to take over campaigns ahead of the others, in milliseconds.
 const PREFERRED_LEADER_MS: u64 = 3_000;
 
 impl Controller {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Tells the leader, if it is another controller, that the store holds something new.
+    /// Notifies the leader, if it is another controller, that the store has a new revision.
     pub(super) fn notify_leader(&self, revision: Revision, out: &mut Vec<Action>) {
         if self.state.is_leader() {
             return;
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Another controller has written, or has clients that wait until this one has read so far.
+    /// Handles a notice that another controller has written, or has clients that wait until this controller
+    /// has read up to the revision.
     fn handle_revision_notice(&mut self, controller: &str, revision: Revision, out: &mut Vec<Action>) {
         log::debug!("{controller} announces revision {}", revision.0);
         let read = self.state.cache.revision;
--- a/src/coordination/controller/step.rs
+++ b/src/coordination/controller/step.rs
@@ -1,20 +1,23 @@
-//! What is due at a moment, whatever the events were: one step serves all events that were received together.
+//! The work that is due at a given time, regardless of which events arrived: one step serves all events that
+//! were received together.
 //!
-//! The order matters: requests to the store share its rate limits, and whoever comes first in a step takes from them
-//! first.
+//! The order matters: requests to the store share its rate limits, so the earlier parts of a step have
+//! priority.
 
 use super::Controller;
 use crate::coordination::{Action, Clock};
 
-/// How often the store is polled for changes when no client waits for them.
+/// Interval at which the leader polls the store for changes while no client waits for them, in milliseconds.
 const LEADER_POLL_MS: u64 = 250;
+/// Interval at which a follower polls the store for changes while no client waits for them, in milliseconds.
 const FOLLOWER_POLL_MS: u64 = 500;
-/// What only time changes (lost machines, stale thieves) is scanned this often, so that the cost of an event does
-/// not depend on the number of machines.
+/// Interval of the scans for changes that only the passage of time causes (such as lost machines, and
+/// machines that stopped trying to steal tasks), in milliseconds. Scanning periodically keeps the cost of an
+/// event independent of the number of machines.
 const SCAN_INTERVAL_MS: u64 = 250;
 
 impl Controller {
-    /// Does what is due now.
+    /// Does the work that is due now.
     pub fn step(&mut self, clock: Clock) -> Vec<Action> {
         let mut actions = Vec::new();
         let out = &mut actions;
@@ -35,7 +38,7 @@
         actions
     }
 
-    /// Renews or seeks leadership, then reads the store if a read is due or awaited.
+    /// Campaigns or renews the lease, then reads the store if a read is due or something waits for it.
     fn refresh_cache(&mut self, clock: Clock, out: &mut Vec<Action>) {
         let idle_interval_ms = if self.leads_or_will() { LEADER_POLL_MS } else { FOLLOWER_POLL_MS };
         let is_preferred = clock.now < self.peers.preferred_until;
@@ -60,7 +63,7 @@
             || self.config_requests.needs_read_barrier(&self.state.cache)
     }
 
-    /// Refuses users' requests and operators' queries that are overdue, then sends users' writes.
+    /// Rejects users' requests and operators' queries past their deadline, then sends users' writes.
     fn process_user_requests(&mut self, clock: Clock, out: &mut Vec<Action>) {
         self.user_requests.expire(clock, self.kv_client.is_reachable(clock.now), out);
         if self.operator_queries.enabled {
--- a/src/coordination/controller/tests/isolation.rs
+++ b/src/coordination/controller/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! Tests of how long a controller has to seem isolated before it counts as isolated.
+//! Tests of how long a controller must seem isolated before it counts as isolated.
 
 use super::*;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn one_observation_to_the_contrary_starts_anew() {
+fn an_observation_of_no_isolation_restarts_the_period() {
     let mut detector = IsolationDetector::default();
     detector.observe(Millis(1_000), true);
     detector.observe(Millis(2_000), false);
--- a/src/coordination/controller/watermarks.rs
+++ b/src/coordination/controller/watermarks.rs
@@ -1,24 +1,25 @@
-//! Which terminal states may be reported: how far this controller has read is announced to the others, and how far they
-//! have read is awaited.
+//! Determines which terminal states may be reported: announces to the other controllers how far this one has
+//! read, and asks them to read further where a client waits for that.
 
 use super::Controller;
 use crate::coordination::{Action, Clock};
 use crate::protocol::peer::PeerMessage;
 
 impl Controller {
-    /// Records the terminal states that the cache has just learned. Has to happen before any response depends on them.
+    /// Records the terminal states that the cache has just received. This must happen before any response
+    /// depends on them.
     pub(super) fn record_new_terminals(&mut self, clock: Clock) {
         self.state.watermarks.add_terminal(self.state.cache.take_new_terminals(), clock.now);
     }
 
-    /// A page of the records was read: which of its terminal states are recent is not known.
+    /// Records that a page of the records was read: it is unknown which of its terminal states are recent.
     pub(super) fn record_page_read(&mut self, clock: Clock) {
         drop(self.state.cache.take_new_terminals());
         self.state.watermarks.record_page_load(clock.now);
     }
 
-    /// Answers requests whose job's terminal state has become stable, notifies controllers that have to read further,
-    /// and announces how far this one has read.
+    /// Answers requests whose job's terminal state has become stable, asks other controllers to read further
+    /// where that is needed, and announces how far this one has read.
     pub(super) fn process_watermarks(&mut self, clock: Clock, out: &mut Vec<Action>) {
         self.state.watermarks.expire_old(clock.now);
         self.user_requests.respond_when_stable(clock, &self.state, out);
--- a/src/coordination/controller/workers.rs
+++ b/src/coordination/controller/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: responses to their heartbeats, and the outcomes of commands that were sent to them directly.
+//! Responds to workers' heartbeats, and handles the outcomes of commands that were sent directly to workers.
 
 use super::Controller;
 use crate::coordination::leader::machines::commands::DirectOutcome;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Steps down if a worker has been commanded by a later leader; returns whether it did.
+    /// Steps down if a worker has acknowledged the fencing token of a later leader; returns whether it did.
     fn step_down_if_outdated(&mut self, heartbeat: &Heartbeat) -> bool {
         let is_outdated =
             self.state.leader.as_ref().is_some_and(|leader| heartbeat.token > leader.term.token());
@@ -63,7 +63,7 @@
         is_outdated
     }
 
-    /// Handles the outcome of a direct command, whose response is the worker's status like a heartbeat.
+    /// Handles the outcome of a direct command. The worker's response to it has the form of a heartbeat.
     pub(super) fn handle_commands_response(
         &mut self,
         clock: Clock,
--- a/src/coordination/controller_state.rs
+++ b/src/coordination/controller_state.rs
@@ -1,5 +1,6 @@
-//! What a controller decides requests by: the cached records, its settings, how far the other controllers
-//! have read, and the leader's state while this controller leads. Performs no I/O and reads no clock.
+//! The state that a controller's decisions are based on: the cached records, its settings, how far the other
+//! controllers have read, and the leader's state while this controller leads. Performs no I/O and reads no
+//! clock.
 
 use std::sync::Arc;
 
@@ -11,7 +12,7 @@
 use crate::settings::Settings;
 use crate::tunables::Tunables;
 
-/// The state that all request handlers of a controller decide by.
+/// The state that all request handlers of a controller base their decisions on.
 pub struct ControllerState {
     pub(super) settings: Arc<Settings>,
     pub(super) tunables: Arc<Tunables>,
@@ -36,17 +37,18 @@
         self.leader.is_some()
     }
 
-    /// The controller that leads by the cached records.
+    /// Returns the controller that leads according to the cached records.
     pub(super) fn known_leader(&self) -> Option<&str> {
         self.cache.leader.as_ref().map(|leader| leader.controller.as_str())
     }
 
-    /// Whether a job's terminal state may be reported: no controller can report an older state any more.
+    /// Returns whether a job's terminal state may be reported because no controller can still report an older
+    /// one.
     pub(super) fn is_stable(&self, id: JobId, clock: Clock) -> bool {
         self.watermarks.is_stable(id, clock.now, self.cache.revision, self.cache.leader.as_ref())
     }
 
-    /// How many tasks of a job run, for display.
+    /// Returns how many tasks of a job are running, for display.
     pub(super) fn running_task_count(&self, id: JobId) -> u32 {
         match self.leader.as_ref().zip(self.cache.find(id)) {
             Some((leader, ix)) => leader.workload.jobs.get(&ix).map_or(0, |job| job.placements.len() as u32),
@@ -54,7 +56,8 @@
         }
     }
 
-    /// The same for many jobs: a follower scans the assignment log once for all of them.
+    /// Returns a function that gives [`running_task_count`](Self::running_task_count) for many jobs: a
+    /// follower collects the counts from its cache once for all of them.
     pub(super) fn running_task_counts(&self) -> impl Fn(JobId) -> u32 + '_ {
         let recorded =
             if self.is_leader() { Default::default() } else { self.cache.recorded_running_by_job() };
@@ -64,8 +67,8 @@
         }
     }
 
-    /// CPUs of a team's tasks, in thousandths: those in use by the leader's knowledge, or those that the records allow
-    /// to be in use.
+    /// Returns the CPUs of a team's tasks, in thousandths of a CPU: on the leader those in use according to
+    /// its state, on a follower those that the records allow to be in use.
     pub(super) fn team_cpu_usage(&self, team: &str) -> u64 {
         let Some(team) = self.cache.names.teams.find(team) else { return 0 };
         if let Some(leader) = &self.leader {
--- a/src/coordination/graph_requests/commit.rs
+++ b/src/coordination/graph_requests/commit.rs
@@ -14,7 +14,7 @@
 use crate::protocol::graphs::{DagRunHeader, DagRunName};
 use crate::protocol::users::{JobKind, validate_manifest};
 
-/// Part numbers listed in the response to a commit whose parts are missing.
+/// Maximum number of part numbers listed in the response to a commit whose parts are missing.
 const MAX_MISSING_LISTED: usize = 50;
 
 /// Decides whether a run is accepted.
--- a/src/coordination/graph_requests/decision.rs
+++ b/src/coordination/graph_requests/decision.rs
@@ -1,4 +1,4 @@
-//! What a request about a run leads to, and what it is decided by.
+//! The possible decisions on a request about a run, and the context in which they are made.
 
 use crate::bookkeeping::records::RecordKey;
 use crate::coordination::Clock;
@@ -10,42 +10,43 @@
 
 use super::rejection::GraphRejection;
 
-/// What decisions are made by.
+/// The time, state and limits that a decision is based on.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
     pub clock: Clock,
     pub state: &'a ControllerState,
-    /// Mutations that the store's limits allow in one transaction now.
+    /// Number of mutations that the store's limits currently allow in one transaction.
     pub max_ops: usize,
 }
 
-/// What an acceptable request leads to.
+/// What an acceptable request results in.
 pub(super) enum Decision {
     /// Nothing has to be written.
     Respond(HttpResponse),
     Write {
         preconditions: Vec<Precondition>,
         mutations: Vec<KvMutation>,
-        /// The response once it is written; `None` if the request needs further transactions.
+        /// The response once the mutations are committed; `None` if the request needs further transactions.
         response: Option<HttpResponse>,
     },
 }
 
-/// A decision, or the response that refuses the request.
+/// A decision, or the response that rejects the request.
 pub(super) type DecisionResult = Result<Decision, HttpResponse>;
 
 impl DecisionContext<'_> {
-    /// The key must not have changed since the cache last read it.
+    /// Returns the precondition that the key has not changed since the cache last read it.
     pub fn unchanged(&self, key: &RecordKey) -> Precondition {
         unchanged(&self.state.cache, key)
     }
 
-    /// Changes the key that plain submissions and commits are conditional on: those that have not read this change fail.
+    /// Returns a change of the key that users' writes, commits and reruns are conditional on: those that were
+    /// decided without having read this change fail.
     pub fn touch_graph_acceptance(&self) -> KvMutation {
         put_record(&RecordKey::GraphAcceptance, &serde_json::json!({"at": self.clock.wall_ms}))
     }
 
-    /// Checks that no job or node has one of the names.
+    /// Checks that none of the names belongs to a job or a node.
     pub fn check_names_unused(&self, mut jobs: impl Iterator<Item = JobId>) -> Result<(), GraphRejection> {
         let cache = &self.state.cache;
         let is_known = |job: &JobId| {
--- a/src/coordination/graph_requests/mod.rs
+++ b/src/coordination/graph_requests/mod.rs
@@ -1,6 +1,6 @@
-//! Changes of graphs' runs: uploads of parts, commits, cancellations and reruns. Each is decided behind a read barrier
-//! and written conditionally, one transaction at a time. Owns the requests that wait, bounded in number and in time.
-//! Performs no I/O and reads no clock.
+//! Requests that change runs of graphs: uploads of parts, commits, cancellations and reruns. Each is decided
+//! after a read barrier and written conditionally, one transaction at a time. Owns the requests that wait;
+//! their number and waiting time are bounded. Performs no I/O and reads no clock.
 
 mod commit;
 mod decision;
@@ -26,11 +26,12 @@
 use crate::protocol::graphs::DagRequest;
 use crate::protocol::kv::KvReply;
 
-/// Clients wait longer: the response has to be under way before.
+/// How long a request may wait. Clients' own time-outs are longer, so the response still reaches them.
 const REQUEST_TIMEOUT_MS: u64 = 3_500;
-/// Requests that may wait at the same time: the body of each is kept in memory.
+/// Maximum number of requests that wait at the same time: the body of each is kept in memory.
 const MAX_PENDING: usize = 32;
-/// Mutations that a request may need in one transaction, uploads of many parts aside.
+/// Minimum number of mutations that must be available before a request is decided. It suffices for every
+/// request except uploads of many parts, which are spread over several transactions.
 const MIN_TXN_OPS: usize = 2;
 
 type Pending = PendingRequest<DagRequest>;
@@ -50,17 +51,17 @@
 }
 
 impl GraphRequestHandler {
-    /// Whether a request waits for a newer read of the store.
+    /// Returns whether a request waits for a newer read of the store.
     pub fn needs_read_barrier(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Requests that wait, without the one whose write is in flight.
+    /// Returns the number of requests that wait, without the one whose write is in flight.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Receives a request; returns the response if there is one at once.
+    /// Queues a request, or returns the response that rejects it.
     pub fn receive(
         &mut self,
         clock: Clock,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Refuses requests past their deadline, and all while the store is not reachable.
+    /// Rejects requests past their deadline, and all requests while the store is unreachable.
     pub fn expire(&mut self, clock: Clock, kv_reachable: bool, out: &mut Vec<Action>) {
         self.pending
             .retain(|pending| pending.retain_unless(!kv_reachable || pending.is_expired(clock.now), out));
@@ -133,12 +134,12 @@
                     None => self.pending.push_front(pending),
                 }
             }
-            // Another controller was first: the request is decided again by what it has written.
+            // Another controller wrote first: the request is decided again on the basis of that write.
             KvReply::PreconditionFailed { .. } => {
                 self.pending.push_back(pending.awaiting_new_read(clock.now));
             }
             KvReply::Rejected { status: RATE_LIMITED } => self.pending.push_front(pending),
-            // The client repeats the request, which then finds out whether it was stored.
+            // The client repeats the request, and the response then shows whether the write was stored.
             _ => out.push(Action::respond(pending.inbound, Unavailable::WriteOutcomeUnknown)),
         }
     }
--- a/src/coordination/graph_requests/phase_change.rs
+++ b/src/coordination/graph_requests/phase_change.rs
@@ -28,7 +28,7 @@
     })
 }
 
-/// Decides whether nodes of a run are executed again.
+/// Decides a request to execute nodes of a run again.
 pub(super) fn decide_rerun(
     name: &DagRunName,
     rerun: &RerunRequest,
@@ -37,7 +37,7 @@
     let run = context.state.cache.dag_runs.by_name(name).ok_or(GraphRejection::UnknownRun)?;
     let dag = run.dag.as_ref().ok_or(GraphRejection::UnknownRun)?;
     if run.phase_record.reruns.contains(&(rerun.first_part, rerun.parts)) {
-        // The request was carried out before, and the response to it was lost.
+        // The request was carried out before, but its response was lost.
         return Ok(Decision::Respond(HttpResponse::json(200, &run_row(run))));
     }
     check_rerun_allowed(run, rerun)?;
@@ -80,7 +80,7 @@
     let mut record = RunPhaseRecord { cancelled: false, succeeded: None, ..run.phase_record.clone() };
     record.reruns.push((rerun.first_part, rerun.parts));
     if run.is_ended() {
-        // A finished run queues again behind the limit of active runs.
+        // A finished run waits again until the limit of active runs allows it to start.
         record.phase = RunPhase::Waiting;
         record.since_wall_ms = context.clock.wall_ms;
     }
--- a/src/coordination/graph_requests/rejection.rs
+++ b/src/coordination/graph_requests/rejection.rs
@@ -1,4 +1,4 @@
-//! Reasons why a change of a graph's run is refused.
+//! Reasons why a request to change a run of a graph is rejected.
 
 use thiserror::Error;
 
@@ -6,36 +6,36 @@
 use crate::protocol::HttpResponse;
 use crate::protocol::graphs::MAX_PARTS;
 
-/// Why a request cannot be carried out as it is. The texts are part of the interface.
+/// Why a request cannot be carried out. The texts are sent to clients in the response body.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(super) enum GraphRejection {
-    #[error("parts: expected some of 0 to {}", MAX_PARTS - 1)]
+    #[error("parts: expected at least one, with part numbers from 0 to {}", MAX_PARTS - 1)]
     PartNumbers,
-    #[error("part {part} is {bytes} bytes: at most {max_bytes} are kept")]
+    #[error("part {part} has {bytes} bytes: expected at most {max_bytes}")]
     PartTooLarge { part: u32, bytes: usize, max_bytes: usize },
     #[error("no such run")]
     UnknownRun,
-    #[error("the run is being forgotten")]
+    #[error("the run is being deleted")]
     RunDeleting,
     #[error("the run's parts were not committed in time: choose another name for it")]
     UploadExpired,
-    #[error("part {0} is there with another content")]
+    #[error("part {0} is already stored with different content")]
     PartConflict(u32),
-    #[error("parts are missing: send them first")]
+    #[error("parts are missing: upload them first")]
     PartsMissing,
-    #[error("part {0} is missing: send it first")]
+    #[error("part {0} is missing: upload it first")]
     PartMissing(u32),
-    #[error("another run has that name")]
+    #[error("another run already has this name")]
     NameTaken,
-    #[error("the run has changed: its next part is {next_part}")]
+    #[error("the run has changed: its next part number is {next_part}")]
     RunChanged { next_part: u32 },
-    #[error("the parts hold {found} nodes, not {expected}")]
+    #[error("expected {expected} nodes in the parts, found {found}")]
     NodeCount { found: usize, expected: u32 },
-    #[error("a service never ends: it cannot be a node")]
+    #[error("a service runs indefinitely, so it cannot be a node of a graph")]
     ServiceNode,
     #[error("unknown pool {0}")]
     UnknownPool(String),
-    #[error("{0} is known already")]
+    #[error("{0} already exists")]
     JobNameTaken(JobId),
     /// The graph itself or one of its templates is not valid.
     #[error("{0}")]
--- a/src/coordination/graph_requests/upload.rs
+++ b/src/coordination/graph_requests/upload.rs
@@ -1,4 +1,5 @@
-//! Uploads of a graph's parts: each part is a record of its own, written once.
+//! Uploads of a graph's parts. Each part is stored as a separate record; its content can be replaced only
+//! until the part is committed.
 
 use super::decision::{Decision, DecisionContext, DecisionResult};
 use super::rejection::GraphRejection;
@@ -9,11 +10,11 @@
 use crate::protocol::graphs::{DagRunName, GraphPart, MAX_PARTS, PartsUpload};
 use crate::protocol::kv::{KvMutation, Precondition};
 
-/// Parts without a commit that are stored at the same time, of all runs together.
+/// Maximum number of parts, across all runs, that are stored without a commit at the same time.
 const MAX_UNCOMMITTED_PARTS: usize = 2 * MAX_PARTS as usize;
-/// Estimated size of a transaction's mutations, in bytes: below the store's 64 KiB.
+/// Maximum estimated size of a transaction's mutations, in bytes: below the store's limit of 64 KiB.
 const MAX_TXN_BYTES: usize = 40 * 1024;
-/// Allowance for a part's key and frame within a transaction, in bytes.
+/// Allowance for the key and the encoding of a part within a transaction, in bytes.
 const PART_OVERHEAD_BYTES: usize = 200;
 const BYTES_PER_KB: f64 = 1024.0;
 
@@ -53,15 +54,15 @@
     runs.filter(|(_, run)| run.accepted.is_none()).map(|(_, run)| run.parts.len()).sum()
 }
 
-/// The parts that fit one transaction.
+/// The parts to write in one transaction.
 #[derive(Default)]
 struct PartBatch {
     preconditions: Vec<Precondition>,
     mutations: Vec<KvMutation>,
     bytes: usize,
-    /// Further parts are left for another transaction.
+    /// Whether further parts are left for another transaction.
     is_incomplete: bool,
-    /// A stored part gets another content.
+    /// Whether the content of a stored part is replaced.
     replaces_part: bool,
 }
 
@@ -81,7 +82,7 @@
 
     fn into_decision(mut self, stored: HttpResponse, context: &DecisionContext<'_>) -> Decision {
         if self.replaces_part {
-            // A commit that was decided by the former content must fail.
+            // A commit that was decided on the basis of the previous content must fail.
             self.preconditions.push(context.unchanged(&RecordKey::GraphAcceptance));
             self.mutations.push(context.touch_graph_acceptance());
         }
@@ -124,11 +125,11 @@
     Ok(batch)
 }
 
-/// How a stored part compares with the one that is uploaded.
+/// How the stored part with the same number compares with the uploaded part.
 enum StoredPart {
     Missing,
     Identical,
-    /// No commit or rerun counts on it, so it may get another content.
+    /// The contents differ, but no commit or rerun includes the part, so its content may be replaced.
     Replaceable,
     Conflicting,
 }
@@ -139,7 +140,7 @@
     }
     let is_committed = run.accepted.is_some() && part < run.next_rerun_part();
     match run.part_contents.get(&part) {
-        // The parts of an accepted graph are not cached: a client that sends one repeats an upload.
+        // The parts of an accepted graph are not cached: a client that sends one is repeating an upload.
         None => StoredPart::Identical,
         Some(stored) if stored == content => StoredPart::Identical,
         Some(_) if is_committed => StoredPart::Conflicting,
--- a/src/coordination/kv_client/cache_refresh.rs
+++ b/src/coordination/kv_client/cache_refresh.rs
@@ -1,5 +1,6 @@
-//! Keeping the cache up to date: all records are loaded page by page, then changes are polled. Polls are also the read
-//! barriers of user requests: an answered poll shows everything that was committed before it was sent.
+//! Keeps the cache up to date: loads all records page by page, then polls for changes. Polls also serve as
+//! read barriers for clients' requests: an answered poll covers everything that was committed before it was
+//! sent.
 
 use super::{KvClient, Purpose};
 use crate::bookkeeping::records::KEY_PREFIX;
@@ -8,17 +9,17 @@
 use crate::ids::{Millis, Revision};
 use crate::protocol::kv::{KvReply, KvRequest};
 
-/// Records per page of the first load.
+/// Records per page of a load.
 const PAGE_SIZE: u32 = 500;
-/// Between polls that somebody waits for, in milliseconds.
+/// Minimum interval between polls while something waits for a newer read, in milliseconds.
 const AWAITED_POLL_INTERVAL_MS: u64 = 40;
 
-/// How far the load has come, and the reads in flight.
+/// Progress of the load, and the reads in flight.
 #[derive(Debug, Default)]
 pub(super) struct RefreshState {
-    /// The last key that was loaded.
+    /// The last key that was loaded; the next page begins after it.
     page_cursor: Option<String>,
-    /// Revision of the first page.
+    /// Store revision at which the first page was read.
     load_revision: Option<Revision>,
     page_in_flight: Option<OutboundId>,
     poll_in_flight: Option<OutboundId>,
@@ -26,7 +27,7 @@
 }
 
 impl RefreshState {
-    /// The request is not in flight any more, if it was a read.
+    /// Records that a request is no longer in flight, if it was a read.
     pub(super) fn complete_request(&mut self, outbound: OutboundId) {
         self.poll_in_flight.take_if(|in_flight| *in_flight == outbound);
         self.page_in_flight.take_if(|in_flight| *in_flight == outbound);
@@ -36,8 +37,9 @@
 impl KvClient {
     /// Loads the next page until the cache is complete, then polls for changes.
     ///
-    /// `idle_interval_ms`: between polls that nobody waits for. `reserved`: requests that are left for writes; when polls
-    /// for users took all that a follower had, submissions waited for seconds.
+    /// `has_waiters` is set while something waits for a newer read, `idle_interval_ms` is the interval
+    /// between polls otherwise, and `reserved` is the number of requests that polls leave for writes: when
+    /// polls for users used up a follower's share of the rate limit, submissions waited for seconds.
     pub(in crate::coordination) fn refresh_cache(
         &mut self,
         clock: Clock,
@@ -79,12 +81,12 @@
         }
     }
 
-    /// The next poll does not wait for its interval.
+    /// Lets the next poll be sent without waiting for its interval.
     pub(in crate::coordination) fn poll_now(&mut self) {
         self.refresh.last_poll_at = Millis::default();
     }
 
-    /// Takes in a page of the load. True once the cache is complete.
+    /// Applies a page of the load to the cache. Returns true once the cache is complete.
     pub(in crate::coordination) fn apply_page(&mut self, reply: KvReply, cache: &mut StoreCache) -> bool {
         let KvReply::ListPage { entries, has_more, revision } = reply else {
             return false;
@@ -97,14 +99,16 @@
             cache.apply(entry);
         }
         if !has_more {
-            // Changes since the first page are polled again: those that a later page held already change nothing.
+            // All changes since the first page are polled. Those that a later page already contained have no
+            // effect.
             cache.advance_revision(first_revision);
             self.loaded = true;
         }
         self.loaded
     }
 
-    /// Takes in the changes of a poll. `None`: the store has compacted them, and everything has to be loaded again.
+    /// Applies the changes of a poll to the cache. Returns `None` if the store has compacted the changes, so
+    /// that all records have to be loaded again.
     pub(in crate::coordination) fn apply_poll(
         &mut self,
         sent_at: Millis,
--- a/src/coordination/kv_client/mod.rs
+++ b/src/coordination/kv_client/mod.rs
@@ -1,8 +1,9 @@
-//! This controller's client of the key-value store: requests in flight, its share of the rate limits, and whether the store
-//! answers. `cache_refresh` keeps the cache up to date with it.
+//! This controller's client of the key-value store: requests in flight, its share of the rate limits, and
+//! whether the store is reachable. `cache_refresh` uses it to keep the cache up to date.
 //!
-//! [`KvClient`] does no I/O: requests go out as actions, replies come in as outcomes. Requests in flight are bounded by the
-//! rate limits; each ends with an outcome, a timeout included.
+//! [`KvClient`] performs no I/O: it returns requests as actions and receives replies as outcomes. The number
+//! of requests in flight is bounded by the rate limits, and each request ends with an outcome, which may be a
+//! time-out.
 
 mod cache_refresh;
 
@@ -16,37 +17,37 @@
 use crate::settings::KvLimits;
 use cache_refresh::RefreshState;
 
-/// How long a read or a leadership request may take, in milliseconds.
+/// Time-out of a read or a leadership request, in milliseconds.
 pub(super) const POLL_TIMEOUT_MS: u64 = 1200;
-/// How long a transaction may take, in milliseconds.
+/// Time-out of a transaction, in milliseconds.
 const TXN_TIMEOUT_MS: u64 = 1500;
-/// Failures that last shorter than this many milliseconds do not make the store unreachable.
+/// The store counts as unreachable once requests have failed for this many milliseconds.
 const UNREACHABLE_AFTER_MS: u64 = 500;
-/// Share of the rate limits that a controller without others uses.
+/// Share of the rate limits that a single controller uses.
 const SINGLE_CONTROLLER_SHARE: f64 = 0.95;
 /// The leader's share of the rate limits.
 const LEADER_SHARE: f64 = 0.55;
-/// What all followers share of the rate limits.
+/// Share of the rate limits that all followers together use.
 const FOLLOWERS_SHARE: f64 = 0.4;
-/// Status of a request beyond the store's rate limit.
+/// HTTP status of a request that exceeds the store's rate limit.
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 
-/// What a request is for: who gets the reply.
+/// The purpose of a request, which determines the component that handles the reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Purpose {
-    /// A page of the first load.
+    /// A page of a load of all records.
     Page,
-    /// Changes since the last poll.
+    /// A poll for changes since the last read.
     Poll,
-    /// Jobs that users submit or cancel.
+    /// A transaction that accepts or cancels users' jobs.
     UserTxn,
-    /// Uploads and commits of DAG runs.
+    /// A transaction that changes a run of a graph: an upload, commit, cancellation or rerun.
     GraphTxn,
-    /// Configuration changes by operators.
+    /// A transaction that changes a configuration entry.
     ConfigTxn,
-    /// Records of the leader.
+    /// A transaction that writes the leader's records.
     LeaderTxn,
-    /// The leader key and its lease.
+    /// An election request, which concerns the leader key and its lease.
     Leadership,
 }
 
@@ -69,38 +70,39 @@
 /// A reply with the request that it answers.
 #[derive(Debug)]
 pub struct CompletedRequest {
-    /// Who gets the reply.
+    /// The purpose of the request, which determines the component that handles the reply.
     pub purpose: Purpose,
-    /// As it was sent.
+    /// The request as it was sent.
     pub request: KvRequest,
-    /// What the store answered, or that it did not.
+    /// The store's reply, or `KvReply::Unknown` if there was none.
     pub reply: KvReply,
     /// When the request was sent.
     pub sent_at: Millis,
 }
 
-/// The store as this controller uses it.
+/// This controller's client of the key-value store.
 #[derive(Debug)]
 pub struct KvClient {
     next_outbound: u64,
     pending: HashMap<OutboundId, PendingRequest>,
-    /// Limits all requests.
+    /// Limits the rate of all requests.
     request_bucket: TokenBucket,
-    /// Limits mutations, on top of the requests that carry them.
+    /// Limits the rate of mutations, in addition to the requests that carry them.
     pub(super) write_bucket: TokenBucket,
     limits: KvLimits,
     controller_count: usize,
-    /// The cache holds all records; until then pages are read.
+    /// Whether the cache contains all records; until then pages are loaded.
     pub(super) loaded: bool,
-    /// When the last poll that was answered was sent: the cache shows all changes before.
+    /// When the last answered poll was sent: the cache contains all changes that were committed before.
     pub(super) fresh_as_of: Option<Millis>,
-    /// Since when the store has refused requests or not answered, if it has not served one since.
+    /// When the first request failed since the store last served one. Refusals because of the rate limit do
+    /// not count.
     pub(super) failing_since: Option<Millis>,
     refresh: RefreshState,
 }
 
 impl KvClient {
-    /// A follower's client, with nothing loaded.
+    /// Creates the client of a follower that has loaded no records yet.
     pub(super) fn new(limits: KvLimits, controller_count: usize, now: Millis) -> KvClient {
         let mut kv = KvClient {
             next_outbound: 0,
@@ -118,7 +120,8 @@
         kv
     }
 
-    /// The leader gets the largest share of the rate limits, the others divide the rest.
+    /// Sets this controller's share of the rate limits: the leader gets the largest share, and the followers
+    /// divide the rest.
     pub(super) fn set_is_leader(&mut self, is_leader: bool) {
         let followers = self.controller_count.saturating_sub(1).max(1) as f64;
         let share = match (self.controller_count, is_leader) {
@@ -146,7 +149,8 @@
         outbound
     }
 
-    /// Sends an election request. It never waits for the rate limit: a lease that is not renewed in time is lost.
+    /// Sends an election request. It never waits for the rate limit, because a lease that is not renewed in
+    /// time is lost.
     pub(super) fn send_leadership_request(
         &mut self,
         clock: Clock,
@@ -174,7 +178,7 @@
         Some(self.send(clock, purpose, KvRequest::Transaction { preconditions, mutations }, out))
     }
 
-    /// Pairs an outcome with its request; `None` for one that is not in flight.
+    /// Matches an outcome with its request; returns `None` if no such request is in flight.
     pub(super) fn complete_request(
         &mut self,
         clock: Clock,
@@ -206,8 +210,8 @@
         }
     }
 
-    /// Whether the store answers this controller. While it does not, user requests are rejected at once; a single
-    /// refusal or lost reply does not count.
+    /// Returns whether the store answers this controller. While it does not, clients' requests are rejected
+    /// at once. A failure that is followed by a success within `UNREACHABLE_AFTER_MS` does not count.
     pub(super) fn is_reachable(&self, now: Millis) -> bool {
         self.failing_since.is_none_or(|since| now.saturating_since(since) < UNREACHABLE_AFTER_MS)
     }
--- a/src/coordination/kv_client/tests/kv_client.rs
+++ b/src/coordination/kv_client/tests/kv_client.rs
@@ -36,7 +36,8 @@
     KvEntry { key: key.into(), value: None, revision: Revision(1) }
 }
 
-/// The leader gets more than half of the limits, the followers share the rest, and one controller alone gets nearly all.
+/// The leader gets more than half of the limits, the followers share the rest, and a single controller gets
+/// nearly all.
 #[test]
 fn the_rate_limits_are_shared() {
     let mut kv = client();
@@ -47,7 +48,7 @@
     assert_eq!(rates(&KvClient::new(LIMITS, 1, START)), (19.0, 9.5));
 }
 
-/// Pages are read one after the other up to the last; then changes are polled from the first page's revision on.
+/// Pages are read one at a time up to the last; then changes are polled from the first page's revision on.
 #[test]
 fn the_cache_is_loaded_page_by_page() {
     let mut kv = client();
@@ -69,15 +70,16 @@
     assert_eq!((kv.loaded, cache.revision), (true, Revision(5)));
     let sent = refresh(&mut kv, START, true, 0);
     assert!(matches!(&sent[..], [(_, KvRequest::PollChanges { .. })]), "{sent:?}");
-    assert_eq!(kv.fresh_as_of, None, "not before a poll is answered");
+    assert_eq!(kv.fresh_as_of, None, "the cache is not fresh before a poll is answered");
     let changes = KvReply::ChangedEntries { entries: Vec::new(), revision: Revision(9) };
     assert!(kv.apply_poll(START, changes, &mut cache).is_some());
     assert_eq!((kv.fresh_as_of, cache.revision), (Some(START), Revision(9)));
     assert!(kv.apply_poll(START, KvReply::Compacted, &mut cache).is_none());
-    assert_eq!((kv.loaded, kv.fresh_as_of), (false, None), "loaded again");
+    assert_eq!((kv.loaded, kv.fresh_as_of), (false, None), "all records have to be loaded again");
 }
 
-/// A poll that nobody waits for has its interval, unless one is wanted now; reserved requests are left for writes.
+/// A poll without waiters is sent at the idle interval, unless `poll_now` was called. Polls leave reserved
+/// requests for writes.
 #[test]
 fn polls_are_spaced_and_leave_reserved_requests() {
     let mut kv = client();
@@ -102,7 +104,8 @@
     assert!(poll(&mut kv, START.saturating_add(1_042), true, 9));
 }
 
-/// A short failure is not shown, a long one is, and one served request ends it. A request beyond the rate limit is none.
+/// Only a failure that lasts makes the store unreachable, and one served request makes it reachable again. A
+/// refusal because of the rate limit is not a failure.
 #[test]
 fn a_store_that_does_not_answer_is_unreachable() {
     let mut kv = client();
@@ -123,9 +126,9 @@
     assert!(kv.is_reachable(START.saturating_add(60_000)));
 }
 
-/// A reply is paired with its request once.
+/// An outcome is matched with its request only once.
 #[test]
-fn an_unknown_outcome_is_dropped() {
+fn an_outcome_without_a_request_in_flight_is_dropped() {
     let mut kv = client();
     let mut out = Vec::new();
     let outbound = kv.send_leadership_request(clock(START), KvRequest::GrantLease { ttl_ms: 1 }, &mut out);
--- a/src/coordination/kv_mutations.rs
+++ b/src/coordination/kv_mutations.rs
@@ -5,21 +5,22 @@
 use crate::ids::Revision;
 use crate::protocol::kv::{KvEntry, KvMutation, KvRequest, Precondition};
 
-/// Status of the store's refusal of a request over its rate limit, which it has certainly not carried out.
+/// HTTP status of a request that the store refused because of its rate limit. Such a request is guaranteed
+/// not to have been carried out.
 pub(super) const RATE_LIMITED: u16 = 429;
 
-/// The key must not exist.
+/// Returns the precondition that the key does not exist.
 pub(super) fn absent(key: &RecordKey) -> Precondition {
     Precondition { key: key.encode(), revision: Revision(0) }
 }
 
-/// The key must not have changed since the cache last read it.
+/// Returns the precondition that the key has not changed since the cache last read it.
 pub(super) fn unchanged(cache: &StoreCache, key: &RecordKey) -> Precondition {
     let key = key.encode();
     Precondition { revision: cache.key_revision(&key), key }
 }
 
-/// Writes a record that outlives this controller: it is bound to no lease.
+/// Returns the write of a record that outlives this controller, as it is attached to no lease.
 pub(super) fn put_record(key: &RecordKey, record: &impl serde::Serialize) -> KvMutation {
     KvMutation::Put {
         key: key.encode(),
@@ -28,7 +29,7 @@
     }
 }
 
-/// Applies the mutations of a committed transaction to the cache, ahead of the poll that will show them.
+/// Applies the mutations of a committed transaction to the cache before a poll returns them.
 pub fn apply_own_mutations(request: &KvRequest, revision: Revision, cache: &mut StoreCache) {
     let KvRequest::Transaction { mutations, .. } = request else {
         return;
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -1,9 +1,10 @@
-//! Leader election: a controller leads while it holds the leader key, which hangs on a lease of the key-value store. The
-//! revision that created the key is the fencing token.
+//! Leader election: a controller leads while it holds the leader key, which is attached to a lease of the
+//! key-value store. The revision that created the key is the fencing token.
 //!
-//! [`Leadership`] owns this controller's part in the election: whether it follows, campaigns or leads, and until when its
-//! lease is certainly valid. From that it decides until when workers may be served. It must stay on the safe side of clock
-//! drift: whatever others rely on ends here earlier than there. It does no I/O and reads no clock.
+//! [`Leadership`] owns this controller's part in the election: whether it follows, campaigns or leads, and
+//! until when its lease is guaranteed to be valid. From that it derives until when workers may be served. To
+//! tolerate clock drift, every period that other processes rely on ends earlier here than there. It performs
+//! no I/O and reads no clock.
 
 use super::kv_client::{CompletedRequest, KvClient};
 use super::{Action, Clock};
@@ -14,26 +15,29 @@
 use crate::settings::WorkerTimings;
 use crate::tunables::MIN_LEADER_LEASE_S;
 
-/// Taken off every period that others rely on, in milliseconds: clocks drift and timers fire late.
+/// Safety margin for periods that other processes rely on, in milliseconds: clocks drift and timers fire
+/// late.
 pub const SAFETY_MARGIN_MS: u64 = 250;
-/// Two steady clocks, each off by up to 0.05%.
+/// Maximum relative drift between two monotonic clocks, each of which is off by up to 0.05%.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// A leader whose cache is older than this many milliseconds starts no tasks.
 pub const MAX_CACHE_AGE_MS: u64 = 2_500;
-/// No controller's settings allow a shorter leader lease.
+/// The shortest leader lease that any controller's settings allow.
 const MIN_LEADER_LEASE_MS: u64 = (MIN_LEADER_LEASE_S * 1000.0) as u64;
-/// The lease is renewed whenever this part of its duration has passed.
+/// The lease is renewed this many times within its duration.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// How long others leave the campaign to the controller that the last leader preferred.
+/// How long a controller waits before it campaigns, so that one that the last leader preferred can campaign
+/// first.
 const PREFERRED_HEAD_START_MS: u64 = 200;
-/// How long a restarted process leaves the campaign to others: what ended it may end it again.
+/// How long a restarted process waits before it campaigns, so that others can campaign first: whatever ended
+/// the previous process may end this one too.
 const RESTART_COOLDOWN_MS: u64 = 1_000;
-/// How long a controller that stepped down leaves the campaign to others.
+/// How long a controller that stepped down waits before it campaigns, so that others can campaign first.
 const STEP_DOWN_COOLDOWN_MS: u64 = 5_000;
-/// Between two attempts to become leader.
+/// Minimum interval between two election requests of a follower.
 const CAMPAIGN_INTERVAL_MS: u64 = 300;
 
-/// What has to be added to a period that another clock measures, in milliseconds.
+/// Returns the margin to add to a period that another clock measures, in milliseconds.
 pub fn clock_slack_ms(period_ms: u64) -> u64 {
     (period_ms as f64 * MAX_CLOCK_DRIFT) as u64 + 4 * SAFETY_MARGIN_MS
 }
@@ -58,14 +62,14 @@
 pub struct Leadership {
     controller: String,
     leader_lease_ms: u64,
-    /// The format of configuration entries that this controller applies, if it does.
+    /// The format of configuration entries that this controller applies; `None` if it applies none.
     config_format: Option<u32>,
     phase: Phase,
-    /// When the grant, or the last renewal that succeeded, was sent.
+    /// When the request that granted the lease, or its last successful renewal, was sent.
     renewal_sent_at: Millis,
     request_in_flight: bool,
     last_request_at: Millis,
-    /// Until then others are given the chance to lead.
+    /// Until then this controller delays its campaign so that others can lead.
     cooldown_until: Millis,
     /// Since when the cache has shown no leader.
     leaderless_since: Option<Millis>,
@@ -73,19 +77,19 @@
     former_lease_revoked_at: Option<Millis>,
 }
 
-/// What a reply changed.
+/// How a reply to an election request changed this controller's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// This controller leads or follows as before.
+    /// Whether this controller leads has not changed.
     Unchanged,
     /// This controller leads now, with this fencing token.
     Acquired(FencingToken),
-    /// The lease has expired or was revoked: this controller does not lead any more.
+    /// The lease has expired or was revoked: this controller no longer leads.
     Lost,
 }
 
 impl Leadership {
-    /// A follower. `leader_lease_ms`: duration of the lease that the leader key hangs on.
+    /// Creates a follower. `leader_lease_ms` is the duration of the lease that the leader key is attached to.
     pub fn new(controller: &str, leader_lease_ms: u64) -> Leadership {
         Leadership {
             controller: controller.into(),
@@ -101,13 +105,14 @@
         }
     }
 
-    /// The format of configuration entries that this controller applies as leader; its leader record shows it.
+    /// Sets the format of configuration entries that this controller applies as leader. Its leader record
+    /// contains it.
     pub(super) fn with_config_format(mut self, config_format: Option<u32>) -> Leadership {
         self.config_format = config_format;
         self
     }
 
-    /// The fencing token, while this controller leads.
+    /// Returns the fencing token while this controller leads.
     pub fn token(&self) -> Option<FencingToken> {
         match self.phase {
             Phase::Leading { token, .. } => Some(token),
@@ -115,56 +120,60 @@
         }
     }
 
-    /// Until then no other controller can have become leader.
+    /// Returns the time until which no other controller can have become leader.
     pub fn lease_valid_until(&self) -> Millis {
         let safe_ms = (self.leader_lease_ms as f64 * (1.0 - MAX_CLOCK_DRIFT)) as u64;
         self.renewal_sent_at.saturating_add(safe_ms.saturating_sub(SAFETY_MARGIN_MS))
     }
 
-    /// Whether this controller certainly leads.
+    /// Returns whether this controller is guaranteed to be the leader.
     pub fn has_valid_lease(&self, now: Millis) -> bool {
         self.token().is_some() && now < self.lease_valid_until()
     }
 
-    /// How long a leader may answer workers without having seen what became of the records: a task that was cancelled
-    /// meanwhile must have stopped within the cancel deadline, and a worker that is answered keeps its tasks for a worker
-    /// lease more.
-    fn max_unseen_ms(workers: &WorkerTimings) -> u64 {
+    /// Returns how long a leader may answer workers without reading newer records. A task that was cancelled
+    /// in the meantime must stop within the cancel deadline, and a worker that gets an answer keeps its tasks
+    /// running for another worker lease.
+    fn max_staleness_ms(workers: &WorkerTimings) -> u64 {
         let slack_ms = clock_slack_ms(workers.cancel_deadline_ms);
         workers.cancel_deadline_ms.saturating_sub(workers.lease_duration_ms + slack_ms)
     }
 
-    /// The part of [`max_unseen_ms`](Self::max_unseen_ms) after the end of a leader lease of this duration.
+    /// Returns the part of [`max_staleness_ms`](Self::max_staleness_ms) that remains after a leader lease of this
+    /// duration has expired.
     fn serving_after_lease_ms(workers: &WorkerTimings, leader_lease_ms: u64) -> u64 {
-        Self::max_unseen_ms(workers).saturating_sub(leader_lease_ms)
+        Self::max_staleness_ms(workers).saturating_sub(leader_lease_ms)
     }
 
-    /// How long after the end of its lease a former leader may have answered workers, whatever duration its settings gave
-    /// the lease.
+    /// Returns how long after the expiry of its lease a former leader may have answered workers, whatever
+    /// lease duration its settings specified.
     pub fn max_serving_after_lease_ms(workers: &WorkerTimings) -> u64 {
         Self::serving_after_lease_ms(workers, MIN_LEADER_LEASE_MS)
     }
 
-    /// From then on workers get no answer. `last_poll_sent_at`: of the last poll that was answered.
+    /// Returns the time from which workers get no answer. `last_poll_sent_at` is when the last answered poll
+    /// was sent.
     ///
-    /// What was cancelled before that poll is known here. A task that was cancelled later is stopped later, kept alive by the
-    /// last answer for a worker lease more, and still in time. A renewal shows nothing of cancellations: it only bounds how
-    /// long no other controller leads, which the next leader's wait for silent machines relies on. Where the settings leave
-    /// no room, a cache as fresh as starts need has to do.
+    /// This controller knows every cancellation that preceded that poll. A task that was cancelled later
+    /// keeps running for at most one worker lease after the last answer, and so still stops within the cancel
+    /// deadline. A lease renewal says nothing about cancellations. It only bounds how long no other
+    /// controller leads, which the next leader relies on when it waits for silent machines. Where the
+    /// settings leave less than [`MAX_CACHE_AGE_MS`], a cache that is fresh enough to start tasks suffices.
     pub fn serves_workers_until(&self, workers: &WorkerTimings, last_poll_sent_at: Option<Millis>) -> Millis {
-        let max_unseen_ms = Self::max_unseen_ms(workers).max(MAX_CACHE_AGE_MS);
-        let unseen_until =
-            last_poll_sent_at.map_or(Millis::default(), |sent_at| sent_at.saturating_add(max_unseen_ms));
+        let max_staleness_ms = Self::max_staleness_ms(workers).max(MAX_CACHE_AGE_MS);
+        let fresh_until =
+            last_poll_sent_at.map_or(Millis::default(), |sent_at| sent_at.saturating_add(max_staleness_ms));
         let after_lease_ms = Self::serving_after_lease_ms(workers, self.leader_lease_ms);
-        unseen_until.min(self.lease_valid_until().saturating_add(after_lease_ms))
+        fresh_until.min(self.lease_valid_until().saturating_add(after_lease_ms))
     }
 
-    /// Another controller leads, or this one cannot: the lease is left to expire.
+    /// Stops leading because another controller leads or this one cannot. The lease is left to expire.
     pub(super) fn become_follower(&mut self) {
         self.phase = Phase::Follower;
     }
 
-    /// Revokes the own lease, so that another controller can lead at once, and lets others campaign first.
+    /// Revokes this controller's lease so that another controller can lead at once, and lets others campaign
+    /// first.
     pub(super) fn step_down(&mut self, clock: Clock, kv: &mut KvClient, out: &mut Vec<Action>) {
         if let Phase::Leading { lease, .. } = self.phase {
             kv.send_leadership_request(clock, KvRequest::RevokeLease { lease }, out);
@@ -173,7 +182,8 @@
         self.cooldown_until = clock.now.saturating_add(STEP_DOWN_COOLDOWN_MS);
     }
 
-    /// Campaigns or renews the lease when that is due. `preferred`: the last leader asked this controller to take over.
+    /// Campaigns or renews the lease if that is due. `preferred` is set if the last leader has recently asked
+    /// this controller to take over.
     pub(super) fn tick(
         &mut self,
         clock: Clock,
@@ -205,7 +215,7 @@
         }
     }
 
-    /// Requests a lease if nobody leads and it is this controller's turn.
+    /// Requests a lease if there has been no leader for as long as this controller has to wait.
     fn campaign(&mut self, clock: Clock, preferred: bool, kv: &mut KvClient, out: &mut Vec<Action>) {
         let leaderless_ms = self.leaderless_since.map_or(0, |since| clock.now.saturating_since(since) + 1);
         if leaderless_ms > self.campaign_delay_ms(clock.now, preferred)
@@ -218,7 +228,7 @@
         }
     }
 
-    /// How long nobody must have led before this controller campaigns.
+    /// Returns how long there must have been no leader before this controller campaigns.
     fn campaign_delay_ms(&self, now: Millis, preferred: bool) -> u64 {
         let restarted_recently = self
             .former_lease_revoked_at
@@ -234,19 +244,20 @@
         }
     }
 
-    /// Whether enough time has passed since the last request, and a poll has shown its outcome. Who lost a campaign has to
-    /// see the winner first: with many controllers under a low rate limit, repeating the campaign at once left no requests
-    /// for polls (on four of five controllers, permanently).
+    /// Returns whether enough time has passed since the last request and a poll has shown its outcome. A
+    /// controller that lost a campaign has to see the winner first: with many controllers under a low rate
+    /// limit, campaigning again at once left no requests for polls (permanently so on four of five
+    /// controllers).
     fn may_request(&self, now: Millis, kv: &KvClient) -> bool {
         let polled_since_request = kv.fresh_as_of.is_some_and(|fresh| fresh > self.last_request_at);
         polled_since_request && now.saturating_since(self.last_request_at) >= CAMPAIGN_INTERVAL_MS
     }
 
-    /// The lease of a leader record that names this controller although this process does not lead: it belongs to an
-    /// earlier process, or to a request whose reply was lost. Nobody acts on it any more, and without a revocation nobody
-    /// could lead until it expires.
+    /// Returns the lease of a leader record that names this controller although this process does not lead.
+    /// It belongs to an earlier process, or to a request whose response was lost. No process acts on it, and
+    /// unless it is revoked, no controller can lead until it expires.
     fn former_lease(&self, clock: Clock, cache: &StoreCache) -> Option<LeaseId> {
-        // A lease that this process has revoked itself may still be in the cache.
+        // The cache may still show a lease that this process itself has revoked.
         if clock.now < self.cooldown_until {
             return None;
         }
@@ -273,7 +284,7 @@
         kv.send_leadership_request(clock, request, out);
     }
 
-    /// Takes in the reply to an election request.
+    /// Handles the reply to an election request.
     pub(super) fn handle_reply(
         &mut self,
         clock: Clock,
@@ -294,7 +305,8 @@
                 return LeadershipChange::Acquired(token);
             }
             (Phase::Acquiring { lease }, KvRequest::Transaction { .. }, _) => {
-                // Lost, or not certain: without its lease a key that was created after all disappears.
+                // Another candidate won, or the outcome is unknown: if the key was created after all, it
+                // disappears with its lease.
                 self.phase = Phase::Follower;
                 kv.send_leadership_request(clock, KvRequest::RevokeLease { lease }, out);
                 self.request_in_flight = true;
@@ -311,7 +323,8 @@
         LeadershipChange::Unchanged
     }
 
-    /// Creates the leader key on the lease, if there is none: of several candidates one succeeds.
+    /// Returns the transaction that creates the leader key, attached to the lease, if the key does not exist.
+    /// Only one of several candidates succeeds.
     fn acquire_request(&self, lease: LeaseId) -> KvRequest {
         let record = LeaderRecord {
             controller: self.controller.clone(),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,12 +1,13 @@
-//! Decisions: events and the time go in, actions come out. Nothing here performs I/O, reads a clock or draws random
-//! numbers from anything but a seed, so that a run in virtual time repeats exactly.
+//! The controllers' decision logic: it receives events together with the current time and returns actions.
+//! Nothing here performs I/O or reads a clock, and random numbers come only from a seed, so a run in virtual
+//! time is reproducible.
 //!
-//! - [`controller`]: one controller, which dispatches events to the parts below;
+//! - [`controller`]: one controller, which dispatches events to the modules below;
 //! - [`user_requests`], `graph_requests`, `config_requests`, `operator_queries`: clients' requests that wait for
 //!   a read or a write of the store;
-//! - [`kv_client`], [`read_watermarks`]: requests to the store, and how far each controller has read it;
-//! - [`leadership`], [`peers`]: who leads;
-//! - [`leader`]: what only the leader does: placing tasks, commanding workers, scaling the fleet.
+//! - [`kv_client`], [`read_watermarks`]: requests to the store, and the revision up to which each controller has read;
+//! - [`leadership`], [`peers`]: leader election, and health beacons between controllers;
+//! - [`leader`]: the duties of the leader alone: placing tasks, commanding workers, scaling the fleet.
 
 mod config_requests;
 pub mod controller;
@@ -35,10 +36,10 @@
 use crate::protocol::workers::Heartbeat;
 use crate::protocol::{HttpOutcome, HttpRequest, HttpResponse};
 
-/// The two clocks at one moment.
+/// The readings of both clocks at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clock {
-    /// Monotonic time.
+    /// Monotonic time, in milliseconds.
     pub now: Millis,
     /// Time of day, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
@@ -48,14 +49,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InboundId(pub u64);
 
-/// Identifies an HTTP request of this controller whose outcome is not known yet.
+/// Identifies an HTTP request that this controller has sent and whose outcome is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OutboundId(pub u64);
 
 /// Something that happened and that a controller reacts to.
 #[derive(Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick,
     /// A user's request: submit, poll or cancel a job.
     User { inbound: InboundId, request: UserRequest },
@@ -71,14 +72,14 @@
     Peer { controller: String, message: PeerMessage },
     /// An operator's query.
     Operator { inbound: InboundId, request: OperatorRequest },
-    /// A change of a graph's run.
+    /// A request to change a run of a graph.
     Graph { inbound: InboundId, request: DagRequest },
-    /// A request about the configuration.
+    /// A request to read or change the configuration.
     Config { inbound: InboundId, request: ConfigRequest },
 }
 
 impl Event {
-    /// The label of this kind of event in metrics.
+    /// Returns the label of this kind of event in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Event::Tick => "tick",
--- a/src/coordination/operator_queries.rs
+++ b/src/coordination/operator_queries.rs
@@ -1,5 +1,5 @@
-//! Operators' queries that wait: for a read barrier here, or for the leader's response. Bounded in number, in time and in
-//! how many are answered a second. Performs no I/O and reads no clock.
+//! Operators' queries that wait for a read barrier here or for the leader's response. Their number, their
+//! waiting time and the responses per second are bounded. Performs no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -12,23 +12,26 @@
 use crate::protocol::peer::PeerMessage;
 use crate::tunables::OperatorTunables;
 
-/// Clients wait longer: the response has to be under way before.
+/// How long a query may wait for a read barrier. Clients' own time-outs are longer, so the response still
+/// reaches them.
 const BARRIER_TIMEOUT_MS: u64 = 2_500;
-/// After that a follower answers by the records alone, or reports that the leader does not answer.
+/// How long a follower waits for the leader's response before it answers from the records alone or reports
+/// that the leader does not answer.
 const FORWARD_TIMEOUT_MS: u64 = 1_500;
-/// Queries that may wait here at the same time, and as many at the leader.
+/// Maximum number of queries that wait for a read barrier, and likewise of those that wait for the leader's
+/// response.
 const MAX_PENDING: usize = 200;
 
-/// Who gets the response.
+/// The client or controller that gets the response to a query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Requester {
     /// A client of this controller.
     Client(InboundId),
     /// Another controller, which forwarded its client's query.
     Controller {
-        /// Its name.
+        /// The name of that controller.
         controller: String,
-        /// Its number of the query.
+        /// The number that it gave the query; the response carries it.
         query_id: u64,
     },
 }
@@ -48,12 +51,12 @@
     deadline: Millis,
 }
 
-/// Requesters of the same query, which get the same response.
+/// Identical queries, whose requesters get the same response.
 #[derive(Debug)]
 pub struct QueryGroup {
-    /// The query.
+    /// The query that all of them sent.
     pub request: OperatorRequest,
-    /// In the order in which their queries were received.
+    /// The requesters, in the order in which their queries were received.
     pub requesters: Vec<Requester>,
 }
 
@@ -62,7 +65,7 @@
 pub struct ExpiredQueries {
     /// Queries of this controller's clients that the leader did not answer.
     pub forwarded: Vec<(InboundId, OperatorRequest)>,
-    /// Requesters whose query no read of the store has covered.
+    /// Requesters whose query was not covered by a read of the store in time.
     pub awaiting_barrier: Vec<Requester>,
 }
 
@@ -74,13 +77,14 @@
     awaiting_barrier: Vec<PendingQuery>,
     forwarded: BTreeMap<u64, ForwardedQuery>,
     last_query_id: u64,
-    /// Limits the responses a second: each may scan all machines or jobs.
+    /// Limits the responses per second, since each may scan all machines or jobs.
     budget: TokenBucket,
 }
 
 impl OperatorQueryHandler {
-    /// Queries are numbered from `first_query_id` on, which differs from process to process: the response to a query that
-    /// a former process of this controller sent must not be taken for that of a new one.
+    /// Creates a handler that numbers forwarded queries from `first_query_id` on. That number differs from
+    /// process to process, so that the response to a query of an earlier process of this controller is not
+    /// mistaken for the response to a new query.
     pub fn new(tunables: &OperatorTunables, first_query_id: u64, now: Millis) -> OperatorQueryHandler {
         OperatorQueryHandler {
             enabled: tunables.enabled,
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Whether a query waits for a newer read of the store.
+    /// Returns whether a query waits for a newer read of the store.
     pub fn needs_read_barrier(&self) -> bool {
         !self.awaiting_barrier.is_empty()
     }
@@ -99,7 +103,7 @@
     /// Makes a query wait for a read barrier.
     ///
     /// # Errors
-    /// If too many queries wait.
+    /// Returns an error if too many queries wait.
     pub fn enqueue(
         &mut self,
         now: Millis,
@@ -117,7 +121,8 @@
     /// Forwards a query to the leader.
     ///
     /// # Errors
-    /// If too many queries wait for the leader, or if it is not one that is forwarded.
+    /// Returns an error if too many queries wait for the leader, or if queries of this kind are not
+    /// forwarded.
     pub fn forward_to_leader(
         &mut self,
         now: Millis,
@@ -137,12 +142,13 @@
         Ok(())
     }
 
-    /// Takes the query that a response of the leader belongs to.
+    /// Removes and returns the query that a response of the leader belongs to.
     pub fn take_forwarded(&mut self, query_id: u64) -> Option<(InboundId, OperatorRequest)> {
         self.forwarded.remove(&query_id).map(|query| (query.inbound, query.request))
     }
 
-    /// Takes the queries that a read sent at `read_sent_at` covers, equal ones together.
+    /// Removes and returns the queries that a read sent at `read_sent_at` covers, with identical ones
+    /// grouped.
     pub fn take_ready(&mut self, read_sent_at: Millis) -> Vec<QueryGroup> {
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.awaiting_barrier)
             .into_iter()
@@ -158,12 +164,12 @@
         groups
     }
 
-    /// Takes one response from the budget of this second; false if it is used up.
+    /// Takes one response from the rate limit's budget; returns false if the budget is used up.
     pub fn try_take_budget(&mut self, now: Millis) -> bool {
         self.budget.try_take(now, 1)
     }
 
-    /// Takes the queries past their deadline.
+    /// Removes and returns the queries past their deadline.
     pub fn take_expired(&mut self, clock: Clock) -> ExpiredQueries {
         let expired_ids: Vec<u64> = self
             .forwarded
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,8 +1,9 @@
-//! Health beacons between the controllers: whether a controller is alone in its trouble, and which one is better placed to
-//! lead.
+//! Health beacons between controllers. They show whether the store is unreachable for this controller alone,
+//! and which controller should lead instead because the workers that the leader lost report to it.
 //!
-//! [`Peers`] owns the last beacon of each other controller and the workers that reported here although another controller
-//! leads. It does no I/O and reads no clock; memory is bounded by the controllers and by `MAX_MISDIRECTED`.
+//! [`Peers`] owns the last beacon of each other controller and the workers that reported here although
+//! another controller leads. It performs no I/O and reads no clock; its memory is bounded by the number of
+//! controllers and by `MAX_MISDIRECTED`.
 
 use std::collections::HashMap;
 
@@ -10,13 +11,13 @@
 use crate::ids::Millis;
 use crate::protocol::peer::PeerMessage;
 
-/// Between two beacons, in milliseconds.
+/// Interval between two beacons, in milliseconds.
 const BEACON_INTERVAL_MS: u64 = 1000;
 /// A controller whose last beacon is this many milliseconds old does not count as live.
 const PEER_TIMEOUT_MS: u64 = 2_600;
-/// Workers that reported here within this many milliseconds count as misdirected.
+/// A worker counts as misdirected for this many milliseconds after it reported here.
 const MISDIRECTED_WINDOW_MS: u64 = 7_000;
-/// How many misdirected workers are counted at most.
+/// Maximum number of misdirected workers that are remembered.
 const MAX_MISDIRECTED: usize = 4096;
 
 /// The last beacon of another controller.
@@ -24,9 +25,10 @@
 struct Peer {
     last_beacon_at: Millis,
     store_reachable: bool,
-    /// Workers that reported to it although another controller leads.
+    /// Number of workers that reported to it although another controller leads.
     misdirected: u32,
-    /// The same of controllers that it receives beacons from; this controller may not.
+    /// Sum of the same numbers from the controllers whose beacons it receives; this controller may not
+    /// receive them.
     misdirected_elsewhere: u32,
 }
 
@@ -42,7 +44,7 @@
     peers: HashMap<String, Peer>,
     misdirected_workers: HashMap<String, Millis>,
     next_beacon_at: Millis,
-    /// Until then this controller campaigns first: the leader asked it to take over.
+    /// Until then this controller campaigns ahead of the others, because the leader asked it to take over.
     pub(super) preferred_until: Millis,
 }
 
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Replaces the controller's last beacon.
+    /// Stores a controller's beacon in place of its previous one.
     pub(super) fn receive_beacon(
         &mut self,
         now: Millis,
@@ -89,7 +91,7 @@
         );
     }
 
-    /// A worker that should report to the leader reported here.
+    /// Records that a worker reported here although it should report to the leader.
     pub(super) fn record_misdirected(&mut self, now: Millis, machine: &str) {
         if self.misdirected_workers.len() < MAX_MISDIRECTED || self.misdirected_workers.contains_key(machine)
         {
@@ -97,7 +99,8 @@
         }
     }
 
-    /// This controller leads now: workers that report here are not misdirected.
+    /// Forgets the misdirected workers, because this controller now leads and workers are right to report
+    /// here.
     pub(super) fn clear_misdirected(&mut self) {
         self.misdirected_workers.clear();
     }
@@ -106,23 +109,23 @@
         self.peers.iter().filter(move |(_, peer)| now.saturating_since(peer.last_beacon_at) < PEER_TIMEOUT_MS)
     }
 
-    /// Whether a recent beacon of the controller has come.
+    /// Returns whether the controller's last beacon is recent.
     pub(super) fn is_peer_live(&self, now: Millis, controller: &str) -> bool {
         self.live_peers(now).any(|(name, _)| name == controller)
     }
 
-    /// Whether a recent beacon of any controller has come.
+    /// Returns whether any other controller's last beacon is recent.
     pub(super) fn has_live_peer(&self, now: Millis) -> bool {
         self.live_peers(now).next().is_some()
     }
 
-    /// Whether another live controller reaches the key-value store.
+    /// Returns whether another live controller reaches the key-value store.
     pub(super) fn any_peer_reaches_store(&self, now: Millis) -> bool {
         self.live_peers(now).any(|(_, peer)| peer.store_reachable)
     }
 
-    /// The live controller that knows of most misdirected workers, and of how many. Between two zones that cannot reach each
-    /// other that is the controller that reaches both.
+    /// Returns the live controller that reaches the store and counts the most misdirected workers, together
+    /// with their number. If two zones cannot reach each other, this is the controller that reaches both.
     pub(super) fn best_candidate(&self, now: Millis) -> Option<(String, u32)> {
         let candidates = self.live_peers(now).filter(|(_, peer)| peer.store_reachable);
         let best = candidates
--- a/src/coordination/pending_request.rs
+++ b/src/coordination/pending_request.rs
@@ -1,5 +1,5 @@
-//! A client's request that waits: for a read of the store sent after it arrived, for a write, or for a terminal state
-//! to become stable.
+//! A client's request that waits for a read of the store that is sent after the request arrived, for a write,
+//! or for a terminal state to become stable.
 
 use super::unavailable::Unavailable;
 use super::{Action, InboundId};
@@ -10,18 +10,19 @@
 pub(super) struct PendingRequest<R> {
     pub inbound: InboundId,
     pub request: R,
-    /// Reads of the store sent before this do not decide the request.
+    /// Only a read of the store that is sent at or after this time can decide the request.
     pub received_at: Millis,
     pub deadline: Millis,
 }
 
 impl<R> PendingRequest<R> {
-    /// A request that arrived now and has to be answered within `timeout_ms`.
+    /// Creates a pending request that arrived at `now` and has to be answered within `timeout_ms`.
     pub fn new(inbound: InboundId, request: R, now: Millis, timeout_ms: u64) -> PendingRequest<R> {
         PendingRequest { inbound, request, received_at: now, deadline: now.saturating_add(timeout_ms) }
     }
 
-    /// Whether a read sent at that time holds everything that was written before the request arrived.
+    /// Returns whether a read sent at `read_sent_at` contains everything that was written before the request
+    /// arrived.
     pub fn is_covered_by_read(&self, read_sent_at: Millis) -> bool {
         self.received_at <= read_sent_at
     }
@@ -30,16 +31,17 @@
         self.deadline <= now
     }
 
-    /// The same request, to be decided by a read sent from now on. Its deadline stays.
+    /// Returns the same request with an unchanged deadline, to be decided by a read that is sent at `now` or
+    /// later.
     pub fn awaiting_new_read(self, now: Millis) -> PendingRequest<R> {
         PendingRequest { received_at: now, ..self }
     }
 
-    /// Answers the request with a retry if `is_over`; returns whether the request stays pending.
-    pub fn retain_unless(&self, is_over: bool, out: &mut Vec<Action>) -> bool {
-        if is_over {
+    /// Asks the client to retry later if `rejected` is set; returns whether the request stays pending.
+    pub fn retain_unless(&self, rejected: bool, out: &mut Vec<Action>) -> bool {
+        if rejected {
             out.push(Action::respond(self.inbound, Unavailable::CannotDecide));
         }
-        !is_over
+        !rejected
     }
 }
--- a/src/coordination/tests/leadership.rs
+++ b/src/coordination/tests/leadership.rs
@@ -9,7 +9,7 @@
 const START: Millis = Millis(10_000);
 const LEASE: LeaseId = LeaseId(9);
 
-/// One controller with its view of the store.
+/// A controller's leadership together with its cache and its client of the store.
 struct Candidate {
     leadership: Leadership,
     kv: KvClient,
@@ -18,7 +18,7 @@
 }
 
 impl Candidate {
-    /// At the start it has read all records, and nobody leads.
+    /// Creates a candidate that has read all records at a time when there is no leader.
     fn new() -> Candidate {
         let limits = KvLimits { rps: 100.0, write_rps: 100.0, max_value_kb: 16.0, max_txn_ops: 64 };
         let mut kv = KvClient::new(limits, 3, START);
@@ -33,7 +33,7 @@
         Clock { now: self.now, wall_ms: 0 }
     }
 
-    /// What it sends at this time after a poll.
+    /// Returns the requests that the candidate sends at this time, with a poll answered just before.
     fn tick_at(&mut self, now: Millis) -> Vec<KvRequest> {
         self.kv.fresh_as_of = Some(now);
         self.tick_without_poll(now, false)
@@ -58,14 +58,14 @@
         (change, requests(out))
     }
 
-    /// From the campaign to the reply of the transaction that creates the leader key.
+    /// Runs a campaign up to and including the given reply to the transaction that creates the leader key.
     fn campaign(&mut self, reply: KvReply) -> (LeadershipChange, Vec<KvRequest>) {
         let grant = self.tick_at(START.saturating_add(PREFERRED_HEAD_START_MS)).remove(0);
         let (_, sent) = self.reply(&grant, KvReply::LeaseGranted { lease: LEASE });
         self.reply(&sent[0], reply)
     }
 
-    /// It leads, and the cache shows it.
+    /// Creates a candidate that leads and whose cache shows its leader record.
     fn leading() -> Candidate {
         let mut candidate = Candidate::new();
         let committed = KvReply::Committed { revision: Revision(42) };
@@ -96,7 +96,8 @@
     KvRequest::GrantLease { ttl_ms: LEASE_MS }
 }
 
-/// The preferred controller has a head start; then a lease is granted, and the leader key is created only if there is none.
+/// After the preferred controller's head start, the candidate requests a lease and creates the leader key
+/// only if there is none.
 #[test]
 fn a_candidate_acquires_the_leader_key() {
     let mut candidate = Candidate::new();
@@ -113,7 +114,7 @@
     assert_eq!(candidate.leadership.token(), Some(FencingToken(42)));
 }
 
-/// Nobody campaigns while somebody leads, without a fresh cache, or while the store does not answer.
+/// A controller does not campaign while there is a leader or while the store does not answer.
 #[test]
 fn a_campaign_needs_a_vacant_leadership() {
     let mut candidate = Candidate::new();
@@ -129,7 +130,7 @@
     });
     assert_eq!(candidate.tick_at(due.saturating_add(600)), [], "n2 leads");
     candidate.cache.leader = None;
-    assert_eq!(candidate.tick_at(due.saturating_add(700)), [], "vacant since now");
+    assert_eq!(candidate.tick_at(due.saturating_add(700)), [], "there has been no leader only since now");
     assert_eq!(candidate.tick_at(due.saturating_add(700 + PREFERRED_HEAD_START_MS)), [grant()]);
 }
 
@@ -149,7 +150,8 @@
     assert_eq!(leader.leadership.lease_valid_until(), sent_at.saturating_add(safe_ms));
 }
 
-/// Without its lease a controller does not lead; a renewal without an answer alone does not end that.
+/// A controller stops leading once its lease no longer exists. A renewal without an answer alone does not end
+/// its leadership, but without a valid lease it may not act.
 #[test]
 fn a_lost_lease_ends_leadership() {
     let mut leader = Candidate::leading();
@@ -160,7 +162,8 @@
     assert_eq!(leader.leadership.token(), None);
 }
 
-/// Who is not certain to have won revokes its lease, and campaigns again only after a poll that shows the winner.
+/// A candidate that lost, or does not know whether it won, revokes its lease and campaigns again only after a
+/// poll that shows the winner.
 #[test]
 fn an_uncertain_campaign_is_revoked() {
     for reply in [KvReply::Unknown, KvReply::PreconditionFailed { failed_keys: vec![LEADER_KEY.into()] }] {
@@ -186,7 +189,7 @@
         leader.leadership.step_down(leader.clock(), &mut leader.kv, &mut out);
         assert_eq!(requests(out), [KvRequest::RevokeLease { lease: LEASE }]);
         let stepped_down_at = leader.now;
-        assert_eq!(leader.tick_at(stepped_down_at), [], "the cache still shows the own record");
+        assert_eq!(leader.tick_at(stepped_down_at), [], "the cache still shows this controller's record");
         leader.cache.leader = None;
         assert_eq!(leader.tick_at(stepped_down_at.saturating_add(1)), []);
         let early = stepped_down_at.saturating_add(STEP_DOWN_COOLDOWN_MS - 1);
@@ -199,7 +202,7 @@
     }
 }
 
-/// A restarted process revokes the lease of the process before it, once, and lets others campaign first.
+/// A restarted process revokes the lease of its previous process once, and lets others campaign first.
 #[test]
 fn the_lease_of_a_former_process_is_revoked() {
     let mut restarted = Candidate::new();
--- a/src/coordination/tests/operator_queries.rs
+++ b/src/coordination/tests/operator_queries.rs
@@ -1,4 +1,4 @@
-//! Tests of operators' queries that wait.
+//! Tests of the handler that holds operators' queries until they can be answered.
 
 use super::*;
 use crate::ids::JobId;
@@ -11,7 +11,8 @@
     Requester::Client(InboundId(id))
 }
 
-/// Equal queries get one response; nothing is held beyond its bound or its time.
+/// Identical queries get one response, and the handler exceeds neither its maximum number of queries nor
+/// their deadlines.
 #[test]
 fn queries_are_grouped_bounded_and_expired() {
     let tunables = OperatorTunables { enabled: true, ..OperatorTunables::default() };
--- a/src/coordination/tests/peers.rs
+++ b/src/coordination/tests/peers.rs
@@ -4,7 +4,8 @@
 
 const NOW: Millis = Millis(100_000);
 
-/// Beacons of controllers that all reach the store: name, misdirected workers here and elsewhere.
+/// Returns peers with one beacon each from controllers that all reach the store. A beacon is given as the
+/// controller's name and its numbers of misdirected workers at itself and elsewhere.
 fn peers_with(beacons: &[(&str, u32, u32)]) -> Peers {
     let mut peers = Peers::default();
     for (name, misdirected, elsewhere) in beacons {
@@ -13,17 +14,18 @@
     peers
 }
 
-/// The candidate is who knows of most misdirected workers, its own and those of the controllers it reaches.
+/// The best candidate has the largest sum of misdirected workers at itself and at the controllers that it
+/// reaches.
 #[test]
-fn the_best_candidate_knows_of_most_misdirected_workers() {
+fn the_best_candidate_counts_the_most_misdirected_workers() {
     let peers = peers_with(&[("a", 3, 0), ("b", 1, 4), ("c", 2, 2)]);
     assert_eq!(peers.best_candidate(NOW), Some(("b".into(), 5)));
     let equal = peers_with(&[("b", 2, 0), ("a", 0, 2), ("c", 1, 1)]);
-    assert_eq!(equal.best_candidate(NOW), Some(("a".into(), 2)), "the first name of equals");
+    assert_eq!(equal.best_candidate(NOW), Some(("a".into(), 2)), "equal counts: the first name wins");
     assert_eq!(Peers::default().best_candidate(NOW), None);
 }
 
-/// A controller without the store is no candidate, and a silent one is not live.
+/// A controller that does not reach the store is no candidate, and a silent one does not count as live.
 #[test]
 fn only_live_controllers_that_reach_the_store_are_candidates() {
     let mut peers = peers_with(&[("a", 1, 0)]);
@@ -36,7 +38,8 @@
     assert_eq!(peers.best_candidate(late), None);
 }
 
-/// A beacon counts the workers that reported here lately, and of other controllers those that the receiver may not see.
+/// A beacon counts the workers that recently reported here, and those of the other controllers except the
+/// receiver.
 #[test]
 fn beacons_count_misdirected_workers() {
     let mut peers = peers_with(&[("a", 3, 7), ("b", 5, 0)]);
@@ -61,7 +64,7 @@
     assert_eq!(sent(&mut peers, late), [("a".to_string(), 0, 0), ("b".to_string(), 0, 0)]);
 }
 
-/// However many workers report here, memory is bounded; those already known stay counted.
+/// The number of remembered workers is bounded, however many report here.
 #[test]
 fn misdirected_workers_are_bounded() {
     let mut peers = Peers::default();
--- a/src/coordination/tests/token_bucket.rs
+++ b/src/coordination/tests/token_bucket.rs
@@ -4,7 +4,7 @@
 
 const SECOND_MS: u64 = 1_000;
 
-/// A new bucket is half full, and however long it is not used, it holds the tokens of one second.
+/// A new bucket is half full, and however long it is unused, it holds at most the tokens of one second.
 #[test]
 fn it_holds_one_second_of_tokens() {
     let mut bucket = TokenBucket::new(10.0, Millis(0));
@@ -16,7 +16,7 @@
     assert_eq!(bucket.available(Millis(60 * SECOND_MS)), 0);
 }
 
-/// What must not wait is taken at once, and what comes later waits for it.
+/// A forced take succeeds at once, and later takes wait until its tokens have been gained.
 #[test]
 fn a_forced_take_delays_later_ones() {
     let mut bucket = TokenBucket::new(10.0, Millis(0));
@@ -25,7 +25,7 @@
     assert_eq!(bucket.available(Millis(2 * SECOND_MS)), 10);
 }
 
-/// Each refusal doubles the backoff up to its maximum; a served request ends that.
+/// Each refusal doubles the backoff up to its maximum; a served request resets it.
 #[test]
 fn refusals_back_off_exponentially() {
     let mut bucket = TokenBucket::new(10.0, Millis(0));
--- a/src/coordination/token_bucket.rs
+++ b/src/coordination/token_bucket.rs
@@ -1,27 +1,27 @@
-//! Rate limit of requests to another service, with backoff when it refuses.
+//! Rate limiter for requests to another service, with backoff when the service refuses them.
 //!
-//! Decides whether a request may be sent now; sends nothing and reads no clock.
+//! It decides whether a request may be sent now; it sends nothing and reads no clock.
 
 use crate::ids::Millis;
 
-/// Backoff after the first refusal; it doubles with each further one.
+/// Backoff after the first refusal; it doubles with each further refusal.
 const MIN_BACKOFF_MS: u64 = 100;
 /// The longest backoff.
 const MAX_BACKOFF_MS: u64 = 1000;
 
-/// A token bucket that holds at most the tokens of one second. A new one is half full.
+/// A token bucket that holds at most the tokens gained in one second. A new bucket is half full.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     per_second: f64,
     tokens: f64,
     refilled_at: Millis,
-    /// No token is available before: the service refused a request.
+    /// No token is available before this time, because the service refused a request.
     backoff_until: Millis,
     backoff_ms: u64,
 }
 
 impl TokenBucket {
-    /// `per_second`: tokens gained per second.
+    /// Creates a bucket that gains `per_second` tokens per second.
     pub(super) fn new(per_second: f64, now: Millis) -> TokenBucket {
         TokenBucket {
             per_second,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// `per_second`: tokens gained per second from the next refill on.
+    /// Sets the tokens gained per second, from the last refill on.
     pub(super) fn set_rate(&mut self, per_second: f64) {
         self.per_second = per_second;
     }
 
-    /// Tokens gained per second.
+    /// Returns the tokens gained per second.
     pub(super) fn rate(&self) -> f64 {
         self.per_second
     }
@@ -48,7 +48,7 @@
         self.refilled_at = now;
     }
 
-    /// How many tokens can be taken now.
+    /// Returns how many tokens can be taken now.
     pub(super) fn available(&mut self, now: Millis) -> usize {
         self.refill(now);
         if now < self.backoff_until { 0 } else { self.tokens.max(0.0) as usize }
@@ -63,19 +63,21 @@
         true
     }
 
-    /// Takes `amount` tokens even if they are not available, for requests that must not wait: later ones wait longer.
+    /// Takes `amount` tokens even if they are not available, for requests that must not wait. Later requests
+    /// wait longer in return.
     pub(super) fn force_take(&mut self, now: Millis, amount: usize) {
         self.refill(now);
         self.tokens -= amount as f64;
     }
 
-    /// The service refused a request: no token is available for a while, longer each time.
+    /// Starts a backoff because the service refused a request. Each further refusal doubles it, up to a
+    /// maximum.
     pub(super) fn back_off(&mut self, now: Millis) {
         self.backoff_until = now.saturating_add(self.backoff_ms);
         self.backoff_ms = (self.backoff_ms * 2).min(MAX_BACKOFF_MS);
     }
 
-    /// The service served a request.
+    /// Resets the backoff to its minimum because the service served a request.
     pub(super) fn reset_backoff(&mut self) {
         self.backoff_ms = MIN_BACKOFF_MS;
     }
--- a/src/coordination/user_requests/feasibility.rs
+++ b/src/coordination/user_requests/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a submitted job could ever run under the platform's settings: checked before it is accepted.
+//! Checks, before a submitted job is accepted, whether it could ever run under the platform's settings.
 
 use thiserror::Error;
 
@@ -11,16 +11,16 @@
 use crate::protocol::users::{JobKind, JobManifest};
 use crate::settings::{Settings, TeamSettings};
 
-/// Why a job is not accepted. The texts are part of the interface.
+/// Why a job is not accepted. The texts are sent to users in the response body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum Infeasible {
     #[error("unknown team")]
     UnknownTeam,
     #[error(transparent)]
     Undecided(#[from] Unavailable),
-    #[error("a task fits no allowed machine type")]
+    #[error("a task does not fit any machine type that the job allows")]
     NoFittingMachineType,
-    #[error("more than the team's limit")]
+    #[error("the job needs more than the team's limit")]
     OverTeamLimit,
 }
 
@@ -33,10 +33,11 @@
     }
 }
 
-/// Checks that a job could run if all machines and all of its team's limit were free.
+/// Checks that a job could run if all machines were idle and none of its team's limit were used.
 ///
 /// # Errors
-/// The response to refuse the job with: 422 if it can never run, 503 while the machine types are not known.
+/// Returns the response that rejects the job: 422 if it can never run, 503 while the machine types are
+/// unknown.
 pub fn check_feasibility(
     manifest: &JobManifest,
     cache: &StoreCache,
@@ -66,7 +67,8 @@
     Ok(())
 }
 
-/// Whether one task fits an empty machine of that type, and the job allows the type and one of its zones.
+/// Returns whether a task fits an empty machine of this type, and the job allows the type and one of its
+/// zones.
 fn fits_machine_type(manifest: &JobManifest, needed: &Resources, machine_type: &MachineTypeRecord) -> bool {
     let type_allowed = manifest.machine_types.as_ref().is_none_or(|types| types.contains(&machine_type.name));
     let zone_allowed = manifest
@@ -81,7 +83,7 @@
     type_allowed && zone_allowed && needed.fits_in(&capacity)
 }
 
-/// Whether the tasks that have to run at the same time fit the team's limit.
+/// Returns whether the tasks that have to run at the same time fit the team's limit.
 fn fits_team_limit(manifest: &JobManifest, needed: &Resources, team: &TeamSettings) -> bool {
     let concurrent_tasks = match manifest.kind {
         JobKind::Array => 1,
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -1,5 +1,6 @@
-//! Users' requests: decides which can be answered from the cache at once, which need a read barrier, and which need a
-//! write first. Owns the requests that wait, bounded in number and in time. Performs no I/O and reads no clock.
+//! Users' requests: decides which can be answered from the cache at once, which need a read barrier, and
+//! which need a write first. Owns the requests that wait; their number and waiting time are bounded. Performs
+//! no I/O and reads no clock.
 
 mod feasibility;
 mod writes;
@@ -20,15 +21,16 @@
 use crate::protocol::users::{JobManifest, JobStatus, UserRequest, status_response};
 use crate::tunables::Tunables;
 
-/// Users give up on a poll after 2 s and on other requests after 5 s: the response has to be under way before.
+/// How long a poll may wait. Users time out after 2 s, so the response still reaches them.
 const POLL_TIMEOUT_MS: u64 = 1500;
+/// How long any other request may wait. Users time out after 5 s, so the response still reaches them.
 const WRITE_TIMEOUT_MS: u64 = 3500;
-/// Requests that may wait at the same time; further ones are refused with a retry.
+/// Maximum number of requests that wait at the same time; further ones are rejected with a retry delay.
 const MAX_PENDING: usize = 2000;
 
 type Pending = PendingRequest<UserRequest>;
 
-/// What a request leads to once a read barrier has been passed.
+/// What a request results in once its read barrier is complete.
 enum Decision {
     Respond(HttpResponse),
     Write(JobWrite),
@@ -37,21 +39,23 @@
 /// Holds users' requests until they can be answered.
 #[derive(Debug, Default)]
 pub struct UserRequestHandler {
-    /// Terminal records carry what the operators' interface shows of finished jobs.
+    /// Whether terminal records include the details of finished jobs that the operators' interface shows.
     records_details: bool,
-    /// Runs of graphs may be accepted: submissions must not take a name that a node of one has taken in the meantime.
+    /// Whether runs of graphs may be accepted: submissions then must not use a name that a graph's node has
+    /// taken in the meantime.
     graphs_enabled: bool,
     awaiting_barrier: Vec<Pending>,
-    /// About jobs whose terminal state is known here, but another controller might still report an older state.
+    /// Requests about jobs whose terminal state is known here while another controller might still report an
+    /// older one.
     awaiting_stability: Vec<Pending>,
     queued_writes: Vec<PendingWrite>,
     writes_in_flight: Vec<PendingWrite>,
-    /// Jobs reported as done since these were last taken.
+    /// Jobs that were reported as done since the last call of `take_reported_done`.
     reported_done: Vec<JobId>,
 }
 
 impl UserRequestHandler {
-    /// A handler without requests.
+    /// Creates a handler without requests.
     pub fn new(tunables: &Tunables) -> UserRequestHandler {
         UserRequestHandler {
             records_details: tunables.operators.enabled,
@@ -60,27 +64,27 @@
         }
     }
 
-    /// Whether a request waits for a newer read of the store.
+    /// Returns whether a request waits for a newer read of the store.
     pub fn needs_read_barrier(&self) -> bool {
         !self.awaiting_barrier.is_empty()
     }
 
-    /// Takes the jobs that were reported as done since the last call.
+    /// Removes and returns the jobs that were reported as done since the last call.
     pub fn take_reported_done(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.reported_done)
     }
 
-    /// Requests that wait, without those whose write is in flight.
-    pub fn unsent_count(&self) -> usize {
+    /// Returns the number of requests that wait, without those whose write is in flight.
+    pub fn pending_count(&self) -> usize {
         self.awaiting_barrier.len() + self.awaiting_stability.len() + self.queued_writes.len()
     }
 
-    /// The job that has waited longest for its terminal state to become stable.
+    /// Returns the job of the request that has waited longest for a terminal state to become stable.
     pub fn oldest_awaiting_stability(&self) -> Option<JobId> {
         self.awaiting_stability.first().map(|pending| pending.request.id())
     }
 
-    /// Receives a request; returns the response if there is one at once.
+    /// Handles a request; returns the response if it is available at once.
     pub fn receive(
         &mut self,
         clock: Clock,
@@ -94,7 +98,7 @@
         if is_terminal && state.is_stable(id, clock) {
             return self.terminal_response(id, &state.cache);
         }
-        if !kv_client.loaded || !kv_client.is_reachable(clock.now) || self.unsent_count() >= MAX_PENDING {
+        if !kv_client.loaded || !kv_client.is_reachable(clock.now) || self.pending_count() >= MAX_PENDING {
             return Some(Unavailable::CannotDecide.into());
         }
         let timeout_ms = match request {
@@ -110,10 +114,10 @@
         None
     }
 
-    /// Queues a submission for its write at once, and any other request for a read.
+    /// Queues the write of a new and feasible submission at once; any other request waits for a read.
     ///
-    /// The transaction's preconditions detect a known name, so a submission needs no read first: that read took half of
-    /// a submission's latency.
+    /// The transaction's preconditions detect a name that is already in use, so a submission needs no read
+    /// first. That read accounted for half of a submission's latency.
     fn enqueue(&mut self, pending: Pending, state: &ControllerState) {
         match pending.request {
             UserRequest::Submit { id, manifest: Ok(manifest) }
@@ -130,7 +134,8 @@
         }
     }
 
-    /// The cache holds everything up to a read that was sent at `read_sent_at`: decides the requests received before.
+    /// Decides the requests that were received before `read_sent_at`: a read that was sent then has been
+    /// applied to the cache.
     pub fn complete_read_barrier(
         &mut self,
         clock: Clock,
@@ -156,13 +161,13 @@
         for pending in ready {
             match self.terminal_response(pending.request.id(), &state.cache) {
                 Some(response) => out.push(Action::respond(pending.inbound, response)),
-                // The cache has been dropped in the meantime and is being loaded again.
+                // The cache has been discarded in the meantime and is being reloaded.
                 None => self.awaiting_barrier.push(pending),
             }
         }
     }
 
-    /// Answers a request by the cache, or queues the write that it needs.
+    /// Answers a request from the cache, or queues the write that it needs.
     fn decide(&mut self, clock: Clock, pending: Pending, state: &ControllerState, out: &mut Vec<Action>) {
         let cache = &state.cache;
         let (inbound, id) = (pending.inbound, pending.request.id());
@@ -200,7 +205,8 @@
         })
     }
 
-    /// The response about a finished job. Terminal states never change, so the cache needs no newer read for it.
+    /// Returns the response about a finished job, or `None` if the job is not terminal. Terminal states never
+    /// change, so no newer read is needed.
     fn terminal_response(&mut self, id: JobId, cache: &StoreCache) -> Option<HttpResponse> {
         let status = match cache.terminal_state(id)? {
             TerminalState::Done => JobStatus::Done,
@@ -212,18 +218,18 @@
         Some(status_response(200, id, status, None))
     }
 
-    /// Refuses requests past their deadline, and all that need the store while it is not reachable.
+    /// Rejects requests past their deadline, and all that need the store while it is unreachable.
     pub fn expire(&mut self, clock: Clock, kv_reachable: bool, out: &mut Vec<Action>) {
         self.awaiting_barrier
             .retain(|pending| pending.retain_unless(!kv_reachable || pending.is_expired(clock.now), out));
-        // The terminal states are durable: these requests do not need the store any more.
+        // The terminal states are durable, so these requests no longer need the store.
         self.awaiting_stability.retain(|pending| pending.retain_unless(pending.is_expired(clock.now), out));
         self.queued_writes.retain(|write| {
-            let is_over = !kv_reachable || write.deadline <= clock.now;
-            if is_over {
+            let is_rejected = !kv_reachable || write.deadline <= clock.now;
+            if is_rejected {
                 out.push(Action::respond(write.inbound, Unavailable::CannotDecide));
             }
-            !is_over
+            !is_rejected
         });
     }
 }
@@ -234,7 +240,8 @@
         && check_feasibility(manifest, &state.cache, &state.settings).is_ok()
 }
 
-/// Decides a submission. A repeated one is answered with the job's status, whatever else is in the request.
+/// Decides a submission. A repeated submission is answered with the job's status, even if the rest of the
+/// request differs or is invalid.
 fn decide_submit(id: JobId, manifest: Result<Box<JobManifest>, String>, state: &ControllerState) -> Decision {
     if let Some(status) = job_status_response(id, state) {
         return Decision::Respond(status);
@@ -249,7 +256,7 @@
     }
 }
 
-/// The status of a job that is not terminal.
+/// Returns the status of a job that is not terminal, or `None` if there is no such job.
 fn job_status_response(id: JobId, state: &ControllerState) -> Option<HttpResponse> {
     let Some(job) = state.cache.find_job(id) else {
         // A node of a graph becomes a job once its upstream nodes are done.
--- a/src/coordination/user_requests/writes.rs
+++ b/src/coordination/user_requests/writes.rs
@@ -1,5 +1,5 @@
-//! Writes that users' requests lead to: jobs to accept and to cancel, batched into one conditional transaction at a
-//! time. A write whose precondition fails is decided again behind a new read.
+//! Writes that users' requests result in: jobs to accept and to cancel, batched into one conditional
+//! transaction at a time. If a write's precondition fails, its request is decided again after a new read.
 
 use super::{Pending, UserRequestHandler};
 use crate::bookkeeping::dag_records::NodeTerminalRecord;
@@ -17,10 +17,12 @@
 use crate::protocol::kv::{KvMutation, KvReply, Precondition};
 use crate::protocol::users::{JobManifest, JobStatus, UserRequest, status_response};
 
-/// Estimated size of a transaction's mutations, in bytes: below the store's 64 KiB, with room for its frame.
+/// Maximum estimated size of a transaction's mutations, in bytes: below the store's limit of 64 KiB, to leave
+/// room for the rest of the request.
 const MAX_TXN_BYTES: usize = 48 * 1024;
-/// Estimated size of a mutation and its preconditions without their keys and values, in bytes.
+/// Estimated size of a put and its preconditions without their keys and values, in bytes.
 const PUT_OVERHEAD_BYTES: usize = 100;
+/// Estimated size of a delete and its preconditions without their keys, in bytes.
 const DELETE_OVERHEAD_BYTES: usize = 60;
 
 /// A change of one job's records.
@@ -44,7 +46,7 @@
         matches!(self.write, JobWrite::Accept { .. }) && cache.dag_runs.is_node_job(self.job)
     }
 
-    /// The request that led to the write, to be decided by a new read.
+    /// Returns the request that resulted in the write, to be decided again by a new read.
     fn into_request(self, now: Millis) -> Pending {
         let id = self.job;
         let request = match self.write {
@@ -57,7 +59,7 @@
     fn preconditions(&self) -> Vec<Precondition> {
         let not_terminal = absent(&RecordKey::Terminal(self.job));
         match self.write {
-            // The record of a finished job is deleted in time, its terminal record never is.
+            // The record of a finished job is deleted eventually, its terminal record never.
             JobWrite::Accept { .. } => vec![absent(&RecordKey::Job(self.job)), not_terminal],
             JobWrite::Cancel { .. } => vec![not_terminal],
         }
@@ -79,7 +81,8 @@
         }
     }
 
-    /// Whether one of the failed preconditions may have been this write's. The store does not always name the keys.
+    /// Returns whether one of the failed preconditions may belong to this write. The store does not always
+    /// name the keys.
     fn is_in_conflict(&self, failed_keys: &[String]) -> bool {
         failed_keys.is_empty()
             || failed_keys.iter().any(|key| match RecordKey::parse(key) {
@@ -90,7 +93,8 @@
     }
 }
 
-/// An upper estimate of a mutation's size on the wire with its preconditions, in bytes. Each of those repeats the key.
+/// Returns an upper estimate of the size of a mutation and its preconditions on the wire, in bytes. Each
+/// precondition repeats the key.
 fn mutation_size(mutation: &KvMutation) -> usize {
     match mutation {
         KvMutation::Put { key, value, .. } => key.len() * 3 + value.len() + PUT_OVERHEAD_BYTES,
@@ -98,7 +102,7 @@
     }
 }
 
-/// The first of the queued writes, as many as fit one transaction.
+/// The writes from the front of the queue that one transaction can take.
 #[derive(Default)]
 struct WriteBatch {
     preconditions: Vec<Precondition>,
@@ -107,7 +111,7 @@
 }
 
 impl WriteBatch {
-    /// Adds a write; false if it has to go into a later transaction.
+    /// Adds a write; returns false if it has to go into a later transaction.
     fn try_add(&mut self, write: &PendingWrite, wall_ms: u64) -> bool {
         let mutation = write.mutation(wall_ms);
         let size = mutation_size(&mutation);
@@ -123,17 +127,18 @@
     }
 }
 
-/// What became of a transaction of users' writes.
+/// The outcome of a transaction of users' writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TxnResult {
     /// The writes are durable and have been applied to the cache.
     Committed,
-    /// They were not applied, or it is not known whether they were.
+    /// The writes were not applied, or it is unknown whether they were.
     NotCommitted,
 }
 
 impl UserRequestHandler {
-    /// A write is queued and none is in flight: it is sent as soon as the rate limits allow.
+    /// Returns whether a write is queued and none is in flight, so that it is sent as soon as the rate limits
+    /// allow.
     pub fn has_writes_to_send(&self) -> bool {
         !self.queued_writes.is_empty() && self.writes_in_flight.is_empty()
     }
@@ -173,7 +178,8 @@
         batch
     }
 
-    /// Submissions whose name became a graph node's since they were queued are decided again.
+    /// Moves submissions back to be decided again if a graph's node has taken their name since they were
+    /// queued.
     fn revalidate_queued(&mut self, clock: Clock, cache: &StoreCache) {
         if !self.queued_writes.iter().any(|write| write.is_submission_of_node_job(cache)) {
             return;
@@ -206,7 +212,7 @@
                 self.retry_conflicting(clock, writes, failed_keys);
             }
             KvReply::Rejected { status: RATE_LIMITED } => self.queued_writes.extend(writes),
-            // The user repeats the request, which then finds out whether it was stored.
+            // The user repeats the request, and the response then shows whether the write was stored.
             _ => out.extend(
                 writes.iter().map(|write| Action::respond(write.inbound, Unavailable::WriteOutcomeUnknown)),
             ),
@@ -223,7 +229,8 @@
     ) {
         let PendingWrite { inbound, job: id, .. } = write;
         match write.write {
-            // By then another controller may have reported the job as finished: "pending" would be a step back.
+            // Another controller may already have reported the job as finished: "pending" would be a state
+            // older than that.
             JobWrite::Accept { .. } if clock.now.saturating_since(txn_sent_at) >= MAX_READ_AGE_MS => {
                 out.push(Action::respond(inbound, Unavailable::WriteAcknowledgedLate));
             }
@@ -238,7 +245,8 @@
         }
     }
 
-    /// Writes whose keys another controller changed first are decided again; the others stay queued.
+    /// Moves writes whose keys another controller changed first back to be decided again, and requeues the
+    /// others.
     fn retry_conflicting(&mut self, clock: Clock, writes: Vec<PendingWrite>, failed_keys: &[String]) {
         for write in writes {
             if write.is_in_conflict(failed_keys) {
