--- a/src/bookkeeping/bit_set.rs
+++ b/src/bookkeeping/bit_set.rs
@@ -1,12 +1,13 @@
 //! A fixed-size set of task numbers, stored durably in blocks.
 
-/// Tasks in one durable block: its hexadecimal form stays far below any limit of a value that the settings accept.
+/// Number of tasks in one durable block. Its hexadecimal form (512 bytes) is far below the smallest limit on the size
+/// of a stored value that the settings accept.
 const BLOCK_TASKS: u32 = 2048;
 const WORD_BITS: u32 = u64::BITS;
-/// Tasks in one hexadecimal digit of a block.
+/// Number of tasks in one hexadecimal digit of a block.
 const DIGIT_TASKS: u32 = 4;
 
-/// A set of numbers below its capacity.
+/// A set of numbers, all of them smaller than its capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BitSet {
     words: Vec<u64>,
@@ -15,37 +16,37 @@
 }
 
 impl BitSet {
-    /// The empty set.
+    /// Returns an empty set.
     pub fn new(capacity: u32) -> BitSet {
         BitSet { words: vec![0; capacity.div_ceil(WORD_BITS) as usize], capacity, count: 0 }
     }
 
-    /// Numbers in the set are smaller than this.
+    /// Returns the capacity: all numbers in the set are smaller.
     pub fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// No number is in the set.
+    /// Returns true if the set holds no number.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// How many numbers are in the set.
+    /// Returns how many numbers are in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// All numbers below the capacity are in the set.
+    /// Returns true if every number below the capacity is in the set.
     pub fn is_full(&self) -> bool {
         self.count == self.capacity
     }
 
-    /// False for numbers beyond the capacity.
+    /// Returns true if the number is in the set; false for numbers beyond the capacity.
     pub fn contains(&self, number: u32) -> bool {
         number < self.capacity && self.words[(number / WORD_BITS) as usize] >> (number % WORD_BITS) & 1 == 1
     }
 
-    /// True if the number was not in the set before. Numbers beyond the capacity are ignored.
+    /// Adds a number and returns true if it was not in the set before. Numbers beyond the capacity are ignored.
     pub fn insert(&mut self, number: u32) -> bool {
         if number >= self.capacity || self.contains(number) {
             return false;
@@ -55,24 +56,25 @@
         true
     }
 
-    /// Adds `count` numbers from `first` on, as far as the capacity goes.
+    /// Adds `count` consecutive numbers that begin with `first`; those beyond the capacity are ignored.
     pub fn insert_range(&mut self, first: u32, count: u32) {
         for number in first..first.saturating_add(count).min(self.capacity) {
             self.insert(number);
         }
     }
 
-    /// The numbers below the capacity that are not in the set.
+    /// Returns the numbers below the capacity that are not in the set.
     pub fn iter_missing(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.capacity).filter(|number| !self.contains(*number))
     }
 
-    /// The durable block that a number belongs to.
+    /// Returns the durable block that contains a number.
     pub fn block_of(number: u32) -> u32 {
         number / BLOCK_TASKS
     }
 
-    /// A block in hexadecimal: four numbers a digit, the first one in the lowest bit of the first digit.
+    /// Encodes a block in hexadecimal: each digit holds four numbers, and the lowest bit of the first digit stands for
+    /// the first number of the block.
     pub fn encode_block(&self, block: u32) -> String {
         let start = block * BLOCK_TASKS;
         let end = self.capacity.min(start.saturating_add(BLOCK_TASKS));
--- a/src/bookkeeping/config.rs
+++ b/src/bookkeeping/config.rs
@@ -1,7 +1,7 @@
-//! Entries of the configuration, as the records have them.
+//! Entries of the run-time configuration, read from their records.
 //!
-//! An entry of a format or a kind that this version does not know has no effect and is never overwritten; its name is
-//! kept so that operators can be shown it. What a value does to a team's settings is decided here as well.
+//! An entry whose format or kind this version does not support has no effect and is never overwritten; its name is kept
+//! so that operators can see it. This module also applies a team's entry to the team's settings.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,26 @@
 use crate::protocol::config::{ConfigKey, ConfigRecord, ENTRY_FORMAT_VERSION, TeamQuota};
 use crate::settings::TeamSettings;
 
-/// An entry that this version understands.
+/// An entry in a format that this version supports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigEntry {
-    /// Its content.
+    /// Parsed content of the entry.
     pub record: ConfigRecord,
-    /// Revision of its key.
+    /// Revision of the entry's key in the store.
     pub version: Revision,
 }
 
-/// All entries on record.
+/// All configuration entries in the store.
 #[derive(Debug, Default)]
 pub struct ConfigEntries {
     entries: BTreeMap<ConfigKey, ConfigEntry>,
-    /// Revisions of entries of a later format or of an unknown kind, by name.
+    /// Revisions of the entries with an unsupported format or an unknown kind, by name.
     unrecognized: BTreeMap<String, Revision>,
 }
 
 impl ConfigEntries {
-    /// Takes in an entry as it was written; of one that is not understood only the name is kept.
+    /// Stores an entry as read from the store. For an entry that is not supported, only the name and the revision are
+    /// kept.
     pub fn put(&mut self, name: &str, value: &str, version: Revision) {
         let record = serde_json::from_str::<ConfigRecord>(value)
             .ok()
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The entry was deleted.
+    /// Removes a deleted entry.
     pub fn remove(&mut self, name: &str) {
         self.unrecognized.remove(name);
         if let Ok(key) = ConfigKey::parse(name) {
@@ -57,22 +58,22 @@
         }
     }
 
-    /// An entry, if it exists and is understood.
+    /// Returns an entry if it exists and is supported.
     pub fn get(&self, key: &ConfigKey) -> Option<&ConfigEntry> {
         self.entries.get(key)
     }
 
-    /// The revision of an entry that exists and is not understood.
+    /// Returns the revision of an entry that exists but is not supported.
     pub fn unrecognized_version(&self, name: &str) -> Option<Revision> {
         self.unrecognized.get(name).copied()
     }
 
-    /// Names and revisions of the entries that are not understood.
+    /// Returns names and revisions of the entries that are not supported.
     pub fn unrecognized_names(&self) -> impl Iterator<Item = (&str, Revision)> {
         self.unrecognized.iter().map(|(name, version)| (name.as_str(), *version))
     }
 
-    /// The settings in force for a team: those of the platform, lowered by the team's entry if there is one.
+    /// Returns the effective settings of a team: the platform's settings, lowered by the team's entry if there is one.
     pub fn effective_team(&self, platform: &TeamSettings) -> TeamSettings {
         match self.entries.get(&ConfigKey::Team(platform.name.clone())) {
             Some(entry) => apply_team_value(platform, entry.record.quota.into()),
@@ -81,7 +82,7 @@
     }
 }
 
-/// The platform's settings of a team with a quota applied, which can only lower them.
+/// Applies a quota to the platform's settings of a team. The quota can only lower them.
 pub fn apply_team_value(platform: &TeamSettings, quota: TeamQuota) -> TeamSettings {
     let limit = quota.limit_cpus.map(to_milli_floor).map(|cpu| cpu.min(platform.effective_limit().cpu));
     let mut guaranteed = platform.guaranteed;
--- a/src/bookkeeping/dag/error.rs
+++ b/src/bookkeeping/dag/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an uploaded graph or a rerun. Users see the texts.
+//! Errors of an uploaded graph or of a rerun. The texts are shown to users.
 
 use olivelatch_dag::TopologyError;
 use thiserror::Error;
@@ -6,31 +6,31 @@
 use super::validation::{MAX_EDGES, MAX_NODE_NAME_BYTES};
 use crate::protocol::graphs::DagNodeRecord;
 
-/// Nodes named in the message about a cycle.
+/// Maximum number of nodes that the message about a cycle names.
 const MAX_CYCLE_NAMES_SHOWN: usize = 12;
 
 /// Why a graph is not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DagError {
-    /// A node's name has a wrong form.
+    /// A node's name is invalid.
     #[error("node {0:?}: expected a name of 1 to {MAX_NODE_NAME_BYTES} bytes without spaces")]
     NodeName(String),
     /// Two nodes have the same name.
-    #[error("two nodes are called {0}")]
+    #[error("node names must be unique: two nodes are named {0}")]
     DuplicateName(String),
-    /// Two nodes have the same job.
-    #[error("node {node}: another node has the job {job}")]
+    /// Two nodes have the same job number.
+    #[error("node {node}: job number {job} is already used by another node")]
     DuplicateJob {
-        /// Name of the second one.
+        /// Name of the second node.
         node: String,
-        /// The job's number.
+        /// Number of the job.
         job: u64,
     },
     /// A job number is out of the range of job ids.
-    #[error("{0} is no number of a job")]
+    #[error("{0} is not a valid job number: it has too many digits")]
     JobNumber(u64),
     /// A node refers to a template that does not exist.
-    #[error("node {node}: there is no template {template}")]
+    #[error("node {node}: template {template} does not exist")]
     NoSuchTemplate {
         /// Name of the node.
         node: String,
@@ -38,56 +38,58 @@
         template: u32,
     },
     /// An edge range refers to nodes that do not exist, or is empty.
-    #[error("edges of node {to}: nodes {first} and {count} on are not all there")]
+    #[error(
+        "edges to node {to}: the range of {count} nodes from node {first} is empty or refers to nodes that do not exist"
+    )]
     EdgeRange {
-        /// The downstream node.
+        /// Index of the downstream node.
         to: u32,
-        /// First upstream node.
+        /// Index of the first upstream node.
         first: u32,
         /// Number of upstream nodes.
         count: u32,
     },
     /// The graph has too many edges.
-    #[error("{0} edges: a graph has {MAX_EDGES} at most")]
+    #[error("the graph has {0} edges, but at most {MAX_EDGES} are allowed")]
     TooManyEdges(u64),
-    /// A mapped node is not downstream of the node whose list it runs over.
-    #[error("node {0}: it does not come after the node whose list it runs over")]
+    /// A mapped node is not directly downstream of the node whose list it is mapped over.
+    #[error("node {0}: it must be directly downstream of the node whose list it is mapped over")]
     MapSource(String),
-    /// Nodes depend on one another; the first one is named again at the end.
-    #[error("nodes wait for one another in a circle: {}", .0.join(" -> "))]
+    /// The graph has a cycle. The list names its nodes in order and repeats the first one at the end.
+    #[error("the graph has a cycle: {}", .0.join(" -> "))]
     Cycle(Vec<String>),
     /// An edge is given twice.
-    #[error("node {to} comes after {from} twice")]
+    #[error("the edge {from} -> {to} is given twice")]
     DuplicateEdge {
-        /// Upstream node.
+        /// Name of the upstream node.
         from: String,
-        /// Downstream node.
+        /// Name of the downstream node.
         to: String,
     },
-    /// Another fault of the topology.
+    /// Another error of the topology.
     #[error(transparent)]
     Topology(TopologyError),
     /// A rerun refers to nodes that do not exist.
-    #[error("redo: there are no nodes {first} and {count} on")]
+    #[error("redo: the range of {count} nodes from node {first} refers to nodes that do not exist")]
     RerunRange {
-        /// First node.
+        /// Index of the first node.
         first: u32,
         /// Number of nodes.
         count: u32,
     },
     /// A rerun lists a node twice.
-    #[error("redo: node {0} is there twice")]
+    #[error("redo: node {0} is listed twice")]
     RerunDuplicate(u32),
     /// A rerun has no nodes, or two of them have the same new job.
-    #[error("redo: expected at least one node, and each with a job of its own")]
+    #[error("redo: expected at least one node, and a different new job for each node")]
     RerunJobs,
-    /// A node downstream of the rerun is not part of it.
-    #[error("redo: {0} comes after what is done over and is not")]
+    /// A node downstream of a rerun node is not part of the rerun.
+    #[error("redo: node {0} is downstream of a listed node and must be listed too")]
     RerunIncomplete(String),
 }
 
 impl DagError {
-    /// A fault of the topology, with the names of the nodes.
+    /// Converts an error of the topology, which refers to nodes by index, to one with their names.
     pub(super) fn from_topology(error: TopologyError, nodes: &[DagNodeRecord]) -> DagError {
         let name = |node: &u32| nodes.get(*node as usize).map_or("?", |node| node.name.as_str()).to_string();
         match error {
--- a/src/bookkeeping/dag/mod.rs
+++ b/src/bookkeeping/dag/mod.rs
@@ -1,7 +1,7 @@
-//! The graph of one run: built from the uploaded parts, checked, and with the progress of its nodes.
+//! The graph of one run: it is built and validated from the uploaded parts and holds the progress of its nodes.
 //!
-//! [`Dag`] owns the nodes and their templates; which nodes are ready is decided by [`DagProgress`]. Pure: it knows
-//! neither the store nor the time.
+//! [`Dag`] owns the nodes and their templates; [`DagProgress`] decides which nodes are ready. The module is pure: it
+//! uses neither the store nor a clock.
 
 mod error;
 mod validation;
@@ -17,39 +17,39 @@
 pub use error::DagError;
 use validation::{check_map_sources, check_nodes, checked_job, expand_edges, upstream_ranges};
 
-/// A node. Only its job changes, with a rerun.
+/// A node of the graph. Only its job ever changes, when the node is rerun.
 #[derive(Debug, Clone)]
 pub struct DagNode {
-    /// Unique within the graph.
+    /// Name, unique within the graph.
     pub name: Box<str>,
-    /// The job that it becomes when it is ready.
+    /// Id of the job that the node becomes when it is ready.
     pub job: JobId,
-    /// Index of its template.
+    /// Index of the node's template.
     pub template: u32,
-    /// The node whose list it runs over, with a task for each element.
+    /// For a mapped node: the node that produces its list. The mapped node has one task for each element.
     pub map_source: Option<NodeIx>,
-    /// Its upstream nodes as ranges: the first, and how many.
+    /// Direct upstream nodes as ranges: first node, number of nodes.
     pub upstream_ranges: Box<[(u32, u32)]>,
 }
 
-/// A run's graph.
+/// The graph of a run.
 #[derive(Debug, Clone)]
 pub struct Dag {
-    /// By `NodeIx`.
+    /// Nodes, indexed by `NodeIx`.
     pub nodes: Vec<DagNode>,
-    /// What nodes run; many nodes may share one.
+    /// Templates of the nodes; several nodes may share one.
     pub templates: Vec<NodeTemplate>,
-    /// Work on the longest path downstream of each node, itself left out, in milliseconds.
+    /// Estimated run time of the longest path downstream of each node, the node itself excluded.
     pub downstream_path_ms: Vec<u64>,
-    /// Which nodes have ended, and which are ready.
+    /// Outcomes of the nodes, and which nodes are ready.
     pub progress: DagProgress,
 }
 
 impl Dag {
-    /// Builds the graph from all its parts, in their order.
+    /// Builds the graph from all its parts, which must be in order.
     ///
     /// # Errors
-    /// What is wrong with the parts, as users see it.
+    /// Returns the first fault found in the parts, with a text for users.
     pub fn from_parts<'a>(parts: impl Iterator<Item = &'a GraphPart>) -> Result<Dag, DagError> {
         let (mut templates, mut records, mut edges) = (Vec::new(), Vec::new(), Vec::new());
         for part in parts {
@@ -85,37 +85,38 @@
         Dag { nodes, templates, downstream_path_ms, progress }
     }
 
-    /// Makes it the same graph with no node ended.
+    /// Discards the outcomes of all nodes.
     pub fn reset_progress(&mut self) {
         self.progress = new_progress(&self.nodes, &self.templates, self.progress.topology().clone());
     }
 
-    /// A node by its index.
+    /// Returns a node by its index.
     pub fn node(&self, node: NodeIx) -> &DagNode {
         &self.nodes[node.index()]
     }
 
-    /// The template of a node.
+    /// Returns the template of a node.
     pub fn template(&self, node: NodeIx) -> &NodeTemplate {
         &self.templates[self.node(node).template as usize]
     }
 
-    /// All direct upstream nodes of one.
+    /// Returns the direct upstream nodes of a node.
     pub fn upstream(&self, node: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
         let ranges = self.node(node).upstream_ranges.iter();
         ranges.flat_map(|(first, count)| *first..first + count).map(NodeIx)
     }
 
-    /// Work on the longest path downstream of a node, in seconds.
+    /// Returns the estimated run time of the longest path downstream of a node, in seconds.
     pub fn downstream_path_s(&self, node: NodeIx) -> f64 {
         from_milli(self.downstream_path_ms[node.index()])
     }
 
-    /// The new jobs of the nodes that a rerun lists as rows: first node, count, first job. A rerun covers all nodes
-    /// downstream of its nodes: half of a chain run anew would mix two versions of the data.
+    /// Returns the new jobs of the nodes that a rerun lists as rows: first node, number of nodes, first job. A rerun
+    /// must include all nodes downstream of its nodes: rerunning only a part of a chain would mix two versions of the
+    /// data.
     ///
     /// # Errors
-    /// What is wrong with the rows, as users see it.
+    /// Returns the first fault found in the rows, with a text for users.
     pub fn rerun_jobs(&self, rows: &[(u32, u32, u64)]) -> Result<BTreeMap<NodeIx, JobId>, DagError> {
         let mut jobs = BTreeMap::new();
         for (first, count, first_job) in rows.iter().copied() {
@@ -146,7 +147,7 @@
     DagProgress::new(topology, rules, Arc::new(map_sources.collect()))
 }
 
-/// The pools that the nodes of a graph name.
+/// Returns the names of the pools that the graph's templates refer to.
 pub fn pool_names(dag: &Dag) -> BTreeSet<&str> {
     dag.templates.iter().filter_map(|template| template.pool.as_deref()).collect()
 }
--- a/src/bookkeeping/dag/validation.rs
+++ b/src/bookkeeping/dag/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of an uploaded graph before it is built.
+//! Validation of an uploaded graph before it is built.
 
 use std::collections::HashSet;
 
@@ -6,18 +6,19 @@
 use crate::ids::JobId;
 use crate::protocol::graphs::DagNodeRecord;
 
-/// Longest name of a node.
+/// Maximum length of a node's name, in bytes.
 pub(super) const MAX_NODE_NAME_BYTES: usize = 100;
-/// Edges of one graph: all nodes downstream of all nodes would be 400 million.
+/// Maximum number of edges of one graph. Without this limit, the edge ranges of a graph with 20,000 nodes could expand
+/// to 400 million edges.
 pub(super) const MAX_EDGES: usize = 500_000;
 
-/// The job of this number, if it is in the range of job ids.
+/// Converts a job number to a job id, if it is in the range of job ids.
 pub(super) fn checked_job(number: u64) -> Result<JobId, DagError> {
     let id = JobId(number);
     JobId::parse(&id.to_string()).map(|_| id).ok_or(DagError::JobNumber(number))
 }
 
-/// Each node has a name and a job of its own, and a template.
+/// Checks that the names and jobs of the nodes are valid and unique, and that their templates exist.
 pub(super) fn check_nodes(nodes: &[DagNodeRecord], template_count: usize) -> Result<(), DagError> {
     let mut names = HashSet::new();
     let mut jobs = HashSet::new();
@@ -39,7 +40,8 @@
     Ok(())
 }
 
-/// Edges to one node from consecutive nodes, as parts of a graph list them: to, first, count.
+/// Edges from consecutive upstream nodes to one node, as in the parts of a graph: downstream node, first upstream node,
+/// number of upstream nodes.
 type EdgeRange = (u32, u32, u32);
 
 fn check_edge_range((to, first, count): EdgeRange, node_count: u32) -> Result<(), DagError> {
@@ -48,7 +50,7 @@
     is_valid.then_some(()).ok_or(DagError::EdgeRange { to, first, count })
 }
 
-/// For each node its upstream nodes, as ranges: the first, and how many.
+/// Returns the upstream nodes of each node, as ranges: first node, number of nodes.
 pub(super) fn upstream_ranges(
     edges: &[EdgeRange],
     node_count: u32,
@@ -61,7 +63,7 @@
     Ok(upstream)
 }
 
-/// The single edges (from, to) of ranges that have been checked.
+/// Expands edge ranges, which must be valid, to single edges (from, to).
 pub(super) fn expand_edges(edges: &[EdgeRange]) -> Result<Vec<(u32, u32)>, DagError> {
     let edge_count: u64 = edges.iter().map(|(_, _, count)| u64::from(*count)).sum();
     if edge_count > MAX_EDGES as u64 {
@@ -74,7 +76,7 @@
     Ok(edges.iter().flat_map(expand).collect())
 }
 
-/// A mapped node is downstream of the node whose list it runs over.
+/// Checks that each mapped node is directly downstream of the node whose list it is mapped over.
 pub(super) fn check_map_sources(
     nodes: &[DagNodeRecord],
     upstream: &[Vec<(u32, u32)>],
--- a/src/bookkeeping/dag_runs/apply.rs
+++ b/src/bookkeeping/dag_runs/apply.rs
@@ -1,4 +1,4 @@
-//! Applying the records of runs and of their nodes.
+//! Applies the records of runs and of their nodes to the store cache.
 
 use olivelatch_dag::NodeOutcome;
 
@@ -49,25 +49,26 @@
         self.dag_runs.retry_states.entry(job).or_default().extend(record.by_task);
     }
 
-    /// Applies the terminal record of a job; `terminal` is its part about the node, which plain jobs don't have.
+    /// Applies the terminal record of a job; `terminal` is the part about the graph node, which jobs submitted directly
+    /// by users (plain jobs) don't have.
     pub(in crate::bookkeeping) fn apply_node_terminal(
         &mut self,
         job: JobId,
         state: TerminalState,
         terminal: Option<NodeTerminalRecord>,
     ) {
-        // A controller that had not read the graph's records yet cancelled the job as a plain one.
-        let cancelled_as_plain =
+        // The node's part is missing if a controller cancelled the job before it had read the graph's records.
+        let cancelled_as_plain_job =
             || self.dag_runs.cancelled_terminal(job).filter(|_| state == TerminalState::Cancelled);
-        let Some(terminal) = terminal.or_else(cancelled_as_plain) else { return };
+        let Some(terminal) = terminal.or_else(cancelled_as_plain_job) else { return };
         let (outcome, list_len) = (terminal.outcome, terminal.valid_list_len());
         self.dag_runs.terminals.insert(job, Box::new(terminal));
-        self.settle_replaced_job(job);
+        self.remove_replaced_job(job);
         self.record_node_outcome(job, outcome, list_len);
     }
 
-    /// A job that its node had before a rerun has ended: the run no longer has to write its end.
-    fn settle_replaced_job(&mut self, job: JobId) {
+    /// Removes a job that a rerun replaced from the jobs that still need a terminal record, as it has one now.
+    fn remove_replaced_job(&mut self, job: JobId) {
         let Some((ix, _)) = self.dag_runs.replaced_jobs.get(&job).copied() else { return };
         if let Some(run) = self.dag_runs.run_mut(ix) {
             run.replaced_jobs.remove(&job);
@@ -75,7 +76,7 @@
         self.dag_runs.update_queues(ix);
     }
 
-    /// The job that a node has now has ended: nodes behind it may become ready.
+    /// Records the outcome of the node whose current job this is, and creates jobs for the nodes that become ready.
     fn record_node_outcome(&mut self, job: JobId, outcome: NodeOutcome, list_len: Option<u32>) {
         let Some((ix, node)) = self.dag_runs.current_jobs.get(&job).copied() else { return };
         let Some(run) = self.dag_runs.run_mut(ix) else { return };
@@ -88,7 +89,7 @@
         self.dag_runs.update_queues(ix);
     }
 
-    /// Jobs of nodes that became ready since the last call.
+    /// Returns the jobs of nodes that became ready since the last call.
     pub fn take_newly_ready(&mut self) -> Vec<JobIx> {
         std::mem::take(&mut self.dag_runs.newly_ready)
     }
--- a/src/bookkeeping/dag_runs/assembly.rs
+++ b/src/bookkeeping/dag_runs/assembly.rs
@@ -1,4 +1,4 @@
-//! Putting a run together from its parts, and again after each rerun of some of its nodes.
+//! Assembles a run from its parts, and applies its reruns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,8 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{DagRunIx, JobId, Revision};
 
-/// The numbers of the parts that describe reruns, if all records that the run needs now have been read.
+/// Returns the numbers of the parts that describe reruns; None unless all records needed to assemble the run have been
+/// read.
 fn complete_rerun_parts(run: &DagRun) -> Option<Vec<u32>> {
     let (_, header, _) = run.accepted.as_ref()?;
     let has_part = |part: &u32| run.part_contents.contains_key(part);
@@ -22,10 +23,10 @@
     (has_graph && reruns.iter().all(has_part) && !run.deleting).then_some(reruns)
 }
 
-/// Builds the graph from its parts, whose contents are no longer needed then.
+/// Builds the graph from its parts, drops their contents and returns the number of nodes.
 fn build_dag(run: &mut DagRun) -> Option<usize> {
     let (_, header, _) = run.accepted.as_ref()?;
-    // An accepted graph was checked: it fails only if a record is damaged.
+    // The graph was validated before it was accepted, so this fails only if a record is damaged.
     let dag = Dag::from_parts((0..header.parts).filter_map(|part| run.part_contents.get(&part))).ok()?;
     run.part_contents.retain(|part, _| *part >= header.parts);
     let nodes = dag.nodes.len();
@@ -33,16 +34,16 @@
     Some(nodes)
 }
 
-/// Nodes whose jobs a rerun replaced.
+/// Nodes whose jobs were replaced by reruns.
 #[derive(Default)]
 struct ReplacedJobs {
-    /// The jobs that the nodes have now.
+    /// New jobs of the nodes.
     new: BTreeMap<NodeIx, JobId>,
-    /// The jobs that they had.
+    /// Replaced jobs, with their nodes.
     old: Vec<(NodeIx, JobId)>,
 }
 
-/// Gives nodes the jobs of the rows (first node, count, first job).
+/// Replaces the jobs of nodes by those of the rows (first node, number of nodes, first job).
 fn replace_jobs(nodes: &mut [DagNode], rows: &[(u32, u32, u64)]) -> ReplacedJobs {
     let mut replaced = ReplacedJobs::default();
     for (first, count, first_job) in rows {
@@ -55,15 +56,15 @@
             }
         }
     }
-    // All reruns are replayed from the first one: a node that was rerun twice passes through jobs that it has again
-    // at the end.
+    // All reruns are replayed from the first one. A node that was rerun several times is therefore given earlier jobs
+    // again before its current one, which must not count as replaced.
     let current: BTreeSet<JobId> = nodes.iter().map(|node| node.job).collect();
     replaced.old.retain(|(_, job)| !current.contains(job));
     replaced
 }
 
 impl StoreCache {
-    /// Assembles a run once all its parts are there, and again for each rerun.
+    /// Assembles a run once all its parts have been read, and again for each rerun.
     pub(super) fn assemble_dag(&mut self, ix: DagRunIx) {
         let Some(run) = self.dag_runs.run_mut(ix) else { return };
         let Some(rerun_parts) = complete_rerun_parts(run) else { return };
@@ -76,18 +77,20 @@
         self.replay_terminals(ix);
     }
 
-    /// Makes nodes findable by their jobs: those of `only` if it is given, else all.
+    /// Adds the nodes to the index of current jobs: those in `only` if it is given, else all. Jobs whose ids belong to
+    /// plain jobs are left out.
     fn register_node_jobs(&mut self, ix: DagRunIx, only: Option<&BTreeMap<NodeIx, JobId>>) {
         let Some(dag) = self.dag_runs.run(ix).and_then(|run| run.dag.as_ref()) else { return };
         let all = dag.nodes.iter().enumerate().map(|(node, row)| (NodeIx(node as u32), row.job));
         let selected = all.filter(|(node, _)| only.is_none_or(|only| only.contains_key(node)));
-        let unused: Vec<_> = selected.filter(|(_, job)| !self.is_plain_job(*job)).collect();
-        for (node, job) in unused {
+        let without_plain_jobs: Vec<_> = selected.filter(|(_, job)| !self.is_plain_job(*job)).collect();
+        for (node, job) in without_plain_jobs {
             self.dag_runs.current_jobs.insert(job, (ix, node));
         }
     }
 
-    /// A plain job has this id: another controller accepted it before the graph.
+    /// Returns whether the id belongs to a plain job, submitted directly by a user, which another controller accepted
+    /// before the graph.
     pub(super) fn is_plain_job(&self, job: JobId) -> bool {
         let has_record = self.key_revision(&RecordKey::Job(job).encode()) != Revision(0);
         has_record || (self.terminal_state(job).is_some() && !self.dag_runs.terminals.contains_key(&job))
@@ -111,7 +114,7 @@
         self.register_node_jobs(ix, Some(&replaced.new));
     }
 
-    /// Derives the progress anew from all terminal records of the nodes.
+    /// Rebuilds the progress of a run from the terminal records of its nodes.
     fn replay_terminals(&mut self, ix: DagRunIx) {
         let Some(dag) = self.dag_runs.run_mut(ix).and_then(|run| run.dag.as_mut()) else { return };
         dag.reset_progress();
@@ -128,14 +131,14 @@
                 dag.progress.record_outcome(NodeIx(node as u32), outcome, list_len);
             }
         }
-        self.keep_stopped_jobs(ix, &jobs);
+        self.restore_stopped_jobs(ix, &jobs);
         self.activate_ready_nodes(ix);
     }
 
-    /// Keeps jobs that were stopped: as with plain jobs, tasks of theirs may still be on machines, and what those take
-    /// must be known until none can be left. Jobs that are done have no tasks left; nodes that never were ready had
-    /// none.
-    fn keep_stopped_jobs(&mut self, ix: DagRunIx, jobs: &[JobId]) {
+    /// Adds the jobs of stopped nodes to the cache. As with plain jobs, some of their tasks may still run on machines,
+    /// and the resources of these tasks must be accounted for until no task can be left. Jobs in the state `Done` have
+    /// no tasks left, and nodes that never became ready never had any.
+    fn restore_stopped_jobs(&mut self, ix: DagRunIx, jobs: &[JobId]) {
         let was_stopped = |job: &JobId| {
             let outcome = self.dag_runs.terminals.get(job).map(|terminal| terminal.outcome);
             matches!(outcome, Some(NodeOutcome::Failed | NodeOutcome::Cancelled))
@@ -158,7 +161,7 @@
     /// Turns the ready nodes of an active run into jobs.
     pub(super) fn activate_ready_nodes(&mut self, ix: DagRunIx) {
         let Some(run) = self.dag_runs.run_mut(ix) else { return };
-        // Also of a cancelled run: tasks of its ready nodes may be on machines and count there.
+        // This includes cancelled runs: tasks of their ready nodes may still run on machines and use resources.
         if run.phase_record.phase == RunPhase::Active
             && let Some(dag) = &mut run.dag
         {
--- a/src/bookkeeping/dag_runs/deletion.rs
+++ b/src/bookkeeping/dag_runs/deletion.rs
@@ -1,4 +1,5 @@
-//! Forgetting runs as their records are deleted. The terminal records of their nodes stay in the store.
+//! Removes runs from the store cache as their records are deleted. The terminal records of their nodes stay in the
+//! store.
 
 use olivelatch_dag::NodeIx;
 
@@ -38,7 +39,7 @@
         let has_no_records = run.parts.is_empty() && run.accepted.is_none() && !run.upload_expired;
         self.dag_runs.update_queues(ix);
         if has_no_records {
-            self.forget_run(ix);
+            self.remove_run(ix);
         }
     }
 
@@ -53,12 +54,12 @@
 
     pub(in crate::bookkeeping) fn drop_dag_run(&mut self, name: &DagRunName) {
         if let Some(ix) = self.dag_runs.find(name) {
-            self.forget_run(ix);
+            self.remove_run(ix);
         }
     }
 
-    /// Drops a run with the jobs of its nodes. Their terminal states stay, for users that still ask.
-    fn forget_run(&mut self, ix: DagRunIx) {
+    /// Removes a run and the jobs of its nodes. The terminal states of the jobs stay, for users who query them later.
+    fn remove_run(&mut self, ix: DagRunIx) {
         let Some(mut run) = self.dag_runs.runs.get_mut(ix.index()).and_then(Option::take) else { return };
         self.dag_runs.index.remove(&run.name);
         self.dag_runs.pending_writes.remove(&ix);
@@ -69,12 +70,12 @@
         let replaced = self.dag_runs.replaced_jobs.iter().filter(|(_, (run, _))| *run == ix);
         jobs.extend(replaced.map(|(job, _)| *job));
         for job in jobs {
-            self.forget_node_job(ix, job);
+            self.remove_node_job(ix, job);
         }
     }
 
-    /// Drops what is known of a node's job, unless the id belongs to another run or to a plain job.
-    fn forget_node_job(&mut self, ix: DagRunIx, job: JobId) {
+    /// Removes all state of a node's job, unless the id belongs to another run or to a plain job.
+    fn remove_node_job(&mut self, ix: DagRunIx, job: JobId) {
         let is_of_run = |(run, _): &(DagRunIx, NodeIx)| *run == ix;
         if self.dag_runs.current_jobs.get(&job).is_none_or(is_of_run) && !self.is_plain_job(job) {
             self.dag_runs.current_jobs.remove(&job);
@@ -84,7 +85,8 @@
         }
     }
 
-    /// All records have been read: drops what terminal records say of nodes whose runs no longer exist.
+    /// Removes the terminal records of nodes whose runs no longer exist. It must not be called before all records have
+    /// been read.
     pub fn forget_orphaned_terminals(&mut self) {
         let index = &self.dag_runs.index;
         let has_run = |terminal: &NodeTerminalRecord| {
--- a/src/bookkeeping/dag_runs/mod.rs
+++ b/src/bookkeeping/dag_runs/mod.rs
@@ -1,12 +1,13 @@
-//! Runs of graphs, derived from their records.
+//! Graph runs, derived from their records.
 //!
-//! A run is accepted, assembled once all parts of its graph are there, waits for its turn among the runs of the same
-//! graph, is active, and ends. Which nodes are ready follows from the terminal records of its nodes alone, so that
-//! every controller derives the same state in whatever order it reads the records, and a failover repeats nothing.
+//! A run is accepted, assembled once all parts of its graph have been read, queued among the runs of the same graph,
+//! active, and finally finished. Which nodes are ready depends only on the terminal records of the run's nodes.
+//! Therefore every controller derives the same state, in whatever order it reads the records, and a failover repeats
+//! no work.
 //!
-//! [`DagRuns`] owns that state inside [`StoreCache`]; the other files extend the cache: `apply` takes records in,
-//! `assembly` puts runs together, `node_jobs` turns ready nodes into jobs, `deletion` forgets them. No I/O, no clock.
-//! Memory grows with the nodes of the runs that have records.
+//! [`DagRuns`] owns that state inside [`StoreCache`]. The other files extend the cache: `apply` applies records,
+//! `assembly` builds the graphs of runs, `node_jobs` turns ready nodes into jobs, and `deletion` removes runs. The
+//! module does no I/O and reads no clock. Its memory grows with the nodes of the runs that have records.
 
 mod apply;
 mod assembly;
@@ -30,40 +31,40 @@
 #[derive(Debug, Default)]
 struct GraphRunQueue {
     active: BTreeSet<DagRunIx>,
-    /// In the order of their acceptance.
+    /// Waiting runs in the order of their acceptance.
     waiting: BTreeSet<(Revision, DagRunIx)>,
 }
 
-/// All runs that have records, and what is known of their nodes.
+/// All runs that have records, and the recorded state of their nodes.
 #[derive(Debug, Default)]
 pub struct DagRuns {
-    /// By `DagRunIx`; None where the run's records are deleted. Indices are never reused.
+    /// Runs, indexed by `DagRunIx`; None if the run's records are deleted. Indices are never reused.
     runs: Vec<Option<Box<DagRun>>>,
     index: BTreeMap<DagRunName, DagRunIx>,
-    /// Nodes by the job that they have now.
+    /// Nodes by their current job.
     current_jobs: HashMap<JobId, (DagRunIx, NodeIx)>,
-    /// Nodes by jobs that they had before a rerun.
+    /// Nodes by the jobs that a rerun replaced.
     replaced_jobs: HashMap<JobId, (DagRunIx, NodeIx)>,
     terminals: HashMap<JobId, Box<NodeTerminalRecord>>,
-    /// Failures by job and task.
+    /// Recorded failures by job and task.
     retry_states: HashMap<JobId, BTreeMap<u32, RetryState>>,
-    /// By the name of the graph.
+    /// Queues by the name of the graph.
     queues: BTreeMap<String, GraphRunQueue>,
-    /// Runs that the leader has something to write for.
+    /// Runs for which the leader has records to write.
     pub pending_writes: BTreeSet<DagRunIx>,
     /// Jobs of nodes that became ready since the last call of `take_newly_ready`.
     newly_ready: Vec<JobIx>,
-    /// Nodes of all runs.
+    /// Total number of nodes of all runs.
     pub node_count: usize,
 }
 
 impl DagRuns {
-    /// The index of a run by its name.
+    /// Returns the index of a run by its name.
     pub fn find(&self, name: &DagRunName) -> Option<DagRunIx> {
         self.index.get(name).copied()
     }
 
-    /// A run by its index.
+    /// Returns a run by its index.
     pub fn run(&self, ix: DagRunIx) -> Option<&DagRun> {
         self.runs.get(ix.index())?.as_deref()
     }
@@ -72,60 +73,61 @@
         self.runs.get_mut(ix.index())?.as_deref_mut()
     }
 
-    /// A run by its name.
+    /// Returns a run by its name.
     pub fn by_name(&self, name: &DagRunName) -> Option<&DagRun> {
         self.run(self.find(name)?)
     }
 
-    /// Runs in the order of their names; those after `after` if it is given.
+    /// Returns the runs in the order of their names, starting after `after` if it is given.
     pub fn runs_after(&self, after: Option<&DagRunName>) -> impl Iterator<Item = &DagRun> + '_ {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.index.range::<DagRunName, _>((from, Bound::Unbounded)).filter_map(|(_, ix)| self.run(*ix))
     }
 
-    /// Runs in the order of their names.
+    /// Returns all runs in the order of their names.
     pub fn all_runs(&self) -> impl Iterator<Item = (DagRunIx, &DagRun)> {
         self.index.values().filter_map(|ix| Some((*ix, self.run(*ix)?)))
     }
 
-    /// Is the job a node of an accepted graph, now or before a rerun?
+    /// Returns whether the job is, or was before a rerun, the job of a node of an accepted graph.
     pub fn is_node_job(&self, job: JobId) -> bool {
         self.node_of(job).is_some()
     }
 
-    /// The node that has this job now.
+    /// Returns the node whose current job this is.
     pub fn current_node(&self, job: JobId) -> Option<(&DagRun, NodeIx)> {
         let (run, node) = self.current_jobs.get(&job)?;
         Some((self.run(*run)?, *node))
     }
 
-    /// The node that has this job, or had it before a rerun.
+    /// Returns the node that has this job, or had it before a rerun.
     fn node_of(&self, job: JobId) -> Option<(DagRunIx, NodeIx)> {
         self.current_jobs.get(&job).or_else(|| self.replaced_jobs.get(&job)).copied()
     }
 
-    /// The run whose node has this job, or had it before a rerun.
+    /// Returns the run of the node that has this job, or had it before a rerun.
     fn run_for_job(&self, job: JobId) -> Option<&DagRun> {
         self.run(self.node_of(job)?.0)
     }
 
-    /// No task of the job may start any more, although it has no terminal record yet.
+    /// Returns whether tasks of the job must no longer start, even if it has no terminal record yet: a rerun replaced
+    /// the job, or its run is cancelled.
     pub fn is_stopped(&self, job: JobId) -> bool {
         self.replaced_jobs.contains_key(&job)
             || self.run_for_job(job).is_some_and(|run| run.phase_record.cancelled)
     }
 
-    /// How a node's job ended.
+    /// Returns the terminal record of a node, by its job.
     pub fn terminal_of(&self, job: JobId) -> Option<&NodeTerminalRecord> {
         self.terminals.get(&job).map(Box::as_ref)
     }
 
-    /// The recorded failures of a job, by task.
+    /// Returns the recorded failures of a job, by task.
     pub fn retry_states_of(&self, job: JobId) -> Option<&BTreeMap<u32, RetryState>> {
         self.retry_states.get(&job)
     }
 
-    /// Ended jobs whose failures still have records.
+    /// Returns the jobs in a terminal state whose failures still have records.
     pub fn terminal_jobs_with_retry_states<'a>(
         &'a self,
         cache: &'a StoreCache,
@@ -133,7 +135,7 @@
         self.retry_states.keys().copied().filter(|job| cache.terminal_state(*job).is_some())
     }
 
-    /// The terminal record of a node whose job is cancelled; None if the job is no node.
+    /// Returns the terminal record to write for a node whose job is cancelled; None if the job belongs to no node.
     pub fn cancelled_terminal(&self, job: JobId) -> Option<NodeTerminalRecord> {
         let (run, node) = self.node_of(job)?;
         let run = self.run(run)?;
@@ -141,8 +143,8 @@
         Some(NodeTerminalRecord::new(&run.name, name, NodeOutcome::Cancelled))
     }
 
-    /// Runs that may become active: of each graph the next ones in order, as far as its limit of active runs allows.
-    /// The limit is that of the run accepted first, so that runs never overtake one another.
+    /// Returns the runs that may become active: for each graph, the first waiting runs within its limit of active runs.
+    /// The limit is taken from the waiting run that was accepted first, so that no run overtakes an earlier one.
     pub fn startable_runs(&self) -> impl Iterator<Item = DagRunIx> + '_ {
         let limit_of = |ix: DagRunIx| {
             self.run(ix).and_then(|run| Some(run.accepted.as_ref()?.1.max_active_runs as usize))
@@ -153,7 +155,7 @@
         })
     }
 
-    /// Names of the active runs of the same graph, which a waiting run waits for.
+    /// Returns the names of the active runs of the same graph, for which a waiting run has to wait.
     pub fn runs_ahead_of(&self, run: &DagRun) -> Vec<String> {
         let Some((_, header, _)) = &run.accepted else { return Vec::new() };
         let active = self.queues.get(&header.graph).into_iter().flat_map(|queue| &queue.active);
@@ -170,7 +172,7 @@
         ix
     }
 
-    /// Moves a run to where its state puts it: in the queue of its graph, and among those to be written for.
+    /// Updates the place of a run in the queue of its graph and in `pending_writes` after its state has changed.
     fn update_queues(&mut self, ix: DagRunIx) {
         let Some(run) = self.run(ix) else { return };
         let has_pending_writes = run.has_pending_writes();
--- a/src/bookkeeping/dag_runs/node_jobs.rs
+++ b/src/bookkeeping/dag_runs/node_jobs.rs
@@ -1,4 +1,4 @@
-//! Ready nodes as jobs, like those that users submit.
+//! Turns ready nodes into jobs, which are scheduled like those that users submit.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{DagRunIx, JobId, JobIx, seconds_to_ms};
 
-/// Upstream jobs whose output counts when a machine is chosen for a node.
-const MAX_UPSTREAM: usize = 16;
+/// Maximum number of upstream jobs whose output is considered when a machine is chosen for a node.
+const MAX_UPSTREAM_JOBS: usize = 16;
 
 impl StoreCache {
-    /// Turns a ready node into a job, unless it is one already or has ended.
+    /// Creates the job of a ready node, unless the job exists already or has a terminal state.
     pub(super) fn create_node_job(&mut self, ix: DagRunIx, node: NodeIx) {
         let dag = self.dag_runs.run(ix).and_then(|run| run.dag.as_ref());
         let Some(job) = dag.map(|dag| dag.node(node).job) else { return };
@@ -40,36 +40,36 @@
         let pool = template.pool.as_ref().map(|pool| self.names.pools.intern(pool));
         let node_spec = NodeSpec { pool, ..node_spec(run, dag, node) };
         let mut spec = JobSpec::new(job, &manifest, ready_wall_ms, *accepted_revision, &mut self.names);
-        // The objective of a run counts from its acceptance, not from when a node became ready.
+        // The deadline is measured from the acceptance of the run, not from the time at which the node became ready.
         spec.slo_wall_ms = manifest.deadline_s.map(|deadline| accepted_wall_ms + seconds_to_ms(deadline));
         spec.node = Some(Arc::new(node_spec));
         Some(self.add_with_out_of_order(Job::new(spec)))
     }
 
-    /// The wall-clock time at which a node became ready, by the records alone: when its run became active, or when the
-    /// last upstream node that its rule waited for ended.
+    /// Returns the wall-clock time at which a node became ready, derived from the records alone: when its run became
+    /// active, or when the upstream node whose outcome satisfied the trigger rule finished, whichever is later.
     fn ready_wall_ms(&self, run: &DagRun, dag: &Dag, node: NodeIx) -> u64 {
-        let ended = |upstream: NodeIx| {
+        let outcome_and_time = |upstream: NodeIx| {
             let terminal = self.terminal_summary(dag.node(upstream).job)?;
             Some((dag.progress.outcome(upstream)?, terminal.ended_wall_ms))
         };
-        let end_times = |counts: fn(NodeOutcome) -> bool| {
-            let ended = dag.upstream(node).filter_map(ended);
-            ended.filter(move |(outcome, _)| counts(*outcome)).map(|(_, ended_wall_ms)| ended_wall_ms)
+        let end_times = |is_relevant: fn(NodeOutcome) -> bool| {
+            let outcomes = dag.upstream(node).filter_map(outcome_and_time);
+            outcomes.filter(move |(outcome, _)| is_relevant(*outcome)).map(|(_, ended_wall_ms)| ended_wall_ms)
         };
-        let decided = match dag.progress.rule(node) {
+        let rule_satisfied_wall_ms = match dag.progress.rule(node) {
             TriggerRule::OneSuccess => end_times(|outcome| !outcome.is_failure()).min(),
             TriggerRule::OneFailed => end_times(NodeOutcome::is_failure).min(),
             _ => end_times(|_| true).max(),
         };
-        decided.unwrap_or(0).max(run.phase_record.since_wall_ms)
+        rule_satisfied_wall_ms.unwrap_or(0).max(run.phase_record.since_wall_ms)
     }
 }
 
-/// What of a job comes from its node; without the pool, whose name is yet to be interned.
+/// Returns the specification that a job gets from its node. The pool is left out: its name has to be interned first.
 fn node_spec(run: &DagRun, dag: &Dag, node: NodeIx) -> NodeSpec {
     let template = dag.template(node);
-    let upstream = || dag.upstream(node).take(MAX_UPSTREAM);
+    let upstream = || dag.upstream(node).take(MAX_UPSTREAM_JOBS);
     let input_gb: f64 = upstream().map(|node| dag.template(node).output_gb).sum();
     NodeSpec {
         run: run.name.clone(),
--- a/src/bookkeeping/dag_runs/run.rs
+++ b/src/bookkeeping/dag_runs/run.rs
@@ -1,4 +1,4 @@
-//! One run of a graph.
+//! The state of one graph run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,26 +7,26 @@
 use crate::ids::{JobId, Revision};
 use crate::protocol::graphs::{DagRunHeader, DagRunName, GraphPart};
 
-/// A run as its records describe it.
+/// A run as described by its records.
 #[derive(Debug)]
 pub struct DagRun {
-    /// Unique name.
+    /// Unique name of the run.
     pub name: DagRunName,
-    /// Once accepted: wall-clock time in milliseconds, header, and revision of the acceptance.
+    /// Wall-clock time in milliseconds, header and revision of the acceptance; None until the run is accepted.
     pub accepted: Option<(u64, DagRunHeader, Revision)>,
-    /// Its upload was not finished in time and can no longer be accepted.
+    /// Whether the upload was not committed in time, so that the run can no longer be accepted.
     pub upload_expired: bool,
-    /// Parts that have a record.
+    /// Numbers of the parts that have a record.
     pub parts: BTreeSet<u32>,
-    /// Contents of the parts until the run is assembled; those of reruns are kept.
+    /// Contents of the parts by number. Those of the graph are dropped once it is built; those of reruns are kept.
     pub part_contents: BTreeMap<u32, GraphPart>,
-    /// Its phase, as recorded.
+    /// Record of the run's phase.
     pub phase_record: RunPhaseRecord,
-    /// Its graph, once assembled.
+    /// Graph of the run; None until it is assembled.
     pub dag: Option<Box<Dag>>,
-    /// Jobs that nodes had before a rerun and that have no terminal record yet.
+    /// Jobs that a rerun replaced and that have no terminal record yet.
     pub replaced_jobs: BTreeSet<JobId>,
-    /// Its records are being deleted.
+    /// Whether the records of the run are being deleted.
     pub deleting: bool,
 }
 
@@ -45,22 +45,22 @@
         }
     }
 
-    /// All its nodes have ended and that is recorded.
+    /// Returns whether the run is recorded as finished.
     pub fn is_ended(&self) -> bool {
         self.phase_record.phase == RunPhase::Ended
     }
 
-    /// The number of the part with which the next rerun begins.
+    /// Returns the number of the first part of the next rerun.
     pub fn next_rerun_part(&self) -> u32 {
         self.phase_record.next_rerun_part(self.accepted.as_ref().map_or(0, |(_, header, _)| header.parts))
     }
 
-    /// Its graph's name, and its place among the runs of that graph.
+    /// Returns the name of the graph, and the revision that orders the runs of the graph; None until accepted.
     pub(super) fn queue_position(&self) -> Option<(String, Revision)> {
         self.accepted.as_ref().map(|(_, header, revision)| (header.graph.clone(), *revision))
     }
 
-    /// Has the leader something to write for it?
+    /// Returns whether the leader has records to write for the run.
     pub fn has_pending_writes(&self) -> bool {
         let Some(dag) = self.dag.as_ref().filter(|_| !self.deleting) else { return false };
         if !self.replaced_jobs.is_empty() {
--- a/src/bookkeeping/job_counters.rs
+++ b/src/bookkeeping/job_counters.rs
@@ -1,32 +1,33 @@
 //! Counters of jobs by team and class: accepted, started, done, cancelled, notified.
 //!
-//! Every controller counts the same from the records; only `notified` is its own. A process that starts counts the jobs
-//! that still have a record, and what ends from then on: earlier jobs are unknown to it, as a terminal record need not
-//! name the team. Memory is bounded by `MAX_TEAM_CLASSES` entries.
+//! Every controller derives the same counts from the records, except `notified`, which counts the controller's own
+//! responses. A new process counts the jobs that still have a job record. It cannot count jobs whose job record was
+//! already deleted, since a terminal record need not name the team. `MAX_TEAM_CLASSES` bounds the number of rows.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{ClassIx, TeamIx};
 
-/// Pairs of team and class that are counted apart. Users name the classes, so that there may be any number.
+/// Number of pairs of team and class that have a row of their own. Users choose the class names, so the number of pairs
+/// is not bounded otherwise.
 const MAX_TEAM_CLASSES: usize = 256;
 
-/// A pair of team and class, by its row. The last row is shared by all pairs beyond the bound.
+/// Row of a pair of team and class. All pairs beyond the bound share the last row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TeamClassIx(u16);
 
 /// Counters of one pair of team and class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct JobCounters {
-    /// Jobs accepted.
+    /// Accepted jobs.
     pub accepted: u64,
-    /// Jobs of which at least one task ran or may have run.
+    /// Jobs with at least one task that ran or may have run.
     pub started: u64,
-    /// Jobs whose tasks all finished.
+    /// Jobs in the terminal state `Done`.
     pub done: u64,
-    /// Jobs cancelled.
+    /// Jobs in the terminal state `Cancelled`.
     pub cancelled: u64,
-    /// Jobs whose user received `done` from this controller.
+    /// Jobs for which this controller has sent a user the response `done`.
     pub notified: u64,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl JobCounterTable {
-    /// The row of a pair, which is added if the bound allows it.
+    /// Returns the row of a pair. A new pair gets a row of its own while the bound allows it, else the shared row.
     pub fn team_class(&mut self, team: TeamIx, class: ClassIx) -> TeamClassIx {
         let next = self.rows.len();
         *self.indices.entry((team, class)).or_insert_with(|| {
@@ -49,12 +50,12 @@
         })
     }
 
-    /// The counters of a row; None if it is a row of another table.
+    /// Returns the counters of a row; None if the row does not exist in this table.
     pub fn counters_mut(&mut self, team_class: TeamClassIx) -> Option<&mut JobCounters> {
         self.rows.get_mut(usize::from(team_class.0)).map(|(_, counters)| counters)
     }
 
-    /// All rows: team and class, which the shared row does not have, and the counters.
+    /// Returns all rows: team and class (None for the shared row), and the counters.
     pub fn rows(&self) -> impl Iterator<Item = (Option<(TeamIx, ClassIx)>, JobCounters)> + '_ {
         self.rows.iter().copied()
     }
--- a/src/bookkeeping/job_listing.rs
+++ b/src/bookkeeping/job_listing.rs
@@ -1,17 +1,18 @@
-//! Pages of jobs for operators, from the store cache. A page costs the same however many jobs there are.
+//! Pages of jobs for operators, built from the store cache. The cost of a page does not depend on the number of jobs.
 
 use super::jobs::{Job, TerminalState};
 use super::store_cache::{StoreCache, TerminalJobSummary, TerminalSummary};
 use crate::ids::{ClassIx, JobId, TeamIx, from_milli};
 use crate::protocol::operators::{JobPhase, JobSpecView, JobSummary, ListQuery, StateFilter};
 
-/// Jobs scanned for one page. With a selective filter, pages come short and say where the next one begins.
+/// Maximum number of jobs scanned for one page. With a selective filter, a page may hold fewer rows than requested; it
+/// still says where the next page begins.
 const MAX_SCANNED_JOBS: usize = 4_000;
 
-/// How many tasks of a job are running, for display.
+/// Returns how many tasks of a job are running, for display.
 pub type RunningTaskCount<'a> = &'a dyn Fn(JobId) -> u32;
 
-/// The rows of a page, and the id after which the next one begins.
+/// Returns the rows of a page, and the id after which the next page begins; None on the last page.
 pub fn job_page(
     cache: &StoreCache,
     query: &ListQuery,
@@ -34,7 +35,7 @@
     (rows, None)
 }
 
-/// A cheap check of every scanned job, before its row is built: can its phase match?
+/// Returns whether the phase of a job can match the query. This is a cheap check before the row is built.
 fn may_match(cache: &StoreCache, query: &ListQuery, id: JobId) -> bool {
     let is_wanted = |phase| query.state.is_none_or(|filter: StateFilter| filter.matches(phase));
     match cache.terminal_state(id) {
@@ -57,11 +58,11 @@
     }
 }
 
-/// A job as a list shows it; None if there is no such job.
+/// Returns the list row of a job; None if the job does not exist.
 pub fn job_row(cache: &StoreCache, id: JobId, running: RunningTaskCount<'_>) -> Option<JobSummary> {
     let job = cache.find_job(id);
     if let Some(terminal) = cache.terminal_summary(id) {
-        return Some(ended_row(cache, id, job, terminal));
+        return Some(terminal_row(cache, id, job, terminal));
     }
     match job {
         Some(job) => Some(live_row(cache, job, running(id))),
@@ -77,12 +78,12 @@
     cache.names.classes.name_or_unknown(class.index()).into()
 }
 
-fn ended_row(cache: &StoreCache, id: JobId, job: Option<&Job>, terminal: TerminalSummary) -> JobSummary {
+fn terminal_row(cache: &StoreCache, id: JobId, job: Option<&Job>, terminal: TerminalSummary) -> JobSummary {
     let first_start_ms = terminal.job.and_then(|summary| summary.first_start_wall_ms);
-    // While its records are still being deleted the job itself has the data, afterwards its terminal record.
+    // Until the job's records are deleted, the job itself holds the data; afterwards its terminal record does.
     let summary = job.map(|job| live_summary(job, first_start_ms)).or(terminal.job);
     let tasks = summary.map(|summary| summary.tasks);
-    // How far a cancelled job came is not kept.
+    // The number of finished tasks of a cancelled job is not recorded.
     let is_done = terminal.state == TerminalState::Done;
     JobSummary {
         id: id.to_string(),
@@ -123,7 +124,7 @@
     }
 }
 
-/// A node of a graph that is not a job yet.
+/// Returns the row of a graph node that has not become a job yet.
 fn waiting_node_row(cache: &StoreCache, id: JobId) -> Option<JobSummary> {
     let (run, node) = cache.dag_runs.current_node(id)?;
     let dag = run.dag.as_ref()?;
@@ -133,7 +134,7 @@
         state: JobPhase::Pending,
         team: Some(manifest.team.clone()),
         class: Some(manifest.job_class.clone()),
-        // A mapped node has as many tasks as its list has elements, which is not known yet.
+        // A mapped node has one task for each element of a list that has not been produced yet.
         tasks: dag.node(node).map_source.is_none().then_some(manifest.tasks),
         done: Some(0),
         running: Some(0),
@@ -143,7 +144,7 @@
     })
 }
 
-/// A job's specification, with names in place of indices and in the units of the protocol.
+/// Returns the specification of a job, with names instead of indices and in the units of the protocol.
 pub fn spec_view(cache: &StoreCache, job: &Job) -> JobSpecView {
     let spec = &job.spec;
     let names = &cache.names;
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -1,4 +1,4 @@
-//! A job: what was submitted, with names interned and units converted, and what the records say of its progress.
+//! A job: its specification as submitted, with names interned and units converted, and its recorded progress.
 
 use std::sync::Arc;
 
@@ -12,117 +12,117 @@
 use crate::protocol::graphs::DagRunName;
 use crate::protocol::users::{JobKind, JobManifest, PriorityClass};
 
-/// How a job ended. Final.
+/// The terminal state of a job. It never changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TerminalState {
-    /// All its tasks finished.
+    /// All tasks finished.
     Done,
-    /// It was cancelled, or it is a graph node that did not succeed.
+    /// The job was cancelled, or it is a graph node that did not succeed.
     Cancelled,
 }
 
-/// The names that jobs and machines use, interned: the rest of the controller compares indices.
+/// The interned names that jobs and machines refer to. The rest of the controller compares indices.
 #[derive(Debug, Default)]
 pub struct NameRegistry {
-    /// Machine types.
+    /// Names of machine types.
     pub machine_types: Interner<MachineTypeIx>,
-    /// Zones.
+    /// Names of zones.
     pub zones: Interner<ZoneIx>,
-    /// Teams.
+    /// Names of teams.
     pub teams: Interner<TeamIx>,
-    /// Images that tasks run from.
+    /// Names of the images that tasks are started from.
     pub images: Interner<ImageIx>,
-    /// Job classes.
+    /// Names of job classes.
     pub classes: Interner<ClassIx>,
-    /// Pools of slots that graph nodes share.
+    /// Names of the pools whose slots the tasks of graph nodes share.
     pub pools: Interner<PoolIx>,
 }
 
-/// What a job has in addition if it is a node of a graph's run.
+/// The additional specification of a job that is a node of a graph run.
 #[derive(Debug, Clone)]
 pub struct NodeSpec {
-    /// The run.
+    /// Name of the run that the node belongs to.
     pub run: DagRunName,
     /// Name of the node.
     pub name: Box<str>,
-    /// How often a task is tried, and the delays between.
+    /// Maximum number of attempts of a task, and the delays between them.
     pub retry_policy: RetryPolicy,
-    /// A task that runs longer than this has failed.
+    /// Run time after which a task counts as failed; None: no limit.
     pub timeout_ms: Option<u64>,
-    /// The pool whose slots its tasks take.
+    /// The pool whose slots the tasks occupy, if the node names one.
     pub pool: Option<PoolIx>,
-    /// Work on the longest path downstream of it.
+    /// Estimated run time of the longest path downstream of the node, the node itself excluded.
     pub downstream_path_ms: u64,
-    /// The first jobs whose output it reads, for placement near their data.
+    /// Upstream jobs whose output it reads, used to place it near its data. Only the first few are kept.
     pub upstream_jobs: Vec<JobId>,
-    /// Size of the output that it reads of them.
+    /// Total size of the output of these upstream jobs, as declared by their templates.
     pub input_mb: u64,
-    /// Other nodes are downstream of it.
+    /// Whether the node has downstream nodes.
     pub has_downstream: bool,
 }
 
-/// What of a job never changes. Field names carry the units.
+/// The immutable part of a job. Field names carry the units.
 #[derive(Debug, Clone)]
 pub struct JobSpec {
     /// Unique id.
     pub id: JobId,
-    /// Class that the user gave it.
+    /// Job class, chosen by the user.
     pub class: ClassIx,
-    /// Team that its resources count for.
+    /// Team whose quota the job's resources are charged to.
     pub team: TeamIx,
     /// Array, gang or service.
     pub kind: JobKind,
-    /// Priority that the user asked for.
+    /// Priority class that the user requested.
     pub urgency: PriorityClass,
     /// Number of tasks.
     pub tasks: u32,
-    /// What one task takes.
+    /// Resources of one task.
     pub task_resources: Resources,
-    /// Machine types that its tasks may run on; None: any.
+    /// Machine types that the tasks may run on; None: any.
     pub machine_types: Option<Vec<MachineTypeIx>>,
-    /// Zone that its tasks must run in; None: any.
+    /// Zone that the tasks must run in; None: any.
     pub zone: Option<ZoneIx>,
-    /// All tasks must run in one zone, whichever it is.
+    /// All tasks must run in the same zone.
     pub single_zone: bool,
-    /// At most half of its tasks may run in one zone.
+    /// At most half of the tasks may run in any one zone.
     pub spread: bool,
-    /// Its tasks may run on spot instances.
+    /// The tasks may run on spot instances.
     pub allows_spot: bool,
-    /// Image that its tasks run from.
+    /// Image that the tasks are started from.
     pub image: ImageIx,
     /// Size of the image.
     pub image_mb: u64,
-    /// Run time of a task as the user estimates it.
+    /// Run time of a task, as estimated by the user.
     pub estimated_run_ms: u64,
-    /// Time between two checkpoints of a task; 0: it saves none.
+    /// Time between two checkpoints of a task; 0: the tasks save no checkpoints.
     pub checkpoint_interval_ms: u64,
-    /// Time that saving a checkpoint takes.
+    /// Duration of saving a checkpoint.
     pub checkpoint_save_ms: u64,
-    /// Wall-clock time by which it should be complete.
+    /// Wall-clock time by which the job should be complete, if it has a deadline.
     pub slo_wall_ms: Option<u64>,
-    /// Wall-clock time of acceptance; of a graph node, when it became ready.
+    /// Wall-clock time of acceptance; for a graph node, the time at which it became ready.
     pub accepted_wall_ms: u64,
-    /// Revision of the acceptance: the order in which jobs came.
+    /// Revision of the acceptance, which orders jobs by their arrival.
     pub accepted_revision: Revision,
-    /// If it is a node of a graph's run.
+    /// The node's specification if the job is a node of a graph run.
     pub node: Option<Arc<NodeSpec>>,
 }
 
-/// A job and what the durable records say of it.
+/// A job and its progress according to the durable records.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What never changes.
+    /// The immutable part of the job.
     pub spec: Arc<JobSpec>,
-    /// Finished tasks that are on record.
+    /// Tasks that are recorded as finished.
     pub finished_tasks: BitSet,
-    /// How it ended, and at what wall-clock time in milliseconds.
+    /// The terminal state and the wall-clock time at which it was reached, in milliseconds.
     pub terminal: Option<(TerminalState, u64)>,
-    /// A task of it ran or may have run.
+    /// Whether at least one task ran or may have run.
     pub has_started: bool,
 }
 
 impl Job {
-    /// A job of which nothing has run.
+    /// Returns a job without progress.
     pub fn new(spec: JobSpec) -> Job {
         Job {
             finished_tasks: BitSet::new(spec.tasks),
@@ -134,7 +134,7 @@
 }
 
 impl JobSpec {
-    /// A submitted job: interns its names and converts its units.
+    /// Builds the specification from a manifest: interns the names and converts the units.
     pub fn new(
         id: JobId,
         manifest: &JobManifest,
@@ -170,30 +170,30 @@
         }
     }
 
-    /// May its tasks run on machines of this type?
+    /// Returns whether the tasks may run on machines of this type.
     pub fn allows_machine_type(&self, machine_type: MachineTypeIx) -> bool {
         self.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type))
     }
 
-    /// May its tasks run on a machine of this type in this zone?
+    /// Returns whether the tasks may run on a machine of this type in this zone; `spot`: it is a spot instance.
     pub fn allows(&self, machine_type: MachineTypeIx, zone: ZoneIx, spot: bool) -> bool {
         self.allows_machine_type(machine_type)
             && self.zone.is_none_or(|only| only == zone)
             && (!spot || self.allows_spot)
     }
 
-    /// The pool whose slots its tasks take.
+    /// Returns the pool whose slots the tasks occupy, if the job is a graph node that names one.
     pub fn pool(&self) -> Option<PoolIx> {
         self.node.as_ref()?.pool
     }
 
-    /// Gangs and services are placed all or nothing.
+    /// Returns whether the job is placed all or nothing, as gangs and services are.
     pub fn is_all_or_nothing(&self) -> bool {
         self.kind != JobKind::Array
     }
 }
 
-/// What one task takes, rounded up to thousandths.
+/// Returns the resources of one task, rounded up to thousandths.
 pub fn task_resources(manifest: &JobManifest) -> Resources {
     Resources {
         cpu: to_milli_ceil(manifest.cpus),
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,7 +1,8 @@
-//! What a controller remembers: jobs, machines, graph runs and configuration, and the durable records behind them.
+//! The state of a controller: jobs, machines, graph runs and configuration, and the durable records they derive from.
 //!
-//! The layer does no I/O and reads no clock: wall-clock times come from records. [`records`] and [`dag_records`] are the
-//! formats, [`store_cache`] the state derived from them, [`job_listing`] and [`run_listing`] what operators see of it.
+//! The layer does no I/O and reads no clock: wall-clock times come from records. [`records`] and [`dag_records`]
+//! define the formats, [`store_cache`] holds the state derived from them, and [`job_listing`] and [`run_listing`]
+//! render it for operators.
 
 pub mod bit_set;
 pub mod config;
--- a/src/bookkeeping/records/assignment_log.rs
+++ b/src/bookkeeping/records/assignment_log.rs
@@ -1,7 +1,7 @@
-//! Segments of the leader's assignment log, and bounds for their size as JSON.
+//! Segments of the leader's assignment log, and upper bounds for their size as JSON.
 //!
-//! A segment lists tasks that may run on machines from its revision on, machines that are being returned, and tasks
-//! that finished. However many machines it covers, it is one change of the store.
+//! A segment lists the tasks that may run on machines from its revision on, the machines that are being returned, and
+//! finished tasks. Writing it is one change of the store, however many machines it covers.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,21 @@
 use super::machine::{MachineDescriptor, RecordedMachine};
 use crate::ids::{Attempt, JobId, TaskId};
 
-/// Upper bound for one task in a worker's heartbeat and in the log, in bytes.
+/// Upper bound in bytes for one task, both in a worker's heartbeat and in the log.
 const MAX_TASK_BYTES: usize = 48;
-/// Upper bound for the rest of a heartbeat or of a machine's entry, in bytes.
+/// Upper bound in bytes for the rest of a heartbeat or of a machine's entry in the log.
 const MAX_OVERHEAD_BYTES: usize = 700;
 
-// Upper bounds for the JSON of a segment's elements, without names and numbers.
+// Upper bounds in bytes for the JSON of a segment's elements, without names and numbers.
 const MAX_RECORD_OVERHEAD_BYTES: usize = 100;
 const MAX_ENTRY_BYTES: usize = 68;
 const MAX_ASSIGNMENT_BYTES: usize = 6;
 const MAX_RANGE_BYTES: usize = 36;
-/// Quotes and comma around a name in a list.
+/// Bytes for the quotes and the comma around a name in a list.
 const LISTED_NAME_OVERHEAD_BYTES: usize = 3;
 
-/// How many tasks a machine may have so that everything about it always fits one value of the store.
+/// Returns the maximum number of tasks on one machine, chosen so that a heartbeat or a log entry of the machine always
+/// fits into one value of the store.
 pub fn max_tasks_per_machine(value_kb: f64) -> usize {
     let bytes = (value_kb * 1024.0) as usize;
     (bytes.saturating_sub(MAX_OVERHEAD_BYTES) / MAX_TASK_BYTES).max(1)
@@ -32,7 +33,7 @@
 /// One segment of the log.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct AssignmentLogRecord {
-    /// Attempts are written as their distance from this one, which is shorter.
+    /// Attempts are written relative to this one, which takes fewer digits.
     #[serde(rename = "base")]
     base_attempt: u64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -42,7 +43,7 @@
     zones: Vec<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     machines: Vec<MachineEntry>,
-    /// Ranges of finished tasks by job: the first task, and how many.
+    /// Ranges of finished tasks by job: first task, number of tasks.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[serde(rename = "done")]
     finished: BTreeMap<u64, Vec<(u32, u32)>>,
@@ -56,17 +57,17 @@
     name: String,
     #[serde(rename = "e")]
     endpoint: String,
-    /// Position in the segment's list of machine types.
+    /// Index into the segment's list of machine types.
     #[serde(rename = "k")]
     machine_type: usize,
-    /// Position in the segment's list of zones.
+    /// Index into the segment's list of zones.
     #[serde(rename = "z")]
     zone: usize,
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     spot: bool,
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     returning: bool,
-    /// Job, task, distance of the attempt from the base.
+    /// Job, task, and the attempt relative to `base_attempt`.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     tasks: Vec<(u64, u32, i64)>,
 }
@@ -76,7 +77,7 @@
 }
 
 impl AssignmentLogRecord {
-    /// An empty segment. Attempts near `base` are stored in few digits.
+    /// Returns an empty segment. Attempts near `base` are stored in few digits.
     pub fn new(base: Attempt) -> AssignmentLogRecord {
         AssignmentLogRecord {
             base_attempt: base.0,
@@ -85,12 +86,13 @@
         }
     }
 
-    /// Upper bound for the length of the segment as JSON. Only known while it is being built, not after parsing.
+    /// Returns an upper bound for the length of the segment as JSON. The bound is tracked only while a segment is
+    /// built; it is not valid for a parsed one.
     pub fn max_json_bytes(&self) -> usize {
         self.max_json_bytes
     }
 
-    /// Nothing was added yet.
+    /// Returns whether the segment has no machines and no finished tasks.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty() && self.finished.is_empty()
     }
@@ -113,7 +115,7 @@
         });
     }
 
-    /// The task may run on the machine added last.
+    /// Records that the task may run on the machine added last.
     pub fn add_task(&mut self, task: TaskId, attempt: Attempt) {
         if let Some(entry) = self.machines.last_mut() {
             let distance = (attempt.0 as i64).wrapping_sub(self.base_attempt as i64);
@@ -123,14 +125,14 @@
         }
     }
 
-    /// The machine added last is being returned to the cloud.
+    /// Records that the machine added last is being returned to the cloud.
     pub fn mark_returning(&mut self) {
         if let Some(entry) = self.machines.last_mut() {
             entry.returning = true;
         }
     }
 
-    /// Adds a finished task. Consecutive tasks of a job, added in order, share a range.
+    /// Adds a finished task. Consecutive tasks of a job that are added in order share a range.
     pub fn add_finished(&mut self, task: TaskId) {
         let ranges = self.finished.entry(task.job.0).or_default();
         match ranges.last_mut() {
@@ -142,15 +144,15 @@
         }
     }
 
-    /// The machines of the segment, in the order in which they were added.
+    /// Returns the machines of the segment, in the order in which they were added.
     pub fn recorded_machines(&self) -> impl Iterator<Item = RecordedMachine> + '_ {
-        let name = |names: &[String], position: usize| names.get(position).cloned().unwrap_or_default();
+        let name_at = |names: &[String], position: usize| names.get(position).cloned().unwrap_or_default();
         self.machines.iter().map(move |entry| RecordedMachine {
             machine: MachineDescriptor {
                 name: entry.name.clone(),
                 endpoint: entry.endpoint.clone(),
-                machine_type: name(&self.machine_types, entry.machine_type),
-                zone: name(&self.zones, entry.zone),
+                machine_type: name_at(&self.machine_types, entry.machine_type),
+                zone: name_at(&self.zones, entry.zone),
                 spot: entry.spot,
             },
             returning: entry.returning,
@@ -165,12 +167,12 @@
         })
     }
 
-    /// The tasks of all machines, with their attempts.
+    /// Returns the tasks of all machines, with their attempts.
     pub fn assigned_tasks(&self) -> impl Iterator<Item = (TaskId, Attempt)> + '_ {
         self.machines.iter().flat_map(|entry| self.tasks_of(entry))
     }
 
-    /// Ranges of finished tasks: job, first task, how many.
+    /// Returns the ranges of finished tasks: job, first task, number of tasks.
     pub fn finished_ranges(&self) -> impl Iterator<Item = (JobId, u32, u32)> + '_ {
         self.finished
             .iter()
@@ -178,9 +180,9 @@
     }
 }
 
-/// The position of the name in the list, which grows by it if it is new; `bytes` grows by what that takes.
+/// Returns the position of a name in the list. A new name is appended, and its size as JSON is added to `bytes`.
 fn intern_position(names: &mut Vec<String>, name: &str, bytes: &mut usize) -> usize {
-    names.iter().position(|known| known == name).unwrap_or_else(|| {
+    names.iter().position(|listed| listed == name).unwrap_or_else(|| {
         *bytes += name.len() + LISTED_NAME_OVERHEAD_BYTES;
         names.push(name.into());
         names.len() - 1
--- a/src/bookkeeping/records/key.rs
+++ b/src/bookkeeping/records/key.rs
@@ -3,33 +3,34 @@
 use crate::ids::JobId;
 use crate::protocol::graphs::DagRunName;
 
-/// Every key of the cluster starts with this.
+/// Common prefix of all keys of the cluster.
 pub const KEY_PREFIX: &str = "olivelatch/";
-/// The key whose holder leads.
+/// Key of the leader record. The controller that holds it is the leader.
 pub const LEADER_KEY: &str = "olivelatch/leader";
-/// The key that every acceptance of graph nodes rewrites.
+/// Key that every acceptance of graph nodes rewrites, so that acceptances are serialized.
 pub const GRAPH_ACCEPTANCE_KEY: &str = "olivelatch/graphs";
 
 /// A parsed key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordKey {
-    /// The leadership.
+    /// The leader record.
     Leader,
     /// An accepted job.
     Job(JobId),
     /// The terminal state of a job.
     Terminal(JobId),
-    /// The finished tasks of a job in one block.
+    /// The finished tasks in one block of a job.
     Finished(JobId, u32),
-    /// What may run on one machine, in the format before the assignment log: still read and deleted, never written.
+    /// The tasks that may run on one machine, in the format that the assignment log replaced. It is still read and
+    /// deleted, but never written.
     LegacyMachine(String),
     /// A segment of the assignment log.
     AssignmentLog(String),
-    /// A request for machines of the cloud.
+    /// A request to the cloud for machines.
     ProvisioningRequest(String),
     /// The description of a machine type.
     MachineType(String),
-    /// Rewritten by every acceptance of graph nodes, which serializes them.
+    /// The key that every acceptance of graph nodes rewrites, so that acceptances are serialized.
     GraphAcceptance,
     /// An uploaded part of a run's graph.
     GraphPart(DagRunName, u32),
@@ -37,14 +38,14 @@
     DagRun(DagRunName),
     /// The phase of a run.
     RunPhase(DagRunName),
-    /// The failures of a job's tasks in one block.
+    /// The failures of the tasks in one block of a job.
     RetryState(JobId, u32),
-    /// An entry of the configuration, of any kind.
+    /// A configuration entry of any kind.
     ConfigEntry(String),
 }
 
 impl RecordKey {
-    /// None if the key has no known form.
+    /// Parses a key; returns None if it has no known form.
     pub fn parse(text: &str) -> Option<RecordKey> {
         let text = text.strip_prefix(KEY_PREFIX)?;
         if text == "leader" {
@@ -80,7 +81,7 @@
         })
     }
 
-    /// The key as text; [`RecordKey::parse`] reads it back.
+    /// Returns the key as text, which [`RecordKey::parse`] parses.
     pub fn encode(&self) -> String {
         match self {
             RecordKey::Leader => LEADER_KEY.into(),
--- a/src/bookkeeping/records/machine.rs
+++ b/src/bookkeeping/records/machine.rs
@@ -1,4 +1,4 @@
-//! Records about machines: what they are, what may run on them, and which were requested of the cloud.
+//! Records about machines: their properties, the tasks that may run on them, and requests to the cloud for more.
 
 use std::collections::BTreeMap;
 
@@ -6,54 +6,54 @@
 
 use crate::ids::{Attempt, JobId, TaskId};
 
-/// A machine as records describe it.
+/// The properties of a machine, as recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MachineDescriptor {
-    /// Unique name.
+    /// Unique name of the machine.
     pub name: String,
-    /// Address of its worker.
+    /// Address of the machine's worker.
     pub endpoint: String,
-    /// Name of its machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// It is a spot instance.
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-/// What the records hold about one machine.
+/// Recorded state of one machine.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RecordedMachine {
-    /// The machine itself.
+    /// Properties of the machine.
     pub machine: MachineDescriptor,
-    /// It is being returned to the cloud.
+    /// Whether it is being returned to the cloud.
     pub returning: bool,
     /// Tasks that may run on it, with their attempts.
     pub tasks: Vec<(TaskId, Attempt)>,
 }
 
-/// What may run on one machine, in the format before the assignment log: read, never written.
+/// The tasks that may run on one machine, in the format that the assignment log replaced. It is read but never written.
 #[derive(Debug, Clone, PartialEq, Default, Deserialize)]
 pub struct LegacyMachineRecord {
-    /// Name of its machine type.
+    /// Name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// Zone it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// It is a spot instance.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// Address of its worker.
+    /// Address of the machine's worker.
     pub endpoint: String,
-    /// It is being returned to the cloud.
+    /// Whether it is being returned to the cloud.
     #[serde(default)]
     pub returning: bool,
-    /// Tasks and their attempts, by job.
+    /// Pairs of task number and attempt, by job.
     #[serde(default)]
     tasks: BTreeMap<String, Vec<(u32, u64)>>,
 }
 
 impl LegacyMachineRecord {
-    /// The record in today's form; `name` comes from its key.
+    /// Converts the record to the current type; `name` is the machine's name, which is part of the key.
     pub fn to_recorded(&self, name: &str) -> RecordedMachine {
         let tasks = self.tasks.iter().flat_map(|(job, attempts)| {
             let job = JobId::parse(job);
@@ -75,16 +75,16 @@
     }
 }
 
-/// A request for machines. After a failover the new leader finds its machines by the name of the request.
+/// A request to the cloud for machines. After a failover the new leader finds the machines by the name of the request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
     /// Name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// Zone requested.
+    /// Requested zone.
     pub zone: String,
-    /// Spot instances were requested.
+    /// Whether spot instances were requested.
     pub spot: bool,
-    /// Number of machines.
+    /// Number of requested machines.
     pub count: u32,
 }
--- a/src/bookkeeping/records/mod.rs
+++ b/src/bookkeeping/records/mod.rs
@@ -1,8 +1,8 @@
 //! The durable records of the cluster: their keys in the key-value store and their JSON.
 //!
-//! This module only converts between types and text. What a record means is decided by
-//! [`store_cache`](super::store_cache), and when one is written by the leader.
-//! Field names on disk are fixed (`serde(rename)`): records of earlier versions must stay readable.
+//! This module only converts between types and text. [`store_cache`](super::store_cache) interprets the records, and
+//! the leader decides when to write them. Stored field names are fixed (`serde(rename)`): records of earlier versions
+//! must stay readable.
 
 mod assignment_log;
 mod controller;
@@ -20,13 +20,13 @@
 pub use machine::{LegacyMachineRecord, MachineDescriptor, ProvisioningRecord, RecordedMachine};
 pub use terminal::{TerminalDetail, TerminalRecord};
 
-/// A job as accepted.
+/// The record of an accepted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// Wall-clock time of acceptance, in milliseconds.
     #[serde(rename = "at")]
     pub accepted_wall_ms: u64,
-    /// The manifest as submitted.
+    /// Manifest as submitted.
     #[serde(rename = "spec")]
     pub manifest: JobManifest,
 }
@@ -34,7 +34,7 @@
 /// The finished tasks of one block of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinishedRecord {
-    /// As [`BitSet::encode_block`](super::bit_set::BitSet::encode_block) writes it.
+    /// Block as encoded by [`BitSet::encode_block`](super::bit_set::BitSet::encode_block).
     #[serde(rename = "tasks")]
     pub encoded_tasks: String,
 }
--- a/src/bookkeeping/records/terminal.rs
+++ b/src/bookkeeping/records/terminal.rs
@@ -1,4 +1,4 @@
-//! The record of a job's terminal state. It is created once and kept for good.
+//! The record of a job's terminal state. It is created once and never changed or deleted.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 use crate::bookkeeping::dag_records::NodeTerminalRecord;
 use crate::bookkeeping::jobs::TerminalState;
 
-/// [`TerminalState`] in the words on disk.
+/// [`TerminalState`] with the names that are stored.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum StoredTerminalState {
@@ -25,24 +25,24 @@
     }
 }
 
-/// How and when a job ended.
+/// The terminal state of a job, and when it was reached.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TerminalRecord {
     #[serde(rename = "end")]
     state: StoredTerminalState,
-    /// Wall-clock time of the end, in milliseconds.
+    /// Wall-clock time at which the terminal state was reached, in milliseconds.
     #[serde(rename = "at")]
     pub ended_wall_ms: u64,
-    /// What operators see of the job once its other records are deleted.
+    /// Data shown to operators after the job's other records are deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<TerminalDetail>,
-    /// For a job that is a node of a graph.
+    /// Outcome of the node, for a job that is a graph node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "node")]
     pub node_terminal: Option<NodeTerminalRecord>,
 }
 
-/// What is kept of an ended job for operators, if their interface is enabled. Wall-clock times in milliseconds.
+/// Data of a finished job that is kept for operators if their interface is enabled. Wall-clock times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TerminalDetail {
     /// Name of the team.
@@ -51,22 +51,22 @@
     pub class: String,
     /// Number of tasks.
     pub tasks: u32,
-    /// When the job was accepted.
+    /// Time of acceptance.
     #[serde(rename = "accepted")]
     pub accepted_wall_ms: u64,
-    /// When the leader saw the first task run.
+    /// Time at which the leader observed the first running task, if it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "first")]
     pub first_start_wall_ms: Option<u64>,
 }
 
 impl TerminalRecord {
-    /// The record of a plain job.
+    /// Returns the record of a job that is not a graph node.
     pub fn new(state: TerminalState, ended_wall_ms: u64, detail: Option<TerminalDetail>) -> TerminalRecord {
         TerminalRecord { state: state.into(), ended_wall_ms, detail, node_terminal: None }
     }
 
-    /// The record of a graph node's job: done if the node succeeded, cancelled otherwise.
+    /// Returns the record of a graph node's job: `Done` if the node succeeded, `Cancelled` otherwise.
     pub fn for_node(
         node: NodeTerminalRecord,
         ended_wall_ms: u64,
@@ -79,7 +79,7 @@
         TerminalRecord { node_terminal: Some(node), ..TerminalRecord::new(state, ended_wall_ms, detail) }
     }
 
-    /// How the job ended.
+    /// Returns the terminal state of the job.
     pub fn terminal_state(&self) -> TerminalState {
         match self.state {
             StoredTerminalState::Done => TerminalState::Done,
--- a/src/bookkeeping/run_listing.rs
+++ b/src/bookkeeping/run_listing.rs
@@ -1,4 +1,4 @@
-//! Pages of graph runs and of their nodes for operators, from the store cache.
+//! Pages of graph runs and of their nodes for operators, built from the store cache.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +14,12 @@
     DagNodeState, DagNodeView, DagRunDetail, DagRunQuery, DagRunState, DagRunSummary, FailedAttempt,
 };
 
-/// Runs scanned for one page.
+/// Maximum number of runs scanned for one page.
 const MAX_SCANNED_RUNS: usize = 2_000;
-/// Failures shown of a node that has not ended.
+/// Maximum number of failures shown for a node without an outcome.
 const MAX_LIVE_FAILURES_SHOWN: usize = 10;
 
-// Estimates for the JSON of a node in a page, without its name.
+// Estimated sizes in bytes of the JSON of a node in a page: the node without its name, one upstream range, one failure.
 const NODE_BYTES: usize = 300;
 const UPSTREAM_RANGE_BYTES: usize = 16;
 const FAILED_ATTEMPT_BYTES: usize = 120;
@@ -35,7 +35,7 @@
     }
 }
 
-/// How many nodes are in each state, by its name; states without nodes are left out.
+/// Counts the nodes in each state, by the name of the state; states without nodes are left out.
 fn node_state_counts(dag: &Dag) -> BTreeMap<String, u32> {
     let outcomes = dag.progress.outcome_counts().into_iter();
     let mut counts: BTreeMap<String, u32> =
@@ -50,7 +50,7 @@
     counts
 }
 
-/// A run as a list shows it.
+/// Returns the list row of a run.
 pub fn run_row(run: &DagRun) -> DagRunSummary {
     let (accepted_ms, graph, nodes) = match &run.accepted {
         Some((accepted_wall_ms, header, _)) => (*accepted_wall_ms, header.graph.clone(), header.nodes),
@@ -68,7 +68,7 @@
     }
 }
 
-/// The rows of a page, and the run after which the next one begins.
+/// Returns the rows of a page, and the run after which the next page begins; None on the last page.
 pub fn run_page(cache: &StoreCache, query: &DagRunQuery) -> (Vec<DagRunSummary>, Option<String>) {
     let is_wanted = |graph: &String| query.graph.as_ref().is_none_or(|filter| filter == graph);
     let mut rows = Vec::new();
@@ -85,7 +85,8 @@
     (rows, None)
 }
 
-/// A page of a run's nodes: those after node `after` if it is given, at most `limit`, and about `max_bytes` of JSON.
+/// Returns a page of a run's nodes: the nodes after `after` (all if it is None), at most `limit` of them, and about
+/// `max_bytes` of JSON.
 pub fn run_detail(
     cache: &StoreCache,
     run: &DagRun,
@@ -144,7 +145,8 @@
     DagNodeView {
         name: node.name.to_string(),
         job: node.job.to_string(),
-        state: outcome.map_or_else(|| live_node_state(cache, run, dag, ix, running_tasks), ended_node_state),
+        state: outcome
+            .map_or_else(|| live_node_state(cache, run, dag, ix, running_tasks), terminal_node_state),
         trigger_rule: dag.progress.rule(ix),
         upstream: node.upstream_ranges.to_vec(),
         mapped_from: node.map_source.map(|source| source.0),
@@ -164,7 +166,7 @@
     }
 }
 
-/// The failures on record of a node that has not ended.
+/// Returns the recorded failures of a node without an outcome, up to `MAX_LIVE_FAILURES_SHOWN`.
 fn live_failures(cache: &StoreCache, job: JobId) -> Vec<FailedAttempt> {
     let by_task = cache.dag_runs.retry_states_of(job).into_iter().flatten();
     let failures = by_task.flat_map(|(task, state)| {
@@ -191,7 +193,7 @@
     }
 }
 
-fn ended_node_state(outcome: NodeOutcome) -> DagNodeState {
+fn terminal_node_state(outcome: NodeOutcome) -> DagNodeState {
     match outcome {
         NodeOutcome::Success => DagNodeState::Success,
         NodeOutcome::Failed => DagNodeState::Failed,
--- a/src/bookkeeping/store_cache/apply.rs
+++ b/src/bookkeeping/store_cache/apply.rs
@@ -1,4 +1,4 @@
-//! Applying changes of the store to the replica.
+//! Applies changes of the store to the replica.
 
 use serde::de::DeserializeOwned;
 
@@ -10,21 +10,22 @@
 use crate::ids::{JobId, JobIx, LeaseId, Revision};
 use crate::protocol::kv::KvEntry;
 
-/// None if the value is not such a record: it is then left out, as if its key did not exist.
+/// Parses a record; returns None if the value is not a record of this type. Such a value is ignored, as if its key did
+/// not exist.
 fn parse_record<T: DeserializeOwned>(value: &str) -> Option<T> {
     serde_json::from_str(value).ok()
 }
 
 impl StoreCache {
-    /// Applies a change; one that is not newer than what is known changes nothing.
+    /// Applies a change. A change whose revision is not newer than the one already applied to its key has no effect.
     pub fn apply(&mut self, entry: &KvEntry) -> Option<ChangeEvent> {
         let deleted_at = self.tombstones.get(&entry.key).copied().unwrap_or_default();
         if entry.revision <= self.key_revision(&entry.key).max(deleted_at) {
             return None;
         }
         let key = RecordKey::parse(&entry.key)?;
-        // A terminal record is created once and stays for good: its revision is never needed, and would be most of
-        // the memory that an ended job costs.
+        // A terminal record is created once and never changed: its revision is not needed, and keeping it would take
+        // most of the memory of a finished job.
         let is_terminal = match key {
             RecordKey::Terminal(id) if self.terminal_jobs.contains_key(&id) => return None,
             RecordKey::Terminal(_) => true,
@@ -46,7 +47,7 @@
     }
 
     /// Applies a change that this controller made and the store has committed. A deletion is remembered until the
-    /// polled changes have caught up, so that an older version of the key that they still bring is not taken in.
+    /// polled changes have reached its revision, so that an older version of the key among them is not applied.
     pub fn apply_own_change(&mut self, entry: &KvEntry) -> Option<ChangeEvent> {
         let event = self.apply(entry);
         if entry.value.is_none() && entry.revision > self.revision {
@@ -55,7 +56,7 @@
         event
     }
 
-    /// All changes up to `revision` have been applied.
+    /// Records that all changes up to `revision` have been applied.
     pub fn advance_revision(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
         let applied = self.revision;
@@ -192,7 +193,7 @@
         if let Some(job) = self.job_mut(id) {
             tasks.add_to(&mut job.finished_tasks);
         } else if !self.terminal_jobs.contains_key(&id) {
-            // Nothing reads the finished tasks of an ended job.
+            // The finished tasks of a job with a terminal record are never read.
             self.out_of_order.entry(id).or_default().push(tasks);
         }
     }
--- a/src/bookkeeping/store_cache/job_counts.rs
+++ b/src/bookkeeping/store_cache/job_counts.rs
@@ -1,5 +1,5 @@
-//! Counting jobs by team and class, from the records alone: every controller arrives at the same numbers, in
-//! whatever order it reads them. Each transition of a job counts once.
+//! Counts jobs by team and class from the records alone. Every controller computes the same numbers, in whatever order
+//! it reads the records. Each transition of a job counts once.
 
 use super::{StoreCache, TerminalEntry};
 use crate::bookkeeping::job_counters::JobCounters;
@@ -7,7 +7,7 @@
 use crate::ids::JobId;
 
 impl StoreCache {
-    /// Counts a job that was not known before; its terminal record may have been read already.
+    /// Counts a new job, whose terminal record may already have been read.
     pub(super) fn count_job(&mut self, job: &mut Job) {
         let id = job.spec.id;
         let team_class = self.job_counters.team_class(job.spec.team, job.spec.class);
@@ -25,7 +25,7 @@
         counters.started += u64::from(job.has_started);
     }
 
-    /// Counts the first task of a job that may run.
+    /// Counts a job as started when the first of its tasks may run.
     pub(super) fn count_started(&mut self, id: JobId) {
         let Some(job) = self.job_mut(id).filter(|job| !job.has_started) else { return };
         job.has_started = true;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Counts and keeps a terminal state.
+    /// Counts and stores a terminal state.
     pub(super) fn count_terminal(&mut self, id: JobId, state: TerminalState, ended_wall_ms: u64) {
         if state == TerminalState::Done {
             self.count_started(id);
@@ -50,7 +50,7 @@
         self.terminal_jobs.insert(id, entry);
     }
 
-    /// This controller has sent a user the news that the job is done: counts once a job.
+    /// Counts that this controller has reported the job as done to a user, at most once per job.
     pub fn count_notified_done(&mut self, id: JobId) {
         let entry = self.terminal_jobs.get_mut(&id);
         let Some(entry) = entry.filter(|entry| entry.state == TerminalState::Done && !entry.notified) else {
--- a/src/bookkeeping/store_cache/mod.rs
+++ b/src/bookkeeping/store_cache/mod.rs
@@ -1,11 +1,12 @@
-//! A replica of the records in the key-value store, as far as this controller has read it.
+//! A replica of the records in the key-value store, up to the revision that this controller has read.
 //!
-//! [`StoreCache`] owns every job, terminal state, run and configuration entry that the records describe, and tells the
-//! rest of the controller what changed ([`ChangeEvent`]). It does no I/O and reads no clock; polling the store and
-//! writing to it are the callers' part. Records are applied in any order (pages come sorted by key, changes by
-//! revision); a revision that is not newer than what is known changes nothing.
+//! [`StoreCache`] owns every job, terminal state, run and configuration entry that the records describe, and reports
+//! changes to the rest of the controller ([`ChangeEvent`]). It does no I/O and reads no clock; its callers poll the
+//! store and write to it. Records may be applied in any order (pages are sorted by key, changes by revision); a change
+//! that is not newer than the one already applied to its key has no effect.
 //!
-//! Memory grows with the jobs that have records, and by one small entry for each terminal record, which stays for good.
+//! Memory grows with the jobs that have records, and by one small entry for each terminal record, which is never
+//! removed.
 
 mod apply;
 mod job_counts;
@@ -25,110 +26,112 @@
 use crate::ids::{ClassIx, JobId, JobIx, LeaseId, Revision, TeamIx};
 use crate::protocol::cloud::MachineTypeRecord;
 
-/// What changed, for those who act on it.
+/// A change that other parts of the controller react to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeEvent {
     /// A job was accepted.
     Job(JobIx),
-    /// A job has ended.
+    /// A job reached a terminal state.
     Terminal(JobId, TerminalState),
     /// The leader key was written or deleted.
     Leader,
     /// The description of a machine type was written.
     MachineTypes,
-    /// An entry of the configuration was written at this revision.
+    /// A configuration entry was written at this revision.
     Config(Revision),
 }
 
 /// The holder of the leader key.
 #[derive(Debug)]
 pub struct ObservedLeader {
-    /// Name of the controller.
+    /// Name of the leader.
     pub controller: String,
-    /// Revision of the key, which fences the leadership.
+    /// Revision of the leader key, which serves as the fencing token.
     pub revision: Revision,
-    /// The lease that the key is attached to, if its version wrote it.
+    /// Lease that the key is attached to; None if the leader's version does not record it.
     pub lease: Option<LeaseId>,
-    /// The format of configuration entries that it applies, if it does.
+    /// Format of the configuration entries that the leader applies; None if it applies none.
     pub config_format: Option<u32>,
 }
 
-/// The replica; see the module.
+/// The replica; see the module documentation.
 #[derive(Debug, Default)]
 pub struct StoreCache {
     /// Every change up to this revision has been applied.
     pub revision: Revision,
-    /// Names that jobs and machines use, by index.
+    /// Interned names that jobs and machines refer to.
     pub names: NameRegistry,
     /// The holder of the leader key, if there is one.
     pub leader: Option<ObservedLeader>,
-    /// Records of the format before the assignment log, by machine name.
+    /// Records in the format that the assignment log replaced, by machine name.
     pub machines: BTreeMap<String, LegacyMachineRecord>,
-    /// The leaders' assignment log, by the name of the segment.
+    /// Segments of the leaders' assignment log, by name.
     pub assignment_log: BTreeMap<String, AssignmentLogRecord>,
-    /// Tasks in the assignment log, by job, and in how many of its entries each is. Kept up to date since every
-    /// query of a user reads the count.
+    /// Tasks in the assignment log by job, with the number of log entries that list each. The index is maintained
+    /// incrementally because every user query reads the number of tasks.
     recorded_tasks: HashMap<JobId, BTreeMap<u32, u32>>,
-    /// Requests for machines, by name.
+    /// Requests to the cloud for machines, by name.
     pub provisioning_requests: BTreeMap<String, ProvisioningRecord>,
     /// Descriptions of machine types, by name.
     pub machine_types: BTreeMap<String, MachineTypeRecord>,
-    /// By `JobIx`; None where the job's records are deleted. Indices are never reused.
+    /// Jobs, indexed by `JobIx`; None if the job's records are deleted. Indices are never reused.
     jobs: Vec<Option<Box<Job>>>,
-    /// In the order of ids, for lists.
+    /// Indices of jobs, in the order of their ids for lists.
     index: BTreeMap<JobId, JobIx>,
     terminal_jobs: BTreeMap<JobId, TerminalEntry>,
-    /// Since the last call of `take_new_terminals`.
+    /// Terminal records applied since the last call of `take_new_terminals`.
     new_terminals: Vec<NewTerminal>,
     /// Counters of jobs by team and class.
     pub job_counters: JobCounterTable,
     summaries: BTreeMap<JobId, TerminalJobSummary>,
-    /// Revisions of the keys that the leader rewrites, for preconditions.
+    /// Revisions of all keys except those of terminal records, used as preconditions of writes.
     key_revisions: HashMap<String, Revision>,
-    /// Keys that this controller deleted, and when, until all changes up to then are applied.
+    /// Keys that this controller deleted, with the revision of the deletion. An entry is removed once all changes up to
+    /// that revision have been applied.
     tombstones: HashMap<String, Revision>,
-    /// Finished tasks that were read before their job's record (pages come sorted by key).
+    /// Finished tasks that were read before their job's record, since pages are sorted by key.
     out_of_order: HashMap<JobId, Vec<FinishedTasks>>,
-    /// Runs of graphs.
+    /// Graph runs.
     pub dag_runs: DagRuns,
-    /// Entries of the configuration.
+    /// Configuration entries.
     pub config: ConfigEntries,
 }
 
-/// A terminal record that was applied a moment ago.
+/// A newly applied terminal record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NewTerminal {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
     /// Revision of the record.
     pub revision: Revision,
-    /// It was cancelled, not done.
+    /// Whether the job is cancelled; it is done otherwise.
     pub cancelled: bool,
 }
 
-/// How and when a job ended.
+/// The terminal state of a job.
 #[derive(Debug, Clone, Copy)]
 struct TerminalEntry {
     ended_wall_ms: u64,
-    /// The counters it belongs to, if the job itself was known.
+    /// Row of the counters in which the job is counted; None if the job record was not read.
     team_class: Option<TeamClassIx>,
     state: TerminalState,
-    /// A user has received the result from this controller.
+    /// Whether this controller has reported to a user that the job is done.
     notified: bool,
 }
 
-/// How and when a job ended, as lists show it.
+/// The terminal state of a job, as shown in lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminalSummary {
-    /// How it ended.
+    /// Terminal state.
     pub state: TerminalState,
-    /// Wall-clock time of the end, in milliseconds.
+    /// Wall-clock time at which the terminal state was reached, in milliseconds.
     pub ended_wall_ms: u64,
-    /// What its terminal record keeps of the job, if it does.
+    /// Data of the job in its terminal record, if there is any.
     pub job: Option<TerminalJobSummary>,
 }
 
-/// What a terminal record keeps of its job if the operators' interface was enabled. Wall-clock times in milliseconds.
+/// Data of a job in its terminal record, written if the operators' interface was enabled. Wall-clock times in
+/// milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminalJobSummary {
     /// Team of the job.
@@ -137,18 +140,18 @@
     pub class: ClassIx,
     /// Number of tasks.
     pub tasks: u32,
-    /// When the job was accepted.
+    /// Time of acceptance.
     pub accepted_wall_ms: u64,
-    /// When its first task ran, if that was seen.
+    /// Time at which the leader observed the first running task, if it did.
     pub first_start_wall_ms: Option<u64>,
 }
 
-/// Finished tasks of a job, as one record has them.
+/// Finished tasks of a job, as listed in one record.
 #[derive(Debug)]
 enum FinishedTasks {
-    /// A block's number and its encoded bits.
+    /// Number of a block, and its encoded bits.
     Block(u32, String),
-    /// The first task, and how many.
+    /// First task, and number of tasks.
     Range(u32, u32),
 }
 
@@ -162,17 +165,17 @@
 }
 
 impl StoreCache {
-    /// A job whose records still exist.
+    /// Returns a job whose records still exist.
     pub fn job(&self, ix: JobIx) -> Option<&Job> {
         self.jobs.get(ix.index())?.as_deref()
     }
 
-    /// The index of a job whose records still exist.
+    /// Returns the index of a job whose records still exist.
     pub fn find(&self, id: JobId) -> Option<JobIx> {
         self.index.get(&id).copied()
     }
 
-    /// A job whose records still exist, by id.
+    /// Returns a job whose records still exist, by id.
     pub fn find_job(&self, id: JobId) -> Option<&Job> {
         self.job(self.find(id)?)
     }
@@ -182,12 +185,12 @@
         self.jobs.get_mut(ix.index())?.as_deref_mut()
     }
 
-    /// How a job ended, if it has.
+    /// Returns the terminal state of a job, if it has reached one.
     pub fn terminal_state(&self, id: JobId) -> Option<TerminalState> {
         self.terminal_jobs.get(&id).map(|entry| entry.state)
     }
 
-    /// How and when a job ended, and what its terminal record keeps of it.
+    /// Returns the terminal state of a job and the data in its terminal record.
     pub fn terminal_summary(&self, id: JobId) -> Option<TerminalSummary> {
         let entry = self.terminal_jobs.get(&id)?;
         Some(TerminalSummary {
@@ -197,7 +200,8 @@
         })
     }
 
-    /// Live and ended jobs in the order of their ids, each once; those after `after` if it is given.
+    /// Returns all jobs, with a job record or only a terminal record, in the order of their ids and each once; starts
+    /// after `after` if it is given.
     pub fn job_ids_after(&self, after: Option<JobId>) -> impl Iterator<Item = JobId> + '_ {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut live = self.index.range((from, Bound::Unbounded)).map(|(id, _)| *id).peekable();
@@ -210,12 +214,12 @@
         })
     }
 
-    /// How many jobs have a record, and how many terminal records there are.
+    /// Returns the number of jobs whose records still exist, and the number of terminal records.
     pub fn live_and_terminal_counts(&self) -> (usize, usize) {
         (self.index.len(), self.terminal_jobs.len())
     }
 
-    /// What a terminal record shall keep of a job for operators.
+    /// Returns the data of a job to be kept for operators in its terminal record.
     pub fn terminal_detail(&self, id: JobId, first_start_wall_ms: Option<u64>) -> Option<TerminalDetail> {
         let spec = &self.find_job(id)?.spec;
         Some(TerminalDetail {
@@ -227,23 +231,23 @@
         })
     }
 
-    /// Jobs whose record still exists, in the order in which they were first read. Includes ended jobs whose records
-    /// are being deleted.
+    /// Returns the jobs whose records still exist, in the order in which they were first read. They include finished
+    /// jobs whose records are being deleted.
     pub fn live_jobs(&self) -> impl Iterator<Item = (JobIx, &Job)> {
         self.jobs.iter().enumerate().filter_map(|(ix, job)| Some((JobIx(ix as u32), job.as_deref()?)))
     }
 
-    /// The revision of a key that the leader rewrites; 0 if it does not exist.
+    /// Returns the revision of a key; 0 if the key does not exist. Keys of terminal records are not tracked.
     pub fn key_revision(&self, key: &str) -> Revision {
         self.key_revisions.get(key).copied().unwrap_or_default()
     }
 
-    /// Terminal records that were applied since the last call.
+    /// Returns the terminal records that were applied since the last call.
     pub fn take_new_terminals(&mut self) -> Vec<NewTerminal> {
         std::mem::take(&mut self.new_terminals)
     }
 
-    /// Adds a job, with the finished tasks and the terminal state that were read before it.
+    /// Adds a job, and applies the finished tasks and the terminal state that were read before its record.
     pub(super) fn add_with_out_of_order(&mut self, mut job: Job) -> JobIx {
         let id = job.spec.id;
         for finished in self.out_of_order.remove(&id).unwrap_or_default() {
@@ -263,8 +267,8 @@
         }
     }
 
-    /// Drops a node's job that is done. It has no job record whose deletion would drop it; only its finished tasks
-    /// may have records, and those are still to be deleted.
+    /// Drops the job of a node that is done, which has no job record whose deletion would drop it. The job is kept if
+    /// its finished tasks still have records, which must be deleted first.
     fn drop_finished_node_job(&mut self, id: JobId) {
         let Some(job) = self.find_job(id).filter(|job| job.spec.node.is_some()) else { return };
         let mut blocks = 0..=BitSet::block_of(job.spec.tasks - 1);
--- a/src/bookkeeping/tests/dag.rs
+++ b/src/bookkeeping/tests/dag.rs
@@ -23,24 +23,24 @@
 }
 
 #[test]
-fn errors_name_what_is_wrong() {
+fn errors_name_the_invalid_part() {
     let abc = [("a", 1, None), ("b", 2, None), ("c", 3, None)];
     let cycle = error_text(&abc, &[(1, 0, 1), (2, 1, 1), (0, 2, 1)]);
-    assert!(cycle.contains("circle: ") && cycle.matches(" -> ").count() == 3, "{cycle}");
-    assert!(error_text(&[("a", 1, None), ("a", 2, None)], &[]).contains("two nodes are called a"));
-    assert!(error_text(&[("a", 1, None), ("b", 1, None)], &[]).contains("another node has the job"));
+    assert!(cycle.contains("cycle: ") && cycle.matches(" -> ").count() == 3, "{cycle}");
+    assert!(error_text(&[("a", 1, None), ("a", 2, None)], &[]).contains("two nodes are named a"));
+    assert!(error_text(&[("a", 1, None), ("b", 1, None)], &[]).contains("job number 1 is already used"));
     assert!(error_text(&[("a b", 1, None)], &[]).contains("without spaces"));
     assert!(
-        error_text(&abc, &[(2, 1, 2)]).contains("not all there")
-            || error_text(&abc, &[(2, 1, 2)]).contains("circle")
+        error_text(&abc, &[(2, 1, 2)]).contains("refers to nodes that do not exist")
+            || error_text(&abc, &[(2, 1, 2)]).contains("cycle")
     );
-    assert!(error_text(&abc, &[(2, 0, 9)]).contains("not all there"));
-    assert!(error_text(&abc, &[(2, 0, 1), (2, 0, 2)]).contains("c comes after a twice"));
-    assert!(error_text(&[("a", 1, None), ("b", 2, Some(0))], &[]).contains("does not come after"));
-    assert!(error_text(&[("a", 1_000_000_000_000_000_000, None)], &[]).contains("no number of a job"));
+    assert!(error_text(&abc, &[(2, 0, 9)]).contains("refers to nodes that do not exist"));
+    assert!(error_text(&abc, &[(2, 0, 1), (2, 0, 2)]).contains("edge a -> c is given twice"));
+    assert!(error_text(&[("a", 1, None), ("b", 2, Some(0))], &[]).contains("must be directly downstream"));
+    assert!(error_text(&[("a", 1_000_000_000_000_000_000, None)], &[]).contains("is not a valid job number"));
 }
 
-/// A rerun covers all downstream nodes: half of a chain run anew would mix two versions of the data.
+/// Rerunning only a part of a chain would mix two versions of the data.
 #[test]
 fn a_rerun_covers_all_downstream_nodes() {
     let dag = Dag::from_parts(
@@ -50,8 +50,10 @@
     assert_eq!(dag.downstream_path_ms, [4000, 2000, 0]);
     let jobs = dag.rerun_jobs(&[(1, 2, 50)]).expect("two nodes");
     assert_eq!(jobs.values().copied().collect::<Vec<_>>(), [JobId(50), JobId(51)]);
-    assert!(dag.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").to_string().contains("c comes after"));
-    for wrong in [&[(1, 9, 50)][..], &[], &[(1, 2, 50), (2, 1, 60)], &[(1, 1, 50), (2, 1, 50)]] {
-        assert!(dag.rerun_jobs(wrong).is_err(), "{wrong:?}");
+    assert!(
+        dag.rerun_jobs(&[(1, 1, 50)]).expect_err("c is missing").to_string().contains("node c is downstream")
+    );
+    for invalid_rows in [&[(1, 9, 50)][..], &[], &[(1, 2, 50), (2, 1, 60)], &[(1, 1, 50), (2, 1, 50)]] {
+        assert!(dag.rerun_jobs(invalid_rows).is_err(), "{invalid_rows:?}");
     }
 }
--- a/src/bookkeeping/tests/dag_records.rs
+++ b/src/bookkeeping/tests/dag_records.rs
@@ -3,7 +3,7 @@
 use super::*;
 use olivelatch_dag::{Failure, RetryPolicy};
 
-/// Machine names are short; even with names as long as these a block fits the smallest value that settings allow.
+/// A full block fits into a 4 KiB value, even with machine names that are longer than real ones.
 #[test]
 fn a_block_of_failures_fits_a_value() {
     let mut record = RetryStateRecord::default();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_acceptance_and_an_expired_upload_parse_as_what_they_are() {
+fn an_acceptance_and_an_expired_upload_round_trip() {
     let header = DagRunHeader { graph: "nightly".into(), parts: 2, nodes: 9, max_active_runs: 1 };
     for record in [DagRunRecord::Accepted { at: 5, header }, DagRunRecord::UploadExpired { swept: 7 }] {
         let text = serde_json::to_string(&record).expect("JSON");
--- a/src/bookkeeping/tests/job_listing.rs
+++ b/src/bookkeeping/tests/job_listing.rs
@@ -28,29 +28,29 @@
 }
 
 fn list_all(cache: &StoreCache, query: &ListQuery) -> (Vec<String>, usize) {
-    let (mut seen, mut pages, mut query) = (Vec::new(), 0, query.clone());
+    let (mut listed, mut pages, mut query) = (Vec::new(), 0, query.clone());
     loop {
         let (rows, next) = job_page(cache, &query, &|_| 0);
         pages += 1;
-        seen.extend(rows.into_iter().map(|row| row.id));
+        listed.extend(rows.into_iter().map(|row| row.id));
         query.after = next;
         if next.is_none() {
-            return (seen, pages);
+            return (listed, pages);
         }
     }
 }
 
-/// Whatever the filter selects, the pages together list each matching job once, and none scans more than its bound.
+/// With any filter, the pages together list each matching job once, and no page scans more jobs than its bound.
 #[test]
 fn pages_list_each_job_once_at_a_bounded_cost() {
     let cache = cache_with_terminals(10_000);
     let all = ListQuery { limit: 300, ..ListQuery::default() };
-    let (seen, pages) = list_all(&cache, &all);
-    assert_eq!((seen.len(), pages), (10_000, 34));
-    assert!(seen.is_sorted());
+    let (listed, pages) = list_all(&cache, &all);
+    assert_eq!((listed.len(), pages), (10_000, 34));
+    assert!(listed.is_sorted());
     let rare = ListQuery { limit: 300, team: Some("rare".into()), ..ListQuery::default() };
-    let (seen, pages) = list_all(&cache, &rare);
-    assert_eq!((seen.len(), pages), (10, 3));
+    let (listed, pages) = list_all(&cache, &rare);
+    assert_eq!((listed.len(), pages), (10, 3));
     let live = ListQuery { limit: 300, state: Some(StateFilter::Active), ..ListQuery::default() };
     assert_eq!(list_all(&cache, &live).0.len(), 0);
 }
