--- a/src/ids/interner.rs
+++ b/src/ids/interner.rs
@@ -1,10 +1,10 @@
-//! Names as dense indices.
+//! Mapping of names to dense indices.
 
 use std::collections::HashMap;
 
 /// Maps names to dense indices of one type and back.
 ///
-/// It only grows: whoever interns names that come from outside has to bound their number.
+/// Names are never removed. Callers that intern names received from outside must bound their number.
 #[derive(Debug, Clone)]
 pub struct Interner<I> {
     index: HashMap<Box<str>, I>,
@@ -18,12 +18,12 @@
 }
 
 impl<I: Copy + From<u32>> Interner<I> {
-    /// The index of a name that is known.
+    /// Returns the index of a name that has been interned.
     pub fn find(&self, name: &str) -> Option<I> {
         self.index.get(name).copied()
     }
 
-    /// The index of a name, which is added if it is new.
+    /// Returns the index of a name; a new name is added.
     pub fn intern(&mut self, name: &str) -> I {
         if let Some(ix) = self.index.get(name) {
             return *ix;
@@ -34,17 +34,17 @@
         ix
     }
 
-    /// The number of names.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are no names.
+    /// Returns whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// The name of an index, or `?`.
+    /// Returns the name with this index, or `?` if there is none.
     pub fn name_or_unknown(&self, index: usize) -> &str {
         self.names.get(index).map_or("?", |name| name)
     }
--- a/src/ids/mod.rs
+++ b/src/ids/mod.rs
@@ -1,7 +1,7 @@
-//! Identifiers, dense indices, time and amounts as types of their own.
+//! Types for identifiers, dense indices, time and amounts of resources.
 //!
-//! Names from outside become one of these where they are parsed, so that the rest of the program compares and stores
-//! numbers. Nothing here does I/O or reads a clock.
+//! Names received from outside are converted to these types where they are parsed, so that the rest of the program
+//! compares and stores numbers. Nothing here does I/O or reads a clock.
 
 use std::fmt;
 
@@ -13,16 +13,16 @@
 pub use resources::{Resources, from_milli, seconds_to_ms, to_milli_ceil, to_milli_floor};
 pub use time::Millis;
 
-/// Digits of a job's number as it is written, at least and at most.
+/// Minimum and maximum number of digits of a job number as text.
 const MIN_JOB_DIGITS: usize = 6;
 const MAX_JOB_DIGITS: usize = 18;
 
-/// The number of a job, which is written `job-000412`.
+/// The number of a job; its text form is `job-000412`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Parses the canonical spelling alone, so that one job has one name.
+    /// Parses the canonical form only, so that each job has exactly one text form.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
         if !(MIN_JOB_DIGITS..=MAX_JOB_DIGITS).contains(&digits.len())
@@ -41,7 +41,7 @@
     }
 }
 
-/// One task of a job, which is written `job-000412/3`.
+/// One task of a job; its text form is `job-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskId {
     pub job: JobId,
@@ -49,7 +49,7 @@
 }
 
 impl TaskId {
-    /// Parses the form in which workers name tasks.
+    /// Parses the text form, which workers use.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, task) = text.split_once('/')?;
         Some(TaskId { job: JobId::parse(job)?, task: task.parse().ok()? })
@@ -69,7 +69,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The position in vectors of these.
+            /// Returns the index for vectors of such items.
             pub fn index(self) -> usize {
                 self.0 as usize
             }
@@ -85,7 +85,7 @@
 
 index!(/// A live job in the store cache.
     JobIx);
-index!(/// A machine that the leader knows.
+index!(/// A machine in the leader's state.
     MachineIx);
 index!(/// A machine type.
     MachineTypeIx);
@@ -93,24 +93,25 @@
     ZoneIx);
 index!(/// A team.
     TeamIx);
-index!(/// An image.
+index!(/// An image that tasks are started from.
     ImageIx);
-index!(/// A class of jobs.
+index!(/// A job class.
     ClassIx);
-index!(/// A pool, whose slots nodes of graphs share.
+index!(/// A pool, whose slots the tasks of graph nodes share.
     PoolIx);
-index!(/// A run of a graph in the store cache.
+index!(/// A graph run in the store cache.
     DagRunIx);
 
-/// The number of an attempt of a task; never reused, see `coordination::leadership`.
+/// The number of an attempt to run a task. It is never reused; see `coordination::leadership`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct Attempt(pub u64);
 
-/// Orders leaderships: the revision that created the leader's key. Workers reject commands with a lower one.
+/// The fencing token of a leadership: the revision at which the leader key was created. Workers reject commands with a
+/// token lower than the highest one they have seen.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct FencingToken(pub u64);
 
-/// The incarnation of a worker; it rises when the worker's lease expires.
+/// The incarnation of a worker; it is incremented when the worker's lease expires.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct AgentEpoch(pub u64);
 
@@ -118,6 +119,6 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct Revision(pub u64);
 
-/// A lease at the key-value store.
+/// Id of a lease of the key-value store.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct LeaseId(pub u64);
--- a/src/ids/resources.rs
+++ b/src/ids/resources.rs
@@ -1,7 +1,7 @@
-//! Amounts of CPUs, accelerators and memory, and the units that they are counted in.
+//! Amounts of CPUs, accelerators and memory, and conversions of their units.
 
-/// Resources that a task requests or a machine has, in thousandths of a CPU, an accelerator and a GB, so that sums are
-/// exact.
+/// Resources that a task requests or a machine provides. They are integers, in thousandths of a CPU, an accelerator and
+/// a GB, so that sums are exact.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -13,19 +13,19 @@
 }
 
 impl Resources {
-    /// Whether all of it is available.
+    /// Returns whether all of these resources are available.
     pub fn fits_in(&self, available: &Resources) -> bool {
         self.cpu <= available.cpu && self.gpu <= available.gpu && self.mem <= available.mem
     }
 
-    /// Adds another amount.
+    /// Adds other resources.
     pub fn add(&mut self, other: &Resources) {
         self.cpu += other.cpu;
         self.gpu += other.gpu;
         self.mem += other.mem;
     }
 
-    /// What is left without another amount, at least zero of each resource.
+    /// Subtracts other resources; the result is at least zero for each resource.
     pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The amount of `count` of these.
+    /// Multiplies the resources by `count`; values that would overflow become `u64::MAX`.
     pub fn saturating_mul(&self, count: u64) -> Resources {
         Resources {
             cpu: self.cpu.saturating_mul(count),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// How many times it fits into what is available; `u64::MAX` if it is nothing.
+    /// Returns how many times these resources fit into the available ones; `u64::MAX` if all of them are zero.
     pub fn max_count_in(&self, available: &Resources) -> u64 {
         let quotient = |requested: u64, available: u64| available.checked_div(requested).unwrap_or(u64::MAX);
         quotient(self.cpu, available.cpu)
@@ -52,25 +52,26 @@
     }
 }
 
-/// Keeps amounts that are exact in decimal, such as 0.1, from being rounded to the next thousandth.
+/// Tolerance, in thousandths, that keeps decimal amounts such as 0.1, which `f64` cannot represent exactly, from being
+/// rounded to the next thousandth.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// An amount in thousandths, rounded up, as for requests of tasks.
+/// Converts an amount to thousandths, rounded up, as for resources that tasks request.
 pub fn to_milli_ceil(value: f64) -> u64 {
     (value * 1000.0 - ROUNDING_TOLERANCE).ceil().max(0.0) as u64
 }
 
-/// An amount in thousandths, rounded down, as for what is available.
+/// Converts an amount to thousandths, rounded down, as for resources that are available.
 pub fn to_milli_floor(value: f64) -> u64 {
     (value * 1000.0 + ROUNDING_TOLERANCE).floor().max(0.0) as u64
 }
 
-/// Thousandths in whole units: CPUs, GB or seconds.
+/// Converts thousandths to whole units, such as CPUs, GB or seconds.
 pub fn from_milli(milli: u64) -> f64 {
     milli as f64 / 1000.0
 }
 
-/// Seconds in milliseconds, rounded to the nearest; negative ones are zero.
+/// Converts seconds to milliseconds, rounded to the nearest integer; negative values become zero.
 pub fn seconds_to_ms(value: f64) -> u64 {
     (value * 1000.0).round().max(0.0) as u64
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's settings: a JSON file that is read and checked once at the start.
+//! The platform's settings: a JSON file that is read and validated once at startup.
 //!
-//! The types here are in the code's terms and units; the file's form and its checks are in `wire`. The settings are the
-//! ceiling for what operators configure at run time, and they don't change while the program runs.
+//! The types here use the names and units of the code; `wire` defines the format of the file and validates it. The
+//! settings are upper limits for the run-time configuration by operators, and they don't change while the program runs.
 
 mod wire;
 
@@ -14,7 +14,7 @@
 use crate::ids::Resources;
 use wire::SettingsWire;
 
-/// Why the settings can't be used.
+/// Reasons why the settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("{file}: {error}")]
@@ -35,47 +35,48 @@
     pub addr: SocketAddr,
 }
 
-/// An objective for the jobs of a class, or of all classes.
+/// A service-level objective for the jobs of a class.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What has to happen within the target; only `finished` is acted on.
+    /// The event that has to happen within the target. Only `finished` has an effect on scheduling.
     pub kind: String,
+    /// The job class; an objective without a class is ignored.
     #[serde(default, rename = "class")]
     pub job_class: Option<String>,
-    /// Seconds from the submission within which a job is to be finished.
+    /// Time from submission within which a job should finish, in seconds.
     #[serde(default)]
     #[serde(rename = "within_s")]
     pub target_s: Option<f64>,
-    /// Part of the jobs that has to meet the target.
+    /// Fraction of the jobs that has to meet the target.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// What the key-value store accepts.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct KvLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Requests a second that write.
+    /// Maximum number of writing requests per second.
     pub write_rps: f64,
-    /// Largest value in KiB.
+    /// Maximum size of a value in KiB.
     #[serde(rename = "value_kb")]
     pub max_value_kb: f64,
-    /// Most operations of a transaction.
+    /// Maximum number of operations in a transaction.
     #[serde(rename = "txn_ops")]
     pub max_txn_ops: usize,
 }
 
-/// What this controller may use of its machine.
+/// Resources of its machine that this controller may use.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct ControllerLimits {
-    /// Part of one core.
+    /// Fraction of one CPU core.
     #[serde(default = "default_core_share")]
     pub core_share: f64,
     #[serde(default = "default_memory_mb")]
     #[serde(rename = "mem_mb")]
     pub memory_mb: f64,
-    /// Sockets of the whole process.
+    /// Maximum number of sockets of the whole process.
     #[serde(default = "default_max_connections")]
     pub max_connections: usize,
 }
@@ -95,17 +96,17 @@
 /// A team's quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamSettings {
-    /// The team's name, as in jobs' manifests.
+    /// Name of the team, as in the manifests of jobs.
     pub name: String,
     pub guaranteed: Resources,
-    /// The limit by the settings; 0 of a resource is no limit.
+    /// Limit from the settings; 0 means that the resource is not limited.
     pub configured_limit: Resources,
-    /// The limit on CPUs that operators have set, in thousandths (`bookkeeping::config`).
+    /// Lower CPU limit that operators set at run time, in thousandths of a CPU (`bookkeeping::config`).
     pub lowered_cpu_limit: Option<u64>,
 }
 
 impl TeamSettings {
-    /// What the team may use at most; `u64::MAX` of a resource is no limit.
+    /// Returns the maximum resources that the team may use; `u64::MAX` means that a resource is not limited.
     pub fn effective_limit(&self) -> Resources {
         let zero_as_unlimited = |limit: u64| if limit == 0 { u64::MAX } else { limit };
         let cpu =
@@ -114,18 +115,18 @@
     }
 }
 
-/// Intervals and time limits of workers, in milliseconds.
+/// Intervals and time-outs of workers, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WorkerTimings {
-    /// Time between two heartbeats of a worker.
+    /// Interval between two heartbeats of a worker.
     pub heartbeat_interval_ms: u64,
-    /// Time after the last heartbeat at which a worker's lease expires.
+    /// Time from the last heartbeat to the expiry of a worker's lease.
     pub lease_duration_ms: u64,
-    /// Time that a task waits for the others of its gang.
+    /// Time for which a task waits for the other tasks of its gang.
     pub gang_wait_ms: u64,
-    /// Time after which a silent task of a gang counts as lost.
+    /// Time after which a gang task that sends no messages counts as lost.
     pub gang_peer_ms: u64,
-    /// Time within which the tasks of a cancelled job have to stop.
+    /// Time within which all tasks of a cancelled job must stop.
     pub cancel_deadline_ms: u64,
 }
 
@@ -135,17 +136,17 @@
     /// Name of this controller.
     pub controller: String,
     pub zone: String,
-    /// Where users, workers and operators connect.
+    /// Address on which users, workers and operators connect.
     pub http_addr: SocketAddr,
-    /// Where other controllers connect.
+    /// Address on which other controllers connect.
     pub peer_addr: SocketAddr,
     /// The other controllers of the cluster.
     pub peers: Vec<PeerController>,
-    /// Address of the cloud.
+    /// Address of the cloud's API.
     pub cloud_addr: SocketAddr,
     /// Address of the key-value store.
     pub kv_addr: SocketAddr,
-    /// Number of controllers in the cluster, this one included.
+    /// Number of controllers in the cluster, including this one.
     pub controller_count: usize,
     /// All zones of the cluster.
     pub zones: Vec<String>,
@@ -153,19 +154,20 @@
     pub objectives: Vec<ServiceLevelObjective>,
     pub worker_timings: WorkerTimings,
     pub kv_limits: KvLimits,
-    /// Requests a second that the cloud accepts.
+    /// Maximum number of requests per second to the cloud.
     pub cloud_rps: f64,
-    /// Time by which the cloud's list of machines may be out of date.
+    /// Time by which the cloud's list of machines may lag behind, in milliseconds.
     pub cloud_list_lag_ms: u64,
     pub limits: ControllerLimits,
+    /// Bound on timing errors, as given by the platform; the cancellation deadline allows for twice this time.
     pub time_bound_ms: u64,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// The file can't be read, isn't the JSON expected, or holds a value that is out of range.
+    /// Fails if the file can't be read, isn't valid JSON of the expected form, or holds an invalid value.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -173,10 +175,10 @@
         Settings::parse(&file, &text)
     }
 
-    /// Parses and checks the text of a file; `file` is its name in errors.
+    /// Parses and validates the text of a file; `file` is the name of the file in errors.
     ///
     /// # Errors
-    /// The text isn't the JSON expected, or holds a value that is out of range.
+    /// Fails if the text isn't valid JSON of the expected form, or holds an invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         let wire: SettingsWire =
             serde_json::from_str(text).map_err(|error| SettingsError::Json { file: file.into(), error })?;
@@ -188,7 +190,7 @@
         Ok(wire.into())
     }
 
-    /// The zone of this or another controller; None if the settings don't name it.
+    /// Returns the zone of this or another controller; None if the settings don't name the controller.
     pub fn zone_of_controller(&self, controller: &str) -> Option<&str> {
         if controller == self.controller {
             return Some(&self.zone);
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -1,6 +1,6 @@
-//! The form of the settings file and the checks of its values.
+//! The format of the settings file and the validation of its values.
 //!
-//! The names of fields are the file's; errors name them with their path in the file.
+//! Field names are those of the file. Errors name a field by its path in the file.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
 };
 use crate::ids::{Resources, seconds_to_ms, to_milli_floor};
 
-/// Most controllers of a cluster.
+/// Maximum number of controllers in a cluster.
 const MAX_CONTROLLERS: usize = 100;
-/// Longest interval or time limit of workers.
-const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Largest rate, in requests a second.
+/// Maximum of the intervals and time-outs of workers, in seconds: one day.
+const MAX_WORKER_TIME_S: f64 = 86_400.0;
+/// Maximum of a request rate, in requests per second.
 const MAX_RPS: f64 = 1e6;
-/// Limits on the largest value of the key-value store, in KiB; records need the lower one.
+/// Accepted range for the maximum size of a value in the key-value store, in KiB. Records need at least the minimum.
 const MIN_VALUE_KB: f64 = 2.0;
 const MAX_VALUE_KB: f64 = 64.0;
-/// Fewest operations of a transaction that records need.
+/// Minimum number of operations in a transaction that writing the records needs.
 const MIN_TXN_OPS: usize = 3;
-/// Largest amount of a resource, in whole units.
+/// Maximum amount of a resource, in whole units.
 const MAX_QUANTITY: f64 = 1e9;
 
 #[derive(Debug, Clone, Deserialize)]
@@ -88,12 +88,12 @@
     cluster: ClusterWire,
 }
 
-/// A value that is out of range.
+/// An invalid value in the file.
 #[derive(Debug)]
 pub(super) struct FieldError {
     /// Path of the field in the file.
     pub(super) field: String,
-    /// What it must be.
+    /// Which values are valid, and the value found.
     pub(super) problem: String,
 }
 
@@ -111,20 +111,26 @@
 }
 
 impl SettingsWire {
-    /// Checks the values in the order of the file; the first one that is out of range is the error.
+    /// Validates the values; the error names the first invalid one.
     pub(super) fn validate(&self) -> Result<(), FieldError> {
         let cluster = &self.cluster;
         if self.node.is_empty() {
             return Err(FieldError::new("node", "must not be empty"));
         }
         if !(1..=MAX_CONTROLLERS).contains(&cluster.count) {
-            return Err(FieldError::new("cluster.count", format!("must be 1 to {MAX_CONTROLLERS}")));
+            return Err(FieldError::new(
+                "cluster.count",
+                format!("must be 1 to {MAX_CONTROLLERS}, not {}", cluster.count),
+            ));
         }
         if cluster.zones.is_empty() {
             return Err(FieldError::new("cluster.zones", "must name at least one zone"));
         }
         if self.others.iter().any(|other| other.controller == self.node) {
-            return Err(FieldError::new("others", format!("names this node ({})", self.node)));
+            return Err(FieldError::new(
+                "others",
+                format!("must list only other nodes, but names this node ({})", self.node),
+            ));
         }
         validate_workers(&cluster.workers)?;
         validate_kv_limits(&cluster.state)?;
@@ -135,13 +141,16 @@
 }
 
 fn validate_workers(workers: &WorkersWire) -> Result<(), FieldError> {
-    check_positive("cluster.workers.report_s", workers.report_s, SECONDS_PER_DAY)?;
-    check_positive("cluster.workers.lease_s", workers.lease_s, SECONDS_PER_DAY)?;
-    check_positive("cluster.workers.gang_wait_s", workers.gang_wait_s, SECONDS_PER_DAY)?;
-    check_positive("cluster.workers.gang_peer_s", workers.gang_peer_s, SECONDS_PER_DAY)?;
-    check_positive("cluster.workers.cancel_s", workers.cancel_s, SECONDS_PER_DAY)?;
+    check_positive("cluster.workers.report_s", workers.report_s, MAX_WORKER_TIME_S)?;
+    check_positive("cluster.workers.lease_s", workers.lease_s, MAX_WORKER_TIME_S)?;
+    check_positive("cluster.workers.gang_wait_s", workers.gang_wait_s, MAX_WORKER_TIME_S)?;
+    check_positive("cluster.workers.gang_peer_s", workers.gang_peer_s, MAX_WORKER_TIME_S)?;
+    check_positive("cluster.workers.cancel_s", workers.cancel_s, MAX_WORKER_TIME_S)?;
     if workers.lease_s <= workers.report_s {
-        return Err(FieldError::new("cluster.workers.lease_s", "must be longer than report_s"));
+        return Err(FieldError::new(
+            "cluster.workers.lease_s",
+            format!("must be longer than report_s ({}), not {}", workers.report_s, workers.lease_s),
+        ));
     }
     Ok(())
 }
@@ -151,10 +160,16 @@
     check_positive("cluster.state.write_rps", limits.write_rps, MAX_RPS)?;
     check_positive("cluster.state.value_kb", limits.max_value_kb, MAX_VALUE_KB)?;
     if limits.max_value_kb < MIN_VALUE_KB {
-        return Err(FieldError::new("cluster.state.value_kb", format!("must be at least {MIN_VALUE_KB}")));
+        return Err(FieldError::new(
+            "cluster.state.value_kb",
+            format!("must be at least {MIN_VALUE_KB}, not {}", limits.max_value_kb),
+        ));
     }
     if limits.max_txn_ops < MIN_TXN_OPS {
-        return Err(FieldError::new("cluster.state.txn_ops", format!("must be at least {MIN_TXN_OPS}")));
+        return Err(FieldError::new(
+            "cluster.state.txn_ops",
+            format!("must be at least {MIN_TXN_OPS}, not {}", limits.max_txn_ops),
+        ));
     }
     Ok(())
 }
--- a/src/tunables.rs
+++ b/src/tunables.rs
@@ -1,6 +1,7 @@
-//! The tunables: an optional HCL file of the operators that is read and checked once at the start.
+//! The tunables: an optional HCL file written by operators, which is read and validated once at startup.
 //!
-//! All defaults are here. Names in the file that differ from the code's are mapped by serde; errors use the file's.
+//! All defaults are here. Where a name in the file differs from the name in the code, serde maps it; errors use the
+//! name in the file.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,7 +11,7 @@
 
 use crate::source_location::with_line_number;
 
-/// Why the tunables can't be used.
+/// Reasons why the tunables can't be used.
 #[derive(Debug, Error)]
 pub enum TunablesError {
     #[error("{file}: {error}")]
@@ -19,44 +20,47 @@
     InvalidHcl { file: String, problem: String },
     #[error("{file}: {name} must be {low} to {high}, not {value}")]
     OutOfRange { file: String, name: &'static str, low: f64, high: f64, value: f64 },
-    #[error("{file}: graphs are asked about over the operators' interface: turn operators on as well")]
+    #[error(
+        "{file}: graphs are enabled but operators are not: graph runs are queried through the operators' interface, \
+         so turn operators on as well"
+    )]
     GraphsRequireOperators { file: String },
     #[error("{file}: pool {pool}: expected 1 to {MAX_POOL_SLOTS} slots, not {slots}")]
     InvalidPoolSlots { file: String, pool: String, slots: f64 },
 }
 
-/// All tunables. Defaults marked (DAWS) are the paper's, the others the project's own.
+/// All tunables. Defaults marked (DAWS) are those of the paper on data-aware work stealing.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tunables {
-    /// Fetch time over run time up to which a task joins a shared queue (DAWS).
+    /// Maximum ratio of fetch time to run time with which a task joins a shared queue (DAWS).
     pub t: f64,
-    /// Estimated run time of a dedicated queue above which it spills, in seconds (DAWS).
+    /// Estimated run time, in seconds, above which a dedicated queue spills tasks to the machine's shared queue (DAWS).
     pub tt_s: f64,
-    /// Fetch rate assumed until one was observed or published, in GB per second.
+    /// Fetch rate assumed while none has been observed or published, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Backoff after a failed steal in milliseconds, doubled by each further one (DAWS).
+    /// Backoff after a failed steal, in milliseconds; it doubles with each further failure (DAWS).
     #[serde(rename = "steal_wait_ms")]
     pub steal_backoff_ms: f64,
-    /// The backoff in seconds at which an idle machine stops stealing until tasks arrive.
+    /// Maximum backoff in seconds. Beyond it, an idle machine pauses stealing until tasks arrive.
     #[serde(rename = "steal_bound_s")]
     pub max_steal_backoff_s: f64,
-    /// Seconds for which a machine is reserved for a gang or a preempting job.
+    /// Time for which a machine is reserved for a gang or a preempting job, in seconds.
     #[serde(rename = "hold_s")]
     pub machine_hold_s: f64,
-    /// Time to live of the leader's lease at the key-value store, in seconds.
+    /// Time to live of the leader's lease in the key-value store, in seconds.
     #[serde(rename = "leader_life_s")]
     pub leader_lease_s: f64,
-    /// Seconds after which an idle machine is returned to the cloud.
+    /// Time after which an idle machine is returned to the cloud, in seconds.
     #[serde(rename = "idle_s")]
     pub idle_return_s: f64,
-    /// Jobs of a class without an objective should be done within these seconds and one run time.
+    /// Target for jobs without an objective or past it: complete within this time, in seconds, plus one run time.
     #[serde(rename = "drain_s")]
     pub queue_drain_target_s: f64,
-    /// Part of the time to a job's objective within which all its tasks should have started.
+    /// Fraction of the time left until a job's objective within which all its tasks should have started.
     #[serde(rename = "haste")]
     pub start_deadline_fraction: f64,
-    /// Behaviour under overload (docs/overload.md).
+    /// Mechanisms against overload (docs/overload.md).
     pub overload: OverloadTunables,
     /// The operators' interface (docs/client.md).
     pub operators: OperatorTunables,
@@ -64,27 +68,27 @@
     pub graphs: GraphTunables,
     /// Configuration at run time (docs/client.md).
     pub config: ConfigTunables,
-    /// The log's form.
+    /// Log output.
     pub log: LogTunables,
 }
 
-/// Mechanisms against overload, all on by default. Preemption of borrowed capacity is bounded in any case.
+/// Mechanisms against overload, all enabled by default. Preemption of borrowed capacity is always bounded.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OverloadTunables {
-    /// Jobs that cannot meet their objectives are deferred, with a minimum share for each class of a team; small gangs
-    /// go first when there are too many; machines of scarce types are reserved for gangs.
+    /// Defers jobs that cannot meet their objectives, with a minimum share for each class of a team; lets small gangs
+    /// go first when too many gangs wait; reserves machines of scarce types for gangs.
     #[serde(rename = "order")]
     pub overload_ordering: bool,
-    /// A controller that is behind its events skips planning and direct starts.
+    /// Skips planning and direct starts while the controller lags behind its incoming events.
     #[serde(rename = "pressure")]
     pub load_shedding: bool,
-    /// Best-effort jobs leave capacity free for what other jobs requested recently.
+    /// Keeps best-effort jobs from using capacity that other jobs have recently requested.
     pub headroom: bool,
-    /// Arrays preempt long tasks of lower priority, and capacity that other teams have borrowed.
+    /// Lets job arrays preempt long tasks of lower priority, and tasks of other teams on borrowed capacity.
     #[serde(rename = "claims")]
     pub preemption: bool,
-    /// Jobs that fail on every machine run one task at a time.
+    /// Runs jobs that fail on every machine one task at a time.
     #[serde(rename = "trials")]
     pub probation: bool,
 }
@@ -101,14 +105,15 @@
     }
 }
 
-/// The operators' interface. While it is off its paths do not exist and nothing is recorded for it.
+/// The operators' interface. While it is disabled, its paths do not exist and no data is recorded for it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorTunables {
     pub enabled: bool,
-    /// Events kept in memory for each job.
+    /// Number of events kept in memory for each job.
     pub events_per_job: f64,
-    /// Lists, inspections and explanations a second; requests beyond that are rejected with a time to retry.
+    /// Maximum number of lists, inspections and explanations per second. Further requests are rejected with a retry
+    /// delay.
     #[serde(rename = "explains_per_s")]
     pub queries_per_s: f64,
 }
@@ -120,26 +125,26 @@
 }
 
 impl OperatorTunables {
-    /// Events kept in memory for each job; none while the interface is off.
+    /// Returns the number of events kept in memory for each job; 0 while the interface is disabled.
     pub fn event_capacity(&self) -> usize {
         if self.enabled { self.events_per_job as usize } else { 0 }
     }
 }
 
-/// The graphs' interface. While it is off no graphs are accepted; runs that exist already go on.
+/// Graph runs. While this is disabled, no graphs are accepted, but existing runs continue.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GraphTunables {
     pub enabled: bool,
-    /// Slots by pool: most tasks, of nodes that name the pool, that run at the same time.
+    /// Slots by pool: the maximum number of tasks, of nodes that name the pool, that run at the same time.
     pub pools: BTreeMap<String, f64>,
-    /// Finished runs that are kept, so that they can be inspected and rerun.
+    /// Number of finished runs that are kept for inspection and reruns.
     #[serde(rename = "kept_runs")]
     pub retained_runs: f64,
-    /// Nodes of all runs together above which no further run is accepted.
+    /// Maximum number of nodes of all runs together; runs that would exceed it are rejected.
     #[serde(rename = "most_nodes")]
     pub max_nodes: f64,
-    /// Seconds after which uploaded parts that are not committed are deleted.
+    /// Time after which uploaded parts that were not committed are deleted, in seconds.
     #[serde(rename = "sweep_s")]
     pub upload_expiry_s: f64,
 }
@@ -156,36 +161,37 @@
     }
 }
 
-/// Configuration at run time. While it is off entries are neither accepted nor applied.
+/// Run-time configuration by operators. While it is disabled, entries are neither accepted nor applied.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConfigTunables {
     pub enabled: bool,
 }
 
-/// The log.
+/// Log output.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogTunables {
     pub format: LogFormat,
 }
 
-/// How a line of the log is written.
+/// Format of a line of the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Level, controller and message.
+    /// Level, name of the controller, and message.
     #[default]
     Text,
-    /// `key=value` pairs.
+    /// `key=value` pairs on one line.
     Logfmt,
     Json,
 }
 
-/// Most slots of a pool.
+/// Maximum number of slots of a pool.
 const MAX_POOL_SLOTS: f64 = 1e6;
 
-/// Shortest lease of a leader, in seconds. All controllers rely on it, whatever their own files say.
+/// Minimum time to live of the leader's lease, in seconds. All controllers rely on this minimum, whatever their own
+/// files set.
 pub const MIN_LEADER_LEASE_S: f64 = 1.0;
 
 impl Default for Tunables {
@@ -211,10 +217,10 @@
 }
 
 impl Tunables {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// The file can't be read, isn't the HCL expected, or holds a value that is out of range.
+    /// Fails if the file can't be read, isn't valid HCL of the expected form, or holds an invalid value.
     pub fn load(path: &Path) -> Result<Tunables, TunablesError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -222,10 +228,10 @@
         Tunables::parse(&file, &text)
     }
 
-    /// Parses and checks the text of a file; `file` is its name in errors.
+    /// Parses and validates the text of a file; `file` is the name of the file in errors.
     ///
     /// # Errors
-    /// The text isn't the HCL expected, or holds a value that is out of range.
+    /// Fails if the text isn't valid HCL of the expected form, or holds an invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Tunables, TunablesError> {
         let tunables: Tunables = hcl::from_str(text).map_err(|error| TunablesError::InvalidHcl {
             file: file.into(),
