--- a/src/bookkeeping/config.rs
+++ b/src/bookkeeping/config.rs
@@ -76,14 +76,14 @@
     /// Returns the effective settings of a team: the platform's settings, lowered by the team's entry if there is one.
     pub fn effective_team(&self, platform: &TeamSettings) -> TeamSettings {
         match self.entries.get(&ConfigKey::Team(platform.name.clone())) {
-            Some(entry) => apply_team_value(platform, entry.record.quota.into()),
+            Some(entry) => apply_team_quota(platform, entry.record.quota.into()),
             None => platform.clone(),
         }
     }
 }
 
 /// Applies a quota to the platform's settings of a team. The quota can only lower them.
-pub fn apply_team_value(platform: &TeamSettings, quota: TeamQuota) -> TeamSettings {
+pub fn apply_team_quota(platform: &TeamSettings, quota: TeamQuota) -> TeamSettings {
     let limit = quota.limit_cpus.map(to_milli_floor).map(|cpu| cpu.min(platform.effective_limit().cpu));
     let mut guaranteed = platform.guaranteed;
     if let Some(cpus) = quota.guaranteed_cpus {
--- a/src/coordination/config_requests/views.rs
+++ b/src/coordination/config_requests/views.rs
@@ -1,7 +1,7 @@
 //! Configuration entries as clients see them: configured and effective quota, and what a version waits for.
 
 use super::rollout::ObservedVersions;
-use crate::bookkeeping::config::apply_team_value;
+use crate::bookkeeping::config::apply_team_quota;
 use crate::coordination::Clock;
 use crate::coordination::controller_state::ControllerState;
 use crate::ids::{Revision, from_milli};
@@ -63,7 +63,7 @@
         let unrecognized_version = config.unrecognized_version(&key.to_string());
         let version = entry.map(|entry| entry.version).or(unrecognized_version).unwrap_or_default();
         let configured: TeamQuota = entry.map(|entry| entry.record.quota.into()).unwrap_or_default();
-        let effective = platform.map(|platform| apply_team_value(platform, configured));
+        let effective = platform.map(|platform| apply_team_quota(platform, configured));
         let awaited_version = requested_version.unwrap_or(version).max(version);
         let pending_on = self.versions.blocker(key, awaited_version, self.clock, self.state);
         let used_cpu = self.state.team_cpu_usage(key.team());
