--- a/src/bookkeeping/store_cache/apply.rs
+++ b/src/bookkeeping/store_cache/apply.rs
@@ -77,7 +77,7 @@
             }
             RecordKey::AssignmentLog(name) => self.put_log_segment(name, parse_record(value)?),
             RecordKey::LegacyMachine(name) => {
-                self.machines.insert(name.clone(), parse_record(value)?);
+                self.legacy_machines.insert(name.clone(), parse_record(value)?);
             }
             RecordKey::ProvisioningRequest(name) => {
                 self.provisioning_requests.insert(name.clone(), parse_record(value)?);
@@ -148,7 +148,7 @@
                 self.out_of_order.remove(id);
             }
             RecordKey::LegacyMachine(name) => {
-                self.machines.remove(name);
+                self.legacy_machines.remove(name);
             }
             RecordKey::AssignmentLog(name) => {
                 if let Some(record) = self.assignment_log.remove(name) {
--- a/src/bookkeeping/store_cache/mod.rs
+++ b/src/bookkeeping/store_cache/mod.rs
@@ -64,7 +64,7 @@
     /// The holder of the leader key, if there is one.
     pub leader: Option<ObservedLeader>,
     /// Records in the format that the assignment log replaced, by machine name.
-    pub machines: BTreeMap<String, LegacyMachineRecord>,
+    pub legacy_machines: BTreeMap<String, LegacyMachineRecord>,
     /// Segments of the leaders' assignment log, by name.
     pub assignment_log: BTreeMap<String, AssignmentLogRecord>,
     /// Tasks in the assignment log by job, with the number of log entries that list each. The index is maintained
--- a/src/coordination/leader/records/recovery.rs
+++ b/src/coordination/leader/records/recovery.rs
@@ -40,7 +40,7 @@
 
 /// All segments in the store, oldest first.
 fn recovered_segments(cache: &StoreCache) -> Vec<RecoveredSegment> {
-    let legacy_machines = cache.machines.iter().map(|(name, record)| RecoveredSegment {
+    let legacy_machines = cache.legacy_machines.iter().map(|(name, record)| RecoveredSegment {
         key: RecordKey::LegacyMachine(name.clone()),
         machines: vec![record.to_recorded(name)],
         finished: Vec::new(),
