--- a/src/coordination/leader/placement/queue_assignment.rs
+++ b/src/coordination/leader/placement/queue_assignment.rs
@@ -68,7 +68,7 @@
             return;
         };
         let rank = job.rank;
-        let expensive_to_move = self.fetch_to_run_ratio(job) > self.tunables.t;
+        let expensive_to_move = self.fetch_to_run_ratio(job) > self.tunables.fetch_ratio_threshold;
         let holders = if expensive_to_move { self.image_holders(job) } else { Vec::new() };
         if holders.is_empty() {
             self.enqueue_shared(rank, tasks);
--- a/src/coordination/leader/placement/spill.rs
+++ b/src/coordination/leader/placement/spill.rs
@@ -29,7 +29,7 @@
     }
 
     fn spill_dedicated_queue(&mut self, machine_ix: MachineIx, clock: Clock) {
-        let tt = self.tunables.tt_s;
+        let tt = self.tunables.spill_threshold_s;
         let queued = self.cluster.machines[machine_ix.index()].dedicated_queue.len();
         let run_time_s = queued as f64 / self.throughput(machine_ix, clock);
         if run_time_s <= tt {
--- a/src/tunables.rs
+++ b/src/tunables.rs
@@ -34,9 +34,11 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Tunables {
     /// Maximum ratio of fetch time to run time with which a task joins a shared queue (DAWS).
-    pub t: f64,
+    #[serde(rename = "t")]
+    pub fetch_ratio_threshold: f64,
     /// Estimated run time, in seconds, above which a dedicated queue spills tasks to the machine's shared queue (DAWS).
-    pub tt_s: f64,
+    #[serde(rename = "tt_s")]
+    pub spill_threshold_s: f64,
     /// Fetch rate assumed while none has been observed or published, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Backoff after a failed steal, in milliseconds; it doubles with each further failure (DAWS).
@@ -197,8 +199,8 @@
 impl Default for Tunables {
     fn default() -> Self {
         Tunables {
-            t: 0.5,
-            tt_s: 10.0,
+            fetch_ratio_threshold: 0.5,
+            spill_threshold_s: 10.0,
             fetch_gb_per_s: 0.1,
             steal_backoff_ms: 1.0,
             max_steal_backoff_s: 10.0,
@@ -252,8 +254,8 @@
 
     fn validate_ranges(&self, file: &str) -> Result<(), TunablesError> {
         let ranges = [
-            ("t", self.t, 0.0, 1e9),
-            ("tt_s", self.tt_s, 0.0, 1e6),
+            ("t", self.fetch_ratio_threshold, 0.0, 1e9),
+            ("tt_s", self.spill_threshold_s, 0.0, 1e6),
             ("fetch_gb_per_s", self.fetch_gb_per_s, 1e-6, 1e6),
             ("steal_wait_ms", self.steal_backoff_ms, 0.1, 1e6),
             ("steal_bound_s", self.max_steal_backoff_s, 0.001, 1e4),
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -93,7 +93,7 @@
 /// Parsed tunables rendered with the file's field names.
 fn tunables(tunables: &Tunables) -> Value {
     let (overload, operators, graphs) = (&tunables.overload, &tunables.operators, &tunables.graphs);
-    json!({"t": tunables.t, "tt_s": tunables.tt_s, "fetch_gb_per_s": tunables.fetch_gb_per_s,
+    json!({"t": tunables.fetch_ratio_threshold, "tt_s": tunables.spill_threshold_s, "fetch_gb_per_s": tunables.fetch_gb_per_s,
         "steal_wait_ms": tunables.steal_backoff_ms, "steal_bound_s": tunables.max_steal_backoff_s, "hold_s": tunables.machine_hold_s,
         "leader_life_s": tunables.leader_lease_s, "idle_s": tunables.idle_return_s, "drain_s": tunables.queue_drain_target_s, "haste": tunables.start_deadline_fraction,
         "overload": {"order": overload.overload_ordering, "pressure": overload.load_shedding, "headroom": overload.headroom,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -52,7 +52,7 @@
 #[test]
 fn errors_in_tunables_name_their_line() {
     assert_eq!(Tunables::parse("f.hcl", "").expect("defaults"), Tunables::default());
-    assert_eq!(Tunables::parse("f.hcl", "t = 0.75\n").expect("fine").t, 0.75);
+    assert_eq!(Tunables::parse("f.hcl", "t = 0.75\n").expect("fine").fetch_ratio_threshold, 0.75);
     let unknown = Tunables::parse("f.hcl", "t = 0.5\nbogus = 1\n").expect_err("unknown").to_string();
     assert!(unknown.contains("f.hcl: line 2") && unknown.contains("bogus"), "{unknown}");
     let range = Tunables::parse("f.hcl", "idle_s = -1\n").expect_err("range").to_string();
