--- a/src/bookkeeping/dag/error.rs
+++ b/src/bookkeeping/dag/error.rs
@@ -39,7 +39,8 @@
     },
     /// An edge range refers to nodes that do not exist, or is empty.
     #[error(
-        "edges to node {to}: the range of {count} nodes from node {first} is empty or refers to nodes that do not exist"
+        "edges to node {to} from the {count} nodes that start at node {first}: \
+         expected at least one upstream node, and only nodes that exist"
     )]
     EdgeRange {
         /// Index of the downstream node.
--- a/src/bookkeeping/dag_records.rs
+++ b/src/bookkeeping/dag_records.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunPhase {
-    /// The run waits because earlier runs of the same graph use up its limit of active runs.
+    /// The run waits until the leader activates it, within the limit of active runs of its graph.
     #[default]
     Waiting,
     /// The ready nodes of the run become jobs.
--- a/src/bookkeeping/job_listing.rs
+++ b/src/bookkeeping/job_listing.rs
@@ -9,7 +9,7 @@
 /// still says where the next page begins.
 const MAX_SCANNED_JOBS: usize = 4_000;
 
-/// Returns how many tasks of a job are running, for display.
+/// A function that returns how many tasks of a job are running, for display.
 pub type RunningTaskCount<'a> = &'a dyn Fn(JobId) -> u32;
 
 /// Returns the rows of a page, and the id after which the next page begins; None on the last page.
--- a/src/bookkeeping/store_cache/mod.rs
+++ b/src/bookkeeping/store_cache/mod.rs
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, Copy)]
 struct TerminalEntry {
     ended_wall_ms: u64,
-    /// Row of the counters in which the job is counted; None if the job record was not read.
+    /// Row of the counters in which the job is counted; None while the job itself has not been read.
     team_class: Option<TeamClassIx>,
     state: TerminalState,
     /// Whether this controller has reported to a user that the job is done.
--- a/src/bookkeeping/tests/dag.rs
+++ b/src/bookkeeping/tests/dag.rs
@@ -31,10 +31,10 @@
     assert!(error_text(&[("a", 1, None), ("b", 1, None)], &[]).contains("job number 1 is already used"));
     assert!(error_text(&[("a b", 1, None)], &[]).contains("without spaces"));
     assert!(
-        error_text(&abc, &[(2, 1, 2)]).contains("refers to nodes that do not exist")
+        error_text(&abc, &[(2, 1, 2)]).contains("only nodes that exist")
             || error_text(&abc, &[(2, 1, 2)]).contains("cycle")
     );
-    assert!(error_text(&abc, &[(2, 0, 9)]).contains("refers to nodes that do not exist"));
+    assert!(error_text(&abc, &[(2, 0, 9)]).contains("only nodes that exist"));
     assert!(error_text(&abc, &[(2, 0, 1), (2, 0, 2)]).contains("edge a -> c is given twice"));
     assert!(error_text(&[("a", 1, None), ("b", 2, Some(0))], &[]).contains("must be directly downstream"));
     assert!(error_text(&[("a", 1_000_000_000_000_000_000, None)], &[]).contains("is not a valid job number"));
--- a/src/ids/mod.rs
+++ b/src/ids/mod.rs
@@ -83,7 +83,7 @@
     };
 }
 
-index!(/// A live job in the store cache.
+index!(/// A job in the store cache, whose records still exist.
     JobIx);
 index!(/// A machine in the leader's state.
     MachineIx);
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct FencingToken(pub u64);
 
-/// The incarnation of a worker; it is incremented when the worker's lease expires.
+/// The incarnation of a worker; it increases when the worker's lease expires.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct AgentEpoch(pub u64);
 
