--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,7 +1,7 @@
-//! An HTTP client on `polling`: each slot has one connection and at most one request in flight.
+//! An HTTP client on `polling`, in which each slot has one connection and at most one request in flight.
 //!
-//! A slot's connection is kept for further requests to the same address. The caller passes events and the time in;
-//! nothing here waits or reads a clock.
+//! A slot's connection is reused for later requests to the same address. The caller passes in events and the time; this
+//! module neither waits nor reads a clock.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use crate::poller::{EventPoller, KeyAllocator};
 use crate::stream::{BufferedStream, StreamState};
 
-/// Largest body of a response.
+/// Maximum size of a response's body.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Buffer space for the head and the chunk sizes of a response, beside its body.
-const HEAD_ROOM_BYTES: usize = 64 * 1024;
+/// Buffer space for the head and the chunk sizes of a response, in addition to its body.
+const RESPONSE_OVERHEAD_BYTES: usize = 64 * 1024;
 
-/// A caller with at most one request in flight.
+/// Identifies a caller that has at most one request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallSlot(pub usize);
 
@@ -25,7 +25,7 @@
     stream: BufferedStream,
     addr: SocketAddr,
     call_slot: CallSlot,
-    /// When the request in flight times out, if there is one.
+    /// Time at which the request in flight times out; `None` if no request is in flight.
     deadline_ms: Option<u64>,
 }
 
@@ -42,25 +42,26 @@
 pub struct HttpClient {
     poller: Arc<EventPoller>,
     connections: HashMap<usize, ClientConnection>,
+    /// Key of each slot's connection.
     by_slot: HashMap<CallSlot, usize>,
 }
 
-/// The outcome of a request; without a response it may have been carried out.
+/// The outcome of a slot's request. Without a response, it is unknown whether the request was carried out.
 pub type CallResult = (CallSlot, Option<Response>);
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(poller: &Arc<EventPoller>) -> HttpClient {
         HttpClient { poller: poller.clone(), connections: HashMap::new(), by_slot: HashMap::new() }
     }
 
-    /// Whether events with this key are for [`HttpClient::handle_event`].
+    /// Returns whether events with this key must be passed to [`HttpClient::handle_event`].
     pub fn owns_key(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Sends a request (method, path, body); one that the slot has in flight is aborted. False if connecting to the
-    /// address failed at once.
+    /// Sends a request, given as method, path and body, and aborts the slot's request in flight, if any. Returns false
+    /// if connecting to the address failed immediately.
     pub fn send_request(
         &mut self,
         keys: &mut KeyAllocator,
@@ -91,7 +92,7 @@
         write_request(&mut bytes, method, path, &addr.to_string(), body);
         connection.stream.queue(&bytes);
         connection.deadline_ms = Some(deadline_ms);
-        // A failure shows with the next event or by the timeout.
+        // A failure here is reported with the next event or by the time-out.
         if !connection.stream.connecting {
             let _ = connection.stream.flush();
             let _ = connection.stream.rearm(true);
@@ -99,14 +100,14 @@
         true
     }
 
-    /// Closes the slot's connection; a request in flight has no outcome.
+    /// Closes the slot's connection. No outcome is reported for a request in flight.
     pub fn abort_call(&mut self, slot: CallSlot) {
         if let Some(key) = self.by_slot.remove(&slot) {
             self.connections.remove(&key);
         }
     }
 
-    /// Handles an event of one of its connections, and returns the outcome if a request ended.
+    /// Handles an event of one of the client's connections. Returns the outcome if this completes a request.
     pub fn handle_event(&mut self, key: usize) -> Option<CallResult> {
         let connection = self.connections.get_mut(&key)?;
         let slot = connection.call_slot;
@@ -117,13 +118,13 @@
                 self.fail_call(slot)
             };
         }
-        let read = connection.stream.read_available(MAX_RESPONSE_BYTES + HEAD_ROOM_BYTES);
+        let read = connection.stream.read_available(MAX_RESPONSE_BYTES + RESPONSE_OVERHEAD_BYTES);
         match parse_response(&connection.stream.input, MAX_RESPONSE_BYTES) {
             Parsed::Complete(response, consumed) if connection.deadline_ms.is_some() => {
                 connection.stream.consume_input(consumed);
                 connection.deadline_ms = None;
-                let keep = response.keep_alive && read == StreamState::Open;
-                if !keep || connection.stream.rearm(true) == StreamState::Closed {
+                let is_reusable = response.keep_alive && read == StreamState::Open;
+                if !is_reusable || connection.stream.rearm(true) == StreamState::Closed {
                     self.abort_call(slot);
                 }
                 Some((slot, Some(response)))
@@ -135,6 +136,7 @@
         }
     }
 
+    /// Closes the slot's connection and returns the outcome of its request in flight, if any.
     fn fail_call(&mut self, slot: CallSlot) -> Option<CallResult> {
         let key = self.by_slot.get(&slot)?;
         let in_flight = self.connections.get(key).is_some_and(|connection| connection.deadline_ms.is_some());
@@ -142,7 +144,7 @@
         in_flight.then_some((slot, None))
     }
 
-    /// Aborts the requests whose deadline has passed and returns their outcomes.
+    /// Aborts all requests whose deadline has passed, and returns their outcomes.
     pub fn expire_calls(&mut self, now_ms: u64) -> Vec<CallResult> {
         let expired: Vec<CallSlot> = self
             .connections
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,50 +1,58 @@
-//! HTTP/1.1 as the interfaces use it: no pipelining, bodies of known length or chunked.
+//! The subset of HTTP/1.1 that the interfaces use: bodies of known length or chunked, and at most one request in
+//! flight per connection.
 //!
-//! Parses messages at the front of a buffer and writes messages into one. Pure functions: no I/O, and nothing is kept
-//! between calls.
+//! Pure functions parse the message at the front of a buffer and append messages to one. They do no I/O and keep no
+//! state between calls.
 
-/// Longest start line with its headers.
+/// Maximum size of a start line with its headers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Largest body of a request.
+/// Maximum size of a request's body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A request that came in.
+/// A received request.
 #[derive(Debug, PartialEq)]
 pub struct Request {
+    /// Request method in capitals, such as `GET`.
     pub method: String,
-    /// Path and query.
+    /// Request target: path and query.
     pub path: String,
+    /// Decoded body; empty if there is none.
     pub body: Vec<u8>,
+    /// The client keeps the connection open for further requests.
     pub keep_alive: bool,
 }
 
-/// A response to a request of ours.
+/// A received response.
 #[derive(Debug, PartialEq)]
 pub struct Response {
+    /// HTTP status code.
     pub status: u16,
+    /// Decoded body; empty if there is none.
     pub body: Vec<u8>,
+    /// The server keeps the connection open for further requests.
     pub keep_alive: bool,
-    /// Seconds after which to retry, if the response has that header.
+    /// Seconds after which to retry, if the response has a `Retry-After` header in seconds.
     pub retry_after_s: Option<u32>,
 }
 
-/// Longest line with the size of a chunk.
+/// Maximum size of a chunk's first line, which contains its size.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 const CRLF: &[u8] = b"\r\n";
 
-/// What is at the front of a buffer.
+/// The result of parsing a message at the front of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// More bytes are needed.
+    /// The message is incomplete; more bytes are needed.
     Partial,
+    /// The bytes are not a valid message, or the head is too long.
     Malformed,
     /// The body exceeds the limit.
     TooLong,
-    /// A message, and its length in bytes.
+    /// A complete message, and the number of bytes it occupies in the buffer.
     Complete(T, usize),
 }
 
-/// Why a body is rejected.
+/// The reason for rejecting a body.
 enum BodyError {
     Malformed,
     TooLong,
@@ -99,7 +107,7 @@
     ParsedHead::Complete(head)
 }
 
-/// Applies one header; false if it is malformed.
+/// Applies one header to the head. Returns false if the header is malformed.
 fn apply_header(head: &mut MessageHead<'_>, name: &str, value: &str) -> bool {
     if name.is_empty() || name.ends_with([' ', '\t']) {
         return false;
@@ -118,7 +126,7 @@
         head.chunked = value.eq_ignore_ascii_case("chunked");
         return head.chunked;
     } else if name.eq_ignore_ascii_case("retry-after") {
-        // A date instead of seconds is ignored.
+        // Only a number of seconds is supported; a date is ignored.
         head.retry_after_s = value.parse().ok();
     } else if name.eq_ignore_ascii_case("connection") {
         for part in value.split(',') {
@@ -129,13 +137,13 @@
     true
 }
 
-/// A body, and the bytes that it takes in the buffer.
+/// A decoded body, and the number of bytes it occupies in the buffer.
 struct ParsedBody {
     body: Vec<u8>,
     consumed: usize,
 }
 
-/// The body at the front of what follows the head; None while it is incomplete.
+/// Parses the body from the bytes that follow the head. Returns `None` while the body is incomplete.
 fn parse_body(rest: &[u8], head: &MessageHead<'_>, max_body: usize) -> Result<Option<ParsedBody>, BodyError> {
     if head.chunked {
         return if head.content_length.is_some() {
@@ -179,14 +187,14 @@
     }
 }
 
-/// The size in a chunk's first line; extensions behind it are ignored.
+/// Parses the size in a chunk's first line, ignoring chunk extensions.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, BodyError> {
     let text = std::str::from_utf8(line).map_err(|_| BodyError::Malformed)?;
     let digits = text.split(';').next().unwrap_or("").trim();
     usize::from_str_radix(digits, 16).map_err(|_| BodyError::Malformed)
 }
 
-/// Parses the request at the front of a buffer.
+/// Parses the request at the front of a buffer. The size of the body is limited to [`MAX_BODY_BYTES`].
 pub fn parse_request(buffer: &[u8]) -> Parsed<Request> {
     let head = match parse_head(buffer) {
         ParsedHead::Partial => return Parsed::Partial,
@@ -214,7 +222,7 @@
     }
 }
 
-/// Parses the response at the front of a buffer; `max_body` is the limit on its body in bytes.
+/// Parses the response at the front of a buffer. `max_body` limits the size of its body, in bytes.
 pub fn parse_response(buffer: &[u8], max_body: usize) -> Parsed<Response> {
     let head = match parse_head(buffer) {
         ParsedHead::Partial => return Parsed::Partial,
@@ -256,9 +264,9 @@
     }
 }
 
-/// The type of JSON bodies.
+/// Content type of JSON bodies.
 pub const JSON_CONTENT_TYPE: &str = "application/json";
-/// The type of scrapes in the OpenMetrics text format.
+/// Content type of metrics in the OpenMetrics text format.
 pub const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Appends a response to a buffer.
@@ -270,10 +278,10 @@
     body: &[u8],
     keep_alive: bool,
 ) {
-    let retry = retry_after_s.map_or(String::new(), |s| format!("Retry-After: {s}\r\n"));
-    let close = if keep_alive { "" } else { "Connection: close\r\n" };
+    let retry_after = retry_after_s.map_or(String::new(), |s| format!("Retry-After: {s}\r\n"));
+    let connection = if keep_alive { "" } else { "Connection: close\r\n" };
     let head = format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n{retry}{close}\r\n",
+        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n{retry_after}{connection}\r\n",
         reason_phrase(status),
         body.len(),
     );
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -1,8 +1,8 @@
-//! The poller and its registrations: the only place that calls `polling`'s unsafe functions.
+//! The poller and its registrations. This is the only module that calls `polling`'s unsafe functions.
 //!
-//! `polling` requires that a source is removed from the poller before it is closed. [`Registration`] guarantees that: it
-//! owns the socket and removes it when it is dropped.
-// The one unsafe call has its reason beside it.
+//! `polling` requires that a source is removed from the poller before it is closed. [`Registration`] guarantees this:
+//! it owns the socket and removes it from the poller on drop.
+// The only unsafe call has a SAFETY comment.
 #![allow(unsafe_code)]
 
 use std::io::{self, Read, Write};
@@ -13,14 +13,20 @@
 
 use polling::{Event, Poller};
 
-/// System calls by kind and bytes transferred, since whoever reads them last reset them.
+/// Counters of system calls and of bytes transferred. A reader may reset them to zero.
 #[derive(Debug, Default)]
 pub struct SyscallCounters {
+    /// Calls that waited for events.
     pub waits: AtomicU64,
+    /// Calls that read from a socket, including those that failed.
     pub reads: AtomicU64,
+    /// Calls that wrote to a socket, including those that failed.
     pub writes: AtomicU64,
+    /// Calls that registered a socket with the poller or changed its interest.
     pub registrations: AtomicU64,
+    /// Bytes read from sockets.
     pub bytes_read: AtomicU64,
+    /// Bytes written to sockets.
     pub bytes_written: AtomicU64,
 }
 
@@ -28,9 +34,10 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// The poller, with counters of the system calls made through it.
+/// A poller that counts the system calls made through it.
 pub struct EventPoller {
     poller: Poller,
+    /// Counters of the system calls on this poller and on the sockets registered with it.
     pub syscalls: SyscallCounters,
 }
 
@@ -38,34 +45,34 @@
     /// Creates a poller.
     ///
     /// # Errors
-    /// The operating system has no resources for one.
+    /// Returns an error if the operating system cannot provide one.
     pub fn new() -> io::Result<EventPoller> {
         Ok(EventPoller { poller: Poller::new()?, syscalls: SyscallCounters::default() })
     }
 
-    /// Waits for events, at most for the timeout, and returns their number.
+    /// Waits for events, for at most `timeout`, and returns their number.
     ///
     /// # Errors
-    /// The system call failed; `Interrupted` is harmless.
+    /// Returns the error of the system call. `Interrupted` is harmless: the caller may wait again.
     pub fn wait(&self, events: &mut polling::Events, timeout: std::time::Duration) -> io::Result<usize> {
         increment(&self.syscalls.waits);
         self.poller.wait(events, Some(timeout))
     }
 }
 
-/// Allocates keys by which events name their socket. A key is never used twice.
+/// Allocates the keys by which events identify their socket. A key is never reused.
 #[derive(Debug, Default)]
 pub struct KeyAllocator(usize);
 
 impl KeyAllocator {
-    /// A new key, starting with 1.
+    /// Returns a new key. The first one is 1.
     pub fn next_key(&mut self) -> usize {
         self.0 += 1;
         self.0
     }
 }
 
-/// A socket that is registered with the poller for as long as this value lives.
+/// A socket that is registered with the poller for the lifetime of this value.
 pub struct Registration<S: AsFd> {
     poller: Arc<EventPoller>,
     source: S,
@@ -76,7 +83,7 @@
     /// Registers a socket under the key of `interest`.
     ///
     /// # Errors
-    /// The poller rejects the socket.
+    /// Returns an error if the poller rejects the socket.
     pub fn new(poller: &Arc<EventPoller>, source: S, interest: Event) -> io::Result<Registration<S>> {
         // SAFETY: `Registration` owns the source and deletes it from the poller in `drop`,
         // before the source itself is closed.
@@ -85,26 +92,26 @@
         Ok(Registration { poller: poller.clone(), source, key: interest.key })
     }
 
-    /// Asks for the next event. Registrations are one-shot: each event needs a new interest.
+    /// Registers interest in the next event. Registrations are one-shot: this must be called again after each event.
     ///
     /// # Errors
-    /// The poller rejects the change.
+    /// Returns an error if the poller rejects the change.
     pub fn set_interest(&self, readable: bool, writable: bool) -> io::Result<()> {
         increment(&self.poller.syscalls.registrations);
         self.poller.poller.modify(self.source.as_fd(), Event::new(self.key, readable, writable))
     }
 
-    /// The socket.
+    /// Returns the registered socket.
     pub fn source(&self) -> &S {
         &self.source
     }
 }
 
 impl Registration<TcpStream> {
-    /// Reads what is available.
+    /// Reads available bytes into the buffer, with one system call.
     ///
     /// # Errors
-    /// Those of the socket; `WouldBlock` if there is nothing.
+    /// Returns the socket's error, `WouldBlock` if no bytes are available.
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         increment(&self.poller.syscalls.reads);
         let read = (&self.source).read(buffer)?;
@@ -112,10 +119,10 @@
         Ok(read)
     }
 
-    /// Writes as much as the socket accepts.
+    /// Writes as many bytes as the socket accepts, with one system call.
     ///
     /// # Errors
-    /// Those of the socket; `WouldBlock` if it accepts nothing.
+    /// Returns the socket's error, `WouldBlock` if the socket accepts no bytes.
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         increment(&self.poller.syscalls.writes);
         let written = (&self.source).write(bytes)?;
@@ -126,7 +133,7 @@
 
 impl<S: AsFd> Drop for Registration<S> {
     fn drop(&mut self) {
-        // Closing the socket, which follows, removes it as well.
+        // An error can be ignored: the socket is closed next, which removes it from the poller as well.
         let _ = self.poller.poller.delete(self.source.as_fd());
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,7 +1,8 @@
-//! An HTTP server on `polling`: it returns requests and takes responses; nothing here waits or reads a clock.
+//! An HTTP server on `polling`. It returns requests to the caller, which passes back the responses; it neither waits
+//! nor reads a clock.
 //!
-//! For programs that serve a few hundred connections, such as the local cluster. The controller has a server of its own
-//! (`src/transport/servers.rs`) with budgets for small machines.
+//! It is meant for programs that serve a few hundred connections, such as the local cluster. The controller has its own
+//! server (`src/transport/servers.rs`) with memory budgets for small machines.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,39 +15,44 @@
 use crate::poller::{EventPoller, KeyAllocator, Registration};
 use crate::stream::{BufferedStream, StreamState};
 
+/// Maximum number of open connections; further ones are closed as soon as they are accepted.
 const MAX_CONNECTIONS: usize = 4_000;
-/// Largest request that is buffered.
+/// Maximum size of a buffered request.
 const MAX_INPUT_BYTES: usize = MAX_BODY_BYTES + 32 * 1024;
-/// Connections of clients that leave more unread are closed.
+/// A connection with more unread response data than this is closed.
 const MAX_OUTPUT_BYTES: usize = 16 * 1024 * 1024;
+/// A connection without socket events for longer than this is closed, unless a request is waiting for its response.
 const IDLE_TIMEOUT_MS: u64 = 120_000;
 
-/// Which of the server's addresses a request came to.
+/// Identifies one of the server's listeners; chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ListenerId(pub usize);
 
-/// The connection of a request that waits for its response.
+/// Identifies the connection of a request that is waiting for its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(usize);
 
-/// A request that came in.
+/// A received request.
 #[derive(Debug)]
 pub struct IncomingRequest {
+    /// The connection to which the response must be sent.
     pub connection: ConnectionId,
+    /// The listener that accepted the connection.
     pub listener: ListenerId,
+    /// The parsed request.
     pub request: Request,
 }
 
 struct Connection {
     stream: BufferedStream,
     listener: ListenerId,
-    /// A request waits for its response; further ones stay in the buffer.
+    /// A request is waiting for its response. Later requests stay in the input buffer.
     request_in_flight: bool,
     keep_alive: bool,
     last_active_ms: u64,
 }
 
-/// Listeners and their connections.
+/// An HTTP server with its listeners and their connections.
 pub struct HttpServer {
     poller: Arc<EventPoller>,
     listeners: HashMap<usize, (Registration<TcpListener>, ListenerId)>,
@@ -54,15 +60,15 @@
 }
 
 impl HttpServer {
-    /// A server without listeners.
+    /// Creates a server without listeners.
     pub fn new(poller: &Arc<EventPoller>) -> HttpServer {
         HttpServer { poller: poller.clone(), listeners: HashMap::new(), connections: HashMap::new() }
     }
 
-    /// Serves an address, with port 0 on a free port, and returns the address with its port.
+    /// Listens on an address and returns it with the actual port; port 0 selects a free one.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// Returns an error if listening on the address fails.
     pub fn listen(
         &mut self,
         keys: &mut KeyAllocator,
@@ -78,19 +84,19 @@
         Ok(addr)
     }
 
-    /// Stops serving an address and closes its connections.
+    /// Closes a listener and all its connections.
     pub fn close_listener(&mut self, listener: ListenerId) {
         self.listeners.retain(|_, (_, other)| *other != listener);
         self.connections.retain(|_, connection| connection.listener != listener);
     }
 
-    /// Whether events with this key are for [`HttpServer::handle_event`].
+    /// Returns whether events with this key must be passed to [`HttpServer::handle_event`].
     pub fn owns_key(&self, key: usize) -> bool {
         self.listeners.contains_key(&key) || self.connections.contains_key(&key)
     }
 
-    /// Handles an event, and returns a request if one is complete. Each connection has at most one request waiting for
-    /// its response.
+    /// Handles an event, and returns the connection's next request if it is complete. Each connection has at most one
+    /// request waiting for its response.
     pub fn handle_event(
         &mut self,
         keys: &mut KeyAllocator,
@@ -132,7 +138,7 @@
                 self.connections.insert(key, connection);
             }
         }
-        // A listener that cannot be polled any more accepts nobody, which clients see.
+        // If this fails, the listener accepts no further connections, which clients notice.
         let _ = registration.set_interest(true, false);
     }
 
@@ -165,7 +171,7 @@
         }
     }
 
-    /// Sends the response to a request, and returns the connection's next request if it is complete already.
+    /// Sends the response to a request. Returns the connection's next request if it is already complete.
     pub fn respond(&mut self, id: ConnectionId, status: u16, body: &[u8]) -> Option<IncomingRequest> {
         let connection = self.connections.get_mut(&id.0)?;
         let mut bytes = Vec::with_capacity(body.len() + 200);
@@ -199,7 +205,7 @@
         }
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have been idle for too long.
     pub fn close_idle(&mut self, now_ms: u64) {
         self.connections.retain(|_, connection| {
             connection.request_in_flight || now_ms.saturating_sub(connection.last_active_ms) < IDLE_TIMEOUT_MS
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,7 +1,7 @@
 //! A non-blocking TCP connection with an input and an output buffer.
 //!
-//! The caller bounds the input buffer by what it passes to [`BufferedStream::read_available`], and the output buffer by
-//! closing connections whose [`BufferedStream::pending_output`] grows too large.
+//! The caller bounds the input buffer through the argument of [`BufferedStream::read_available`], and the output
+//! buffer by closing connections whose [`BufferedStream::pending_output`] becomes too large.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -12,28 +12,29 @@
 
 use crate::poller::{EventPoller, Registration};
 
-/// Bytes that one system call reads at most.
+/// Maximum number of bytes read by one system call.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Capacity that an idle connection keeps for each direction.
+/// Buffer capacity that an idle connection keeps in each direction.
 const IDLE_BUFFER_BYTES: usize = 2 * 1024;
 
-/// A connection with its buffers.
+/// A TCP connection with its buffers.
 pub struct BufferedStream {
     registration: Registration<TcpStream>,
-    /// Received and not yet consumed.
+    /// Bytes received and not yet consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    /// How much of `output` has been written.
+    /// Number of bytes of `output` that have been written to the socket.
     written: usize,
     /// The connection is not established yet.
     pub connecting: bool,
 }
 
-/// Whether a connection can still be used after a read or write.
+/// The state of a connection after a read or write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamState {
+    /// The connection can still be used.
     Open,
-    /// By the peer or by an error: the connection is to be dropped.
+    /// The peer closed the connection or an error occurred; the connection must be dropped.
     Closed,
 }
 
@@ -41,31 +42,31 @@
     /// Wraps a connection that a listener accepted.
     ///
     /// # Errors
-    /// The socket can't be configured or registered.
+    /// Returns an error if the socket cannot be configured or registered.
     pub fn from_accepted(
         poller: &Arc<EventPoller>,
         socket: TcpStream,
         key: usize,
     ) -> io::Result<BufferedStream> {
         socket.set_nonblocking(true)?;
-        // Small responses must not be delayed to be sent together.
+        // Disables Nagle's algorithm, which would delay small responses.
         socket.set_nodelay(true)?;
         let registration = Registration::new(poller, socket, Event::readable(key))?;
         Ok(BufferedStream::new(registration, false))
     }
 
-    /// Starts to connect. The first event tells whether that succeeded.
+    /// Starts to connect. The first event indicates that the attempt has succeeded or failed.
     ///
     /// # Errors
-    /// The socket can't be created, registered or connected; for some addresses that is known at once.
+    /// Returns an error if the socket cannot be created or registered, or if connecting fails immediately.
     pub fn connect(poller: &Arc<EventPoller>, addr: SocketAddr, key: usize) -> io::Result<BufferedStream> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         if let Err(error) = socket.connect(&addr.into()) {
-            let pending =
+            let in_progress =
                 error.kind() == io::ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS);
-            if !pending {
+            if !in_progress {
                 return Err(error);
             }
         }
@@ -77,28 +78,28 @@
         BufferedStream { registration, input: Vec::new(), output: Vec::new(), written: 0, connecting }
     }
 
-    /// Adds bytes to the output buffer.
+    /// Appends bytes to the output buffer.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Closes the sending side; the peer sees the end of the stream.
+    /// Closes the sending side, so that the peer sees the end of the stream.
     pub fn shutdown_write(&self) {
-        // Fails only if the connection is closed already.
+        // This fails only if the connection is already closed.
         let _ = self.registration.source().shutdown(Shutdown::Write);
     }
 
-    /// Bytes of the output buffer that are not written yet.
+    /// Returns the number of bytes in the output buffer that have not been written yet.
     pub fn pending_output(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Memory that the buffers take, in bytes.
+    /// Returns the memory allocated for both buffers, in bytes.
     pub fn buffer_capacity(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Reads what is available, until the input buffer holds `max_input` bytes.
+    /// Reads available bytes until the input buffer holds `max_input` bytes.
     pub fn read_available(&mut self, max_input: usize) -> StreamState {
         let mut chunk = [0; READ_CHUNK_BYTES];
         while self.input.len() < max_input {
@@ -119,7 +120,8 @@
         StreamState::Open
     }
 
-    /// Writes as much of the output buffer as the socket accepts; finishes connecting first.
+    /// Writes as much of the output buffer as the socket accepts. While connecting, first checks whether the
+    /// connection is established.
     pub fn flush(&mut self) -> StreamState {
         if self.connecting {
             match self.registration.source().take_error() {
@@ -146,7 +148,7 @@
         StreamState::Open
     }
 
-    /// Asks for the next event, for reading only if `readable`. To be called after each event.
+    /// Registers interest in the next event; in readability only if `readable`. Must be called after each event.
     pub fn rearm(&self, readable: bool) -> StreamState {
         let writable = self.connecting || self.pending_output() > 0;
         match self.registration.set_interest(readable && !self.connecting, writable) {
@@ -164,5 +166,5 @@
     }
 }
 
-/// Linux' error number for a connection that is being established in the background.
+/// Linux error number for a non-blocking connection attempt that is in progress.
 const EINPROGRESS: i32 = 115;
--- a/crates/net/src/tests/http.rs
+++ b/crates/net/src/tests/http.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 #[test]
-fn a_request_is_partial_until_it_is_complete() {
+fn request_is_partial_until_its_last_byte() {
     let text = b"POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nabcdGET";
     for cut in 0..text.len() - 3 {
         assert_eq!(parse_request(&text[..cut]), Parsed::Partial, "cut at {cut}");
     }
     let Parsed::Complete(request, consumed) = parse_request(text) else {
-        panic!("not parsed");
+        panic!("expected a complete message");
     };
     assert_eq!(
         (request.path.as_str(), request.body.as_slice(), consumed),
@@ -22,7 +22,7 @@
 fn chunked_bodies_are_parsed() {
     let text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
     let Parsed::Complete(response, consumed) = parse_response(text, 100) else {
-        panic!("not parsed");
+        panic!("expected a complete message");
     };
     assert_eq!((response.status, response.body.as_slice(), consumed), (200, &b"abcde"[..], text.len()));
     assert_eq!(parse_response(text, 4), Parsed::TooLong);
