--- a/crates/admission/src/borrowed.rs
+++ b/crates/admission/src/borrowed.rs
@@ -1,17 +1,17 @@
-//! What teams have borrowed, and how much of it others may reclaim at once.
+//! Capacity that teams have borrowed, and how much of it other teams may reclaim at one time.
 //!
-//! Only what a team uses above its guarantee may be stopped for others, and what is being stopped already is not reclaimed
-//! a second time. Without both rules, teams that were all near their guarantees stopped each other's gangs in turn: one
-//! task above a guarantee was enough to lose a whole gang, whose owner could then reclaim it.
+//! Only a team's usage above its guarantee may be stopped for others, and usage that is already being stopped is not
+//! reclaimed again. Without both rules, teams that were all near their guarantees preempted each other's gangs in turn:
+//! one task above a guarantee was enough to lose a whole gang, whose owner could then reclaim the capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// CPUs and GPUs in thousandths: the resources that guarantees are given in.
+/// An amount of the resources that guarantees apply to: CPUs and GPUs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct QuotaAmount {
-    /// Thousandths of CPUs.
+    /// CPUs, in thousandths.
     pub cpu: u64,
-    /// Thousandths of GPUs.
+    /// GPUs, in thousandths.
     pub gpu: u64,
 }
 
@@ -20,14 +20,14 @@
         QuotaAmount { cpu: self.cpu.saturating_sub(other.cpu), gpu: self.gpu.saturating_sub(other.gpu) }
     }
 
-    /// Whether what is used above a guarantee covers all of it, in one of the two resources.
+    /// Returns whether the usage above a guarantee covers this whole amount in at least one of the two resources.
     fn covered_by(self, above_guarantee: QuotaAmount) -> bool {
         (self.cpu > 0 && self.cpu <= above_guarantee.cpu) || (self.gpu > 0 && self.gpu <= above_guarantee.gpu)
     }
 }
 
-/// What each team `T` has borrowed. A job `J` that stops as a whole is reclaimed once. Memory: one entry for each team
-/// that borrows, and one for each job reclaimed as a whole.
+/// The capacity that each team `T` has borrowed. A job `J` that stops as a whole is deducted only once. Memory: one
+/// entry per team that borrows, and one per job that is reclaimed as a whole.
 #[derive(Debug, Clone)]
 pub struct BorrowedCapacity<T, J> {
     above_guarantee: BTreeMap<T, QuotaAmount>,
@@ -41,7 +41,7 @@
 }
 
 impl<T: Ord + Copy, J: Ord + Copy> BorrowedCapacity<T, J> {
-    /// Adds a team by what it uses and is guaranteed; `stopping` is the part of its use that is being stopped.
+    /// Adds a team with its usage and its guarantee. `stopping` is the part of `used` that is already being stopped.
     pub fn add_team(&mut self, team: T, used: QuotaAmount, stopping: QuotaAmount, guaranteed: QuotaAmount) {
         let above_guarantee = used.saturating_sub(stopping).saturating_sub(guaranteed);
         if above_guarantee != QuotaAmount::default() {
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Whether so much of the team's use may be stopped.
+    /// Returns whether this amount of the team's usage may be stopped.
     pub fn can_reclaim(&self, team: T, amount: QuotaAmount) -> bool {
         self.above_guarantee.get(&team).is_some_and(|above| amount.covered_by(*above))
     }
 
-    /// Takes the amount off what is borrowed; false if it is not covered any more. `whole_job`: the job that stops as a
-    /// whole, so that further parts of it cost nothing.
+    /// Deducts the amount from the team's borrowed capacity. Returns false if the remaining borrowed capacity does not
+    /// cover it. `whole_job` is the job that stops as a whole, if any: only its first part is deducted.
     pub fn reclaim(&mut self, team: T, amount: QuotaAmount, whole_job: Option<J>) -> bool {
         if whole_job.is_some_and(|job| self.reclaimed_jobs.contains(&job)) {
             return true;
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -1,12 +1,13 @@
 //! How much of the fleet best-effort jobs may use.
 //!
-//! Best-effort jobs are there to fill what is left over. Started wherever there is room at the moment, their tasks of
-//! several minutes keep out jobs with objectives that come a little later. So room is kept free for the recent demand of
-//! such jobs, the older the less, but never so much that best-effort jobs get less than a minimum share.
+//! Best-effort jobs use the capacity that other jobs leave over. If their tasks, which run for several minutes, start
+//! wherever capacity is free, they delay jobs with objectives that arrive a little later. Capacity is therefore
+//! reserved for the recent demand of jobs with objectives. The reservation decays with the age of the demand, and it
+//! always leaves a minimum share to best-effort jobs.
 
 use std::collections::VecDeque;
 
-/// Demand of one moment.
+/// The demand of jobs with objectives at one time.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
     /// Milliseconds of the caller's clock.
@@ -14,25 +15,27 @@
     amount: u64,
 }
 
-/// Capacity to be kept free, by the demand over a sliding window. Amounts are in the caller's unit. Memory: at most one
-/// entry for each call of [`Headroom::record_demand`] within the window.
+/// Reserves capacity according to the demand over a sliding window. Amounts are in the caller's unit. Memory: at most
+/// one entry per call of [`Headroom::record_demand`] within the window.
 #[derive(Debug, Clone)]
 pub struct Headroom {
     window_ms: u64,
-    /// The part of the capacity that best-effort jobs may always use, 0 to 1.
+    /// Fraction of the capacity that best-effort jobs may always use, from 0 to 1.
     minimum_share: f64,
-    /// Demands after which there was no higher one; so they fall from the oldest to the newest.
+    /// Demands that no later demand has reached or exceeded, so they decrease from the oldest to the newest.
     peaks: VecDeque<Demand>,
+    /// Capacity that best-effort jobs may use in total.
     allowed: u64,
 }
 
 impl Headroom {
-    /// Without any demand yet. `minimum_share`: the part of the capacity that best-effort jobs may always use, 0 to 1.
+    /// Creates a reservation without any recorded demand. `minimum_share` is the fraction of the capacity that
+    /// best-effort jobs may always use, from 0 to 1.
     pub fn new(window_ms: u64, minimum_share: f64) -> Headroom {
         Headroom { window_ms, minimum_share, peaks: VecDeque::new(), allowed: u64::MAX }
     }
 
-    /// Records that jobs with objectives demand so much of `capacity` at `now` (milliseconds of the caller's clock).
+    /// Records the `demand` of jobs with objectives for the `capacity` at `now`, in milliseconds of the caller's clock.
     pub fn record_demand(&mut self, now: u64, demand: u64, capacity: u64) {
         while self.peaks.back().is_some_and(|peak| peak.amount <= demand) {
             self.peaks.pop_back();
@@ -45,7 +48,8 @@
         self.allowed = capacity.saturating_sub(self.reserved(now)).max(minimum);
     }
 
-    /// A demand counts in full for half of the window and then less and less, until nothing at its end.
+    /// Returns the capacity reserved for jobs with objectives. A demand counts in full for half of the window; its
+    /// weight then decreases linearly to zero at the end of the window.
     fn reserved(&self, now: u64) -> u64 {
         let weighted = self.peaks.iter().map(|peak| {
             let age_ms = now.saturating_sub(peak.at_ms).min(self.window_ms);
@@ -56,7 +60,7 @@
         weighted.max().unwrap_or(0)
     }
 
-    /// How much best-effort jobs may use altogether; unbounded before any demand was recorded.
+    /// Returns how much capacity best-effort jobs may use in total. Unlimited until a demand has been recorded.
     pub fn allowed(&self) -> u64 {
         self.allowed
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,8 @@
-//! Who gets how much when there is not enough for all: borrowed capacity, minimum shares, headroom and the pressure on a
-//! controller. docs/overload.md argues for it.
+//! Admission policy under overload, when capacity does not suffice for all jobs: borrowed capacity, minimum shares,
+//! headroom and the pressure on a controller. docs/overload.md gives the reasons for the design.
 //!
-//! Pure: no I/O and no clock, the time comes in with each call. Memory is in proportion to teams and classes, never to
-//! jobs or machines.
+//! The crate does no I/O and reads no clock; the caller passes in the time with each call. Memory is proportional to the
+//! number of teams and classes, plus the entries that the documentation of a type mentions.
 
 #![warn(missing_docs)]
 
--- a/crates/admission/src/pressure.rs
+++ b/crates/admission/src/pressure.rs
@@ -1,26 +1,29 @@
-//! How far a controller is behind its events, and what it therefore defers.
+//! Measures how far a controller lags behind its events, which determines how much work it defers.
 //!
-//! The measure is how long events wait in the queue, not how many there are (the idea of CoDel): a queue that empties now
-//! and then is not overloaded, however long it was. So the minimum wait within an interval decides.
+//! The measure is the time that events wait in the queue, not the length of the queue, as in CoDel: a queue that
+//! drains from time to time is not overloaded, however long it becomes in between. The minimum wait within an interval
+//! therefore determines the level.
 
-/// How much is deferred; each level includes those before it.
+/// How much work is deferred. Each level includes the restrictions of the lower ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum PressureLevel {
     /// Nothing is deferred.
     #[default]
     Calm,
-    /// Planning runs less often, and commands that can wait go with the responses to heartbeats.
+    /// Periodic planning runs less often, and commands that are not urgent wait for the next heartbeat response
+    /// instead of being sent directly.
     Busy,
-    /// Planning hardly runs at all.
+    /// Planning for provisioning runs even less often.
     Overloaded,
 }
 
-/// Minimum waits above this, in milliseconds, are a reason for the level.
+/// An interval whose minimum wait is longer than this indicates the level `Busy`.
 const BUSY_ABOVE_MS: u64 = 100;
+/// An interval whose minimum wait is longer than this indicates the level `Overloaded`.
 const OVERLOADED_ABOVE_MS: u64 = 1_000;
-/// The minimum wait is taken over this time.
+/// Length of the interval over which the minimum wait is taken.
 const INTERVAL_MS: u64 = 1_000;
-/// A level is left after this many consecutive intervals that would not have led to it.
+/// Number of consecutive intervals that must indicate a lower level before the level drops by one.
 const LOWER_INTERVALS_TO_DROP: u32 = 3;
 
 impl PressureLevel {
@@ -34,7 +37,7 @@
         }
     }
 
-    fn one_lower(self) -> PressureLevel {
+    fn next_lower(self) -> PressureLevel {
         match self {
             PressureLevel::Overloaded => PressureLevel::Busy,
             PressureLevel::Busy | PressureLevel::Calm => PressureLevel::Calm,
@@ -42,25 +45,28 @@
     }
 }
 
-/// The pressure level of one controller. Has to be given every wait, and from time to time a wait of zero while no event
-/// waits.
+/// Tracks the pressure level of one controller. The caller must record the wait of every event and, while no events are
+/// waiting, a wait of zero from time to time.
 #[derive(Debug, Default)]
 pub struct Pressure {
     level: PressureLevel,
     interval_started_ms: u64,
+    /// Minimum wait in the current interval; `None` before the first wait.
     min_wait_ms: Option<u64>,
+    /// Number of consecutive intervals that indicated a level below the current one.
     lower_intervals: u32,
-    /// Times that the level rose, for operators.
+    /// Number of times the level rose, for operators.
     pub level_increases: u64,
 }
 
 impl Pressure {
-    /// The level now.
+    /// Returns the current level.
     pub fn level(&self) -> PressureLevel {
         self.level
     }
 
-    /// Records an event that is processed at `now` after a wait, both in milliseconds. Returns whether the level changed.
+    /// Records that an event is processed at `now` after waiting for `wait_ms`, both in milliseconds. Returns whether
+    /// the level changed.
     pub fn record_wait(&mut self, now: u64, wait_ms: u64) -> bool {
         self.min_wait_ms = Some(self.min_wait_ms.map_or(wait_ms, |min_ms| min_ms.min(wait_ms)));
         if now.saturating_sub(self.interval_started_ms) < INTERVAL_MS {
@@ -83,7 +89,7 @@
             return false;
         }
         self.lower_intervals = 0;
-        self.level = self.level.one_lower();
+        self.level = self.level.next_lower();
         true
     }
 }
--- a/crates/admission/src/tests/headroom.rs
+++ b/crates/admission/src/tests/headroom.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 #[test]
-fn reserves_room_for_the_recent_peak_demand() {
+fn reserves_capacity_for_the_recent_peak_demand() {
     let mut headroom = Headroom::new(60_000, 0.25);
     assert_eq!(headroom.allowed(), u64::MAX);
     headroom.record_demand(0, 700, 1_000);
     assert_eq!(headroom.allowed(), 300);
     headroom.record_demand(30_000, 100, 1_000);
-    assert_eq!(headroom.allowed(), 300, "all of it for half the window");
+    assert_eq!(headroom.allowed(), 300, "the peak is reserved in full for half the window");
     headroom.record_demand(45_000, 100, 1_000);
-    assert_eq!(headroom.allowed(), 650, "half of it after three quarters");
+    assert_eq!(headroom.allowed(), 650, "half of the peak is reserved after three quarters of the window");
     headroom.record_demand(61_000, 200, 1_000);
-    assert_eq!(headroom.allowed(), 800, "nothing after the window");
+    assert_eq!(headroom.allowed(), 800, "the peak is no longer reserved after the window");
     headroom.record_demand(62_000, 5_000, 1_000);
-    assert_eq!(headroom.allowed(), 250, "the minimum share, however high the demand");
+    assert_eq!(headroom.allowed(), 250, "the minimum share is allowed, however high the demand");
     headroom.record_demand(200_000, 0, 1_000);
     assert_eq!(headroom.allowed(), 1_000);
 }
