--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the controller: checks the settings or serves until it is killed.
+//! The command line of the controller: checks the settings, or runs the controller until it is killed.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 
 #[derive(clap::Args)]
 struct ConfigFiles {
-    /// Tunables (HCL); without it the defaults hold
+    /// The tunables file (HCL); if omitted, the defaults apply
     #[arg(long, value_name = "FILE")]
     tunables: Option<PathBuf>,
     /// The platform's settings file (JSON)
@@ -36,7 +36,7 @@
     config: PathBuf,
 }
 
-/// Why the files given on the command line can't be used.
+/// Errors in the files given on the command line.
 #[derive(Debug, Error)]
 enum ConfigError {
     #[error(transparent)]
@@ -45,15 +45,16 @@
     Tunables(#[from] TunablesError),
 }
 
-/// Exit code for settings that can't be used, the same as for wrong arguments.
+/// Exit code for invalid settings or tunables; clap exits with the same code for invalid arguments.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// Runs the program with the arguments of the process.
+/// Runs the program with the command-line arguments of the process.
 pub fn main() -> ExitCode {
     run(std::env::args_os())
 }
 
-/// Runs the program with these arguments, the program's name first. A local cluster starts its controllers like this.
+/// Runs the program with the given arguments, of which the first is the program's name. A local cluster starts its
+/// controllers through this function.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = Cli::parse_from(arguments);
     let (Command::Serve(files) | Command::Check(files)) = &cli.command;
@@ -66,7 +67,7 @@
     };
     match cli.command {
         Command::Check(_) => {
-            println!("settings of {} are fine", settings.controller);
+            println!("settings of {} are valid", settings.controller);
             ExitCode::SUCCESS
         }
         Command::Serve(_) => serve(settings, tunables),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! olivelatch: a cluster scheduler with data-aware work stealing.
 //!
-//! The layers, outermost first: `transport` moves bytes and reads the clock,
-//! `protocol` parses and serializes typed messages, `coordination` decides,
-//! `bookkeeping` holds the state. The last two do no I/O and read no clock.
+//! The layers, from the outermost: `transport` moves bytes and reads the clock,
+//! `protocol` parses and serializes typed messages, `coordination` makes the
+//! decisions, and `bookkeeping` holds the state. The last two do no I/O and do
+//! not read the clock.
 
 pub mod bookkeeping;
 pub mod cli;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs to standard error at `LOG_LEVEL`, one line for each event, as text, `key=value` pairs or JSON.
+//! Logs to standard error at the level given by `LOG_LEVEL`: one line per event, as text, `key=value` pairs or JSON.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -10,7 +10,7 @@
 
 use crate::tunables::LogFormat;
 
-/// Writes events to standard error.
+/// Writes log events to standard error.
 struct StderrLogger {
     controller: String,
     format: LogFormat,
@@ -27,14 +27,15 @@
         }
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = format_line(self.format, &self.controller, wall.as_millis() as u64, record);
-        // One write for each line keeps lines of several processes apart. Logging must not fail the program.
+        // A single write per line keeps the lines of several processes from interleaving. The result is ignored, as a
+        // failure to log must not stop the program.
         let _ = std::io::stderr().write_all(line.as_bytes());
     }
 
     fn flush(&self) {}
 }
 
-/// The key-value pairs of one event, in their order.
+/// The key-value pairs of one event, in the order in which they are written.
 struct KeyValues(Vec<(String, String)>);
 
 impl<'kvs> VisitSource<'kvs> for KeyValues {
@@ -60,7 +61,7 @@
         ("node".into(), controller.into()),
         ("msg".into(), record.args().to_string()),
     ]);
-    // Pairs that cannot be formatted are left out, as the message stands on its own.
+    // Pairs that cannot be formatted are omitted; the message is useful without them.
     let _ = record.key_values().visit(&mut pairs);
     pairs
 }
@@ -90,8 +91,8 @@
     value.is_empty() || !value.bytes().all(|b| b.is_ascii_graphic() && b != b'"' && b != b'=')
 }
 
-/// Installs the logger of this process for the named controller. The level is that of the environment's `LOG_LEVEL`,
-/// `info` by default.
+/// Installs the logger of this process; `controller` names the controller in each line. The environment variable
+/// `LOG_LEVEL` sets the level, `info` by default.
 pub fn init(controller: &str, format: LogFormat) {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::Error,
@@ -101,7 +102,7 @@
         _ => LevelFilter::Info,
     };
     log::set_max_level(level);
-    // A second call in one process, as in tests, keeps the first logger.
+    // If a logger is already installed in this process, as in tests, it is kept.
     let _ = log::set_boxed_logger(Box::new(StderrLogger { controller: controller.into(), format }));
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller's program; see `olivelatch::cli`.
+//! Entry point of the controller; the command line is in `olivelatch::cli`.
 
 use std::process::ExitCode;
 
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -1,4 +1,4 @@
-//! Targets of requests of our own, and the connections to them.
+//! Targets of outbound requests, and the connections to them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use crate::protocol::{HttpOutcome, HttpRequest};
 use olivelatch_net::stream::BufferedStream;
 
-/// The recipient of a request.
+/// The recipient of an outbound request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Target {
     KvStore,
@@ -17,8 +17,8 @@
 }
 
 impl Target {
-    /// Most connections to one target. The store gets enough of them that the renewal of a lease does not wait behind a
-    /// transaction.
+    /// Returns the maximum number of connections to the target. The store gets several, so that a lease renewal does
+    /// not wait behind a transaction.
     pub(super) fn max_connections(self) -> usize {
         match self {
             Target::KvStore => 6,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The event that reports the outcome of a request to it.
+    /// Returns the event that reports the outcome of a request to this target.
     pub(super) fn outcome_event(self, outbound: OutboundId, outcome: HttpOutcome) -> Event {
         match self {
             Target::KvStore => Event::Kv { outbound, outcome },
@@ -41,7 +41,7 @@
 pub(super) struct ClientConnection {
     pub(super) stream: BufferedStream,
     pub(super) target: Target,
-    /// The request that waits for its response.
+    /// The request that is waiting for its response, if any.
     pub(super) outbound: Option<OutboundId>,
     pub(super) last_active: Millis,
 }
@@ -49,27 +49,28 @@
 /// The connections to one target.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
-    /// Keys of connections without a request.
+    /// Keys of the connections without a request in flight.
     pub(super) idle: Vec<usize>,
-    /// Number of connections, idle or not.
+    /// Number of connections, idle or in use.
     pub(super) open: usize,
-    /// Requests that wait for a connection.
+    /// Requests waiting for a connection, in the order of their arrival.
     pub(super) queue: VecDeque<(OutboundId, HttpRequest)>,
 }
 
-/// A request without an outcome.
+/// A request whose outcome has not been reported yet.
 #[derive(Clone, Copy)]
 pub(super) struct Outstanding {
     pub(super) target: Target,
-    /// The connection over which it was sent; None while it is queued.
+    /// Key of the connection over which it was sent; `None` while it is queued.
     pub(super) connection: Option<usize>,
 }
 
-/// The result of looking for a connection.
+/// The result of acquiring a connection to a target.
 pub(super) enum Acquired {
+    /// The connection with this key can be used.
     Connection(usize),
-    /// All connections that the target may have are in use.
+    /// All connections that are allowed to the target are in use.
     Busy,
-    /// No connection is open, and none can be opened.
+    /// No connection can be opened: the process is out of sockets, or connecting failed immediately.
     Unavailable,
 }
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -1,7 +1,7 @@
-//! Requests of our own: to the key-value store, the cloud and the workers.
+//! Outbound requests to the key-value store, the cloud and the workers.
 //!
-//! It owns the connections, the queues and the deadlines of these requests, and reports exactly one outcome for each. The
-//! number of sockets and the size of responses are bounded.
+//! This module owns the connections, queues and deadlines of these requests and reports exactly one outcome for each.
+//! The number of sockets and the size of responses are bounded.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -14,39 +14,40 @@
 use olivelatch_net::http::{Parsed, Response, parse_response, write_request};
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
-/// An idle connection is closed after this.
+/// An idle connection is closed after this time.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
-/// Time between two searches for idle connections, as there are hundreds of them.
+/// Time between two scans for idle connections. There are hundreds of connections, so not every tick scans them.
 const IDLE_CHECK_INTERVAL_MS: u64 = 1_000;
-/// The part of the controller's memory that one response may take: there are three copies of it while it is parsed. Pages
-/// of the store and the cloud's lists are far smaller.
+/// Maximum size of one response, as a fraction of the controller's memory. Three copies of a response exist while it is
+/// parsed. Pages of the store and lists of the cloud are far smaller than this limit.
 const RESPONSE_MEMORY_SHARE: f64 = 0.1;
-/// Idle connections that are closed at once when sockets run out.
+/// Maximum number of idle connections that one eviction closes when sockets run out.
 const MAX_EVICTED_IDLE: usize = 64;
-/// Buffer space for the head and the chunk sizes of a response, beside its body.
-const RESPONSE_HEAD_ROOM_BYTES: usize = 1024 * 1024;
-/// Space for the head of a request.
+/// Buffer space for the head and the chunk sizes of a response, in addition to its body.
+const RESPONSE_OVERHEAD_BYTES: usize = 1024 * 1024;
+/// Estimated size of a request's head, for the initial capacity of the output buffer.
 const REQUEST_HEAD_BYTES: usize = 200;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-/// The requests of our own and their connections.
+/// The outbound requests and their connections.
 pub(super) struct ClientConnections {
     connections: ByKey<ClientConnection>,
     pools: HashMap<Target, ConnectionPool>,
     outstanding: HashMap<OutboundId, Outstanding>,
+    /// When each request times out. Entries of completed requests stay until their deadline.
     deadlines: BTreeSet<(Millis, OutboundId)>,
     idle_checked_at: Millis,
     kv_addr: SocketAddr,
     cloud_addr: SocketAddr,
     max_response_bytes: usize,
-    /// Sockets that the whole process may have.
+    /// Maximum number of sockets of the whole process.
     max_sockets: usize,
-    /// Sockets that it has beside these.
+    /// Number of open sockets of the process that do not belong to these connections. Updated by the caller.
     pub(super) other_sockets: usize,
 }
 
 impl ClientConnections {
-    /// For a controller that has `memory_mb` megabytes and may have `max_sockets` sockets.
+    /// Creates the pools of a controller with `memory_mb` megabytes of memory and at most `max_sockets` sockets.
     pub(super) fn new(
         kv_addr: SocketAddr,
         cloud_addr: SocketAddr,
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Whether a key belongs to one of these connections.
+    /// Returns whether the key belongs to one of these connections.
     pub(super) fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Whether a connection goes to a worker.
+    /// Returns whether the connection with this key goes to a worker.
     pub(super) fn is_worker(&self, key: usize) -> bool {
         self.connections.get(&key).is_some_and(|client| matches!(client.target, Target::Worker(_)))
     }
@@ -99,7 +100,7 @@
         self.enqueue_request(context, Target::Cloud, outbound, request, timeout_ms);
     }
 
-    /// Sends a request to a worker. It is reported as not sent if the endpoint is not an address.
+    /// Sends a request to a worker. If the endpoint is not a socket address, the request is reported as not sent.
     pub(super) fn request_worker(
         &mut self,
         context: &mut TransportContext,
@@ -138,13 +139,14 @@
         }
     }
 
-    /// Whether the process may open no further socket.
+    /// Returns whether the process has reached its socket limit.
     pub(super) fn is_out_of_sockets(&self) -> bool {
         self.connections.len() + self.other_sockets >= self.max_sockets
     }
 
-    /// Closes idle connections to workers, the longest idle first. A new leader announces itself to every machine while all
-    /// of them send it heartbeats: without this there were too few sockets for both, and users were rejected.
+    /// Closes idle connections to workers, starting with the one that has been idle longest. A new leader announces
+    /// itself to every machine while all of them send it heartbeats. Without eviction there were too few sockets for
+    /// both, and users' connections were rejected.
     pub(super) fn evict_idle_workers(&mut self, context: &mut TransportContext) {
         let is_idle_worker = |client: &ClientConnection| {
             client.outbound.is_none() && matches!(client.target, Target::Worker(_))
@@ -161,14 +163,14 @@
         }
     }
 
-    /// Sends queued requests over idle or new connections, as far as there are any.
+    /// Sends queued requests to the target for as long as an idle or a new connection is available.
     fn dispatch_queued(&mut self, context: &mut TransportContext, target: Target) {
         let is_worker = matches!(target, Target::Worker(_));
         let has_no_connection = self.pools.get(&target).is_some_and(|pool| pool.open == 0);
         if is_worker && has_no_connection && self.is_out_of_sockets() {
             self.evict_idle_workers(context);
         }
-        // The store and the cloud get their connections in any case.
+        // The store and the cloud may open connections even when the process is out of sockets.
         let out_of_sockets = is_worker && self.is_out_of_sockets();
         loop {
             let Some(pool) = self.pools.get_mut(&target) else {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// An idle connection, or a new one if the target may have another.
+    /// Returns an idle connection, or opens a new one if the target's limit allows it.
     fn acquire_connection(
         &mut self,
         context: &mut TransportContext,
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Writes to or reads from a connection; a complete response is the outcome of its request.
+    /// Writes to or reads from a connection. A complete response becomes the outcome of its request.
     pub(super) fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
         let Some(client) = self.connections.get_mut(&key) else {
             return;
@@ -264,7 +266,7 @@
             self.flush(context, key);
             return;
         }
-        let read = client.stream.read_available(self.max_response_bytes + RESPONSE_HEAD_ROOM_BYTES);
+        let read = client.stream.read_available(self.max_response_bytes + RESPONSE_OVERHEAD_BYTES);
         match parse_response(&client.stream.input, self.max_response_bytes) {
             Parsed::Complete(response, consumed) if client.outbound.is_some() => {
                 client.stream.consume_input(consumed);
@@ -277,7 +279,7 @@
                 }
                 self.close(context, key);
             }
-            // Closed, malformed, or a response without a request.
+            // The peer closed the connection, or sent a malformed or an unrequested response.
             _ => self.close(context, key),
         }
     }
@@ -315,9 +317,9 @@
         pool.open = pool.open.saturating_sub(1);
         pool.idle.retain(|idle| *idle != key);
         if let Some(outbound) = client.outbound {
-            // Nothing was sent over a connection that was never established.
-            let lost = if client.stream.connecting { HttpOutcome::NotSent } else { HttpOutcome::Unknown };
-            self.complete_request(context, outbound, lost);
+            // Nothing was sent if the connection was never established.
+            let outcome = if client.stream.connecting { HttpOutcome::NotSent } else { HttpOutcome::Unknown };
+            self.complete_request(context, outbound, outcome);
         }
         let target = client.target;
         drop(client);
@@ -341,7 +343,7 @@
         }
     }
 
-    /// Ends requests whose deadline has passed, and closes connections that are idle for too long.
+    /// Completes requests whose deadline has passed, and closes connections that have been idle for too long.
     pub(super) fn expire(&mut self, context: &mut TransportContext) {
         self.expire_requests(context);
         self.close_idle(context);
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -1,6 +1,8 @@
-//! Connections between controllers: each opens one to every other, over which it sends and never receives.
+//! Connections between controllers. Each controller opens one connection to every other one and only sends over it;
+//! it receives over the connections that the others open.
 //!
-//! It owns these connections. Messages are dropped rather than queued without bound: the peers repeat what matters.
+//! This module owns these connections. Messages are dropped rather than queued without bound, since peers repeat the
+//! messages that matter.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -12,30 +14,30 @@
 use crate::settings::Settings;
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
-/// Most output that is buffered for a peer; the connection to one that reads more slowly is closed.
+/// Maximum output that is buffered for a peer. The connection is closed when a slow peer exceeds it.
 const MAX_PENDING_BYTES: usize = 256 * 1024;
-/// Most connections that other controllers may have open.
+/// Maximum number of connections that other controllers may have open.
 const MAX_INCOMING: usize = 64;
-/// Shortest time between two log lines about rejected messages.
+/// Minimum time between two log lines about dropped messages.
 const ERROR_LOG_INTERVAL_MS: u64 = 10_000;
-/// Shortest time between two attempts to connect to a peer.
+/// Minimum time between two attempts to connect to a peer.
 const RECONNECT_DELAY_MS: u64 = 500;
-/// A connection that is not established by then is tried again: one to a machine without power hangs for as long as that
-/// lasts, and long after.
+/// A connection attempt that takes longer is abandoned and repeated. An attempt to reach a machine that is powered off
+/// would hang until the machine is back, and long after that.
 const CONNECT_TIMEOUT_MS: u64 = 2_000;
-/// A peer that sent nothing for so long and connects again may be another process: our connection to the former one is
-/// replaced.
+/// A peer that connects again after sending nothing for this time may have restarted, so the connection to its former
+/// process is replaced.
 const PEER_SILENT_MS: u64 = 3_000;
 
-/// A connection over which a peer sends.
+/// A connection opened by a peer, over which the peer sends.
 struct IncomingConnection {
     stream: BufferedStream,
-    /// Known once the hello has arrived.
+    /// Name of the peer; `None` until its hello has arrived.
     controller: Option<String>,
     opened_at: Millis,
 }
 
-/// A connection over which we send.
+/// A connection to a peer, over which this controller sends.
 struct OutgoingConnection {
     stream: BufferedStream,
     controller: String,
@@ -49,17 +51,18 @@
     incoming: ByKey<IncomingConnection>,
     outgoing: ByKey<OutgoingConnection>,
     outgoing_by_controller: HashMap<String, usize>,
-    /// When we last tried to connect to each peer.
+    /// Time of the last attempt to connect to each peer.
     last_attempts: HashMap<String, Millis>,
     last_error_logged_at: Millis,
-    /// When each peer last sent a message.
+    /// Time when the last message of each peer arrived.
     last_received: HashMap<String, Millis>,
-    /// Messages and connections that were rejected: garbage, unknown peers, connections that newer ones replaced.
+    /// Number of messages and connections dropped: invalid, duplicate or from an unknown peer, above the connection
+    /// limit, or replaced by a newer connection.
     pub(super) dropped: u64,
 }
 
 impl Mesh {
-    /// A mesh without connections, to the peers of the settings.
+    /// Creates a mesh with the peers in the settings, without any connection yet.
     pub(super) fn new(settings: &Settings) -> Mesh {
         Mesh {
             own_name: settings.controller.clone(),
@@ -74,11 +77,14 @@
         }
     }
 
-    /// Takes a connection that a peer has opened.
+    /// Registers a connection that was accepted on the mesh address.
     pub(super) fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
         if self.incoming.len() >= MAX_INCOMING {
-            self.count_and_log_drop(context, "too many mesh connections");
-            // The oldest one that is not identified gives way, so that opening many of them keeps no peer out.
+            self.count_and_log_drop(
+                context,
+                "incoming connection limit reached; dropping an unidentified connection",
+            );
+            // Closes the oldest unidentified connection, so that a flood of connections cannot lock out a peer.
             let unidentified = self.incoming.iter().filter(|(_, peer)| peer.controller.is_none());
             let Some(oldest) = unidentified.min_by_key(|(_, peer)| peer.opened_at).map(|(key, _)| *key)
             else {
@@ -93,8 +99,9 @@
         }
     }
 
-    /// A peer has sent its hello. It has one connection: an earlier one belongs to a former process or was given up, and
-    /// late messages on it are dropped. Two that replace each other settle, as the live one connects again.
+    /// Handles the hello of a peer. Each peer has one incoming connection: an earlier one belongs to a former process
+    /// or was abandoned by the peer, so it is closed and its remaining messages are dropped. If two processes of a
+    /// peer replace each other's connection, this settles, since the live one connects again.
     fn identify_peer(&mut self, context: &TransportContext, key: usize, controller: &str) {
         let now = context.now();
         let last_received = self.last_received.insert(controller.into(), now);
@@ -109,16 +116,16 @@
     }
 
     fn close_other_incoming(&mut self, key: usize, controller: &str) {
-        let is_same_peer = |other: &usize, peer: &IncomingConnection| {
+        let is_superseded = |other: &usize, peer: &IncomingConnection| {
             *other != key && peer.controller.as_deref() == Some(controller)
         };
-        let others: Vec<usize> = self
+        let superseded: Vec<usize> = self
             .incoming
             .iter()
-            .filter(|(other, peer)| is_same_peer(other, peer))
+            .filter(|(other, peer)| is_superseded(other, peer))
             .map(|(other, _)| *other)
             .collect();
-        for other in others {
+        for other in superseded {
             self.dropped += 1;
             self.close(other);
         }
@@ -135,12 +142,12 @@
         }
     }
 
-    /// Number of connections, in both directions.
+    /// Returns the number of connections in both directions.
     pub(super) fn open_connections(&self) -> usize {
         self.incoming.len() + self.outgoing.len()
     }
 
-    /// Counts what was rejected, and logs it unless something was logged recently.
+    /// Counts a dropped message or connection, and logs the reason unless another one was logged recently.
     fn count_and_log_drop(&mut self, context: &TransportContext, reason: &str) {
         self.dropped += 1;
         let now = context.now();
@@ -150,7 +157,7 @@
         }
     }
 
-    /// Sends a message, over a new connection if necessary. It is lost if there can be none.
+    /// Sends a message, opening a connection if there is none. The message is lost if none can be opened.
     pub(super) fn send(&mut self, context: &mut TransportContext, controller: &str, message: &PeerMessage) {
         let is_stuck_connecting = |peer: &OutgoingConnection| {
             peer.stream.connecting && context.now().saturating_since(peer.opened_at) > CONNECT_TIMEOUT_MS
@@ -217,10 +224,10 @@
         self.incoming.remove(&key);
     }
 
-    /// Writes to or reads from a connection; messages become events.
+    /// Writes to or reads from a connection. Messages received become events.
     pub(super) fn handle_socket_event(&mut self, context: &mut TransportContext, key: usize) {
         if let Some(peer) = self.outgoing.get_mut(&key) {
-            // The peer never sends on this connection; reading only shows that it has closed it.
+            // The peer never sends over this connection; reading only detects that the peer has closed it.
             let peer_closed = !peer.stream.connecting && peer.stream.read_available(1) == StreamState::Closed;
             if peer_closed || !peer.stream.input.is_empty() {
                 self.close(key);
@@ -242,7 +249,7 @@
         }
     }
 
-    /// Handles complete frames; false if the connection is to be closed.
+    /// Handles all complete frames in the input buffer. Returns false if the connection must be closed.
     fn read_frames(&mut self, context: &mut TransportContext, key: usize) -> bool {
         loop {
             let Some(peer) = self.incoming.get_mut(&key) else {
@@ -255,7 +262,7 @@
                 return true;
             };
             if length > MAX_FRAME_BYTES {
-                self.count_and_log_drop(context, "a frame is too long");
+                self.count_and_log_drop(context, "frame exceeds the size limit; closing the connection");
                 return false;
             }
             let Some(message) = input.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length).map(decode) else {
@@ -270,7 +277,7 @@
         }
     }
 
-    /// Handles a frame's message; the error says why the connection is to be closed.
+    /// Handles the message of one frame. An error is the reason why the connection must be closed.
     fn receive_message(
         &mut self,
         context: &mut TransportContext,
@@ -282,14 +289,16 @@
             (Some(PeerMessage::Hello { controller }), None) if self.addrs.contains_key(&controller) => {
                 self.identify_peer(context, key, &controller);
             }
-            // A second hello on one connection is a duplicate.
+            // A repeated hello on an identified connection is counted and ignored.
             (Some(PeerMessage::Hello { .. }), Some(_)) => self.dropped += 1,
             (Some(message), Some(controller)) => {
                 self.last_received.insert(controller.clone(), context.now());
                 context.pending_events.push_back(Event::Peer { controller, message });
             }
-            (Some(_), None) => return Err("a controller that is not in the settings"),
-            (None, _) => return Err("a message that does not validate"),
+            (Some(_), None) => {
+                return Err("sender is not a controller in the settings; closing the connection");
+            }
+            (None, _) => return Err("message is invalid; closing the connection"),
         }
         Ok(())
     }
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -1,6 +1,6 @@
-//! The metrics of this controller as OpenMetrics text.
+//! Renders the metrics of this controller as OpenMetrics text.
 //!
-//! Names and help texts are an interface to scrapers and dashboards: they stay as they are.
+//! Metric names, labels and label values are an interface to scrapers and dashboards and must not change.
 
 use std::collections::BTreeMap;
 use std::fmt::Error;
@@ -16,34 +16,35 @@
 use super::timings::DurationHistogram;
 use crate::protocol::operators::{ControllerStatus, LeaderStatus};
 
-/// The values of one scrape.
+/// The values reported by one scrape.
 #[derive(Debug)]
 pub(super) struct MetricsSnapshot {
     pub(super) status: ControllerStatus,
-    /// Number of responses by their status.
+    /// Number of responses by HTTP status.
     pub(super) responses_by_status: BTreeMap<u16, u64>,
     /// Durations by kind of work.
     pub(super) event_durations: Vec<(&'static str, DurationHistogram)>,
+    /// Number of open connections accepted on the HTTP address.
     pub(super) connections: u64,
-    /// Messages of other controllers that were rejected.
+    /// Number of messages and connections of other controllers that were dropped.
     pub(super) mesh_dropped: u64,
 }
 
-/// Renders a scrape.
+/// Renders the response to a scrape.
 pub(super) fn render_openmetrics(snapshot: MetricsSnapshot) -> String {
     let mut registry = Registry::default();
     registry.register_collector(Box::new(snapshot));
     let mut text = String::new();
     match encode(&mut text, &registry) {
         Ok(()) => text,
-        // Writing to a string does not fail. A partial scrape would be worse than none.
+        // Writing to a string does not fail. An empty scrape is better than a partial one.
         Err(_) => String::new(),
     }
 }
 
-/// Name, help, value.
+/// Name, help text and value of a gauge.
 type Gauge = (&'static str, &'static str, f64);
-/// Name, help, value.
+/// Name, help text and value of a counter.
 type Counter = (&'static str, &'static str, u64);
 
 fn bool_gauge(value: bool) -> f64 {
@@ -52,68 +53,88 @@
 
 fn controller_gauges(status: &ControllerStatus, connections: u64) -> Vec<Gauge> {
     vec![
-        ("olivelatch_ready", "Whether this controller takes requests", bool_gauge(status.ready)),
-        ("olivelatch_leads", "Whether this controller leads", bool_gauge(status.is_leader)),
+        ("olivelatch_ready", "Whether this controller accepts requests", bool_gauge(status.ready)),
+        ("olivelatch_leads", "Whether this controller is the leader", bool_gauge(status.is_leader)),
         (
             "olivelatch_state_reachable",
-            "Whether the state service answers it",
+            "Whether the key-value store responds to this controller",
             bool_gauge(status.kv_reachable),
         ),
         (
             "olivelatch_revision",
-            "Revision of the state service up to which it knows all",
+            "Revision of the key-value store up to which this controller's cache is complete",
             status.revision as f64,
         ),
         (
             "olivelatch_mirror_age_seconds",
-            "Since the last poll that was answered",
+            "Seconds since the last successful poll of the key-value store",
             status.cache_age_s.unwrap_or(f64::NAN),
         ),
-        ("olivelatch_jobs_live", "Jobs with a record", status.jobs_active as f64),
-        ("olivelatch_jobs_ended", "Jobs that are over", status.jobs_terminal as f64),
+        ("olivelatch_jobs_live", "Jobs that are pending or running", status.jobs_active as f64),
+        ("olivelatch_jobs_ended", "Jobs that are done or cancelled", status.jobs_terminal as f64),
         (
             "olivelatch_requests_held",
-            "Users' requests that wait for an answer",
+            "Users' requests waiting for a response",
             status.requests_pending as f64,
         ),
         ("olivelatch_connections", "Open connections of users, workers and operators", connections as f64),
-        ("olivelatch_uptime_seconds", "Since this controller started", status.uptime_s),
+        ("olivelatch_uptime_seconds", "Seconds since this controller started", status.uptime_s),
     ]
 }
 
 fn leader_gauges(leader: &LeaderStatus) -> Vec<Gauge> {
     vec![
-        ("olivelatch_machines_up", "Machines that report", leader.machines_up as f64),
+        ("olivelatch_machines_up", "Machines whose workers send heartbeats", leader.machines_up as f64),
         (
             "olivelatch_machines_booting",
-            "Machines rented and not heard of yet",
+            "Machines provisioned that have not sent a heartbeat yet",
             leader.machines_booting as f64,
         ),
-        ("olivelatch_machines_silent", "Machines whose lease has ended", leader.machines_unreachable as f64),
-        ("olivelatch_cpus", "CPUs of machines that are up", leader.cpus),
-        ("olivelatch_cpus_used", "CPUs bound to tasks on them", leader.cpus_used),
+        (
+            "olivelatch_machines_silent",
+            "Machines whose lease has expired",
+            leader.machines_unreachable as f64,
+        ),
+        ("olivelatch_cpus", "CPUs of the machines that are up", leader.cpus),
+        ("olivelatch_cpus_used", "CPUs bound to tasks on the machines that are up", leader.cpus_used),
         ("olivelatch_queued_shared_tasks", "Tasks in shared queues", leader.queued_shared as f64),
         ("olivelatch_queued_dedicated_tasks", "Tasks in dedicated queues", leader.queued_dedicated as f64),
         (
             "olivelatch_queued_nowhere_tasks",
-            "Tasks that no present machine may take",
+            "Tasks that no present machine can run",
             leader.queued_backlog as f64,
         ),
-        ("olivelatch_gangs_waiting", "Gangs and services with tasks to place", leader.gangs_waiting as f64),
-        ("olivelatch_tasks_out", "Tasks that may be on machines", leader.tasks_placed as f64),
-        ("olivelatch_log_parts", "Parts of the log in the state service", leader.log_segments as f64),
+        ("olivelatch_gangs_waiting", "Gangs and services with unplaced tasks", leader.gangs_waiting as f64),
+        (
+            "olivelatch_tasks_out",
+            "Tasks that may be on machines, including those of finished and cancelled jobs",
+            leader.tasks_placed as f64,
+        ),
+        (
+            "olivelatch_log_parts",
+            "Segments of the assignment log in the key-value store",
+            leader.log_segments as f64,
+        ),
     ]
 }
 
 fn leader_counters(leader: &LeaderStatus) -> Vec<Counter> {
     vec![
-        ("olivelatch_starts", "Tasks bound to machines in this leadership", leader.tasks_bound),
-        ("olivelatch_steals", "Steals that found something", leader.steals),
-        ("olivelatch_stolen_tasks", "Tasks moved by steals and earlier turns", leader.stolen_tasks),
+        (
+            "olivelatch_starts",
+            "Tasks bound to machines since this controller became the leader",
+            leader.tasks_bound,
+        ),
+        ("olivelatch_steals", "Steals that moved at least one task", leader.steals),
+        (
+            "olivelatch_stolen_tasks",
+            "Tasks taken from queues of other machines, by steals or because of their priority",
+            leader.stolen_tasks,
+        ),
         ("olivelatch_spilled_tasks", "Tasks moved from dedicated to shared queues", leader.spilled_tasks),
-        ("olivelatch_preempted_tasks", "Tasks stopped to make room", leader.preempted_tasks),
-        ("olivelatch_machines_lost", "Machines lost with what was on them", leader.machines_lost),
-        ("olivelatch_state_changes", "Changes asked of the state service", leader.kv_mutations),
+        ("olivelatch_preempted_tasks", "Tasks stopped to make room for others", leader.preempted_tasks),
+        ("olivelatch_machines_lost", "Machines lost with the tasks on them", leader.machines_lost),
+        ("olivelatch_state_changes", "Mutations requested from the key-value store", leader.kv_mutations),
     ]
 }
 
@@ -127,9 +148,13 @@
             gauge.encode(encoder.encode_descriptor(name, help, None, MetricType::Gauge)?)?;
         }
         let mut counters = leader.map(leader_counters).unwrap_or_default();
-        counters.push(("olivelatch_takeovers", "Times that it began to lead", self.status.failovers));
-        let help =
-            "Late, doubled or foreign words of other controllers, and connections that newer ones replaced";
+        counters.push((
+            "olivelatch_takeovers",
+            "Number of times this controller became the leader",
+            self.status.failovers,
+        ));
+        let help = "Messages and connections of other controllers dropped: invalid, duplicate, from an unknown \
+            sender, above the connection limit, or replaced by a newer connection";
         counters.push(("olivelatch_mesh_dropped", help, self.mesh_dropped));
         for (name, help, value) in counters {
             let counter = ConstCounter::new(value);
@@ -144,7 +169,7 @@
 
 impl MetricsSnapshot {
     fn encode_responses(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
-        let help = "Answers by status; 503 are requests sent away to come back";
+        let help = "HTTP responses by status; 503 asks the client to retry later";
         let mut family = encoder.encode_descriptor("olivelatch_answers", help, None, MetricType::Counter)?;
         for (status, count) in &self.responses_by_status {
             let status = status.to_string();
@@ -155,8 +180,8 @@
     }
 
     fn encode_job_counters(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
-        let help =
-            "Jobs by team, class and what became of them, by the records; told: by this controller alone";
+        let help = "Jobs by team, class and state, from the stored records; the state told counts only \
+            completions reported by this controller";
         let mut family = encoder.encode_descriptor("olivelatch_jobs", help, None, MetricType::Counter)?;
         for row in &self.status.job_counters {
             let counts = [
@@ -176,7 +201,7 @@
 
     fn encode_teams(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
         let Some(leader) = &self.status.leader_status else { return Ok(()) };
-        let help = "CPUs that a team's tasks take";
+        let help = "CPUs used by the tasks of each team";
         let mut family =
             encoder.encode_descriptor("olivelatch_team_cpus_used", help, None, MetricType::Gauge)?;
         for team in &leader.teams {
@@ -186,7 +211,7 @@
     }
 
     fn encode_events(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
-        let (name, help) = ("olivelatch_event_seconds", "How long an event was worked on, by kind");
+        let (name, help) = ("olivelatch_event_seconds", "Time spent handling events, by kind");
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Histogram)?;
         for (kind, durations) in &self.event_durations {
             let labels = [("kind", *kind)];
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,7 @@
-//! Sockets, timers and the clock: one thread around the poller.
+//! Sockets, timers and the clock, driven by one thread that waits on the poller.
 //!
-//! The transport moves bytes, passes events to the controller and performs the actions that it returns. It decides
-//! nothing about jobs and machines. All buffers and the number of sockets are bounded by the settings' limits.
+//! The transport moves bytes, passes events to the controller and performs the actions that the controller returns. It
+//! makes no decisions about jobs or machines. The limits in the settings bound all buffers and the number of sockets.
 
 mod client_connection;
 mod clients;
@@ -23,7 +23,7 @@
 /// Runs a controller until it is killed.
 ///
 /// # Errors
-/// An address can't be listened on, or the poller fails.
+/// Returns an error if listening on an address fails, the system provides no random seed, or the poller fails.
 pub fn serve(settings: Settings, tunables: Tunables) -> io::Result<()> {
     TransportRuntime::start(settings, tunables)?.run()
 }
--- a/src/transport/router.rs
+++ b/src/transport/router.rs
@@ -1,7 +1,6 @@
-//! Routes HTTP requests: from method, path and body to a typed request.
+//! Routes HTTP requests: maps method, path and body to a typed request.
 //!
-//! Paths of interfaces that are turned off do not exist. Nothing is looked up here: whether a job exists is decided
-//! later.
+//! Paths of disabled interfaces respond with 404. Routing looks up no state: whether a job exists is checked later.
 
 use crate::ids::JobId;
 use crate::protocol::HttpResponse;
@@ -13,7 +12,7 @@
 use crate::protocol::workers::{Heartbeat, parse_heartbeat};
 use olivelatch_net::http::Request;
 
-/// The handler of a request, with its typed form.
+/// The component that handles a request, with the request in typed form.
 pub(super) enum Route {
     /// The health check.
     Ready,
@@ -22,11 +21,11 @@
     Operator(OperatorRequest),
     Graph(Box<DagRequest>),
     Config(Box<ConfigRequest>),
-    /// The response is known already: the request is not valid.
+    /// The request is invalid; this is the response to it.
     Respond(HttpResponse),
 }
 
-/// Which optional interfaces are enabled.
+/// The optional interfaces that are enabled.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EnabledApis {
     pub(super) operators: bool,
@@ -34,7 +33,7 @@
     pub(super) config: bool,
 }
 
-/// Routes a request.
+/// Parses a request and determines its handler.
 pub(super) fn route(request: &Request, enabled_apis: EnabledApis) -> Route {
     let EnabledApis { operators, graphs, config } = enabled_apis;
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
@@ -52,7 +51,7 @@
         ["ready"] => ("GET", &|| Route::Ready),
         ["v1", "report"] => ("POST", &|| match parse_heartbeat(&request.body) {
             Some(heartbeat) => Route::Heartbeat(Box::new(heartbeat)),
-            None => Route::Respond(HttpResponse::error(400, "not a report")),
+            None => Route::Respond(HttpResponse::error(400, "invalid report body")),
         }),
         ["work"] => ("POST", &|| match parse_submission(&request.body) {
             Ok(submission) => Route::User(submission),
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -1,6 +1,6 @@
 //! The event loop: waits for sockets, passes events to the controller and performs its actions.
 //!
-//! Events of workers are deferred behind all others, and only some of them are handled in one turn.
+//! Socket events of workers are handled after all others, and only a limited number of them per loop iteration.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -29,43 +29,46 @@
 use crate::tunables::Tunables;
 use olivelatch_net::poller::{EventPoller, Registration};
 
-/// Keys of the two listeners; those of connections come after them.
-const FRONT_KEY: usize = 0;
-const MESH_KEY: usize = 1;
-/// Longest time between two ticks of the controller.
+/// Poller keys of the two listeners. Keys of connections are allocated after them.
+const HTTP_LISTENER_KEY: usize = 0;
+const MESH_LISTENER_KEY: usize = 1;
+/// Maximum time between two ticks of the controller.
 const TICK_MS: u64 = 50;
-/// The same while nothing waits for the controller: waking up was half of what a follower did.
+/// Maximum time between two ticks while the controller is idle. With the shorter interval, waking up was half of a
+/// follower's work.
 const IDLE_TICK_MS: u64 = 200;
-/// Socket events that one system call returns at most.
+/// Maximum number of socket events that one system call returns.
 const EVENT_CAPACITY: usize = 256;
-/// File descriptors reserved beside the counted sockets: two listeners, the poller, standard streams, an operator's shell.
+/// File descriptors reserved in addition to the counted sockets: two listeners, the poller, the standard streams and an
+/// operator's shell.
 const RESERVED_SOCKETS: usize = 20;
-/// Sockets that users, workers and operators leave free for requests of our own: this number and a tenth of all.
+/// Sockets reserved for outbound requests, which users, workers and operators cannot use: this number plus the fraction
+/// `1 / CLIENT_SOCKET_DIVISOR` of all sockets.
 const MIN_CLIENT_SOCKETS: usize = 100;
 const CLIENT_SOCKET_DIVISOR: usize = 10;
-/// Connections of users, workers and operators that are allowed in any case.
+/// Minimum number of connections of users, workers and operators, even if fewer sockets remain for outbound requests.
 const MIN_SERVER_CONNECTIONS: usize = 50;
-/// Events of workers that are handled before the poller is asked for other events.
-const WORKER_EVENTS_PER_TURN: usize = 16;
+/// Maximum number of worker events that are handled before the poller is checked for other events.
+const WORKER_EVENTS_PER_ITERATION: usize = 16;
 
-/// A worker's socket event that waits for its turn.
+/// A socket event of a worker that has not been handled yet.
 struct DeferredEvent {
-    since: Millis,
+    received_at: Millis,
     event: SocketEvent,
 }
 
-/// The controller with its sockets.
+/// The controller, its sockets and the event loop.
 pub(super) struct TransportRuntime {
     context: TransportContext,
-    /// Locked for one event at a time; no I/O happens while it is.
+    /// Locked for the handling of one event at a time. No I/O is done while the lock is held.
     controller: Mutex<Controller>,
-    front_listener: Registration<TcpListener>,
+    http_listener: Registration<TcpListener>,
     mesh_listener: Registration<TcpListener>,
     servers: ServerConnections,
     clients: ClientConnections,
     mesh: Mesh,
     timings: Timings,
-    /// Responses by status, for scrapes.
+    /// Number of responses by HTTP status, for scrapes.
     responses_by_status: BTreeMap<u16, u64>,
 }
 
@@ -75,25 +78,26 @@
     Registration::new(poller, listener, SocketEvent::readable(key))
 }
 
-/// Most connections of users, workers and operators.
+/// Returns the maximum number of connections of users, workers and operators.
 fn max_server_connections(limits: ControllerLimits) -> usize {
     let reserved = MIN_CLIENT_SOCKETS + limits.max_connections / CLIENT_SOCKET_DIVISOR;
     limits.max_connections.saturating_sub(reserved).max(MIN_SERVER_CONNECTIONS)
 }
 
-/// Controllers that start at the same moment should not act in step, and a process that restarts at once must not be
-/// taken for the one before: neither its name nor the time of day tells them apart.
+/// Returns a random seed. Controllers that start at the same moment must not act in lockstep, and a process that
+/// restarts immediately must not be mistaken for its predecessor: neither its name nor the time of day distinguishes
+/// them.
 fn random_seed() -> io::Result<u64> {
     SysRng.try_next_u64().map_err(io::Error::other)
 }
 
 impl TransportRuntime {
-    /// Listens on the addresses of the settings.
+    /// Listens on the addresses in the settings and creates the controller.
     pub(super) fn start(settings: Settings, tunables: Tunables) -> io::Result<TransportRuntime> {
         let poller = Arc::new(EventPoller::new()?);
-        let context = TransportContext::new(poller.clone(), MESH_KEY);
-        let front_listener = listen(&poller, settings.http_addr, FRONT_KEY)?;
-        let mesh_listener = listen(&poller, settings.peer_addr, MESH_KEY)?;
+        let context = TransportContext::new(poller.clone(), MESH_LISTENER_KEY);
+        let http_listener = listen(&poller, settings.http_addr, HTTP_LISTENER_KEY)?;
+        let mesh_listener = listen(&poller, settings.peer_addr, MESH_LISTENER_KEY)?;
         let limits = settings.limits;
         let clock = context.clock();
         let seed = random_seed()?;
@@ -115,12 +119,12 @@
             responses_by_status: BTreeMap::new(),
             controller: Mutex::new(Controller::new(settings, tunables, seed, clock)),
             context,
-            front_listener,
+            http_listener,
             mesh_listener,
         })
     }
 
-    /// Runs until the poller fails.
+    /// Runs the event loop until the poller fails.
     pub(super) fn run(&mut self) -> io::Result<()> {
         let capacity = NonZeroUsize::new(EVENT_CAPACITY).unwrap_or(NonZeroUsize::MIN);
         let mut events = Events::with_capacity(capacity);
@@ -153,22 +157,23 @@
         }
     }
 
-    /// Handles events of users, the store and the cloud at once, and queues those of workers.
+    /// Handles socket events of users, the store, the cloud and peers immediately, and defers those of workers.
     fn handle_or_defer(&mut self, events: &Events, deferred: &mut VecDeque<DeferredEvent>) {
         let woken_at = self.context.now();
         for event in events.iter() {
             if self.can_defer(event.key) {
-                deferred.push_back(DeferredEvent { since: woken_at, event });
+                deferred.push_back(DeferredEvent { received_at: woken_at, event });
             } else {
                 self.handle_socket_event(event);
             }
         }
     }
 
-    /// Handles some of the deferred events, and returns for how many milliseconds the first of them waited.
+    /// Handles a limited number of deferred events. Returns how long the first of them waited, in milliseconds.
     fn handle_deferred(&mut self, deferred: &mut VecDeque<DeferredEvent>) -> u64 {
-        let waited_ms = deferred.front().map_or(0, |first| self.context.now().saturating_since(first.since));
-        for DeferredEvent { event, .. } in deferred.drain(..deferred.len().min(WORKER_EVENTS_PER_TURN)) {
+        let waited_ms =
+            deferred.front().map_or(0, |first| self.context.now().saturating_since(first.received_at));
+        for DeferredEvent { event, .. } in deferred.drain(..deferred.len().min(WORKER_EVENTS_PER_ITERATION)) {
             self.handle_socket_event(event);
         }
         waited_ms
@@ -184,21 +189,22 @@
         self.drain_events();
     }
 
-    /// There are hundreds of workers, and they can wait; renewals of the lease and users cannot. When all workers were
-    /// ready at once, the reply to a renewal came seconds late and leadership was lost again and again.
+    /// Returns whether the socket belongs to a worker, whose events may be deferred. There are hundreds of workers, and
+    /// they can wait; lease renewals and users cannot. Without deferral, when all workers were ready at the same time,
+    /// the response to a lease renewal was read seconds late and leadership was lost repeatedly.
     fn can_defer(&self, key: usize) -> bool {
         self.servers.is_worker(key) || self.clients.is_worker(key)
     }
 
-    /// Reads and parses what a socket has received.
+    /// Handles an event of any socket: accepts connections, or reads, parses and writes on one.
     fn handle_socket_event(&mut self, event: SocketEvent) {
         let started = self.timings.start();
         let kind = match event.key {
-            FRONT_KEY => {
-                self.accept_front_connections();
+            HTTP_LISTENER_KEY => {
+                self.accept_http_connections();
                 "transport-accept"
             }
-            MESH_KEY => {
+            MESH_LISTENER_KEY => {
                 self.accept_mesh_connections();
                 "transport-accept"
             }
@@ -245,20 +251,22 @@
         self.perform_action(Action::Respond { inbound, response });
     }
 
-    fn accept_front_connections(&mut self) {
-        while let Ok((socket, _)) = self.front_listener.source().accept() {
+    fn accept_http_connections(&mut self) {
+        while let Ok((socket, _)) = self.http_listener.source().accept() {
             self.update_socket_count();
             if self.clients.is_out_of_sockets() {
                 self.clients.evict_idle_workers(&mut self.context);
             }
             self.servers.accept(&mut self.context, socket);
         }
-        if self.front_listener.set_interest(true, false).is_err() {
-            log::error!("cannot accept on the front address");
+        if self.http_listener.set_interest(true, false).is_err() {
+            log::error!(
+                "polling the HTTP listener failed: no new connections of users, workers or operators are accepted"
+            );
         }
     }
 
-    /// Counts the sockets that the process has beside its connections to workers.
+    /// Updates the number of open sockets that do not belong to outbound requests.
     fn update_socket_count(&mut self) {
         self.clients.other_sockets = self.servers.open_connections() as usize + self.mesh.open_connections();
     }
@@ -268,7 +276,9 @@
             self.mesh.accept(&mut self.context, socket);
         }
         if self.mesh_listener.set_interest(true, false).is_err() {
-            log::error!("cannot accept on the mesh address");
+            log::error!(
+                "polling the mesh listener failed: no new connections of other controllers are accepted"
+            );
         }
     }
 
@@ -276,7 +286,7 @@
         self.controller.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes pending events to the controller and performs the actions that it returns, until none are pending.
+    /// Passes pending events to the controller and performs the actions that it returns, until no events are pending.
     fn drain_events(&mut self) {
         while let Some(event) = self.context.pending_events.pop_front() {
             if let Event::Operator { inbound, request: OperatorRequest::Metrics } = event {
@@ -302,7 +312,7 @@
         self.perform_actions(actions);
     }
 
-    /// Performs what the controller decided.
+    /// Performs the actions returned by the controller.
     fn perform_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             let started = self.timings.start();
--- a/src/transport/server_connection.rs
+++ b/src/transport/server_connection.rs
@@ -9,40 +9,40 @@
 };
 use olivelatch_net::stream::BufferedStream;
 
-/// Largest request that is buffered: a body, its head and the sizes of its chunks.
+/// Maximum size of a buffered request, including its body, its head and the chunk sizes.
 pub(super) const MAX_INPUT_BYTES: usize = MAX_BODY_BYTES + 32 * 1024;
 
-/// Space for the head of a response.
-const HEAD_BYTES: usize = 200;
+/// Estimated size of a response's head, for the initial capacity of the output buffer.
+const RESPONSE_HEAD_BYTES: usize = 200;
 
-/// How a heartbeat begins.
+/// First bytes of every heartbeat request.
 const HEARTBEAT_PREFIX: &[u8] = b"POST /v1/report ";
 
-/// A connection and the request on it.
+/// An accepted connection and the state of its current request.
 pub(super) struct ServerConnection {
     pub(super) stream: BufferedStream,
-    /// The request that waits for its response; further ones stay in the buffer.
+    /// The request that is waiting for its response. Later requests stay in the input buffer.
     pub(super) inbound: Option<InboundId>,
     pub(super) keep_alive: bool,
-    /// To be closed once its output is written.
+    /// The connection closes once its output is written.
     pub(super) closing: bool,
-    /// Its last request was a heartbeat.
+    /// The last request on the connection was a heartbeat.
     pub(super) is_worker: bool,
-    /// The response was sent before the request was complete. The rest is discarded, as closing at once could take the
-    /// response from a user who is still sending.
+    /// The response was sent before the request was complete, and the rest of the request is discarded. Closing the
+    /// connection immediately could make a client that is still sending lose the response.
     pub(super) discard_input: bool,
     pub(super) last_active: Millis,
-    /// Memory of its buffers when last counted, in bytes.
+    /// Memory of the connection's buffers when last counted, in bytes.
     pub(super) buffered_bytes: usize,
 }
 
-/// What the input buffer holds.
+/// Result of parsing the input buffer.
 pub(super) enum NextRequest {
     Incomplete,
     Complete(Request),
-    /// Not HTTP, or too long.
+    /// The input is not valid HTTP, or the request is too long.
     Malformed,
-    /// More is needed than may be buffered at the moment.
+    /// The request needs more buffer space than is available at the moment.
     OutOfMemory,
 }
 
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Whether the request in the buffer is a heartbeat.
+    /// Returns whether the request in the input buffer is a heartbeat.
     pub(super) fn is_sending_heartbeat(&self) -> bool {
         self.stream.input.starts_with(HEARTBEAT_PREFIX)
     }
 
-    /// Takes a request from the buffer, which may hold `max_input` bytes at the moment.
+    /// Removes the next complete request from the input buffer, which may currently hold `max_input` bytes.
     pub(super) fn next_request(&mut self, max_input: usize) -> NextRequest {
         match parse_request(&self.stream.input) {
             Parsed::Partial if self.stream.input.len() >= MAX_INPUT_BYTES => NextRequest::Malformed,
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Queues a response.
+    /// Adds a response to the output buffer.
     pub(super) fn respond(&mut self, response: &HttpResponse) {
-        let mut bytes = Vec::with_capacity(response.body.len() + HEAD_BYTES);
+        let mut bytes = Vec::with_capacity(response.body.len() + RESPONSE_HEAD_BYTES);
         let content_type = if response.is_text { OPENMETRICS_CONTENT_TYPE } else { JSON_CONTENT_TYPE };
         write_response(
             &mut bytes,
--- a/src/transport/servers.rs
+++ b/src/transport/servers.rs
@@ -1,7 +1,7 @@
 //! Connections of users, workers, operators and health checks.
 //!
-//! It owns these connections and the requests that wait for a response. The number of connections and the memory of all
-//! their buffers are bounded; heartbeats have a budget of their own.
+//! This module owns these connections and the requests that wait for a response. The number of connections and the
+//! total memory of their buffers are bounded. Heartbeats have an additional memory budget.
 
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -15,44 +15,46 @@
 use olivelatch_net::http::Request;
 use olivelatch_net::stream::{BufferedStream, StreamState};
 
-/// A connection whose request is incomplete for longer is closed.
+/// A connection whose request stays incomplete for longer than this is closed.
 const PARTIAL_REQUEST_TIMEOUT_MS: u64 = 10_000;
-/// A connection without a request for longer is closed.
+/// A connection without a request for longer than this is closed.
 const IDLE_TIMEOUT_MS: u64 = 120_000;
-/// Time between two searches for connections to close.
+/// Time between two scans for connections to close.
 const IDLE_CHECK_INTERVAL_MS: u64 = 1_000;
-/// Connections that leave more of their responses unread are closed.
+/// A connection with more unread response data than this is closed.
 const MAX_OUTPUT_BYTES: usize = 256 * 1024;
-/// Limit of a connection's buffers, for each direction, while all buffers together exceed the budget. Requests that fit
-/// are served as usual.
+/// Limit of a connection's buffer, in each direction, while all buffers together exceed their budget. Requests within
+/// this limit are served as usual.
 const SCARCE_BUFFER_BYTES: usize = 4 * 1024;
-/// The part of the controller's memory that the buffers may take. Heartbeats may take as much again, so that a flood of
-/// users' requests does not make workers' leases expire.
+/// Fraction of the controller's memory available to the buffers. Heartbeats may use the same amount in addition, so
+/// that a flood of user requests does not make workers' leases expire.
 const BUFFER_MEMORY_SHARE: f64 = 0.25;
 
-/// What the controller serves at the moment.
+/// The controller's readiness and the interfaces that it serves.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndpointState {
-    /// Whether health checks succeed.
+    /// Whether the health check responds with success.
     pub(super) ready: bool,
     pub(super) enabled_apis: EnabledApis,
 }
 
-/// All connections that were accepted.
+/// All open connections accepted on the HTTP address.
 pub(super) struct ServerConnections {
     connections: ByKey<ServerConnection>,
+    /// Keys of the connections whose requests wait for the controller's response.
     pending_requests: HashMap<InboundId, usize>,
+    /// Id of the last request passed to the controller.
     last_inbound: u64,
     max_connections: usize,
     idle_checked_at: Millis,
-    /// Memory of all buffers, in bytes.
+    /// Total memory of all buffers, in bytes.
     buffered_bytes: usize,
-    /// What it should not exceed.
+    /// Budget for `buffered_bytes`; buffers of single connections are limited while it is exceeded.
     buffer_budget: usize,
 }
 
 impl ServerConnections {
-    /// At most `max_connections`, in a controller that has `memory_mb` megabytes.
+    /// Allows at most `max_connections` in a controller with `memory_mb` megabytes of memory.
     pub(super) fn new(max_connections: usize, memory_mb: f64) -> ServerConnections {
         ServerConnections {
             connections: HashMap::new(),
@@ -65,20 +67,20 @@
         }
     }
 
-    /// Whether a key belongs to one of these connections.
+    /// Returns whether the key belongs to one of these connections.
     pub(super) fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Whether the last request of a connection was a heartbeat.
+    /// Returns whether the last request on the connection was a heartbeat.
     pub(super) fn is_worker(&self, key: usize) -> bool {
         self.connections.get(&key).is_some_and(|server| server.is_worker)
     }
 
-    /// Takes a new connection; the one that is idle for longest gives way if there are too many.
+    /// Registers an accepted connection. At the connection limit, the one that has been idle longest is closed first.
     pub(super) fn accept(&mut self, context: &mut TransportContext, socket: TcpStream) {
         if self.connections.len() >= self.max_connections {
-            self.close_most_idle();
+            self.close_longest_idle();
         }
         let key = context.allocate_key();
         if let Ok(stream) = BufferedStream::from_accepted(&context.poller, socket, key) {
@@ -86,11 +88,12 @@
         }
     }
 
-    /// Slow or idle connections must not keep others out.
-    fn close_most_idle(&mut self) {
-        let idlest =
+    /// Closes the connection that has been idle longest, so that slow or idle clients do not keep others out.
+    /// Connections without a pending request are closed first.
+    fn close_longest_idle(&mut self) {
+        let longest_idle =
             self.connections.iter().min_by_key(|(_, server)| (server.inbound.is_some(), server.last_active));
-        if let Some(key) = idlest.map(|(key, _)| *key) {
+        if let Some(key) = longest_idle.map(|(key, _)| *key) {
             self.close(key);
         }
     }
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Counts a connection's buffers: each is bounded, but all together could exceed the memory.
+    /// Updates the memory accounting for one connection. Each buffer is bounded, but all of them together could exceed
+    /// the controller's memory.
     fn update_buffered_bytes(&mut self, key: usize) {
         if let Some(server) = self.connections.get_mut(&key) {
             let capacity = server.stream.buffer_capacity();
@@ -117,7 +121,7 @@
         self.buffered_bytes > self.buffer_budget
     }
 
-    /// How many bytes of a request may be buffered now.
+    /// Returns how many bytes of a request the connection may currently buffer.
     fn max_input_bytes(&self, key: usize) -> usize {
         if !self.is_memory_scarce() {
             return MAX_INPUT_BYTES;
@@ -127,7 +131,7 @@
         if is_within_reserve && is_heartbeat { MAX_INPUT_BYTES } else { SCARCE_BUFFER_BYTES }
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub(super) fn open_connections(&self) -> u64 {
         self.connections.len() as u64
     }
@@ -146,7 +150,7 @@
         let Some(server) = self.connections.get_mut(&key) else {
             return;
         };
-        // A peer that has closed its sending side may still read responses.
+        // A client that has closed its sending side may still read responses.
         if read == StreamState::Closed {
             let is_flushed = server.closing && server.stream.pending_output() == 0;
             if server.inbound.is_none() || is_flushed {
@@ -158,7 +162,7 @@
         self.flush(key);
     }
 
-    /// Reads what may be buffered. The limit can rise with the first bytes, which tell whether it is a heartbeat.
+    /// Reads as much as may be buffered. The limit may rise once the first bytes identify the request as a heartbeat.
     fn read_input(&mut self, key: usize) -> Option<StreamState> {
         let limit = self.max_input_bytes(key);
         let mut read = self.connections.get_mut(&key)?.stream.read_available(limit);
@@ -170,7 +174,7 @@
         Some(read)
     }
 
-    /// Handles requests in the buffer until one has to wait for its response.
+    /// Handles requests in the input buffer until one has to wait for its response.
     fn process_requests(
         &mut self,
         context: &mut TransportContext,
@@ -193,7 +197,7 @@
                 NextRequest::OutOfMemory => {
                     server.keep_alive = false;
                     server.discard_input = true;
-                    server.respond(&HttpResponse::retry_later("out of memory for requests", 1));
+                    server.respond(&HttpResponse::retry_later("request buffers are full", 1));
                     return;
                 }
                 NextRequest::Malformed => {
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Responds to a request at once, or passes it to the controller.
+    /// Responds to a request immediately, or passes it to the controller.
     fn dispatch(
         &mut self,
         context: &mut TransportContext,
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Queues a request for the controller.
+    /// Queues a request as an event for the controller.
     fn forward(
         &mut self,
         context: &mut TransportContext,
@@ -261,7 +265,7 @@
         context.pending_events.push_back(to_event(inbound));
     }
 
-    /// Writes pending output and asks for the next event.
+    /// Writes pending output and registers interest in the next socket event.
     fn flush(&mut self, key: usize) {
         let max_output = if self.is_memory_scarce() { SCARCE_BUFFER_BYTES } else { MAX_OUTPUT_BYTES };
         let Some(server) = self.connections.get_mut(&key) else {
@@ -285,7 +289,7 @@
         }
     }
 
-    /// Sends the controller's response to a request, unless its connection is gone.
+    /// Sends the controller's response to a request, unless the connection has been closed.
     pub(super) fn send_response(
         &mut self,
         context: &mut TransportContext,
@@ -303,7 +307,7 @@
         self.flush(key);
     }
 
-    /// Closes connections that are idle for too long.
+    /// Closes connections that have been idle, or sending an incomplete request, for too long.
     pub(super) fn expire(&mut self, context: &mut TransportContext) {
         let now = context.now();
         if now.saturating_since(self.idle_checked_at) < IDLE_CHECK_INTERVAL_MS {
--- a/src/transport/tests/metrics.rs
+++ b/src/transport/tests/metrics.rs
@@ -3,9 +3,10 @@
 use super::*;
 use crate::protocol::operators::JobCountersView;
 
-/// A follower shows none of the leader's metrics; each line is valid for a scraper.
+/// The scrape of a leader contains the expected samples and ends with `# EOF`. A follower reports none of the leader's
+/// metrics.
 #[test]
-fn a_scrape_has_names_help_and_an_end() {
+fn scrape_contains_expected_samples_and_eof() {
     let durations = DurationHistogram { sum_s: 0.5, count: 3, buckets: vec![(0.001, 2), (f64::INFINITY, 1)] };
     let snapshot = |leader_status| MetricsSnapshot {
         status: ControllerStatus {
--- a/src/transport/timings.rs
+++ b/src/transport/timings.rs
@@ -1,8 +1,8 @@
-//! Durations by kind of work: how long the controller handles each kind of event, and how long the transport reads,
-//! parses and writes.
+//! Durations by kind of work: how long the controller takes to handle each kind of event, and how long the transport
+//! takes to read, parse and write.
 //!
-//! They are logged at `debug`, together with the number of system calls, and kept for scrapes where these are enabled.
-//! Otherwise nothing is measured.
+//! Durations are logged at `debug` level together with the number of system calls, and kept for scrapes if the
+//! operators' interface is enabled. If neither applies, nothing is measured.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,27 +13,27 @@
 use crate::ids::Millis;
 use olivelatch_net::poller::SyscallCounters;
 
-/// Time between two log lines of one kind.
+/// Minimum time between two log lines about one kind.
 const LOG_INTERVAL_MS: u64 = 30_000;
-/// Longest duration that is recorded, in microseconds; longer ones count as this one.
+/// Maximum duration that is recorded, in microseconds. Longer durations are recorded as this value.
 const MAX_US: u64 = 10_000_000;
 
-/// Upper bounds of the buckets of a scrape, in microseconds.
+/// Upper bounds of the histogram buckets in a scrape, in microseconds.
 const BUCKET_BOUNDS_US: [u64; 10] = [20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 20_000, 100_000];
 
-/// The durations of one kind as a scrape shows them.
+/// The durations of one kind of work, in the form that a scrape reports.
 #[derive(Debug, Clone)]
 pub(super) struct DurationHistogram {
     pub(super) sum_s: f64,
     pub(super) count: u64,
-    /// Upper bound in seconds, and how many durations lie between the bound before and this one.
+    /// Upper bound of each bucket in seconds, and the number of durations in the bucket (not cumulative).
     pub(super) buckets: Vec<(f64, u64)>,
 }
 
-/// Significant decimal digits of the histograms.
+/// Precision of the histograms in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The durations of one kind, in microseconds.
+/// The durations of one kind of work, in microseconds.
 struct Durations {
     histogram: Histogram<u32>,
     sum_us: u64,
@@ -41,13 +41,13 @@
 
 type ByKind = BTreeMap<&'static str, Durations>;
 
-/// The durations of all kinds.
+/// The durations of all kinds of work.
 #[derive(Default)]
 pub(super) struct Timings {
-    /// Since they were last logged.
+    /// Durations since they were last logged.
     recent: ByKind,
     last_logged_at: Millis,
-    /// Since the start, for scrapes; None if these are not enabled.
+    /// Durations since the process started, for scrapes; `None` if scrapes are disabled.
     totals: Option<ByKind>,
 }
 
@@ -71,29 +71,29 @@
         below = bound;
     }
     buckets.push((f64::INFINITY, histogram.count_between(below, u64::MAX)));
-    // The count is what the buckets hold, so that the two agree.
+    // The count is the sum of the buckets, so that the two always agree.
     let count = buckets.iter().map(|(_, count)| count).sum();
     DurationHistogram { sum_s: durations.sum_us as f64 / 1e6, count, buckets }
 }
 
 impl Timings {
-    /// With `keep_totals` durations are also kept since the start, for scrapes.
+    /// With `keep_totals`, durations since the process started are kept for scrapes.
     pub(super) fn new(keep_totals: bool) -> Timings {
         Timings { totals: keep_totals.then(BTreeMap::new), ..Timings::default() }
     }
 
-    /// Begins a measurement; None if nothing is measured.
+    /// Starts a measurement. Returns `None` if measuring is disabled.
     pub(super) fn start(&self) -> Option<Instant> {
         (self.totals.is_some() || log::log_enabled!(log::Level::Debug)).then(Instant::now)
     }
 
-    /// The durations of each kind since the start.
+    /// Returns the durations of each kind since the process started.
     pub(super) fn duration_histograms(&self) -> Vec<(&'static str, DurationHistogram)> {
         let totals = self.totals.iter().flatten();
         totals.map(|(kind, durations)| (*kind, duration_histogram(durations))).collect()
     }
 
-    /// Ends a measurement.
+    /// Ends a measurement and records its duration.
     pub(super) fn stop(&mut self, kind: &'static str, started: Option<Instant>) {
         let Some(started) = started else { return };
         let us = (started.elapsed().as_micros() as u64).clamp(1, MAX_US);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Logs the durations and system calls since the last time, once in [`LOG_INTERVAL_MS`].
+    /// Logs the durations and system calls since the last log lines, at most once per [`LOG_INTERVAL_MS`].
     pub(super) fn log_recent(&mut self, now: Millis, syscalls: &SyscallCounters) {
         if self.recent.is_empty() || now.saturating_since(self.last_logged_at) < LOG_INTERVAL_MS {
             return;
@@ -113,7 +113,7 @@
         self.last_logged_at = now;
         for (kind, Durations { histogram, sum_us }) in &self.recent {
             log::debug!(
-                "time {kind}: {} events, {sum_us} us in all, {:.0} on average, p50 {}, p99 {}, longest {} us",
+                "durations of {kind}: {} events, total {sum_us} us, mean {:.0} us, p50 {} us, p99 {} us, max {} us",
                 histogram.len(),
                 histogram.mean(),
                 histogram.value_at_quantile(0.5),
@@ -122,13 +122,13 @@
             );
         }
         self.recent.clear();
-        let take = |counter: &AtomicU64| counter.swap(0, Ordering::Relaxed);
+        let take_count = |counter: &AtomicU64| counter.swap(0, Ordering::Relaxed);
         log::debug!(
-            "calls: {} waits, {} reads, {} writes, {} registrations",
-            take(&syscalls.waits),
-            take(&syscalls.reads),
-            take(&syscalls.writes),
-            take(&syscalls.registrations)
+            "system calls: {} waits, {} reads, {} writes, {} registrations",
+            take_count(&syscalls.waits),
+            take_count(&syscalls.reads),
+            take_count(&syscalls.writes),
+            take_count(&syscalls.registrations)
         );
     }
 }
