--- a/crates/dag/src/lib.rs
+++ b/crates/dag/src/lib.rs
@@ -1,7 +1,7 @@
-//! Directed acyclic graphs of jobs: when a node is ready, what follows from its outcome, when a failed task is tried
-//! again, and how much work a node holds up.
+//! Directed acyclic graphs of jobs: decides when a node is ready, what follows from its outcome and when a failed task
+//! is retried, and computes how much work waits downstream of a node.
 //!
-//! Pure: outcomes in, changes out; no I/O and no clock. docs/graphs.md has the design.
+//! The crate is pure: it maps outcomes to changes, does no I/O and reads no clock. docs/graphs.md has the design.
 
 #![warn(missing_docs)]
 
--- a/crates/dag/src/progress.rs
+++ b/crates/dag/src/progress.rs
@@ -1,7 +1,7 @@
-//! The progress of a run: a pure function of the outcomes that are durable.
+//! The progress of a run, as a pure function of the durable node outcomes.
 //!
-//! Whoever applies the same outcomes, in whatever order, finds the same nodes ready. So nothing but outcomes has to be
-//! stored, and a failover repeats nothing.
+//! Applying the same outcomes in any order makes the same nodes ready. Only outcomes therefore need to be stored, and a
+//! new leader does not repeat work after a failover.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,33 +11,33 @@
 use crate::topology::{DagTopology, NodeIx};
 use crate::trigger_rule::{NodeOutcome, RuleDecision, TriggerRule, UpstreamCounts};
 
-/// What followed from an outcome.
+/// The changes that follow from an outcome or from activating the run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProgressChanges {
-    /// Nodes that may run from now on.
+    /// Nodes that have become ready to run.
     pub ready: Vec<NodeIx>,
 }
 
-/// Which nodes of a run have ended, are ready, or will never run.
+/// Tracks which nodes of a run are waiting, ready, or finished.
 #[derive(Debug, Clone)]
 pub struct DagProgress {
     topology: Arc<DagTopology>,
     rules: Arc<[TriggerRule]>,
-    /// The node whose list a mapped node runs over.
+    /// Maps each mapped node to the node that produces its list.
     map_sources: Arc<BTreeMap<NodeIx, NodeIx>>,
     upstream_counts: Vec<UpstreamCounts>,
-    /// Lengths of the lists that nodes produced.
+    /// Lengths of the lists produced by finished nodes.
     list_lens: BTreeMap<NodeIx, u32>,
     outcomes: BTreeMap<NodeIx, NodeOutcome>,
     unfinished: RoaringBitmap,
     ready: RoaringBitmap,
-    /// Outcomes that rules have decided and that are not durable yet.
+    /// Outcomes that trigger rules have decided but that are not durable yet.
     pending_outcomes: BTreeMap<NodeIx, NodeOutcome>,
     is_active: bool,
 }
 
 impl DagProgress {
-    /// A run of which no node has ended. None is ready before [`activate`](Self::activate).
+    /// Creates the progress of a run without outcomes. No node is ready before [`activate`](Self::activate).
     pub fn new(
         topology: Arc<DagTopology>,
         rules: Arc<[TriggerRule]>,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The run may start: evaluates all nodes, by the outcomes recorded so far.
+    /// Starts the run: evaluates all unfinished nodes against the outcomes recorded so far.
     pub fn activate(&mut self) -> ProgressChanges {
         let mut changes = ProgressChanges::default();
         if !std::mem::replace(&mut self.is_active, true) {
@@ -73,8 +73,8 @@
         changes
     }
 
-    /// A node's outcome is durable; `list_len`: the length of the list it produced. Takes time in proportion to the
-    /// node's downstream edges. A second outcome of a node is ignored.
+    /// Records a durable outcome of a node; `list_len` is the length of the list that the node produced, if any. Takes
+    /// time proportional to the number of the node's downstream edges. A second outcome of a node is ignored.
     pub fn record_outcome(
         &mut self,
         node: NodeIx,
@@ -105,8 +105,8 @@
         if !self.is_waiting(node) {
             return;
         }
-        // A pending outcome is decided again: a failure after a skip changes it, and who reads the two upstream
-        // outcomes later cannot tell in which order they came.
+        // A pending outcome is decided again: a failure recorded after a skip changes it, and a new leader that reads
+        // both upstream outcomes from the store cannot tell in which order they were recorded.
         match self.decide(node, &self.upstream_counts[node.index()]) {
             RuleDecision::Wait => {}
             RuleDecision::Run => {
@@ -119,13 +119,13 @@
         }
     }
 
-    /// The node has neither ended nor become ready.
+    /// Returns whether the node is neither finished nor ready. Its outcome may already be pending.
     fn is_waiting(&self, node: NodeIx) -> bool {
         self.unfinished.contains(node.0) && !self.ready.contains(node.0)
     }
 
-    /// The decision of a node's rule. A mapped node also needs its list: over an empty one there is nothing to run,
-    /// and without one the number of tasks is unknown.
+    /// Applies a node's trigger rule. A mapped node also needs the list that it runs over: it is skipped if the list is
+    /// empty, and cannot run if there is no list, as the number of its tasks is then unknown.
     fn decide(&self, node: NodeIx, counts: &UpstreamCounts) -> RuleDecision {
         let decision = self.rules[node.index()].decide(counts);
         let Some(source) = self.map_sources.get(&node).filter(|_| decision == RuleDecision::Run) else {
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Outcomes to be written now, at most `limit`. Each follows from durable outcomes and from those before it in the
-    /// list: written in this order by one transaction, either all of them hold or none is written.
+    /// Returns the outcomes to write now, at most `limit`. Each follows from durable outcomes and from earlier entries
+    /// of the result, so one transaction has to write them in this order: it stores all of them or none.
     pub fn outcomes_to_write(&self, limit: usize) -> Vec<(NodeIx, NodeOutcome)> {
         let mut written = Vec::new();
         let mut counts: BTreeMap<NodeIx, UpstreamCounts> = BTreeMap::new();
@@ -165,54 +165,54 @@
         written
     }
 
-    /// Have rules decided outcomes that are not durable yet?
+    /// Returns whether trigger rules have decided outcomes that are not durable yet.
     pub fn has_outcomes_to_write(&self) -> bool {
         !self.pending_outcomes.is_empty()
     }
 
-    /// The graph.
+    /// Returns the topology of the graph.
     pub fn topology(&self) -> &Arc<DagTopology> {
         &self.topology
     }
 
-    /// Nodes without an outcome.
+    /// Returns the nodes without a durable outcome.
     pub fn unfinished(&self) -> &RoaringBitmap {
         &self.unfinished
     }
 
-    /// Nodes that may run and have not ended.
+    /// Returns the nodes that may run and have no durable outcome.
     pub fn ready(&self) -> &RoaringBitmap {
         &self.ready
     }
 
-    /// How a node ended.
+    /// Returns the durable outcome of a node, if it has one.
     pub fn outcome(&self, node: NodeIx) -> Option<NodeOutcome> {
         self.outcomes.get(&node).copied()
     }
 
-    /// The trigger rule of a node.
+    /// Returns the trigger rule of a node.
     pub fn rule(&self, node: NodeIx) -> TriggerRule {
         self.rules[node.index()]
     }
 
-    /// Over how many elements a mapped node runs, once that is known.
+    /// Returns the number of list elements that a mapped node runs over, or `None` if it is not known yet.
     pub fn map_len(&self, node: NodeIx) -> Option<u32> {
         self.list_lens.get(self.map_sources.get(&node)?).copied()
     }
 
-    /// All nodes have ended.
+    /// Returns whether all nodes have durable outcomes.
     pub fn is_finished(&self) -> bool {
         self.unfinished.is_empty()
     }
 
-    /// Did the run succeed? Judged by its leaves, as in Airflow: none of them failed.
+    /// Returns whether the run has finished and, as in Airflow, none of its leaves failed.
     pub fn is_successful(&self) -> bool {
         let failed_leaf =
             |(node, outcome): (&NodeIx, &NodeOutcome)| self.topology.is_leaf(*node) && outcome.is_failure();
         self.is_finished() && !self.outcomes.iter().any(failed_leaf)
     }
 
-    /// How many nodes ended in each way.
+    /// Returns the number of finished nodes by outcome.
     pub fn outcome_counts(&self) -> BTreeMap<NodeOutcome, u32> {
         let mut counts = BTreeMap::new();
         for outcome in self.outcomes.values() {
--- a/crates/dag/src/retry.rs
+++ b/crates/dag/src/retry.rs
@@ -1,17 +1,17 @@
-//! Retries of a task: how many, with what delays, and what is kept of the failures as evidence.
+//! Retries of a task: the limit of attempts, the backoff, and the recent failures kept as evidence.
 
 use serde::{Deserialize, Serialize};
 
-/// How often a task is tried, and the delays in between, in milliseconds.
+/// The limit of attempts of a task, and the backoff between them.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RetryPolicy {
-    /// Attempts in all; 0 counts as 1.
+    /// Maximum number of attempts, including the first; 0 counts as 1.
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// Delay after the first failure.
+    /// Backoff after the first failure, in milliseconds.
     #[serde(rename = "wait_ms")]
     pub delay_ms: u64,
-    /// Upper bound of the delay.
+    /// Upper bound of the backoff, in milliseconds.
     #[serde(rename = "most_wait_ms")]
     pub max_delay_ms: u64,
 }
@@ -22,13 +22,13 @@
     }
 }
 
-/// Enough to reach any `max_delay_ms` that makes sense; bounds the shift.
+/// Keeps the shift in `delay_after` in range; 40 doublings reach any sensible `max_delay_ms`.
 const MAX_DOUBLINGS: u32 = 40;
 
 impl RetryPolicy {
-    /// The delay after a failure, in milliseconds; `failure_number` counts from 1. Exponential backoff: doubled each
-    /// time up to the bound, then shortened by up to a half in proportion to `jitter` (0 to 1), so that tasks that
-    /// failed together are not retried together.
+    /// Returns the backoff after a failure, in milliseconds; `failure_number` counts from 1. The backoff doubles with
+    /// each failure up to `max_delay_ms`. It is then shortened by up to a half in proportion to `jitter` (0 to 1), so
+    /// that tasks that failed together are not retried together.
     pub fn delay_after(&self, failure_number: u32, jitter: f64) -> u64 {
         let doublings = failure_number.saturating_sub(1).min(MAX_DOUBLINGS);
         let backoff_ms = self.delay_ms.saturating_mul(1 << doublings).min(self.max_delay_ms);
@@ -36,53 +36,53 @@
     }
 }
 
-/// One attempt that failed.
+/// A failed attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Failure {
-    /// Number of the attempt.
+    /// Attempt number.
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// Machine that it ran on.
+    /// Name of the machine that the attempt ran on.
     #[serde(rename = "m")]
     pub machine: String,
-    /// Why it failed, for users.
+    /// Cause of the failure, shown to users.
     #[serde(rename = "c")]
     pub cause: String,
 }
 
-/// How many of the last failures are kept as evidence.
+/// Maximum number of failures of a task that are kept as evidence; the oldest is dropped first.
 pub const MAX_EVIDENCE: usize = 3;
 
 /// The failures of one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RetryState {
-    /// How many attempts failed.
+    /// Number of failed attempts.
     #[serde(rename = "n")]
     pub failures: u32,
-    /// The last ones, at most [`MAX_EVIDENCE`].
+    /// The most recent failures, oldest first, at most [`MAX_EVIDENCE`].
     #[serde(rename = "last")]
     pub evidence: Vec<Failure>,
 }
 
-/// What follows from a failure.
+/// The effect of a reported failure on its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureEffect {
-    /// Nothing: the attempt was counted before.
+    /// None: the attempt was counted before, or is older than the last one counted.
     AlreadyCounted,
-    /// The task is tried again.
+    /// The task is retried.
     Retry,
-    /// No attempts are left.
+    /// The task has no attempts left.
     Exhausted,
 }
 
 impl RetryState {
-    /// Was a failure of this attempt counted, or is the attempt too old to count?
+    /// Returns whether this attempt was counted as failed, or is older than the last one counted.
     pub fn has_counted(&self, attempt: u64) -> bool {
         self.evidence.last().is_some_and(|last| attempt <= last.attempt)
     }
 
-    /// Counts a failed attempt, once: heartbeats repeat it. Attempt numbers rise, so that one that is not newer than
-    /// the last one counted is either known or too late to matter.
+    /// Counts a failed attempt. This is idempotent, as heartbeats report the same failure repeatedly. Attempt numbers
+    /// increase, so an attempt that is not newer than the last one counted is either counted already or stale.
     pub fn record_failure(&mut self, failure: Failure, policy: &RetryPolicy) -> FailureEffect {
         if self.has_counted(failure.attempt) {
             return FailureEffect::AlreadyCounted;
@@ -95,7 +95,7 @@
         if self.is_exhausted(policy) { FailureEffect::Exhausted } else { FailureEffect::Retry }
     }
 
-    /// Are no attempts left?
+    /// Returns whether the task has no attempts left.
     pub fn is_exhausted(&self, policy: &RetryPolicy) -> bool {
         self.failures >= policy.max_attempts.max(1)
     }
--- a/crates/dag/src/tests/progress.rs
+++ b/crates/dag/src/tests/progress.rs
@@ -13,19 +13,20 @@
     changes.ready.into_iter().map(|node| node.0).collect()
 }
 
-/// A rule that is met by the first failure makes its node ready once, however many fail after it.
+/// A node with the rule `one_failed` becomes ready at the first failure, and no further failure makes it ready again.
 #[test]
-fn one_failed_fires_once() {
+fn one_failed_makes_its_node_ready_once() {
     let mut run = progress(3, &[(0, 2), (1, 2)], &[(2, TriggerRule::OneFailed)]);
     assert_eq!(ready(run.activate()), [0, 1]);
     assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Failed, None)), [2]);
     assert_eq!(ready(run.record_outcome(NodeIx(1), NodeOutcome::Failed, None)), []);
     assert_eq!(ready(run.record_outcome(NodeIx(0), NodeOutcome::Failed, None)), [], "an outcome counts once");
     run.record_outcome(NodeIx(2), NodeOutcome::Success, None);
-    assert!(run.is_finished() && run.is_successful(), "its leaf succeeded");
+    assert!(run.is_finished() && run.is_successful(), "the only leaf succeeded");
 }
 
-/// All nodes that can no longer run get their outcome in one transaction, as far as it has room.
+/// One call returns the outcomes of all nodes that can no longer run, up to its limit, so that one transaction can
+/// write them.
 #[test]
 fn a_failure_propagates_to_the_leaves() {
     let edges: Vec<(u32, u32)> = (0..99).map(|node| (node, node + 1)).collect();
@@ -43,7 +44,8 @@
     assert!(run.is_finished() && !run.is_successful());
 }
 
-/// A mapped node runs over its list; it is skipped if that is empty, and fails with its source if there is none.
+/// A mapped node runs over the list of its source; it is skipped if the list is empty, and ends as `upstream_failed` if
+/// there is no list.
 #[test]
 fn mapped_nodes_run_over_their_lists() {
     let topology = Arc::new(DagTopology::new(4, &[(0, 1), (0, 2), (0, 3)]).expect("no cycle"));
--- a/crates/dag/src/tests/retry.rs
+++ b/crates/dag/src/tests/retry.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn delays_double_up_to_a_bound_and_vary_by_half() {
+fn backoff_doubles_up_to_the_maximum_and_jitter_shortens_it_by_up_to_half() {
     let policy = RetryPolicy { max_attempts: 9, delay_ms: 1_000, max_delay_ms: 10_000 };
     let delays =
         |jitter| [1, 2, 3, 4, 5, 60].map(|failure_number| policy.delay_after(failure_number, jitter));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_attempt_counts_once_and_the_last_ones_are_kept() {
+fn an_attempt_counts_once_and_the_last_failures_are_kept() {
     let policy = RetryPolicy { max_attempts: 5, ..RetryPolicy::default() };
     let failure = |attempt| Failure { attempt, machine: "m".into(), cause: "error".into() };
     let mut state = RetryState::default();
--- a/crates/dag/src/tests/topology.rs
+++ b/crates/dag/src/tests/topology.rs
@@ -11,7 +11,7 @@
     assert_eq!(sorted, [1, 2, 3]);
     for pair in 0..3 {
         let edge = (nodes[pair], nodes[(pair + 1) % 3]);
-        assert!([(1, 2), (2, 3), (3, 1)].contains(&edge), "{nodes:?} in the direction of the edges");
+        assert!([(1, 2), (2, 3), (3, 1)].contains(&edge), "{nodes:?} follow the direction of the edges");
     }
     assert_eq!(DagTopology::new(1, &[(0, 0)]), Err(TopologyError::Cycle(vec![0])));
     assert_eq!(DagTopology::new(2, &[(0, 2)]), Err(TopologyError::NoSuchNode { from: 0, to: 2, last: 1 }));
@@ -20,7 +20,7 @@
 
 #[test]
 fn paths_layers_and_closures() {
-    // 0 -> 1 -> 3, 0 -> 2 -> 3, 4 alone.
+    // Edges: 0 -> 1 -> 3 and 0 -> 2 -> 3; node 4 has none.
     let topology = DagTopology::new(5, &[(0, 1), (0, 2), (1, 3), (2, 3)]).expect("no cycle");
     let weights = [1, 10, 20, 5, 7];
     assert_eq!(topology.downstream_path_weights(|node| weights[node.index()]), [25, 5, 5, 0, 0]);
--- a/crates/dag/src/topology.rs
+++ b/crates/dag/src/topology.rs
@@ -1,57 +1,57 @@
-//! The immutable part of a graph: its edges, checked to have no cycle.
+//! The immutable part of a graph: its nodes and edges, checked to have no cycle.
 
 use thiserror::Error;
 
-/// A node's position in its graph.
+/// The position of a node in its graph, counted from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeIx(pub u32);
 
 impl NodeIx {
-    /// The position as an index of slices.
+    /// Returns the position as a slice index.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Why edges do not make a graph. The texts reach users.
+/// The reason why edges do not form a valid graph. Users see the messages.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TopologyError {
     /// An edge refers to a node that does not exist.
-    #[error("edge {from} -> {to}: the graph has nodes 0 to {last}")]
+    #[error("edge {from} -> {to} refers to a node that does not exist: expected nodes 0 to {last}")]
     NoSuchNode {
         /// Upstream node.
         from: u32,
         /// Downstream node.
         to: u32,
-        /// The last node that exists.
+        /// Position of the last existing node.
         last: u32,
     },
     /// An edge is given twice.
-    #[error("edge {from} -> {to} is there twice")]
+    #[error("edge {from} -> {to} is given twice")]
     DuplicateEdge {
         /// Upstream node.
         from: u32,
         /// Downstream node.
         to: u32,
     },
-    /// Nodes that depend on one another: each is downstream of the one before it, and the first of the last.
-    #[error("nodes wait for one another in a circle: {0:?}")]
+    /// The nodes of a dependency cycle, in the direction of its edges; an edge leads from the last node to the first.
+    #[error("the graph has a cycle: {0:?}")]
     Cycle(Vec<u32>),
 }
 
-/// A graph without cycles, as an adjacency list in one array (compressed sparse rows), and the in-degrees.
+/// A graph without cycles, stored as adjacency lists in one array (compressed sparse rows) with in-degrees.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DagTopology {
-    /// Where in `downstream` each node's entries begin; one more offset at the end.
+    /// Start of each node's entries in `downstream`, followed by the length of `downstream`.
     downstream_offsets: Vec<u32>,
     downstream: Vec<u32>,
     in_degrees: Vec<u32>,
-    /// Every node after all its upstream nodes.
+    /// All nodes, each after all of its upstream nodes.
     topological_order: Vec<u32>,
 }
 
 impl DagTopology {
-    /// Builds the graph of nodes 0 to `node_count` from edges (from, to).
+    /// Builds the graph of `node_count` nodes, numbered from 0, from its edges (from, to).
     ///
     /// # Errors
     /// An edge is given twice or refers to a node that does not exist, or there is a cycle.
@@ -76,7 +76,7 @@
             topology.in_degrees[to as usize] += 1;
             topology.downstream.push(to);
         }
-        // Counts become offsets.
+        // Prefix sums turn the entry counts into offsets.
         for node in 1..topology.downstream_offsets.len() {
             topology.downstream_offsets[node] += topology.downstream_offsets[node - 1];
         }
@@ -84,39 +84,40 @@
         Ok(topology)
     }
 
-    /// Kahn's algorithm.
+    /// Fills `topological_order` by Kahn's algorithm.
     fn sort_topologically(&mut self) -> Result<(), TopologyError> {
-        let mut open_degrees = self.in_degrees.clone();
-        let mut order: Vec<u32> = (0..self.len()).filter(|node| open_degrees[*node as usize] == 0).collect();
+        let mut remaining_in_degrees = self.in_degrees.clone();
+        let mut order: Vec<u32> =
+            (0..self.len()).filter(|node| remaining_in_degrees[*node as usize] == 0).collect();
         let mut visited = 0;
         while let Some(node) = order.get(visited).copied() {
             visited += 1;
             for next in self.downstream(NodeIx(node)) {
-                open_degrees[next.index()] -= 1;
-                if open_degrees[next.index()] == 0 {
+                remaining_in_degrees[next.index()] -= 1;
+                if remaining_in_degrees[next.index()] == 0 {
                     order.push(next.0);
                 }
             }
         }
         if order.len() < self.len() as usize {
-            return Err(TopologyError::Cycle(self.find_cycle(&open_degrees)));
+            return Err(TopologyError::Cycle(self.find_cycle(&remaining_in_degrees)));
         }
         self.topological_order = order;
         Ok(())
     }
 
-    /// Nodes that the sort left with open in-degrees are on a cycle or downstream of one: following upstream edges among
-    /// them ends on a cycle.
-    fn find_cycle(&self, open_degrees: &[u32]) -> Vec<u32> {
-        let unsorted = || (0..self.len()).filter(|node| open_degrees[*node as usize] > 0);
-        let mut upstream = vec![None; open_degrees.len()];
+    /// Returns the nodes of a cycle. `remaining_in_degrees` are the values left by the topological sort: nodes with a
+    /// value above 0 lie on a cycle or downstream of one, so following upstream edges among them leads into a cycle.
+    fn find_cycle(&self, remaining_in_degrees: &[u32]) -> Vec<u32> {
+        let unsorted = || (0..self.len()).filter(|node| remaining_in_degrees[*node as usize] > 0);
+        let mut upstream = vec![None; remaining_in_degrees.len()];
         for from in unsorted() {
             for to in self.downstream(NodeIx(from)) {
                 upstream[to.index()] = Some(from);
             }
         }
         let Some(mut node) = unsorted().next() else { return Vec::new() };
-        let mut path_position = vec![None; open_degrees.len()];
+        let mut path_position = vec![None; remaining_in_degrees.len()];
         let mut path = Vec::new();
         while path_position[node as usize].is_none() {
             path_position[node as usize] = Some(path.len());
@@ -131,39 +132,40 @@
         cycle
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> u32 {
         self.in_degrees.len() as u32
     }
 
-    /// There are no nodes.
+    /// Returns whether the graph has no nodes.
     pub fn is_empty(&self) -> bool {
         self.in_degrees.is_empty()
     }
 
-    /// The direct downstream nodes of one, in order of their positions.
+    /// Returns the direct downstream nodes of a node, by position.
     pub fn downstream(&self, node: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
         let start = self.downstream_offsets[node.index()] as usize;
         let end = self.downstream_offsets[node.index() + 1] as usize;
         self.downstream[start..end].iter().map(|next| NodeIx(*next))
     }
 
-    /// It has no downstream nodes.
+    /// Returns whether a node has no downstream nodes.
     pub fn is_leaf(&self, node: NodeIx) -> bool {
         self.downstream_offsets[node.index()] == self.downstream_offsets[node.index() + 1]
     }
 
-    /// Number of direct upstream nodes.
+    /// Returns the number of direct upstream nodes of a node.
     pub fn in_degree(&self, node: NodeIx) -> u32 {
         self.in_degrees[node.index()]
     }
 
-    /// All nodes, each after all its upstream nodes.
+    /// Returns all nodes, each after all of its upstream nodes.
     fn topological_order(&self) -> impl DoubleEndedIterator<Item = NodeIx> + '_ {
         self.topological_order.iter().map(|node| NodeIx(*node))
     }
 
-    /// The weight of the heaviest path downstream of each node, itself left out; `weight`: that of one node.
+    /// Returns for each node the weight of the heaviest path downstream of it, without the node itself. `weight` is the
+    /// weight of a single node.
     pub fn downstream_path_weights(&self, weight: impl Fn(NodeIx) -> u64) -> Vec<u64> {
         let mut paths = vec![0; self.in_degrees.len()];
         for node in self.topological_order().rev() {
@@ -173,7 +175,7 @@
         paths
     }
 
-    /// The layer of each node: the number of edges on the longest path to it.
+    /// Returns the layer of each node: the number of edges on the longest path to it.
     pub fn layers(&self) -> Vec<u32> {
         let mut layers = vec![0; self.in_degrees.len()];
         for node in self.topological_order() {
@@ -184,7 +186,7 @@
         layers
     }
 
-    /// The nodes themselves and all nodes downstream of them, in order of their positions.
+    /// Returns the given nodes and all nodes downstream of them, by position. Nodes that do not exist are ignored.
     pub fn downstream_closure(&self, from: impl IntoIterator<Item = NodeIx>) -> Vec<NodeIx> {
         let mut seen = roaring::RoaringBitmap::new();
         let mut stack: Vec<NodeIx> = from.into_iter().filter(|node| node.0 < self.len()).collect();
--- a/crates/dag/src/trigger_rule.rs
+++ b/crates/dag/src/trigger_rule.rs
@@ -1,25 +1,25 @@
-//! Trigger rules, with Airflow's names: what the outcomes of a node's upstream nodes mean for it.
+//! Trigger rules, named as in Airflow: they decide by the outcomes of a node's upstream nodes whether it runs.
 
 use serde::{Deserialize, Serialize};
 
-/// How a node ended. Final.
+/// The final outcome of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeOutcome {
-    /// All its tasks finished.
+    /// All tasks of the node succeeded.
     Success,
-    /// A task had no attempts left.
+    /// A task of the node used up its attempts.
     Failed,
-    /// It cannot run, since an upstream node failed.
+    /// The node cannot run, as an upstream node failed or did not produce the list that the node runs over.
     UpstreamFailed,
-    /// Its rule did not call for it.
+    /// The trigger rule did not select the node, or the list that the node runs over is empty. Not a failure.
     Skipped,
-    /// A user cancelled it or its run.
+    /// A user cancelled the node or its run.
     Cancelled,
 }
 
 impl NodeOutcome {
-    /// As clients and records write it.
+    /// Returns the name used on the wire and in stored records.
     pub fn as_str(self) -> &'static str {
         match self {
             NodeOutcome::Success => "success",
@@ -30,13 +30,13 @@
         }
     }
 
-    /// What rules count as failed: every node that should have succeeded and did not.
+    /// Returns whether trigger rules count this outcome as a failure: the node should have succeeded and did not.
     pub fn is_failure(self) -> bool {
         matches!(self, NodeOutcome::Failed | NodeOutcome::UpstreamFailed | NodeOutcome::Cancelled)
     }
 }
 
-/// When a node runs.
+/// The condition on the upstream outcomes under which a node runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TriggerRule {
@@ -45,11 +45,11 @@
     AllSuccess,
     /// All upstream nodes failed.
     AllFailed,
-    /// All upstream nodes ended, in whatever way.
+    /// All upstream nodes finished, with any outcome.
     AllDone,
-    /// One upstream node succeeded; the others need not have ended.
+    /// At least one upstream node succeeded; the others need not have finished.
     OneSuccess,
-    /// One upstream node failed; the others need not have ended.
+    /// At least one upstream node failed; the others need not have finished.
     OneFailed,
     /// All upstream nodes succeeded or were skipped.
     NoneFailed,
@@ -58,7 +58,7 @@
 }
 
 impl TriggerRule {
-    /// All rules, for parsing and lists.
+    /// All trigger rules, for parsing and for listing them in error messages.
     pub const ALL: [TriggerRule; 7] = [
         TriggerRule::AllSuccess,
         TriggerRule::AllFailed,
@@ -69,7 +69,7 @@
         TriggerRule::NoneFailedMinOneSuccess,
     ];
 
-    /// As clients and records write it.
+    /// Returns the name used on the wire and in stored records.
     pub fn as_str(self) -> &'static str {
         match self {
             TriggerRule::AllSuccess => "all_success",
@@ -82,22 +82,22 @@
         }
     }
 
-    /// The rule that [`as_str`](Self::as_str) writes so.
+    /// Returns the rule with this name, as written by [`as_str`](Self::as_str).
     pub fn parse(name: &str) -> Option<TriggerRule> {
         TriggerRule::ALL.into_iter().find(|rule| rule.as_str() == name)
     }
 }
 
-/// Outcomes of a node's upstream nodes so far.
+/// Counts of a node's upstream nodes by outcome, as recorded so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct UpstreamCounts {
-    /// How many upstream nodes there are.
+    /// Number of upstream nodes, finished or not.
     pub upstream: u32,
-    /// How many succeeded.
+    /// Number of upstream nodes that succeeded.
     pub success: u32,
-    /// How many failed, in the sense of [`NodeOutcome::is_failure`].
+    /// Number of upstream nodes that failed, in the sense of [`NodeOutcome::is_failure`].
     pub failed: u32,
-    /// How many were skipped.
+    /// Number of upstream nodes that were skipped.
     pub skipped: u32,
 }
 
@@ -111,26 +111,26 @@
         }
     }
 
-    /// All upstream nodes have ended.
+    /// Returns whether all upstream nodes have finished.
     fn is_complete(&self) -> bool {
         self.success + self.failed + self.skipped >= self.upstream
     }
 }
 
-/// What a rule decides for a node.
+/// The decision of a trigger rule for a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RuleDecision {
-    /// It depends on outcomes that are not known yet.
+    /// The decision depends on upstream outcomes that are not known yet.
     Wait,
-    /// It may run.
+    /// The node may run.
     Run,
-    /// It never runs: its outcome is known.
+    /// The node never runs and gets this outcome.
     End(NodeOutcome),
 }
 
 impl TriggerRule {
-    /// Once this is `Run` or `End`, further outcomes leave it so; only which `End` may still change, from skipped to
-    /// failed.
+    /// Decides by the outcomes counted so far. Further outcomes never change `Run` or turn `End` into another decision;
+    /// they may only change the outcome in `End` from skipped to upstream failed.
     pub fn decide(self, counts: &UpstreamCounts) -> RuleDecision {
         use NodeOutcome::{Skipped, UpstreamFailed};
         use RuleDecision::{End, Run, Wait};
--- a/crates/dag/tests/model.rs
+++ b/crates/dag/tests/model.rs
@@ -1,6 +1,6 @@
-//! A bounded model check of small graphs: every interleaving of starts, finishes, failures, retries, cancellations,
-//! failovers and late heartbeats, breadth first over the transition function. Durable state and what only the leader
-//! knows are kept apart, as in the service. The check is shown to find bugs that are injected on purpose.
+//! A bounded model check of small graphs: a breadth-first search through every interleaving of starts, successes,
+//! failures, retries, cancellations, failovers and late heartbeats. As in the service, the model separates durable
+//! state from the leader's volatile state. A second test injects bugs and requires that the check finds them.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -13,35 +13,35 @@
 const MAX_ATTEMPTS: u32 = 2;
 const MAX_FAILOVERS: u8 = 2;
 
-/// Bugs to be found.
+/// Bugs that the check must find.
 #[derive(Clone, Copy, PartialEq)]
 enum InjectedBug {
     None,
-    /// A late heartbeat's success counts although the node has an outcome.
+    /// A success reported by a late heartbeat overwrites the outcome of its node.
     CountsLateSuccess,
-    /// A node starts as soon as one of its upstream nodes has ended.
+    /// A node may start as soon as one of its upstream nodes has finished.
     StartsEarly,
-    /// A failover forgets the failures that were counted.
+    /// A failover loses the failures counted before it.
     ForgetsFailures,
 }
 
-/// What the leader knows of a node, which is lost with a failover unless machines report it.
+/// The leader's volatile state of a node. A failover loses it unless machines report it to the new leader.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum LeaderNodeState {
     Idle,
-    Runs(u64),
+    Running(u64),
     RetryWait,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// Durable, as are the failures and the run's cancellation.
+    /// Durable, as are `retry_states` and `cancelled`.
     outcomes: BTreeMap<u32, NodeOutcome>,
     retry_states: Vec<RetryState>,
     cancelled: bool,
-    /// Known to the leader only.
+    /// Volatile: held by the leader only.
     leader_states: Vec<LeaderNodeState>,
-    /// Attempts started, by node; heartbeats may still report any of them.
+    /// Number of attempts started, by node: also the number of the last attempt, which late heartbeats report.
     attempts: Vec<u64>,
     starts: u8,
     failovers: u8,
@@ -81,14 +81,14 @@
         let ready = progress.ready().contains(node);
         let starts_early = self.injected_bug == InjectedBug::StartsEarly
             && progress.unfinished().contains(node)
-            && (0..self.topology.len()).any(|up| {
-                state.outcomes.contains_key(&up)
-                    && self.topology.downstream(NodeIx(up)).any(|down| down.0 == node)
+            && (0..self.topology.len()).any(|upstream| {
+                state.outcomes.contains_key(&upstream)
+                    && self.topology.downstream(NodeIx(upstream)).any(|next| next.0 == node)
             });
         is_idle && !state.cancelled && (ready || starts_early)
     }
 
-    fn end(&self, state: &mut State, node: u32, outcome: NodeOutcome) {
+    fn set_outcome(&self, state: &mut State, node: u32, outcome: NodeOutcome) {
         let overwrites =
             self.injected_bug == InjectedBug::CountsLateSuccess && outcome == NodeOutcome::Success;
         if overwrites {
@@ -99,47 +99,47 @@
         state.leader_states[node as usize] = LeaderNodeState::Idle;
     }
 
-    /// The states that one step can lead to.
+    /// Returns the states reachable in one step.
     fn successors(&self, state: &State) -> Vec<State> {
         let progress = self.progress(state);
-        let mut all = Vec::new();
+        let mut successors = Vec::new();
         for node in 0..self.topology.len() {
-            self.node_successors(state, &progress, node, &mut all);
+            self.node_successors(state, &progress, node, &mut successors);
         }
         for limit in [1, 4] {
-            all.push(self.write_outcomes(state, &progress, limit));
+            successors.push(self.write_outcomes(state, &progress, limit));
         }
-        all.push(self.cancel(state, &progress));
+        successors.push(self.cancel(state, &progress));
         if state.failovers < MAX_FAILOVERS {
-            all.push(self.fail_over(state));
+            successors.push(self.fail_over(state));
         }
-        all.retain(|next| next != state);
-        all
+        successors.retain(|next| next != state);
+        successors
     }
 
-    /// Steps of one node: start, finish, failure, retry, and late heartbeats.
-    fn node_successors(&self, state: &State, progress: &DagProgress, node: u32, all: &mut Vec<State>) {
+    /// Adds the states reached by a step of one node: start, success, failure, end of the backoff, or late heartbeat.
+    fn node_successors(&self, state: &State, progress: &DagProgress, node: u32, successors: &mut Vec<State>) {
         let index = node as usize;
         if self.startable(state, progress, node) {
             let mut next = state.clone();
             next.attempts[index] += 1;
-            next.leader_states[index] = LeaderNodeState::Runs(next.attempts[index]);
+            next.leader_states[index] = LeaderNodeState::Running(next.attempts[index]);
             next.starts += 1;
-            all.push(next);
+            successors.push(next);
         }
-        if let LeaderNodeState::Runs(attempt) = state.leader_states[index] {
-            all.push(self.succeed(state, node));
-            all.push(self.fail(state, node, attempt));
+        if let LeaderNodeState::Running(attempt) = state.leader_states[index] {
+            successors.push(self.succeed(state, node));
+            successors.push(self.fail(state, node, attempt));
         }
         if state.leader_states[index] == LeaderNodeState::RetryWait {
             let mut next = state.clone();
             next.leader_states[index] = LeaderNodeState::Idle;
-            all.push(next);
+            successors.push(next);
         }
-        // A heartbeat about an attempt that the leader has given up, or that was counted.
+        // A late heartbeat reports the last attempt of a node that already has an outcome.
         if state.attempts[index] > 0 && state.outcomes.contains_key(&node) {
-            all.push(self.succeed(state, node));
-            all.push(self.fail(state, node, state.attempts[index]));
+            successors.push(self.succeed(state, node));
+            successors.push(self.fail(state, node, state.attempts[index]));
         }
     }
 
@@ -147,24 +147,25 @@
         let mut next = state.clone();
         for (node, outcome) in progress.outcomes_to_write(limit) {
             if !state.cancelled {
-                self.end(&mut next, node.0, outcome);
+                self.set_outcome(&mut next, node.0, outcome);
             }
         }
         next
     }
 
-    /// Cancels the run, or one more node of a run that is cancelled.
+    /// Cancels the run, or records the cancellation of one more node of a cancelled run.
     fn cancel(&self, state: &State, progress: &DagProgress) -> State {
         let mut next = state.clone();
         if !state.cancelled {
             next.cancelled = true;
         } else if let Some(node) = progress.unfinished().min() {
-            self.end(&mut next, node, NodeOutcome::Cancelled);
+            self.set_outcome(&mut next, node, NodeOutcome::Cancelled);
         }
         next
     }
 
-    /// Running tasks are found on their machines; delays before retries are forgotten.
+    /// Changes the leader: the new one learns of running tasks from the heartbeats of their machines. Pending backoffs
+    /// are lost, so their tasks may start at once.
     fn fail_over(&self, state: &State) -> State {
         let mut next = state.clone();
         next.failovers += 1;
@@ -179,7 +180,7 @@
 
     fn succeed(&self, state: &State, node: u32) -> State {
         let mut next = state.clone();
-        self.end(&mut next, node, NodeOutcome::Success);
+        self.set_outcome(&mut next, node, NodeOutcome::Success);
         next
     }
 
@@ -191,19 +192,19 @@
             return next;
         }
         match next.retry_states[node as usize].record_failure(failure, &policy) {
-            FailureEffect::Exhausted => self.end(&mut next, node, NodeOutcome::Failed),
+            FailureEffect::Exhausted => self.set_outcome(&mut next, node, NodeOutcome::Failed),
             FailureEffect::Retry => next.leader_states[node as usize] = LeaderNodeState::RetryWait,
             FailureEffect::AlreadyCounted => {}
         }
         next
     }
 
-    /// Checks the invariants of a step.
+    /// Returns the invariant that a step violates, if any.
     fn violation(&self, before: &State, after: &State) -> Option<String> {
         for (node, outcome) in &before.outcomes {
             if after.outcomes.get(node) != Some(outcome) {
                 return Some(format!(
-                    "the end of {node} changed from {outcome:?} to {:?}",
+                    "the outcome of node {node} changed from {outcome:?} to {:?}",
                     after.outcomes.get(node)
                 ));
             }
@@ -213,28 +214,28 @@
             let index = node as usize;
             let started = after.attempts[index] > before.attempts[index];
             if started && !progress.ready().contains(node) {
-                return Some(format!("{node} started before its rule held"));
+                return Some(format!("node {node} started before its trigger rule was met"));
             }
             if after.attempts[index] > u64::from(MAX_ATTEMPTS) {
-                return Some(format!("{node} was tried {} times", after.attempts[index]));
+                return Some(format!("node {node} was attempted {} times", after.attempts[index]));
             }
         }
         None
     }
 
-    /// Visits all states that can be reached. Returns how many there are, or what went wrong.
+    /// Visits all reachable states. Returns their number, or a description of the first violation.
     fn explore(&self) -> Result<usize, String> {
         let mut seen = HashSet::from([self.initial_state()]);
         let mut queue = VecDeque::from([self.initial_state()]);
-        let mut finals = 0;
+        let mut final_states = 0;
         while let Some(state) = queue.pop_front() {
-            let nexts = self.successors(&state);
+            let successors = self.successors(&state);
             if state.outcomes.len() == self.topology.len() as usize {
-                finals += 1;
-            } else if nexts.is_empty() {
-                return Err(format!("stuck with ends {:?}", state.outcomes));
+                final_states += 1;
+            } else if successors.is_empty() {
+                return Err(format!("stuck with outcomes {:?}", state.outcomes));
             }
-            for next in nexts {
+            for next in successors {
                 if let Some(violation) = self.violation(&state, &next) {
                     return Err(violation);
                 }
@@ -243,22 +244,22 @@
                 }
             }
         }
-        if finals == 0 { Err("no final state".into()) } else { Ok(seen.len()) }
+        if final_states == 0 { Err("no final state".into()) } else { Ok(seen.len()) }
     }
 
-    /// Liveness: a final state is reached without cancellations and failovers.
-    fn ends_by_itself(&self) -> Result<(), String> {
+    /// Checks liveness: a final state is reached without cancellations and failovers.
+    fn finishes_undisturbed(&self) -> Result<(), String> {
         let mut state = self.initial_state();
         for _ in 0..200 {
             if state.outcomes.len() == self.topology.len() as usize {
                 return Ok(());
             }
-            let nexts = self.successors(&state);
+            let successors = self.successors(&state);
             let is_undisturbed = |next: &&State| !next.cancelled && next.failovers == 0;
-            let Some(next) = nexts.iter().find(is_undisturbed) else { return Err("stuck".into()) };
+            let Some(next) = successors.iter().find(is_undisturbed) else { return Err("stuck".into()) };
             state = next.clone();
         }
-        Err("it goes on for ever".into())
+        Err("no final state after 200 steps".into())
     }
 }
 
@@ -267,7 +268,7 @@
     Model { topology, rules: rules.into(), injected_bug }
 }
 
-/// Graphs of three nodes with every rule at the last one, and the diamond of four.
+/// Explores graphs of three nodes with every trigger rule at the last node, and a diamond of four nodes.
 #[test]
 fn every_interleaving_of_small_graphs_keeps_the_invariants() {
     let mut states = 0;
@@ -276,7 +277,9 @@
             let model =
                 model(3, edges, &[TriggerRule::AllSuccess, TriggerRule::AllSuccess, rule], InjectedBug::None);
             states += model.explore().unwrap_or_else(|violation| panic!("{rule:?} {edges:?}: {violation}"));
-            model.ends_by_itself().unwrap_or_else(|violation| panic!("{rule:?} {edges:?}: {violation}"));
+            model
+                .finishes_undisturbed()
+                .unwrap_or_else(|violation| panic!("{rule:?} {edges:?}: {violation}"));
         }
     }
     let diamond = [(0, 1), (0, 2), (1, 3), (2, 3)];
@@ -289,9 +292,9 @@
 #[test]
 fn injected_bugs_are_found() {
     for (bug, expected) in [
-        (InjectedBug::CountsLateSuccess, "the end of"),
-        (InjectedBug::StartsEarly, "started before its rule held"),
-        (InjectedBug::ForgetsFailures, "was tried"),
+        (InjectedBug::CountsLateSuccess, "the outcome of node"),
+        (InjectedBug::StartsEarly, "started before its trigger rule was met"),
+        (InjectedBug::ForgetsFailures, "was attempted"),
     ] {
         let model = model(3, &[(0, 2), (1, 2)], &[TriggerRule::AllSuccess; 3], bug);
         let violation = model.explore().expect_err("a violation");
