--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -270,7 +270,9 @@
     let cycle = "graph = \"g\"\nnode \"a\" {\n  after = [\"b\"]\n  command = [\"true\"]\n}\nnode \"b\" {\n  after = [\"a\"]\n  command = [\"true\"]\n}\n";
     let (code, text) = submit(cycle);
     assert!(
-        code == Some(2) && text.contains("line 6: node \"b\"") && text.contains("in a circle: b -> a -> b"),
+        code == Some(2)
+            && text.contains("line 6: node \"b\"")
+            && text.contains("the graph has a cycle: b -> a -> b"),
         "{text}"
     );
     let (code, text) = submit("graph = \"g\"\nnode \"a\" {\n  cpus = 400\n  command = [\"true\"]\n}\n");
--- a/crates/dag-files/src/builder.rs
+++ b/crates/dag-files/src/builder.rs
@@ -1,4 +1,4 @@
-//! Builds the nodes of a graph: blocks are expanded over their elements, templates are filled in, and names of nodes become
+//! Builds the nodes of a graph: expands blocks over their elements, renders templates, and resolves node names to
 //! positions.
 
 use std::collections::HashMap;
@@ -13,13 +13,13 @@
 use crate::source::SourceText;
 use crate::template::{read_attributes, render_value, template_environment};
 
-/// The nodes that were read so far.
+/// Collects the nodes of a graph from its blocks.
 pub(crate) struct DagBuilder<'a> {
     source: SourceText<'a>,
     vars: Map<String, Value>,
     defaults: Map<String, Value>,
     nodes: Vec<DagFileNode>,
-    /// Nodes by the label of their block: one, or one for each element.
+    /// Positions of nodes by the label of their block: one, or one for each element of a block with `each`.
     nodes_by_block: HashMap<String, Vec<u32>>,
 }
 
@@ -32,27 +32,29 @@
         DagBuilder { source, vars, defaults, nodes: Vec::new(), nodes_by_block: HashMap::new() }
     }
 
-    /// Reads one block. `blocks_by_label` counts the blocks of each label, which may not be repeated.
+    /// Reads a node block. `block_counts` counts the blocks read so far by label; a repeated label is an error.
     pub(crate) fn read_block(
         &mut self,
         block: &Block,
-        blocks_by_label: &mut HashMap<String, usize>,
+        block_counts: &mut HashMap<String, usize>,
     ) -> Result<(), DagFileError> {
         let labels = block.labels();
         let [label] = labels else {
-            return Err(self.source.file_error("expected node \"NAME\" { ... }"));
+            return Err(self
+                .source
+                .file_error("a node block needs exactly one label: expected node \"NAME\" { ... }"));
         };
         let label = label.as_str().to_string();
-        let nth = blocks_by_label.entry(label.clone()).or_default();
+        let nth = block_counts.entry(label.clone()).or_default();
         let line = self.source.line_of_block(&label, *nth);
         *nth += 1;
         if *nth > 1 {
-            return Err(self.source.node_error(line, &label, "another node has that name"));
+            return Err(self.source.node_error(line, &label, "another node has the same name"));
         }
-        let own =
+        let block_attributes =
             read_attributes(block.body()).map_err(|problem| self.source.node_error(line, &label, problem))?;
         let mut attributes = self.defaults.clone();
-        attributes.extend(own);
+        attributes.extend(block_attributes);
         let elements = match attributes.remove("each") {
             None => vec![None],
             Some(each) => {
@@ -65,16 +67,16 @@
         Ok(())
     }
 
-    /// The elements that a node is repeated for: a list, or the name of a variable that is one.
+    /// Returns the elements that a block is expanded over, given as a list or as the name of a variable that holds one.
     fn read_elements(&self, each: &Value) -> Result<Vec<Option<Value>>, String> {
         let list = each.as_str().map_or(Some(each), |name| self.vars.get(name)).and_then(Value::as_array);
         let list = list.ok_or_else(|| {
-            format!("each: expected a list or the name of a variable that is one, not {each}")
+            format!("each: expected a list or the name of a variable that holds a list, found {each}")
         })?;
         Ok(list.iter().cloned().map(Some).collect())
     }
 
-    /// Adds a node of a block: the only one, or that of an element.
+    /// Adds a node of a block: the only one, or the one for an element at an index.
     fn add_node(
         &mut self,
         label: &str,
@@ -95,14 +97,22 @@
         let (job, attributes) = self.read_node(&name, line, attributes, context)?;
         let rule = self.read_rule(&name, line, &attributes)?;
         if self.nodes.iter().any(|node| node.name == name) {
-            return Err(self.source.node_error(line, &name, "another node has that name"));
+            return Err(self.source.node_error(line, &name, "another node has the same name"));
         }
         self.nodes_by_block.entry(label.into()).or_default().push(self.nodes.len() as u32);
-        self.nodes.push(DagFileNode { name, line, job, attributes, rule, after: Vec::new(), map: None });
+        self.nodes.push(DagFileNode {
+            name,
+            line,
+            job,
+            attributes,
+            rule,
+            upstream: Vec::new(),
+            map_source: None,
+        });
         Ok(())
     }
 
-    /// Fills in the templates, and divides the attributes into the job's and the node's own.
+    /// Renders the templates, and separates the job's attributes from the node's other attributes.
     fn read_node(
         &self,
         name: &str,
@@ -111,7 +121,7 @@
         context: Map<String, Value>,
     ) -> Result<(JobEntry, NodeAttributes), DagFileError> {
         let node_error = |problem: String| {
-            let line = quoted_name(&problem).map_or(line, |word| self.source.line_of(line, word));
+            let line = quoted_name(&problem).map_or(line, |attribute| self.source.line_of(line, attribute));
             self.source.node_error(line, name, problem)
         };
         let rendered = render_value(
@@ -122,7 +132,7 @@
         .map_err(node_error)?;
         let rendered = rendered.as_object().cloned().unwrap_or_default();
         let (node_attributes, job): (Map<String, Value>, Map<String, Value>) =
-            rendered.into_iter().partition(|(word, _)| NODE_ATTRIBUTES.contains(&word.as_str()));
+            rendered.into_iter().partition(|(attribute, _)| NODE_ATTRIBUTES.contains(&attribute.as_str()));
         let json_error = |error: serde_json::Error| node_error(error.to_string());
         let node_attributes: NodeAttributes =
             serde_json::from_value(Value::Object(node_attributes)).map_err(json_error)?;
@@ -142,15 +152,15 @@
             self.source.node_error(
                 self.source.line_of(line, "rule"),
                 name,
-                format!("rule: expected one of {known}, not {:?}", attributes.trigger_rule),
+                format!("rule: expected one of {known}, found {:?}", attributes.trigger_rule),
             )
         })
     }
 
-    /// All nodes, with the names of other nodes as positions.
+    /// Resolves node names to positions, checks the graph, and returns its nodes.
     pub(crate) fn finish(mut self) -> Result<Vec<DagFileNode>, DagFileError> {
         if self.nodes.is_empty() {
-            return Err(self.source.file_error("no nodes"));
+            return Err(self.source.file_error("the graph has no nodes: expected at least one node block"));
         }
         let edges = self.resolve_edges()?;
         match DagTopology::new(self.nodes.len() as u32, &edges) {
@@ -160,33 +170,33 @@
         }
     }
 
-    /// Sets the positions of upstream nodes, and returns the edges.
+    /// Sets the positions of the upstream nodes and map sources, and returns the edges.
     fn resolve_edges(&mut self) -> Result<Vec<(u32, u32)>, DagFileError> {
         let by_name: HashMap<String, u32> =
             self.nodes.iter().enumerate().map(|(index, node)| (node.name.clone(), index as u32)).collect();
         let mut edges = Vec::new();
         for index in 0..self.nodes.len() {
             let node = &self.nodes[index];
-            let mut after = Vec::new();
+            let mut upstream = Vec::new();
             for name in &node.attributes.after {
-                after.extend(self.find_nodes(&by_name, node, "after", name)?);
+                upstream.extend(self.find_nodes(&by_name, node, "after", name)?);
             }
-            let map = match &node.attributes.map_over {
+            let map_source = match &node.attributes.map_over {
                 None => None,
                 Some(name) => Some(self.find_nodes(&by_name, node, "map", name)?[0]),
             };
-            // A node also comes after the one over whose list it runs.
-            after.extend(map);
-            after.sort_unstable();
-            after.dedup();
-            edges.extend(after.iter().map(|upstream| (*upstream, index as u32)));
-            self.nodes[index].after = after;
-            self.nodes[index].map = map;
+            // A mapped node also depends on the node whose list it runs over.
+            upstream.extend(map_source);
+            upstream.sort_unstable();
+            upstream.dedup();
+            edges.extend(upstream.iter().map(|from| (*from, index as u32)));
+            self.nodes[index].upstream = upstream;
+            self.nodes[index].map_source = map_source;
         }
         Ok(edges)
     }
 
-    /// The node of a name, or all nodes of the block of that label.
+    /// Returns the node with this name or, if there is none, all nodes of the block with this label.
     fn find_nodes(
         &self,
         by_name: &HashMap<String, u32>,
@@ -194,8 +204,8 @@
         attribute: &str,
         name: &str,
     ) -> Result<Vec<u32>, DagFileError> {
-        let single = by_name.get(name).map(|index| vec![*index]);
-        single.or_else(|| self.nodes_by_block.get(name).cloned()).ok_or_else(|| {
+        let exact_match = by_name.get(name).map(|index| vec![*index]);
+        exact_match.or_else(|| self.nodes_by_block.get(name).cloned()).ok_or_else(|| {
             let line = self.source.line_of(node.line, attribute);
             self.source.node_error(line, &node.name, format!("{attribute}: there is no node {name:?}"))
         })
@@ -208,7 +218,7 @@
             .chain(cycle.first())
             .map(|index| self.nodes[*index as usize].name.as_str())
             .collect();
-        let problem = format!("nodes wait for one another in a circle: {}", names.join(" -> "));
+        let problem = format!("the graph has a cycle: {}", names.join(" -> "));
         self.source.node_error(first.line, &first.name, problem)
     }
 }
--- a/crates/dag-files/src/file.rs
+++ b/crates/dag-files/src/file.rs
@@ -1,4 +1,4 @@
-//! Graph files: what they hold, and reading them.
+//! Graph files: their contents and how they are parsed.
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -16,65 +16,66 @@
 use crate::source::SourceText;
 use crate::template::{read_attributes, render_value, template_environment};
 
-/// What is wrong with a graph file.
+/// An error in a graph file.
 #[derive(Debug, Error)]
 pub enum DagFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {error}")]
     Read {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// Why not.
+        /// Error from reading the file.
         error: std::io::Error,
     },
-    /// It is wrong as a whole, or outside its nodes.
+    /// The file as a whole, or a part of it outside the node blocks, is invalid.
     #[error("{file}: {problem}")]
-    Form {
-        /// Its path.
+    File {
+        /// Path of the file.
         file: String,
-        /// With the line, where it is known.
+        /// Description of the problem, with the line if it is known.
         problem: String,
     },
-    /// A node is wrong.
+    /// A node is invalid.
     #[error("{file}: line {line}: node {node:?}: {problem}")]
     Node {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// Counted from 1.
+        /// Line of the node's block, or of the attribute concerned if it is known; counted from 1.
         line: usize,
-        /// The node's name.
+        /// Name of the node.
         node: String,
-        /// What is wrong with it.
+        /// Description of the problem.
         problem: String,
     },
 }
 
-/// The attributes of a node that a job does not have.
+/// The attributes of a node block that are not attributes of a job.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodeAttributes {
-    /// The nodes that it comes after.
+    /// Names of the upstream nodes, or labels of blocks that stand for all nodes expanded from them.
     pub after: Vec<String>,
-    /// Which outcomes of these nodes it starts after.
+    /// Name of the trigger rule, which decides by the upstream outcomes whether the node runs.
     #[serde(rename = "rule")]
     pub trigger_rule: String,
-    /// Attempts of each task.
+    /// Maximum number of attempts of each task, including the first.
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// The backoff after the first failure, in seconds.
+    /// Backoff after the first failure, in seconds.
     #[serde(rename = "wait_s")]
     pub retry_delay_s: f64,
-    /// The longest backoff, in seconds.
+    /// Upper bound of the backoff, in seconds.
     #[serde(rename = "most_wait_s")]
     pub max_retry_delay_s: f64,
-    /// The longest run of an attempt, in seconds.
+    /// Time-out of an attempt, in seconds; a task that runs longer counts as failed.
     #[serde(rename = "limit_s")]
     pub timeout_s: Option<f64>,
-    /// The pool whose slots its tasks take.
+    /// Name of the pool whose slots the node's tasks occupy.
     pub pool: Option<String>,
-    /// The size of its output in GB.
+    /// Size of the node's output, in GB.
     pub output_gb: f64,
-    /// The node over whose list it runs: a task for each element.
+    /// Name of the upstream node whose list this node runs over, with one task for each element. A block label stands
+    /// for the first node expanded from the block.
     #[serde(rename = "map")]
     pub map_over: Option<String>,
 }
@@ -95,63 +96,68 @@
     }
 }
 
-/// The names of [`NodeAttributes`] in files; every other attribute of a node is a job's.
+/// The names of [`NodeAttributes`] in files; every other attribute of a node block belongs to its job.
 pub(crate) const NODE_ATTRIBUTES: [&str; 9] =
     ["after", "rule", "tries", "wait_s", "most_wait_s", "limit_s", "pool", "output_gb", "map"];
 
-/// A node of the file, after expansion.
+/// A node of the graph. A block with `each` is expanded to one node for each element.
 #[derive(Debug, Clone)]
 pub struct DagFileNode {
-    /// Its name, with that of its element.
+    /// Name of the node: the label of its block, followed by the element if the block has `each`.
     pub name: String,
-    /// The line of its block, counted from 1.
+    /// Line of the node's block, counted from 1.
     pub line: usize,
-    /// The job that it runs as.
+    /// The job that runs the node.
     pub job: JobEntry,
-    /// Its other attributes as they are written.
+    /// The node's other attributes as written in the file, with templates rendered.
     pub attributes: NodeAttributes,
-    /// Its trigger rule.
+    /// The parsed trigger rule.
     pub rule: TriggerRule,
-    /// Positions of the nodes that it comes after.
-    pub after: Vec<u32>,
-    /// Position of the node over whose list it runs.
-    pub map: Option<u32>,
+    /// Positions of the upstream nodes, sorted.
+    pub upstream: Vec<u32>,
+    /// Position of the upstream node whose list the node runs over.
+    pub map_source: Option<u32>,
 }
 
-/// A graph file that was read and checked.
+/// A parsed and checked graph file.
 #[derive(Debug)]
 pub struct DagFile {
-    /// The graph's name.
+    /// Name of the graph.
     pub graph: String,
-    /// The run's name, if the file gives one.
+    /// Name of the run, if the file sets one.
     pub run: Option<String>,
-    /// Runs of the graph at a time.
+    /// Maximum number of runs of the graph that are active at the same time.
     pub max_concurrent_runs: u32,
-    /// The nodes in the order of the file.
+    /// The nodes in file order.
     pub nodes: Vec<DagFileNode>,
 }
 
 impl DagFile {
-    /// Reads a file; `given` are variables that override the file's.
+    /// Reads and parses a file; `overrides` replaces values of variables that the file defines.
     ///
     /// # Errors
-    /// It cannot be read, or is wrong.
-    pub fn load(path: &Path, given: &BTreeMap<String, String>) -> Result<DagFile, DagFileError> {
+    /// The file cannot be read, or is invalid.
+    pub fn load(path: &Path, overrides: &BTreeMap<String, String>) -> Result<DagFile, DagFileError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|error| DagFileError::Read { file: file.clone(), error })?;
-        DagFile::parse(&file, &text, given)
+        DagFile::parse(&file, &text, overrides)
     }
 
-    /// Reads the text of a file; `file` is its name in errors.
+    /// Parses the text of a file; `file` is the name shown in errors. `overrides` replaces values of variables that the
+    /// file defines.
     ///
     /// # Errors
-    /// It has another form, unknown names, or a cycle.
-    pub fn parse(file: &str, text: &str, given: &BTreeMap<String, String>) -> Result<DagFile, DagFileError> {
+    /// The text has invalid syntax, missing, invalid or unknown names, or a dependency cycle.
+    pub fn parse(
+        file: &str,
+        text: &str,
+        overrides: &BTreeMap<String, String>,
+    ) -> Result<DagFile, DagFileError> {
         let source = SourceText { file, text };
         let body =
             hcl::parse(text).map_err(|error| source.file_error(collapse_whitespace(&error.to_string())))?;
-        let vars = read_vars(&source, &body, given)?;
+        let vars = read_vars(&source, &body, overrides)?;
         let header = read_header(&source, &body, &vars)?;
         let defaults = match body.blocks().find(|block| block.identifier() == "defaults") {
             Some(block) => read_attributes(block.body())
@@ -159,9 +165,9 @@
             None => Map::new(),
         };
         let mut builder = DagBuilder::new(source, vars, defaults);
-        let mut blocks_by_label: HashMap<String, usize> = HashMap::new();
+        let mut block_counts: HashMap<String, usize> = HashMap::new();
         for block in body.blocks().filter(|block| block.identifier() == "node") {
-            builder.read_block(block, &mut blocks_by_label)?;
+            builder.read_block(block, &mut block_counts)?;
         }
         let nodes = builder.finish()?;
         Ok(DagFile {
@@ -176,7 +182,7 @@
 fn read_vars(
     source: &SourceText<'_>,
     body: &Body,
-    given: &BTreeMap<String, String>,
+    overrides: &BTreeMap<String, String>,
 ) -> Result<Map<String, Value>, DagFileError> {
     let block = body.blocks().find(|block| block.identifier() == "vars");
     let mut vars = match block {
@@ -185,21 +191,21 @@
         }
         None => Map::new(),
     };
-    for (name, value) in given {
+    for (name, value) in overrides {
         if !vars.contains_key(name) {
             return Err(source.file_error(format!(
-                "there is no variable {name:?}; it has {:?}",
+                "unknown variable {name:?}: the file defines {:?}",
                 vars.keys().collect::<Vec<_>>()
             )));
         }
-        // A list or a number may be given as JSON.
+        // A value that is valid JSON, such as a list or a number, is used as such; any other value is a string.
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.clone()));
         vars.insert(name.clone(), value);
     }
     Ok(vars)
 }
 
-/// The attributes outside of all blocks.
+/// The attributes outside all blocks.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Header {
@@ -215,9 +221,10 @@
 ) -> Result<Header, DagFileError> {
     let is_known = |block: &&Block| ["node", "vars", "defaults"].contains(&block.identifier());
     if let Some(block) = body.blocks().find(|block| !is_known(block)) {
-        let word = block.identifier();
-        let line = source.line_of(1, word);
-        return Err(source.file_error(format!("line {line}: expected node, vars or defaults, not {word:?}")));
+        let name = block.identifier();
+        let line = source.line_of(1, name);
+        return Err(source
+            .file_error(format!("line {line}: expected a node, vars or defaults block, found {name:?}")));
     }
     let attributes: Body = body.attributes().cloned().collect();
     let value = read_attributes(&attributes).map_err(|problem| source.file_error(problem))?;
@@ -225,11 +232,14 @@
         .map_err(|problem| source.file_error(problem))?;
     let header: Header = serde_json::from_value(value).map_err(|error| {
         let problem = error.to_string();
-        let line = quoted_name(&problem).map_or(1, |word| source.line_of(1, word));
+        let line = quoted_name(&problem).map_or(1, |name| source.line_of(1, name));
         source.file_error(format!("line {line}: {problem}"))
     })?;
     if DagRunName::parse(&header.graph).is_none() {
-        return Err(source.file_error(format!("graph: expected a name like nightly, not {:?}", header.graph)));
+        return Err(source.file_error(format!(
+            "graph: expected a name of letters, digits, dots, dashes and underscores, found {:?}",
+            header.graph
+        )));
     }
     Ok(header)
 }
--- a/crates/dag-files/src/lib.rs
+++ b/crates/dag-files/src/lib.rs
@@ -1,8 +1,8 @@
-//! Graph files and pictures of runs.
+//! Graph files, and rendering of runs.
 //!
-//! `DagFile` reads a file (HCL, with variables and `minijinja` templates in its strings) and refuses what is wrong with file
-//! and line before anything is sent; `PreparedRun` and `Rerun` are what is sent; `RunView` draws a run as text, DOT or SVG.
-//! Nothing here talks to a controller. docs/flows.md has the format.
+//! [`DagFile`] parses a file (HCL, with variables and `minijinja` templates in its strings) and reports errors with
+//! file and line before anything is sent. [`PreparedRun`] and [`Rerun`] hold the data to send. [`RunView`] renders a
+//! run as text, DOT or SVG. Nothing in this crate talks to a controller. docs/flows.md has the format.
 
 #![warn(missing_docs)]
 
--- a/crates/dag-files/src/prepare.rs
+++ b/crates/dag-files/src/prepare.rs
@@ -1,5 +1,5 @@
-//! From a checked file to what is sent: nodes get the ids of their jobs, the workers' descriptions are made, and the graph
-//! is split into parts.
+//! Turns a checked file into the data to send: assigns job ids to nodes, creates the job descriptions for workers, and
+//! splits the graph into parts.
 
 use std::collections::BTreeMap;
 
@@ -16,49 +16,52 @@
 
 use crate::file::{DagFile, DagFileError, DagFileNode};
 
-/// Below the smallest value size that a kv store may be limited to.
+/// Maximum size of an encoded part in bytes; below the smallest value size limit that a key-value store may have.
 const MAX_PART_BYTES: usize = 3_800;
-/// Inputs that a task gets by name.
+/// Maximum number of upstream outputs that a task gets by node name.
 const MAX_INPUTS: usize = 100;
-/// Ids of nodes' jobs have 18 digits, and are apart from those of jobs that are submitted alone.
+/// First job id of DAG nodes. Their ids have 18 digits and do not overlap with the ids of separately submitted jobs.
 const FIRST_JOB_ID: u64 = 900_000_000_000_000_000;
-const JOB_IDS: u64 = 99_999_999_999_999_999;
+/// Size of the range that the job ids of DAG nodes are drawn from.
+const JOB_ID_COUNT: u64 = 99_999_999_999_999_999;
 
-/// Why a node cannot be submitted.
+/// The reason why a node cannot be submitted.
 #[derive(Debug, Error)]
 enum NodeError {
-    #[error("it has no command")]
+    #[error("command is missing or empty")]
     NoCommand,
-    #[error("a node has no id of its own, and ends")]
+    #[error(
+        "id and shape \"service\" are not allowed: the job id of a node is generated, and its job has to finish"
+    )]
     IdOrService,
     #[error(transparent)]
     Job(#[from] JobEntryError),
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The controllers would refuse it, with this text.
+    /// The controllers would reject the node with this message.
     #[error("{0}")]
     Template(String),
 }
 
-/// A run ready to be sent.
+/// A run that is ready to be sent.
 #[derive(Debug, Clone)]
 pub struct PreparedRun {
-    /// The run's name.
+    /// Name of the run.
     pub run: String,
-    /// What the commit says.
+    /// The header, sent in the request that commits the run.
     pub header: DagRunHeader,
-    /// The graph, in parts that are uploaded before.
+    /// The graph, in parts that are uploaded before the commit.
     pub parts: Vec<GraphPart>,
-    /// What workers must know of each job.
+    /// Job ids with the job descriptions that workers need.
     pub descriptions: Vec<(String, Value)>,
 }
 
-/// The first of so many consecutive ids, chosen at random so that no two runs share any.
-fn new_job_ids(count: usize) -> u64 {
-    FIRST_JOB_ID + rand::rng().random_range(0..JOB_IDS - count as u64)
+/// Returns the first of `count` consecutive job ids. It is drawn at random, so that runs practically never share an id.
+fn draw_job_ids(count: usize) -> u64 {
+    FIRST_JOB_ID + rand::rng().random_range(0..JOB_ID_COUNT - count as u64)
 }
 
-/// Sorted positions as ranges: the first, and how many.
+/// Converts sorted positions to ranges: the first position and the number of positions.
 fn position_ranges(positions: &[u32]) -> Vec<(u32, u32)> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     for position in positions {
@@ -75,18 +78,21 @@
 }
 
 impl DagFile {
-    /// The run ready to be sent. `file` is the file's name in errors; `run` the run's name if the file's is not to count.
+    /// Prepares a run. `file` is the file name shown in errors; `run` overrides the name that the file gives the run.
+    /// If neither gives a name, it is generated from the graph name and a random number.
     ///
     /// # Errors
-    /// The run's name is wrong, or the controllers would refuse a node.
+    /// The name of the run is invalid, or a node cannot be submitted.
     pub fn prepare(&self, file: &str, run: Option<&str>) -> Result<PreparedRun, DagFileError> {
         let new_name = || format!("{}-{:08x}", self.graph, rand::rng().random::<u32>());
         let run = run.map(String::from).or_else(|| self.run.clone()).unwrap_or_else(new_name);
         if DagRunName::parse(&run).is_none() {
-            let problem = format!("run: expected letters, digits, dots, dashes and underscores, not {run:?}");
-            return Err(DagFileError::Form { file: file.into(), problem });
+            let problem = format!(
+                "run: expected a name of letters, digits, dots, dashes and underscores, found {run:?}"
+            );
+            return Err(DagFileError::File { file: file.into(), problem });
         }
-        let first_job = new_job_ids(self.nodes.len());
+        let first_job = draw_job_ids(self.nodes.len());
         let mut templates: Vec<NodeTemplate> = Vec::new();
         let (mut nodes, mut edges, mut descriptions) = (Vec::new(), Vec::new(), Vec::new());
         for (index, node) in self.nodes.iter().enumerate() {
@@ -97,9 +103,9 @@
                 name: node.name.clone(),
                 job,
                 template: template_index(&mut templates, template),
-                mapped_from: node.map,
+                mapped_from: node.map_source,
             });
-            let upstream = position_ranges(&node.after);
+            let upstream = position_ranges(&node.upstream);
             edges.extend(upstream.into_iter().map(|(first, count)| (index as u32, first, count)));
             descriptions.push((job_name(job), description));
         }
@@ -113,7 +119,8 @@
         Ok(PreparedRun { run, header, parts, descriptions })
     }
 
-    /// A node as the controllers get it, and the description of its job. `first_job`: the id of the first node's job.
+    /// Returns the template sent to the controllers and the job description. `first_job` is the job id of the
+    /// first node.
     fn node_template(
         &self,
         node: &DagFileNode,
@@ -130,7 +137,7 @@
         entry.id = Some(job_name(job));
         let prepared = entry.prepare(&node.name, 0)?;
         let mut manifest: JobManifest = serde_json::from_value(prepared.spec)?;
-        // Templates are shared by nodes that differ in nothing but their jobs.
+        // Nodes that differ only in their job ids share a template, so the template has no id.
         manifest.id = String::new();
         let attributes = &node.attributes;
         let template = NodeTemplate {
@@ -146,15 +153,15 @@
         template.validate().map_err(|problem| NodeError::Template(problem.to_string()))?;
         let mut description = prepared.description.unwrap_or_default();
         description["inputs"] = json!(self.inputs(node, first_job));
-        if let Some(map) = node.map {
-            description["map"] = json!(job_name(first_job + u64::from(map)));
+        if let Some(source) = node.map_source {
+            description["map"] = json!(job_name(first_job + u64::from(source)));
         }
         Ok((template, description))
     }
 
-    /// The jobs whose output the node reads, by the names of their nodes.
+    /// Returns the jobs whose output the node reads, by node name.
     fn inputs(&self, node: &DagFileNode, first_job: u64) -> BTreeMap<&str, String> {
-        let upstream = node.after.iter().take(MAX_INPUTS);
+        let upstream = node.upstream.iter().take(MAX_INPUTS);
         upstream
             .map(|index| {
                 let name = self.nodes[*index as usize].name.as_str();
@@ -173,18 +180,18 @@
     }
 }
 
-/// The position of the template, which is added if it is a new one.
+/// Returns the index of the template, and adds it if it is new.
 fn template_index(templates: &mut Vec<NodeTemplate>, template: NodeTemplate) -> u32 {
-    let known = templates.iter().rposition(|other| *other == template);
-    let index = known.unwrap_or_else(|| {
+    let existing = templates.iter().rposition(|other| *other == template);
+    let index = existing.unwrap_or_else(|| {
         templates.push(template);
         templates.len() - 1
     });
     index as u32
 }
 
-/// The topology of a run from the view of all its nodes.
-pub(crate) fn graph_shape(nodes: &[DagNodeView]) -> Result<DagTopology, TopologyError> {
+/// Builds the topology of a run from the views of all its nodes.
+pub(crate) fn topology_from_views(nodes: &[DagNodeView]) -> Result<DagTopology, TopologyError> {
     let mut edges = Vec::new();
     for (index, node) in nodes.iter().enumerate() {
         let upstream = node.upstream.iter().flat_map(|(first, count)| *first..first.saturating_add(*count));
@@ -193,45 +200,47 @@
     DagTopology::new(nodes.len() as u32, &edges)
 }
 
-/// Nodes that run again, with the ids of their new jobs.
+/// A rerun of some nodes of a run, each with a new job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rerun {
     /// The parts that list the nodes.
     pub parts: Vec<GraphPart>,
-    /// The new job of each old one.
+    /// Maps the name of each old job to that of the new job.
     pub jobs: BTreeMap<String, String>,
 }
 
 impl Rerun {
-    /// The nodes at these positions and all downstream of them. `nodes`: the view of all nodes of the run.
+    /// Creates a rerun of the nodes at the selected positions and of all nodes downstream of them. `nodes` has to hold
+    /// the views of all nodes of the run.
     ///
     /// # Errors
-    /// The view is not that of a graph.
+    /// The edges in the views do not form a valid graph.
     pub fn new(nodes: &[DagNodeView], selected: &[u32]) -> Result<Rerun, TopologyError> {
-        let topology = graph_shape(nodes)?;
+        let topology = topology_from_views(nodes)?;
         let positions: Vec<u32> = topology
             .downstream_closure(selected.iter().map(|position| NodeIx(*position)))
             .into_iter()
             .map(|node| node.0)
             .collect();
-        let first_job = new_job_ids(positions.len());
+        let first_job = draw_job_ids(positions.len());
         let jobs = positions
             .iter()
             .zip(first_job..)
             .map(|(position, job)| (nodes[*position as usize].job.clone(), job_name(job)))
             .collect();
         let mut next_job = first_job;
-        let with_job = |(first, count): (u32, u32)| {
+        let with_first_job = |(first, count): (u32, u32)| {
             let range = (first, count, next_job);
             next_job += u64::from(count);
             range
         };
-        let reruns = position_ranges(&positions).into_iter().map(with_job).collect();
+        let reruns = position_ranges(&positions).into_iter().map(with_first_job).collect();
         let parts = split_into_parts(Vec::new(), Vec::new(), Vec::new(), reruns, MAX_PART_BYTES);
         Ok(Rerun { parts, jobs })
     }
 
-    /// The description of a new job from that of the old one. Jobs that it reads are replaced if they run again too.
+    /// Returns the description of a new job, based on that of the old one. Inputs from jobs that are also rerun are
+    /// replaced by inputs from the new jobs.
     pub fn description(&self, old: &Value, job: &str) -> Value {
         let mut new = old.clone();
         new["uid"] = json!(job);
--- a/crates/dag-files/src/render.rs
+++ b/crates/dag-files/src/render.rs
@@ -1,4 +1,4 @@
-//! Pictures of a run: text for a terminal, DOT for other tools, SVG for a browser. The last two are templates.
+//! Renders a run as text for a terminal, as DOT for other tools, or as SVG for a browser. DOT and SVG use templates.
 
 use minijinja::{Environment, context};
 use olivelatch::protocol::graphs::{DagNodeState, DagNodeView, DagRunDetail};
@@ -6,10 +6,11 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::prepare::graph_shape;
+use crate::prepare::topology_from_views;
 
-/// Nodes drawn in a picture, and listed as text.
+/// Maximum number of nodes drawn in DOT and SVG output.
 const MAX_DRAWN_NODES: usize = 2_000;
+/// Maximum number of nodes listed in text output.
 const MAX_LISTED_NODES: usize = 200;
 
 const DOT: &str = r##"digraph "{{ run }}" {
@@ -38,26 +39,26 @@
 </svg>
 "##;
 
-/// Lengths in the SVG picture, in its units.
+// Lengths in SVG output, in SVG user units.
 const BOX_WIDTH: usize = 150;
 const BOX_HEIGHT: usize = 38;
 const GAP_X: usize = 60;
 const GAP_Y: usize = 12;
 const MARGIN: usize = 10;
-/// Characters of a name that fit into a box.
+/// Maximum number of characters of a name that fit into a box.
 const MAX_NAME_CHARS: usize = 20;
 
-/// A picture that cannot be drawn.
+/// An error in rendering a DOT or SVG template.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct RenderError(#[from] minijinja::Error);
 
-/// A run with all its nodes, laid out in layers.
+/// A run with all its nodes, arranged in layers.
 pub struct RunView<'a> {
     detail: &'a DagRunDetail,
     topology: DagTopology,
     layers: Vec<u32>,
-    /// Positions of the nodes on the critical path.
+    /// Positions of the nodes on the critical path, first to last.
     critical_path: Vec<u32>,
 }
 
@@ -106,11 +107,11 @@
 fn tasks_text(node: &DagNodeView) -> String {
     match node.tasks {
         Some(tasks) => format!("{} of {tasks} done", node.done),
-        None => "as many as its list has".into(),
+        None => "one task per list element".into(),
     }
 }
 
-/// The longest path through the graph by estimated run times: positions, first to last.
+/// Returns the longest path through the graph by estimated run time, as node positions from first to last.
 pub fn critical_path(nodes: &[DagNodeView], topology: &DagTopology) -> Vec<u32> {
     let path_s = |index: usize| nodes[index].estimated_run_s + nodes[index].downstream_path_s;
     let longest =
@@ -134,18 +135,18 @@
 }
 
 impl<'a> RunView<'a> {
-    /// A view of a run; `detail` must hold every node of it.
+    /// Creates a view of a run; `detail` has to hold every node of the run.
     ///
     /// # Errors
-    /// The nodes are not those of a graph.
+    /// The edges of the nodes do not form a valid graph.
     pub fn new(detail: &'a DagRunDetail) -> Result<RunView<'a>, TopologyError> {
-        let topology = graph_shape(&detail.nodes)?;
+        let topology = topology_from_views(&detail.nodes)?;
         let layers = topology.layers();
         let critical_path = critical_path(&detail.nodes, &topology);
         Ok(RunView { detail, topology, layers, critical_path })
     }
 
-    /// The run as text, layer by layer. Of many nodes those that need attention are listed.
+    /// Renders the run as text, layer by layer. If there are too many nodes, those that need attention take precedence.
     pub fn render_text(&self) -> String {
         let mut text = self.summary_line();
         let listed = self.listed_nodes();
@@ -160,7 +161,7 @@
         }
         let omitted = self.detail.nodes.len().saturating_sub(MAX_LISTED_NODES);
         if omitted > 0 {
-            text.push_str(&format!("and {omitted} more, all alike: --json lists them\n"));
+            text.push_str(&format!("{omitted} more nodes are not shown: use --json to list all nodes\n"));
         }
         text.push_str(&self.critical_path_text());
         text
@@ -180,7 +181,7 @@
         )
     }
 
-    /// The nodes that the text lists, by layers.
+    /// Returns the nodes to list as text, ordered by layer.
     fn listed_nodes(&self) -> Vec<usize> {
         let mut listed: Vec<usize> = (0..self.detail.nodes.len()).collect();
         if listed.len() > MAX_LISTED_NODES {
@@ -191,7 +192,7 @@
         listed
     }
 
-    /// Nodes that are listed last when there are too many.
+    /// Returns whether the node is among the first to be omitted when there are too many nodes to list.
     fn is_unremarkable(&self, index: usize) -> bool {
         matches!(
             self.detail.nodes[index].state,
@@ -241,11 +242,11 @@
     }
 
     fn layout_nodes(&self) -> Vec<DrawnNode<'a>> {
-        let mut rows_of_layer = vec![0; self.layers.iter().max().map_or(0, |last| *last as usize + 1)];
+        let mut row_counts = vec![0; self.layers.iter().max().map_or(0, |last| *last as usize + 1)];
         let draw = |(index, node): (usize, &'a DagNodeView)| {
             let layer = self.layers[index] as usize;
-            let row: usize = rows_of_layer[layer];
-            rows_of_layer[layer] += 1;
+            let row: usize = row_counts[layer];
+            row_counts[layer] += 1;
             DrawnNode {
                 index,
                 name: &node.name,
@@ -261,17 +262,17 @@
         self.detail.nodes.iter().take(MAX_DRAWN_NODES).enumerate().map(draw).collect()
     }
 
-    /// The edges between the first `drawn` nodes.
+    /// Returns the edges between the first `drawn` nodes.
     fn visible_edges(&self, drawn: usize) -> Vec<(usize, usize)> {
         let edges = (0..drawn)
             .flat_map(|from| self.topology.downstream(NodeIx(from as u32)).map(move |to| (from, to.index())));
         edges.filter(|(_, to)| *to < drawn).collect()
     }
 
-    /// The run in the language of graphviz.
+    /// Renders the run in DOT, the language of Graphviz.
     ///
     /// # Errors
-    /// The template fails, which is a fault of this crate.
+    /// The template cannot be rendered, which is a bug in this crate.
     pub fn render_dot(&self) -> Result<String, RenderError> {
         let nodes = self.layout_nodes();
         let edges = self.visible_edges(nodes.len());
@@ -280,10 +281,10 @@
         Ok(environment.render_str(DOT, context! { run, nodes, edges })?)
     }
 
-    /// The run as an SVG picture.
+    /// Renders the run as SVG.
     ///
     /// # Errors
-    /// The template fails, which is a fault of this crate.
+    /// The template cannot be rendered, which is a bug in this crate.
     pub fn render_svg(&self) -> Result<String, RenderError> {
         let nodes = self.layout_nodes();
         let line = |(from, to): (usize, usize)| {
--- a/crates/dag-files/src/template.rs
+++ b/crates/dag-files/src/template.rs
@@ -1,10 +1,10 @@
-//! Attributes of a graph file as JSON, and the templates in their strings.
+//! Converts attributes of a graph file to JSON, and renders the templates in their strings.
 
 use hcl::structure::Body;
 use minijinja::{Environment, UndefinedBehavior};
 use serde_json::{Map, Value};
 
-/// A copy of the value with the templates in its strings filled in.
+/// Returns a copy of the value with the templates in its strings rendered.
 pub(crate) fn render_value(
     environment: &Environment<'_>,
     value: &Value,
@@ -13,7 +13,7 @@
     Ok(match value {
         Value::String(text) if text.contains("{{") || text.contains("{%") => {
             let rendered = environment.render_str(text, context);
-            // The library invents a name and a line for the template, which would mislead.
+            // minijinja adds a placeholder file name and line, which users would take for those of the graph file.
             Value::String(rendered.map_err(|error| error.to_string().replace(" (in <string>:1)", ""))?)
         }
         Value::Array(items) => {
@@ -30,18 +30,21 @@
     })
 }
 
-/// Templates with an unknown variable are an error, not an empty text.
+/// Creates an environment in which an undefined variable is an error instead of rendering as an empty string.
 pub(crate) fn template_environment() -> Environment<'static> {
     let mut environment = Environment::new();
     environment.set_undefined_behavior(UndefinedBehavior::Strict);
     environment
 }
 
-/// The attributes of a body as JSON. Blocks in it are an error.
+/// Returns the attributes of a body as JSON. Nested blocks are an error.
 pub(crate) fn read_attributes(body: &Body) -> Result<Map<String, Value>, String> {
     if let Some(block) = body.blocks().next() {
-        return Err(format!("a block {:?} is not expected here", block.identifier()));
+        return Err(format!(
+            "unexpected block {:?}: expected only attributes (name = value)",
+            block.identifier()
+        ));
     }
     let value: Value = hcl::from_body(body.clone()).map_err(|error| error.to_string())?;
-    value.as_object().cloned().ok_or_else(|| "expected name = value".into())
+    value.as_object().cloned().ok_or_else(|| "expected attributes (name = value)".into())
 }
--- a/crates/dag-files/tests/golden.rs
+++ b/crates/dag-files/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Graph files as what is sent: parts, header and descriptions, as the golden file has them.
+//! Compares the parts, headers and descriptions prepared from graph files, and the errors of invalid files, with the
+//! golden file.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -10,8 +11,8 @@
 use serde_json::{Value, json};
 use support::{Golden, encode};
 
-/// Every word that a node knows besides a job's.
-const EVERYTHING: &str = r#"
+/// Uses every node attribute that is not an attribute of a job.
+const ALL_ATTRIBUTES: &str = r#"
 graph     = "nightly"
 run       = "nightly-{{ day }}"
 most_runs = 3
@@ -46,13 +47,13 @@
 }
 "#;
 
-/// A prepared run whose job numbers, which the client draws at random, are replaced by consecutive ones.
-fn with_stable_job_numbers(run: &PreparedRun) -> Value {
+/// Returns a prepared run as JSON, with the randomly drawn job ids replaced by consecutive ones.
+fn with_stable_job_ids(run: &PreparedRun) -> Value {
     let mut text = json!({"run": run.run, "header": encode(&run.header), "parts": run.parts,
         "descriptions": run.descriptions})
     .to_string();
     for (index, (job, _)) in run.descriptions.iter().enumerate() {
-        let digits = job.strip_prefix("job-").expect("a job's name");
+        let digits = job.strip_prefix("job-").expect("a job id");
         text = text.replace(digits, &format!("{:018}", index + 1).replacen('0', "9", 1));
     }
     serde_json::from_str(&text).expect("JSON")
@@ -67,26 +68,29 @@
     let files = [
         ("billing", text.as_str(), BTreeMap::new()),
         ("billing, another day", text.as_str(), variables),
-        ("everything", EVERYTHING, BTreeMap::new()),
+        ("everything", ALL_ATTRIBUTES, BTreeMap::new()),
     ];
     for (name, text, vars) in files {
         let file = DagFile::parse("graph.hcl", text, &vars).expect("a graph");
         let run = file.prepare("graph.hcl", None).expect("a run");
-        golden.case(name, with_stable_job_numbers(&run));
-        // The stored bytes depend on the order of fields.
+        golden.case(name, with_stable_job_ids(&run));
+        // Encoded as a string, as the stored bytes depend on the order of fields.
         let first = run.parts.first().map(|part| encode(&part.templates.first()));
         golden.case(&format!("{name}: first template"), first);
     }
     let invalid_files = [
-        ("a rule", EVERYTHING.replacen("none_failed", "some_failed", 1)),
-        ("a node", EVERYTHING.replacen("after = [\"balance\"]", "after = [\"balances\"]", 1)),
-        ("a word", EVERYTHING.replacen("limit_s ", "limits_s ", 1)),
-        ("a variable", EVERYTHING.replacen("{{ item }}", "{{ items }}", 1)),
-        ("a circle", EVERYTHING.replacen("after       = [\"raw\"]", "after = [\"alarm\"]", 1)),
+        ("unknown trigger rule", ALL_ATTRIBUTES.replacen("none_failed", "some_failed", 1)),
+        (
+            "unknown upstream node",
+            ALL_ATTRIBUTES.replacen("after = [\"balance\"]", "after = [\"balances\"]", 1),
+        ),
+        ("unknown attribute", ALL_ATTRIBUTES.replacen("limit_s ", "limits_s ", 1)),
+        ("undefined variable", ALL_ATTRIBUTES.replacen("{{ item }}", "{{ items }}", 1)),
+        ("cycle", ALL_ATTRIBUTES.replacen("after       = [\"raw\"]", "after = [\"alarm\"]", 1)),
     ];
     for (name, text) in invalid_files {
         let error = DagFile::parse("graph.hcl", &text, &BTreeMap::new()).err();
-        golden.case(&format!("wrong: {name}"), error.expect(name).to_string());
+        golden.case(&format!("invalid: {name}"), error.expect(name).to_string());
     }
     golden.check();
 }
