--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,5 +1,6 @@
-//! The arguments of `olivelatchctl`: one definition of each flag, for help and completions alike. The `///` texts here are
-//! what `--help` prints, so they stay in the words of the documentation; notes for readers of the code are `//`.
+//! The arguments of `olivelatchctl`, from which the help and the shell completions are generated. `--help`
+//! prints the `///` texts in this file, so they use the terms of the documentation; notes for readers of the
+//! code are `//` comments.
 
 use std::ffi::OsString;
 use std::io;
@@ -10,24 +11,24 @@
 
 const AFTER_HELP: &str = "\
 Examples:
-  olivelatchctl demo                                 a region, a mixed batch, a controller killed in the middle
-  olivelatchctl up                                   a region on this machine, until Ctrl-C
+  olivelatchctl demo                                 a local cluster, a mixed batch, a controller killed halfway
+  olivelatchctl up                                   a local cluster on this machine, until Ctrl-C
   olivelatchctl submit --tasks 10 -- sh -c 'echo $OLIVELATCH_TASK'
   olivelatchctl submit jobs.hcl --wait
-  olivelatchctl explain job-000412                   why it is where it is
+  olivelatchctl explain job-000412                   why the job is in its state
   olivelatchctl list --state live --json
   olivelatchctl graph submit examples/billing.hcl --wait
   olivelatchctl config set team/default --limit-cpus 8 --wait
   olivelatchctl scale run examples/scale/small.hcl --out /tmp/small
 
 Exit codes:
-  0  fine                                    4  refused: the request is wrong, or can never run
-  1  not found, or another failure           5  wait: a job was withdrawn, a run failed
-  2  wrong arguments or files                6  wait: not done in time
-  3  no controller answered in time";
+  0  success                                 4  rejected: the request is invalid, or can never run
+  1  not found, or another failure           5  wait: a job was withdrawn, or a run did not succeed
+  2  invalid arguments or files              6  wait: the time limit passed first
+  3  no controller could respond in time";
 
 #[derive(Debug, Parser)]
-#[command(name = "olivelatchctl", version, about = "Submit, inspect and explain jobs; run a region on one machine", after_help = AFTER_HELP)]
+#[command(name = "olivelatchctl", version, about = "Submit, inspect and explain jobs; run a local cluster on one machine", after_help = AFTER_HELP)]
 pub struct Cli {
     #[command(flatten)]
     pub common: Common,
@@ -37,81 +38,81 @@
 
 #[derive(Debug, Clone, Args)]
 pub struct Common {
-    /// File with contexts (HCL); else the variable LATCH_CONTEXTS, ./.latch/contexts.hcl, ~/.config/latch/contexts.hcl
+    /// Contexts file (HCL); by default $LATCH_CONTEXTS, ./.latch/contexts.hcl or ~/.config/latch/contexts.hcl
     #[arg(long, global = true, value_name = "FILE")]
     pub contexts: Option<PathBuf>,
-    /// Which context of the file
+    /// Name of the context to use from the file
     #[arg(long, global = true, value_name = "NAME")]
     pub context: Option<String>,
-    /// One deadline for all tries of a request, in seconds
+    /// Deadline for a request with all its retries, in seconds
     #[arg(long, global = true, value_name = "SECONDS", default_value_t = 15.0)]
     pub deadline: f64,
-    /// JSON for programs (docs/client.md) instead of tables
+    /// Print JSON for programs (docs/client.md) instead of tables
     #[arg(long, global = true)]
     pub json: bool,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Submit jobs from files (HCL or JSON), or one from flags
+    /// Submit jobs from files (HCL or JSON), or one job from flags
     Submit(Submit),
-    /// List jobs, ended ones too
+    /// List jobs, including finished ones
     List(List),
     /// Show a job and its tasks
     Show {
         id: String,
-        /// Tasks shown at most
+        /// Maximum number of tasks to show
         #[arg(long, default_value_t = 50)]
         tasks: usize,
     },
-    /// Say why a job, or one of its tasks, is where it is
+    /// Explain why a job, or one of its tasks, is in its current state
     Explain {
         id: String,
-        /// Only this task
+        /// Explain only this task
         #[arg(long)]
         task: Option<u32>,
     },
     /// Cancel jobs
     Cancel { ids: Vec<String> },
-    /// Wait until jobs are over
+    /// Wait until jobs are done or withdrawn
     Wait {
         ids: Vec<String>,
-        /// Give up after so many seconds
+        /// Give up after this many seconds
         #[arg(long, value_name = "SECONDS")]
         timeout: Option<f64>,
     },
-    /// The leader's last decisions on a job
+    /// Show the leader's most recent decisions about a job
     Events { id: String },
-    /// Output of a task's attempts
+    /// Print the output of a task's attempts
     Logs {
         id: String,
         #[arg(default_value_t = 0)]
         task: u32,
     },
-    /// The controllers, their queues and machines
+    /// Show the controllers, their queues and machines
     Top {
-        /// Once, not every two seconds
+        /// Print once instead of every two seconds
         #[arg(long)]
         once: bool,
     },
-    /// Runs of graphs: submit, show, list, cancel, retry, clear
+    /// Submit, show, list, cancel, retry or clear runs of graphs
     #[command(subcommand)]
     Graph(Graph),
-    /// Limits and guarantees of teams, changed while the service runs
+    /// Show or change the limits and guarantees of teams while the controllers run
     #[command(subcommand)]
     Config(Config),
-    /// Check job files, and whether the context's controllers answer; nothing is sent to run
+    /// Check job files, and whether the context's controllers respond; submits nothing
     Check { files: Vec<PathBuf> },
-    /// Print completions for a shell
+    /// Print the completion script for a shell
     Completions { shell: Shell },
-    /// Run a region on this machine: state service, cloud, workers, controllers
+    /// Run a local cluster on this machine: key-value store, simulated cloud, workers, controllers
     Up(Up),
-    /// Show it all in under a minute: a region, a mixed batch, a controller killed in the middle
+    /// Run a demonstration in under a minute: a local cluster, a mixed batch, a controller killed halfway
     Demo(Demo),
-    /// Play a plan of the planned size on this machine: real controllers, hollow workers (docs/scale.md)
+    /// Run or check a scale test on this machine: real controllers, simulated workers (docs/scale.md)
     #[command(subcommand)]
     Scale(Scale),
-    /// A controller, as `olivelatch` itself; `up` starts them so
+    /// Run a controller, as the program `olivelatch` does; `up` starts its controllers this way
     #[command(hide = true)]
     Controller(Controller),
 }
@@ -121,41 +122,41 @@
     /// Submit a run of a graph file (docs/flows.md)
     Submit {
         file: PathBuf,
-        /// The run's name, instead of the file's. The same name again is the same run
+        /// Name of the run, instead of the one in the file. Submitting a name again does not create another run
         #[arg(long)]
         run: Option<String>,
-        /// A variable of the file, NAME=VALUE; a list is written as JSON
+        /// Value of a variable of the file; lists are written as JSON
         #[arg(long = "var", value_name = "NAME=VALUE")]
         vars: Vec<String>,
-        /// Wait until the run is over
+        /// Wait until the run has finished
         #[arg(long)]
         wait: bool,
     },
-    /// Show a run: its layers, states, evidence, the longest way through it
+    /// Show a run: its layers, node states, evidence of failures, and critical path
     Show {
         run: String,
-        /// For graphviz
+        /// Print the graph in the DOT format of Graphviz
         #[arg(long, conflicts_with = "svg")]
         dot: bool,
-        /// A picture
+        /// Print the graph as an SVG image
         #[arg(long)]
         svg: bool,
     },
     /// List runs
     List {
-        /// Of this graph only
+        /// List only runs of this graph
         #[arg(long)]
         graph: Option<String>,
     },
-    /// Cancel a run: nothing more of it starts, what runs stops
+    /// Cancel a run: its running nodes are stopped, and no further node starts
     Cancel { run: String },
-    /// Do over what failed or was cancelled, and all behind it
+    /// Run failed and cancelled nodes again, with all nodes downstream of them
     Retry {
         run: String,
         #[arg(long)]
         wait: bool,
     },
-    /// Do nodes over, and all behind them
+    /// Run the named nodes again, with all nodes downstream of them
     Clear {
         run: String,
         #[arg(required = true)]
@@ -163,14 +164,14 @@
         #[arg(long)]
         wait: bool,
     },
-    /// Wait until a run is over
+    /// Wait until a run has finished
     Wait {
         run: String,
-        /// Give up after so many seconds
+        /// Give up after this many seconds
         #[arg(long, value_name = "SECONDS")]
         timeout: Option<f64>,
     },
-    /// Check graph files; nothing is sent
+    /// Check graph files; submits nothing
     Check {
         files: Vec<PathBuf>,
         #[arg(long = "var", value_name = "NAME=VALUE")]
@@ -180,45 +181,45 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Config {
-    /// Every team: what is set, what holds, whether it is in force
+    /// List the entries of all teams: effective values, use, and whether changes are in force
     List,
-    /// One entry, like team/NAME
+    /// Show one entry, such as team/NAME
     Get { entry: String },
-    /// Change an entry; never above what the platform's settings allow
+    /// Change an entry, up to what the platform's settings allow
     Set {
         entry: String,
-        /// CPUs that the team may use at most
+        /// Maximum number of CPUs that the team may use
         #[arg(long, value_name = "CPUS")]
         limit_cpus: Option<f64>,
-        /// CPUs that the team is guaranteed
+        /// Number of CPUs that the team is guaranteed
         #[arg(long, value_name = "CPUS")]
         guaranteed_cpus: Option<f64>,
-        /// Refuse the change unless the entry is at this version (0: not set)
+        /// Reject the change unless the entry has this version (0: never set)
         #[arg(long, value_name = "VERSION")]
         expected: Option<u64>,
         #[command(flatten)]
         change: Change,
     },
-    /// Take an entry back: the platform's settings hold
+    /// Clear an entry, so that the platform's settings apply
     Unset {
         entry: String,
         #[command(flatten)]
         change: Change,
     },
-    /// Show what a file would change
+    /// Show what applying a file would change
     Diff {
         file: PathBuf,
-        /// In this context; may be repeated
+        /// Compare with the cluster of this context; may be repeated
         #[arg(long = "to", value_name = "CONTEXT")]
         to: Vec<String>,
     },
-    /// Lay a file down: what it does not name is left as it is
+    /// Apply a file; entries that it does not name stay unchanged
     Apply {
         file: PathBuf,
-        /// In this context; may be repeated. Each region's outcome is its own
+        /// Apply to the cluster of this context; may be repeated. Each cluster succeeds or fails separately
         #[arg(long = "to", value_name = "CONTEXT")]
         to: Vec<String>,
-        /// Only show what would change
+        /// Show what would change, without changing it
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
@@ -226,41 +227,42 @@
     },
 }
 
-/// Who changes, why, and whether to wait.
+/// Who makes a change, why, and whether to wait for it.
 #[derive(Debug, Clone, Default, Args)]
 pub struct Change {
-    /// Wait until it is in force; exit code 6 if it is not within --within, with whom it waits for
+    /// Wait until the change is in force; if it is not by --within, say which controller it waits for and
+    /// exit with code 6
     #[arg(long)]
     pub wait: bool,
     #[arg(long, value_name = "SECONDS", default_value_t = 3.0)]
     pub within: f64,
-    /// Who changes it; the variable USER if not given
+    /// Who makes the change; by default the variable USER
     #[arg(long)]
     pub by: Option<String>,
-    /// The reason, kept with the entry
+    /// Reason for the change, stored with the entry
     #[arg(long)]
     pub why: Option<String>,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Scale {
-    /// Play a plan; exit code 1 if a rule was broken
+    /// Run a plan; exits with code 1 if an invariant was violated
     Run {
-        /// The plan (HCL); examples/scale has some
+        /// Plan file (HCL); examples are in examples/scale
         plan: PathBuf,
-        /// Folder for the report, the logs and the state file
+        /// Folder for the report, the logs and the store file
         #[arg(long, value_name = "DIR")]
         out: PathBuf,
-        /// error, info or debug, for the controllers' logs
+        /// Log level of the controllers: error, info or debug
         #[arg(long, default_value = "error")]
         log_level: String,
     },
-    /// Check a plan; nothing is started
+    /// Check a plan; starts nothing
     Check { plan: PathBuf },
-    /// The hollow workers of a zone; `run` starts them so
+    /// Run the simulated workers of a zone; `run` starts them this way
     #[command(hide = true)]
     Zone { arguments: String },
-    /// The state service; `run` starts it so
+    /// Run the key-value store; `run` starts it this way
     #[command(hide = true)]
     State { arguments: String },
 }
@@ -282,12 +284,12 @@
 
 #[derive(Debug, Args)]
 pub struct Submit {
-    /// Job files; without any, the job is taken from the flags
+    /// Job files; without any, one job is made from the flags
     pub files: Vec<PathBuf>,
-    /// Wait until all are over
+    /// Wait until all jobs are done or withdrawn
     #[arg(long)]
     pub wait: bool,
-    /// The job's id; chosen anew if not given. The same id again is the same submission
+    /// The job's id; generated if not given. Submitting an id again does not create another job
     #[arg(long)]
     pub id: Option<String>,
     #[arg(long, default_value = "default")]
@@ -300,82 +302,82 @@
     pub urgency: UrgencyArgument,
     #[arg(long, default_value_t = 1)]
     pub tasks: u32,
-    /// CPUs of one task
+    /// CPUs per task
     #[arg(long, default_value_t = 1.0)]
     pub cpus: f64,
-    /// Memory of one task, in GB
+    /// Memory per task, in GB
     #[arg(long, default_value_t = 0.1)]
     pub memory_gb: f64,
     /// Estimated run time of a task, in seconds
     #[arg(long, default_value_t = 10.0)]
     pub guess_s: f64,
-    /// When the job should be complete, in seconds from now
+    /// Time by which the job should be complete, in seconds from its submission
     #[arg(long)]
     pub due_s: Option<f64>,
-    /// A variable of the command, NAME=VALUE
+    /// Environment variable of the command; may be repeated
     #[arg(long, value_name = "NAME=VALUE")]
     pub env: Vec<String>,
-    /// Where the command starts
+    /// Working directory of the command
     #[arg(long)]
     pub dir: Option<String>,
-    /// The command of each task, after --
+    /// The command that each task runs, after --
     #[arg(last = true)]
     pub command: Vec<String>,
 }
 
 #[derive(Debug, Args)]
 pub struct List {
-    /// live, ended, pending, running, done or withdrawn
+    /// List only jobs in this state: live, ended, pending, running, done or withdrawn
     #[arg(long)]
     pub state: Option<String>,
     #[arg(long)]
     pub team: Option<String>,
     #[arg(long)]
     pub class: Option<String>,
-    /// Begin behind this job
+    /// Start after the job with this id
     #[arg(long)]
     pub after: Option<String>,
-    /// Jobs shown at most
+    /// Maximum number of jobs to show
     #[arg(long, default_value_t = 1000)]
     pub most: usize,
 }
 
 #[derive(Debug, Clone, Args)]
 pub struct Up {
-    /// Folder of the region: state, logs, outputs. Given again, it goes on where it was
+    /// Folder of the cluster: stored state, logs, outputs. Using the folder again resumes the cluster
     #[arg(long, value_name = "DIR", default_value = ".latch")]
     pub state: PathBuf,
     #[arg(long, default_value_t = 3)]
     pub controllers: usize,
-    /// Machines that the cloud rents at most
+    /// Maximum number of machines that the simulated cloud provides
     #[arg(long, default_value_t = 4)]
     pub machines: usize,
-    /// CPUs of a machine; accounted, not enforced
+    /// CPUs per machine; accounted, not enforced
     #[arg(long, default_value_t = 4.0)]
     pub cpus: f64,
-    /// Memory of a machine in GB; accounted, not enforced
+    /// Memory per machine in GB; accounted, not enforced
     #[arg(long, default_value_t = 8.0)]
     pub memory_gb: f64,
-    /// A team: its name, CPUs guaranteed, CPUs at most (0: no limit). May be repeated
+    /// A team: its name, guaranteed CPUs and CPU limit (0: no limit); may be repeated
     #[arg(long = "team", value_name = "NAME=CPUS:MOST", default_value = "default=0:0")]
     pub teams: Vec<String>,
-    /// Tunables of the controllers (HCL); the operators' interface is on without one
+    /// Tunables file of the controllers (HCL); the defaults turn on the operators' interface, graphs and configuration
     #[arg(long, value_name = "FILE")]
     pub tunables: Option<PathBuf>,
-    /// The controllers' program instead of olivelatchctl itself
+    /// Program to run as controllers, instead of olivelatchctl itself
     #[arg(long, value_name = "PROGRAM")]
     pub controller: Option<PathBuf>,
-    /// error, info or debug, for the controllers' logs
+    /// Log level of the controllers: error, info or debug
     #[arg(long, default_value = "info")]
     pub log_level: String,
 }
 
 #[derive(Debug, Clone, Args)]
 pub struct Demo {
-    /// Keep the folder of the region
+    /// Keep the folder of the cluster
     #[arg(long)]
     pub keep: bool,
-    /// Tasks of the largest job
+    /// Number of tasks of the largest job
     #[arg(long, default_value_t = 120)]
     pub tasks: u32,
 }
@@ -387,7 +389,7 @@
     pub rest: Vec<OsString>,
 }
 
-/// Prints the completions for a shell.
+/// Prints the completion script for a shell.
 pub fn completions(shell: Shell) {
     clap_complete::generate(shell, &mut Cli::command(), "olivelatchctl", &mut io::stdout());
 }
--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -1,5 +1,6 @@
-//! `olivelatchctl config`: entries that operators change while the service runs. Every change is conditional on the version
-//! that was read, so that two operators do not overwrite each other.
+//! `olivelatchctl config`: entries of the configuration that operators change at run time. Every change is a
+//! compare-and-swap on the version that was read, so that two operators do not overwrite each other's
+//! changes.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -75,7 +76,11 @@
     };
     if !change.wait {
         print_value(common, &stored, || {
-            format!("{}\n{}", render::config_entry(&stored), "stored; --wait shows when it is in force")
+            format!(
+                "{}\n{}",
+                render::config_entry(&stored),
+                "stored; use --wait to wait until it is in force"
+            )
         })?;
         return Ok(ExitCode::SUCCESS);
     }
@@ -92,12 +97,12 @@
         .map_err(|_| CommandError::Usage(format!("--within: expected seconds, not {}", change.within)))
 }
 
-/// The entry was changed by someone else after it was read.
+/// Builds the error for an entry that someone else changed after it was read.
 fn conflict_error(entry: &str, body: &[u8]) -> CommandError {
     match serde_json::from_slice::<ConfigEntryView>(body) {
         Ok(current) => CommandError::Refused(format!(
-            "{entry} was changed meanwhile, by {}: it is at version {} with {}; look again and repeat the change",
-            current.changed_by.as_deref().unwrap_or("nobody known"),
+            "{entry} was changed meanwhile by {}: it is now at version {} with {}; read it again and repeat the change",
+            current.changed_by.as_deref().unwrap_or("an unknown operator"),
             current.version,
             render::team_value_text(current.configured)
         )),
@@ -112,22 +117,22 @@
     Write,
 }
 
-/// What became of a file in one region.
+/// The outcome of a file in the cluster of one context.
 struct ContextOutcome {
     context: String,
-    result: Result<RegionChanges, CommandError>,
+    result: Result<ClusterChanges, CommandError>,
 }
 
-/// The changes of a file in a region.
+/// The changes that a file makes in one cluster.
 #[derive(Default)]
-struct RegionChanges {
+struct ClusterChanges {
     lines: Vec<String>,
-    /// Changes that were not effective in time.
+    /// Number of changes that were not in force in time.
     pending: usize,
 }
 
-/// Applies a file in each context, or only shows what would change. A region that fails does not keep the file from the
-/// others.
+/// Applies a file in each context, or only shows what would change. A failure in one cluster does not affect
+/// the others.
 fn apply(
     common: &Common,
     path: &Path,
@@ -141,30 +146,32 @@
     let mut outcomes = Vec::new();
     for context in contexts {
         let result = connect_to(common, context)
-            .and_then(|mut client| apply_in_region(&mut client, &file, mode, change));
+            .and_then(|mut client| apply_in_cluster(&mut client, &file, mode, change));
         outcomes.push(ContextOutcome { context: context.unwrap_or("current").into(), result });
     }
     Ok(print_outcomes(outcomes))
 }
 
-/// Prints what became of the file in each region; the last failure decides on the exit code.
+/// Prints the outcome of the file in each cluster; the last failure determines the exit code.
 fn print_outcomes(outcomes: Vec<ContextOutcome>) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for ContextOutcome { context, result } in outcomes {
         match result {
-            Ok(region) => {
-                let changes = if region.lines.is_empty() {
+            Ok(changes) => {
+                let text = if changes.lines.is_empty() {
                     "nothing to change".into()
                 } else {
-                    region.lines.join("\n")
+                    changes.lines.join("\n")
                 };
-                println!("{context}:\n{changes}");
-                if region.pending > 0 {
+                println!("{context}:\n{text}");
+                if changes.pending > 0 {
                     code = ExitCode::from(WAIT_TIMEOUT);
                 }
             }
             Err(error) => {
-                println!("{context}: NOT CHANGED, what held there still holds: {error}");
+                println!(
+                    "{context}: NOT CHANGED, or not completely (`olivelatchctl config diff` shows the differences): {error}"
+                );
                 code = error.exit_code();
             }
         }
@@ -172,36 +179,36 @@
     code
 }
 
-fn apply_in_region(
+fn apply_in_cluster(
     client: &mut Client,
     file: &ConfigFile,
     mode: ApplyMode,
     change: &Change,
-) -> Result<RegionChanges, CommandError> {
+) -> Result<ClusterChanges, CommandError> {
     let list = client.config_list()?;
     let differences = file.differences(&list);
     if let Some(unknown) = differences.iter().find(|difference| difference.current.is_none()) {
-        return Err(CommandError::Refused(format!("{}: the region has no such team", unknown.entry)));
+        return Err(CommandError::Refused(format!("{}: the cluster has no such team", unknown.entry)));
     }
-    let mut region = RegionChanges::default();
+    let mut changes = ClusterChanges::default();
     let mut stored = Vec::new();
     let start = Instant::now();
     for difference in &differences {
-        region.lines.push(difference_line(difference));
+        changes.lines.push(difference_line(difference));
         if mode == ApplyMode::Write {
             stored.push(store_difference(client, difference, change)?);
         }
     }
     if !change.wait {
-        return Ok(region);
+        return Ok(changes);
     }
     let within = wait_timeout(change)?;
     for entry in stored {
         let view = client.config_wait(&entry.key, entry.version, within.saturating_sub(start.elapsed()))?;
-        region.lines.push(render::in_force_text(&view, start.elapsed().as_secs_f64()));
-        region.pending += usize::from(!view.is_effective);
+        changes.lines.push(render::in_force_text(&view, start.elapsed().as_secs_f64()));
+        changes.pending += usize::from(!view.is_effective);
     }
-    Ok(region)
+    Ok(changes)
 }
 
 fn store_difference(
--- a/crates/cli/src/commands/controllers.rs
+++ b/crates/cli/src/commands/controllers.rs
@@ -1,4 +1,4 @@
-//! Commands on the controllers as such: `top`, and `check`, which also checks job files.
+//! Commands about the controllers: `top`, and `check`, which also checks job files.
 
 use std::collections::BTreeMap;
 use std::io::IsTerminal;
@@ -18,7 +18,7 @@
 const TOP_INTERVAL: Duration = Duration::from_secs(2);
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// Shows the controllers again and again until the user interrupts it, or once.
+/// Shows the controllers once, or every [`TOP_INTERVAL`] until the user interrupts the program.
 pub(super) fn top(common: &Common, client: &Client, once: bool) -> Result<(), CommandError> {
     loop {
         let statuses = controller_statuses(client);
@@ -34,19 +34,21 @@
     }
 }
 
-/// Checks the files, then whether any controller responds.
+/// Checks the job files, then whether at least one controller responds.
 pub(super) fn check(common: &Common, client: &Client, files: &[PathBuf]) -> Result<(), CommandError> {
     for file in files {
         println!("{}", check_file(file)?);
     }
     let statuses = controller_statuses(client);
     let total = statuses.len();
-    let silent = statuses.iter().filter(|(_, status)| status.is_none()).count();
+    let unresponsive = statuses.iter().filter(|(_, status)| status.is_none()).count();
     let leaders = statuses.iter().filter_map(|(_, status)| status.as_ref()).filter(|status| status.is_leader);
     let leaders = leaders.count();
-    let value = json!({"controllers": total, "silent": silent, "leaders": leaders});
-    print_value(common, &value, || format!("{total} controllers, {silent} silent, {leaders} leading"))?;
-    if silent == total {
+    let value = json!({"controllers": total, "silent": unresponsive, "leaders": leaders});
+    print_value(common, &value, || {
+        format!("{total} controllers, {unresponsive} not responding, {leaders} leading")
+    })?;
+    if unresponsive == total {
         let addresses: Vec<String> = statuses.into_iter().map(|(addr, _)| addr).collect();
         return Err(CommandError::Client(ClientError::NoResponse {
             seconds: common.deadline,
@@ -59,5 +61,5 @@
 fn check_file(file: &Path) -> Result<String, CommandError> {
     let jobs = JobFile::load(file)?.prepare()?;
     let tasks: u64 = jobs.iter().filter_map(|job| job.spec["pieces"].as_u64()).sum();
-    Ok(format!("{}: fine, {} jobs with {tasks} tasks", file.display(), jobs.len()))
+    Ok(format!("{}: valid, {} jobs with {tasks} tasks", file.display(), jobs.len()))
 }
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl demo`: a region, a mixed batch, the leading controller killed in the middle, a table at the end.
+//! `olivelatchctl demo`: starts a local cluster, submits a mixed batch, kills the leader halfway and prints a summary.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -21,7 +21,7 @@
 const REQUEST_DEADLINE: Duration = Duration::from_secs(20);
 const STEP_TIMEOUT: Duration = Duration::from_secs(120);
 const STEP_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Tasks of the largest job.
+/// Allowed number of tasks of the largest job.
 const TASKS_RANGE: std::ops::RangeInclusive<u32> = 20..=5_000;
 const LIMITED_JOB: &str = "billing";
 
@@ -33,7 +33,7 @@
     ["sh", "-c", text].map(String::from).to_vec()
 }
 
-/// A wide array, a gang, a job held back by its team's limit, and one whose tasks fail the first time.
+/// Prepares a wide array, a gang, a job held back by its team's limit, and a job whose tasks fail at the first attempt.
 fn prepare_batch(folder: &Path, tasks: u32) -> Result<Vec<PreparedJob>, CommandError> {
     let entries = [
         ("ingest", wide_array(tasks)),
@@ -68,7 +68,7 @@
     }
 }
 
-/// More tasks than its team may run at once.
+/// A job with more tasks than its team may run at the same time.
 fn limited() -> JobEntry {
     JobEntry {
         tasks: 12,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Each task leaves a mark when it first runs, and fails unless it finds one.
+/// A job whose tasks fail at the first attempt: a task fails unless it finds the marker folder of an earlier attempt.
 fn flaky(folder: &Path) -> JobEntry {
     let marks = folder.join("marks").display().to_string();
     JobEntry {
@@ -88,7 +88,7 @@
         estimated_run_s: 0.1,
         env: BTreeMap::from([("MARKS".to_string(), marks)]),
         command: shell_command(
-            "mkdir -p $MARKS; if mkdir $MARKS/$OLIVELATCH_TASK 2>/dev/null; then echo first try fails; exit 1; fi; echo second try",
+            "mkdir -p $MARKS; if mkdir $MARKS/$OLIVELATCH_TASK 2>/dev/null; then echo first attempt fails; exit 1; fi; echo second attempt",
         ),
         ..JobEntry::default()
     }
@@ -99,16 +99,19 @@
     let end = Instant::now() + STEP_TIMEOUT;
     while !holds()? {
         if Instant::now() >= end {
-            return Err(other_error(format!("{what}: not within {} s", STEP_TIMEOUT.as_secs())));
+            return Err(other_error(format!(
+                "timed out after {} s waiting for {what}",
+                STEP_TIMEOUT.as_secs()
+            )));
         }
         std::thread::sleep(STEP_POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// A controller that leads.
+/// The controller that is the leader.
 struct Leader {
-    /// Its position among the controllers.
+    /// Index of the controller in the context.
     index: usize,
     status: ControllerStatus,
 }
@@ -120,29 +123,30 @@
         .find(|leader| leader.status.is_leader)
 }
 
-/// Runs the demonstration in a region of its own, whose folder is removed afterwards unless it is to be kept.
+/// Runs the demonstration in a new local cluster, whose folder is removed afterwards unless `--keep` is given.
 pub(super) fn demo(args: &Demo) -> Result<(), CommandError> {
     let folder = std::env::temp_dir().join(format!("latch-demo-{}", std::process::id()));
-    let region = LocalCluster::open(up::cluster_config(&region_args(&folder))?)?;
-    let context = up::context(region.addresses());
-    let stop_flag = region.stop_flag();
-    let region_thread = std::thread::spawn(move || region.run());
+    let cluster = LocalCluster::open(up::cluster_config(&cluster_args(&folder))?)?;
+    let context = up::context(cluster.addresses());
+    let stop_flag = cluster.stop_flag();
+    let cluster_thread = std::thread::spawn(move || cluster.run());
     let tasks = args.tasks.clamp(*TASKS_RANGE.start(), *TASKS_RANGE.end());
     let client = Client::new(context, REQUEST_DEADLINE);
-    let shown = Steps { start: Instant::now(), folder: &folder, client, stop_flag: &stop_flag }.run(tasks);
+    let outcome = Steps { start: Instant::now(), folder: &folder, client, stop_flag: &stop_flag }.run(tasks);
     stop_flag.store(true, Ordering::Relaxed);
-    let ended = region_thread.join().map_err(|_| other_error("the region stopped by a fault of its own"))?;
+    let cluster_result =
+        cluster_thread.join().map_err(|_| other_error("the thread of the local cluster panicked"))?;
     if args.keep {
-        println!("\nkept in {}", folder.display());
+        println!("\nthe folder of the cluster is kept: {}", folder.display());
     } else {
-        // What cannot be removed lies in the system's folder for temporary files.
+        // Errors are ignored: the folder is in the system's directory for temporary files.
         let _ = std::fs::remove_dir_all(&folder);
     }
-    shown?;
-    Ok(ended?)
+    outcome?;
+    Ok(cluster_result?)
 }
 
-fn region_args(folder: &Path) -> Up {
+fn cluster_args(folder: &Path) -> Up {
     Up {
         state: folder.to_path_buf(),
         controllers: 3,
@@ -161,18 +165,18 @@
     start: Instant,
     folder: &'a Path,
     client: Client,
-    /// Set when the user interrupts the region.
+    /// Set when the user interrupts the cluster.
     stop_flag: &'a AtomicBool,
 }
 
 impl Steps<'_> {
     fn run(mut self, tasks: u32) -> Result<(), CommandError> {
         self.print(&format!(
-            "a region with 3 controllers and up to 4 machines of 4 CPUs, in {}",
+            "local cluster with 3 controllers and up to 4 machines of 4 CPUs, in {}",
             self.folder.display()
         ));
         let leader = self.wait_for_leader()?;
-        self.print(&format!("{} leads; submitting four jobs", leader.status.controller));
+        self.print(&format!("{} is the leader; submitting four jobs", leader.status.controller));
         let jobs = prepare_batch(self.folder, tasks)?;
         for job in &jobs {
             submit_job(&mut self.client, job)?;
@@ -200,36 +204,36 @@
         find_leader(&self.client).ok_or_else(|| other_error("interrupted"))
     }
 
-    /// Waits until the team's limit is a reason why the job waits, and prints the explanation.
+    /// Waits until the explanation of the job names the team's limit, and prints it.
     fn explain_limit(&mut self, job: &str) -> Result<(), CommandError> {
         let mut explanation = None;
-        wait_until("an explanation", || {
+        wait_until("an explanation that names the team's limit", || {
             let latest = self.client.explain(job, None)?;
             let limited = latest.reasons.iter().any(|reason| render::reason_name(reason) == "team_limit");
             explanation = limited.then_some(latest);
             Ok(limited)
         })?;
         if let Some(explanation) = explanation {
-            self.print(&format!("why does {LIMITED_JOB} wait?\n{}", render::explanation(&explanation)));
+            self.print(&format!("why is {LIMITED_JOB} waiting?\n{}", render::explanation(&explanation)));
         }
         Ok(())
     }
 
     fn wait_for_a_third(&mut self, job: &str, tasks: u32) -> Result<(), CommandError> {
-        wait_until("a third of the tasks", || {
+        wait_until("the completion of a third of the tasks", || {
             let done = self.client.job_status(job)?.done.unwrap_or(tasks);
             Ok(done * 3 >= tasks)
         })
     }
 
-    /// Kills the leader, and waits until another controller, or the same one started again, has taken over.
+    /// Kills the leader, and waits until another controller, or the same one after its restart, is the leader.
     fn kill_leader(&mut self, leader: &Leader) -> Result<(), CommandError> {
         let name = &leader.status.controller;
         self.client.kill_controller(leader.index)?;
         let killed_at = Instant::now();
-        self.print(&format!("{name} killed in the middle of it"));
+        self.print(&format!("killed {name} while the jobs run"));
         let mut successor = None;
-        wait_until("another leader", || {
+        wait_until("a new leader", || {
             let since_kill_s = killed_at.elapsed().as_secs_f64();
             let is_new =
                 |status: &ControllerStatus| status.controller != *name || status.uptime_s < since_kill_s;
@@ -238,13 +242,16 @@
         })?;
         if let Some(successor) = successor {
             let took_s = killed_at.elapsed().as_secs_f64();
-            self.print(&format!("{} leads, {took_s:.1} s later", successor.status.controller));
+            self.print(&format!(
+                "{} is the leader, {took_s:.1} s after the kill",
+                successor.status.controller
+            ));
         }
         Ok(())
     }
 
     fn wait_for_all(&mut self, jobs: &[PreparedJob]) -> Result<(), CommandError> {
-        wait_until("the end of all jobs", || {
+        wait_until("the completion of all jobs", || {
             let mut all_done = true;
             for job in jobs {
                 all_done &= self.client.job_status(&job.id)?.status == "done";
@@ -254,19 +261,19 @@
     }
 }
 
-/// The runs by the workers' own log, which is independent of what the controllers report.
+/// Summarizes the workers' run log, which is independent of what the controllers report.
 fn summarize_run_log(folder: &Path) -> Result<String, CommandError> {
     let text =
         std::fs::read_to_string(folder.join("runs.jsonl")).map_err(|error| other_error(error.to_string()))?;
     let (mut starts, mut failed) = (0, 0);
-    let (mut done, mut repeated) = (BTreeSet::new(), 0);
+    let (mut done, mut starts_after_done) = (BTreeSet::new(), 0);
     for line in text.lines() {
         let Ok(value) = serde_json::from_str::<Value>(line) else { continue };
         let task = value["task"].as_str().unwrap_or("").to_string();
         match value["event"].as_str() {
             Some("start") => {
                 starts += 1;
-                repeated += u32::from(done.contains(&task));
+                starts_after_done += u32::from(done.contains(&task));
             }
             Some("exit") if value["done"] == true => {
                 done.insert(task);
@@ -276,7 +283,7 @@
         }
     }
     Ok(format!(
-        "by the workers' own record: {starts} starts, {} tasks done, {failed} failed tries, {repeated} started again after done",
+        "from the workers' run log: {starts} starts, {} tasks done, {failed} failed attempts, {starts_after_done} starts of tasks that were already done",
         done.len()
     ))
 }
--- a/crates/cli/src/commands/graphs.rs
+++ b/crates/cli/src/commands/graphs.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl graph`: runs of graphs.
+//! `olivelatchctl graph`: commands about runs of graphs.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,7 +16,7 @@
 use crate::output::{print_value, progress_bar};
 use crate::render;
 
-/// How often a rerun is tried: another client may change the run between our read and our write.
+/// How many times a rerun is attempted: another client may change the run between the read and the write.
 const MAX_RERUN_ATTEMPTS: usize = 3;
 
 pub(super) fn run(common: &Common, client: &mut Client, command: &Graph) -> Result<ExitCode, CommandError> {
@@ -70,17 +70,18 @@
     let dag = DagFile::load(file, vars)?;
     let run = dag.prepare(&path, None)?;
     Ok(format!(
-        "{path}: fine, graph {} with {} nodes in {} parts",
+        "{path}: valid, graph {} with {} nodes in {} parts",
         dag.graph,
         run.header.nodes,
         run.parts.len()
     ))
 }
 
-/// Uploads the descriptions first, so that workers know every job of the run; then the parts, and the commit.
+/// Uploads the descriptions first, so that workers have one for every job of the run, then uploads and
+/// commits the parts.
 fn submit(common: &Common, client: &mut Client, prepared: &PreparedRun) -> Result<(), CommandError> {
-    // A repeated submission ends here: its jobs got other ids the first time, so the commit would be refused.
-    match client.run_row(&prepared.run) {
+    // A repeated submission returns here: its jobs got other ids the first time, so the commit would be rejected.
+    match client.run_summary(&prepared.run) {
         Ok(row) => return print_run(common, &row),
         Err(error) if error.status() == Some(404) => {}
         Err(error) => return Err(error.into()),
@@ -104,18 +105,18 @@
     print_value(common, row, || format!("{}  {}  {} nodes", row.run, row.state.as_str(), row.nodes))
 }
 
-/// How a run is drawn.
+/// The format in which a run is shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PictureFormat {
     /// Text for people, or JSON with `--json`.
     Text,
-    /// For graphviz.
+    /// The DOT format of Graphviz.
     Dot,
     Svg,
 }
 
 impl PictureFormat {
-    /// From the flags, which exclude each other.
+    /// Selects the format from the flags, which exclude each other.
     fn of(dot: bool, svg: bool) -> PictureFormat {
         match (dot, svg) {
             (true, _) => PictureFormat::Dot,
@@ -134,7 +135,7 @@
         PictureFormat::Dot => view.render_dot(),
         PictureFormat::Svg => view.render_svg(),
     };
-    // Not through `anstream`: it goes into a file as it is.
+    // Not printed through `anstream`, which would strip escape sequences: the picture must stay unchanged.
     std::println!("{}", picture.map_err(|error| CommandError::Other(error.to_string()))?.trim_end());
     Ok(())
 }
@@ -152,7 +153,7 @@
     print_value(common, &json!({"runs": rows}), || render::runs_table(&rows))
 }
 
-/// Positions of the nodes that did not succeed.
+/// Returns the indices of the nodes that failed or were cancelled, also because of an upstream failure.
 fn unsuccessful_nodes(detail: &DagRunDetail) -> Vec<u32> {
     let unsuccessful = |state: DagNodeState| {
         matches!(state, DagNodeState::Failed | DagNodeState::UpstreamFailed | DagNodeState::Cancelled)
@@ -161,7 +162,7 @@
     nodes.map(|(index, _)| index as u32).collect()
 }
 
-/// Positions of the named nodes.
+/// Returns the indices of the named nodes.
 fn nodes_by_name(run: &str, detail: &DagRunDetail, names: &[String]) -> Result<Vec<u32>, CommandError> {
     let find = |name: &String| {
         let index = detail.nodes.iter().position(|node| node.name == *name);
@@ -172,8 +173,8 @@
     names.iter().map(find).collect()
 }
 
-/// Runs the selected nodes and all nodes downstream of them again, as new jobs. The selection is made on the run as it is
-/// at each attempt.
+/// Runs the selected nodes and all nodes downstream of them again, as new jobs. Each attempt reads the run
+/// and selects the nodes anew.
 fn rerun(
     common: &Common,
     client: &mut Client,
@@ -185,7 +186,7 @@
         let nodes = select_nodes(&detail)?;
         if nodes.is_empty() {
             return Err(CommandError::Other(format!(
-                "{run}: nothing to be done over, it is {}",
+                "{run}: no nodes to run again; the run is {}",
                 detail.summary.state.as_str()
             )));
         }
@@ -206,11 +207,11 @@
 
 fn print_rerun(common: &Common, run: &str, nodes: usize) -> Result<(), CommandError> {
     print_value(common, &json!({"run": run, "nodes": nodes}), || {
-        format!("{run}  {nodes} {} done over", if nodes == 1 { "node is" } else { "nodes are" })
+        format!("{run}  running {nodes} {} again", if nodes == 1 { "node" } else { "nodes" })
     })
 }
 
-/// Polls the run until it is over. `timeout_s`: in seconds.
+/// Polls the run until it is in a terminal state or the timeout, in seconds, has passed.
 fn wait_for_run(
     common: &Common,
     client: &mut Client,
@@ -220,7 +221,7 @@
     let deadline = WaitDeadline::after(timeout_s);
     let mut progress = None;
     loop {
-        match client.run_row(run) {
+        match client.run_summary(run) {
             Ok(row) => {
                 let progress = progress.get_or_insert_with(|| progress_bar(common, row.nodes as usize, run));
                 progress.set_position(started_nodes(&row));
@@ -231,19 +232,19 @@
                     return Ok(if successful { ExitCode::SUCCESS } else { ExitCode::from(NOT_SUCCESSFUL) });
                 }
             }
-            // No controller can answer at the moment, which says nothing of the run.
+            // No controller can respond at the moment; the state of the run is unknown.
             Err(error) if error.is_unavailable() => {}
             Err(error) => return Err(error.into()),
         }
         if deadline.has_passed() {
-            eprintln!("olivelatchctl: not over in time: {run}");
+            eprintln!("olivelatchctl: not finished within the timeout: {run}");
             return Ok(ExitCode::from(WAIT_TIMEOUT));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Nodes that wait no longer.
+/// Counts the nodes that are no longer waiting.
 fn started_nodes(row: &DagRunSummary) -> u64 {
     let waiting = |state: &str| ["waiting", "ready"].contains(&state);
     let started = row.node_states.iter().filter(|(state, _)| !waiting(state));
--- a/crates/cli/src/commands/jobs.rs
+++ b/crates/cli/src/commands/jobs.rs
@@ -1,4 +1,4 @@
-//! Commands on single jobs: show, explain, cancel, events and logs.
+//! Commands about single jobs: `show`, `explain`, `cancel`, `events` and `logs`.
 
 use anstream::println;
 use olivelatch_client::Client;
@@ -9,7 +9,7 @@
 use crate::output::print_value;
 use crate::render;
 
-/// Tasks in one response, as the controllers limit them.
+/// The largest number of tasks that controllers return in one response.
 const MAX_TASKS_SHOWN: usize = 500;
 
 pub(super) fn show(common: &Common, client: &mut Client, id: &str, tasks: usize) -> Result<(), CommandError> {
@@ -45,7 +45,7 @@
 pub(super) fn logs(client: &Client, id: &str, task: u32) -> Result<(), CommandError> {
     let logs = client.logs(id, task)?;
     for attempt in &logs.attempts {
-        let truncated = if attempt.truncated { " (its end)" } else { "" };
+        let truncated = if attempt.truncated { " (truncated to its end)" } else { "" };
         println!("--- {} attempt {}{truncated}\n{}", logs.task, attempt.attempt, attempt.text.trim_end());
     }
     Ok(())
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl list`: jobs, page by page.
+//! `olivelatchctl list`: fetches jobs page by page and prints them.
 
 use olivelatch::protocol::operators::JobSummary;
 use olivelatch_client::{Client, ClientError};
@@ -11,15 +11,16 @@
 
 const PAGE_SIZE: usize = 200;
 
-/// What was fetched before the last page, the limit or an error.
+/// The jobs that were fetched until the last page, the limit or an error.
 struct FetchedJobs {
     rows: Vec<JobSummary>,
     more_follow: bool,
-    /// The error that ended the list early.
+    /// The error that stopped the list early.
     error: Option<ClientError>,
 }
 
-/// Prints the jobs. A list that an error cuts short is printed as far as it goes, and reported as partial.
+/// Prints the jobs. If an error stops the list early, the jobs fetched so far are printed and the list is reported as
+/// incomplete.
 pub(super) fn list(common: &Common, client: &mut Client, args: &List) -> Result<(), CommandError> {
     let FetchedJobs { mut rows, more_follow, error } = fetch_jobs(client, args)?;
     let truncated = more_follow || rows.len() > args.most;
@@ -30,10 +31,10 @@
         render::jobs_table(&rows)
     })?;
     if let Some(error) = error {
-        return Err(CommandError::Other(format!("the list is partial: {error}")));
+        return Err(CommandError::Other(format!("the list is incomplete: {error}")));
     }
     if let Some(after) = after.filter(|_| !common.json) {
-        eprintln!("olivelatchctl: more jobs follow: --after {after}");
+        eprintln!("olivelatchctl: more jobs follow; continue with --after {after}");
     }
     Ok(())
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: one module for each group of them, and the dispatch.
+//! The commands, with one module for each group of them, and their dispatch.
 
 mod config;
 mod controllers;
@@ -17,7 +17,7 @@
 use crate::connection::connect;
 use crate::exit::CommandError;
 
-/// Carries out the command.
+/// Runs the command and returns its exit code.
 pub fn run(cli: Cli) -> Result<ExitCode, CommandError> {
     let common = &cli.common;
     match cli.command {
@@ -39,7 +39,7 @@
         Command::Up(args) => up::run_up(&args)?,
         Command::Demo(args) => demo::demo(&args)?,
         Command::Scale(command) => return scale::run(command),
-        // Carried out by `main`, as its exit codes are others.
+        // `main` runs this command, as it has different exit codes.
         Command::Controller(_) => {}
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/commands/scale.rs
+++ b/crates/cli/src/commands/scale.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl scale`: a control plane of the planned size on this machine, and the processes that a run starts.
+//! `olivelatchctl scale`: scale tests on this machine, and the processes that a scale test starts.
 
 use std::process::ExitCode;
 
@@ -8,10 +8,10 @@
 use crate::args::Scale;
 use crate::exit::{CommandError, own_program};
 
-/// The JSON that a run passes to a process that it starts.
+/// Parses the JSON that a scale test passes to the processes that it starts.
 fn parse_arguments<T: DeserializeOwned>(text: &str) -> Result<T, CommandError> {
     serde_json::from_str(text)
-        .map_err(|error| CommandError::Usage(format!("arguments of a scale run: {error}")))
+        .map_err(|error| CommandError::Usage(format!("invalid arguments of a scale test process: {error}")))
 }
 
 pub(super) fn run(command: Scale) -> Result<ExitCode, CommandError> {
@@ -23,7 +23,7 @@
         Scale::Check { plan } => {
             let checked = Plan::load(&plan).map_err(ScaleError::from)?;
             println!(
-                "{} is fine: {} controllers, {} workers at most, {} teams, {} processes, {:.0} s of load",
+                "{}: valid, {} controllers, up to {} workers, {} teams, {} processes, {:.0} s of load",
                 plan.display(),
                 checked.controllers,
                 checked.max_workers(),
--- a/crates/cli/src/commands/submit.rs
+++ b/crates/cli/src/commands/submit.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl submit`: jobs from files, or one from the flags.
+//! `olivelatchctl submit`: submits jobs from files, or one job from the flags.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -17,7 +17,7 @@
     let mut ids = Vec::new();
     for job in &jobs {
         let status = submit_job(client, job).inspect_err(|error| {
-            // The jobs before this one are accepted and stay so: the user must know where it stopped.
+            // The jobs before this one stay accepted, so the user must learn at which job the submission stopped.
             eprintln!("olivelatchctl: {} ({}) was not accepted: {error}", job.name, job.id);
         })?;
         progress.inc(1);
@@ -32,8 +32,8 @@
     if args.wait { wait(common, client, &ids, None) } else { Ok(ExitCode::SUCCESS) }
 }
 
-/// Uploads the description, then submits, so that workers never meet a job they know nothing of. Both requests are
-/// idempotent. Returns the job's status.
+/// Uploads the description, then submits the job, so that workers never get a job without a description. Both requests
+/// are idempotent. Returns the job's status.
 pub(super) fn submit_job(client: &mut Client, job: &PreparedJob) -> Result<String, ClientError> {
     if let Some(description) = &job.description {
         client.upload_description(&job.id, description)?;
@@ -41,7 +41,7 @@
     Ok(client.submit(&job.spec)?.status)
 }
 
-/// All files are read and checked before the first job is sent.
+/// Reads and checks all files, before the first job is sent.
 fn prepare_jobs(args: &Submit) -> Result<Vec<PreparedJob>, CommandError> {
     if args.files.is_empty() {
         if args.command.is_empty() {
--- a/crates/cli/src/commands/up.rs
+++ b/crates/cli/src/commands/up.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl up`: a region on this machine, until it is interrupted.
+//! `olivelatchctl up`: runs a local cluster on this machine until it is interrupted.
 
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use crate::args::Up;
 use crate::exit::{CommandError, own_program};
 
-/// The controllers' tunables unless a file is given.
+/// The controllers' tunables if no file is given.
 const DEFAULT_TUNABLES: &str = "\
 leader_life_s = 2
 idle_s        = 300
@@ -31,7 +31,7 @@
 }
 ";
 
-/// CPUs of a team's share, at most.
+/// Maximum number of CPUs in a team's guarantee or limit.
 const MAX_TEAM_CPUS: f64 = 1e6;
 const CONTROLLERS_RANGE: RangeInclusive<usize> = 1..=9;
 const MACHINES_RANGE: RangeInclusive<usize> = 1..=200;
@@ -40,9 +40,10 @@
     CommandError::Usage(text)
 }
 
-/// A team's name, and the CPUs that it is guaranteed and limited to.
+/// Parses a team's name, its guaranteed CPUs and its CPU limit.
 fn parse_team(text: &str) -> Result<(String, f64, f64), CommandError> {
-    let invalid = || usage_error(format!("--team: expected NAME=CPUS:MOST like office=2:4, not {text:?}"));
+    let invalid =
+        || usage_error(format!("--team: expected NAME=CPUS:MOST, such as office=2:4, not {text:?}"));
     let (name, shares) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(invalid)?;
     let (guaranteed, limit) = shares.split_once(':').ok_or_else(invalid)?;
     let number = |text: &str| {
@@ -52,7 +53,7 @@
     Ok((name.into(), number(guaranteed)?, number(limit)?))
 }
 
-/// The controllers' program: olivelatchctl itself, unless another is named.
+/// Returns how the controllers are started: by olivelatchctl itself unless a program is named, with checked tunables.
 fn controller_plan(args: &Up) -> Result<ControllerPlan, CommandError> {
     let tunables = match &args.tunables {
         Some(path) => std::fs::read_to_string(path)
@@ -68,13 +69,15 @@
     Ok(ControllerPlan { program, arguments, tunables, log_level: args.log_level.clone() })
 }
 
-/// The region that the flags describe, or which of them is wrong.
+/// Builds the configuration of the local cluster from the flags, or names the flag that is invalid.
 pub(super) fn cluster_config(args: &Up) -> Result<ClusterConfig, CommandError> {
     if !CONTROLLERS_RANGE.contains(&args.controllers) || !MACHINES_RANGE.contains(&args.machines) {
-        return Err(usage_error("expected 1 to 9 controllers and 1 to 200 machines".into()));
+        return Err(usage_error(
+            "--controllers, --machines: expected 1 to 9 controllers and 1 to 200 machines".into(),
+        ));
     }
     if !(args.cpus > 0.0 && args.memory_gb > 0.0) {
-        return Err(usage_error("expected CPUs and memory of a machine above 0".into()));
+        return Err(usage_error("--cpus, --memory-gb: expected values above 0".into()));
     }
     let machine_type = MachineTypeSpec {
         name: "local".into(),
@@ -98,12 +101,12 @@
     })
 }
 
-/// The context of a region with these addresses.
+/// Returns the context of a local cluster with these addresses.
 pub(super) fn context(addresses: &ClusterAddresses) -> Context {
     Context { controllers: addresses.controllers.clone(), job_store: Some(addresses.job_store) }
 }
 
-/// Writes the contexts file by which clients find the region.
+/// Writes the contexts file, by which clients find the cluster, and returns its path.
 fn write_contexts(folder: &Path, addresses: &ClusterAddresses) -> Result<PathBuf, CommandError> {
     let path = folder.join("contexts.hcl");
     std::fs::write(&path, Contexts::to_hcl("local", &context(addresses)))
@@ -111,22 +114,22 @@
     Ok(path)
 }
 
-/// Runs a region until it is interrupted.
+/// Runs a local cluster until it is interrupted.
 pub(super) fn run_up(args: &Up) -> Result<(), CommandError> {
     let config = cluster_config(args)?;
     let folder = config.folder.clone();
-    let region = LocalCluster::open(config)?;
-    let contexts = write_contexts(&folder, region.addresses())?;
-    println!("region in {}; logs and outputs are there too", folder.display());
-    println!("controllers: {}", join_addresses(&region.addresses().controllers));
+    let cluster = LocalCluster::open(config)?;
+    let contexts = write_contexts(&folder, cluster.addresses())?;
+    println!("local cluster in {}, with its logs and outputs", folder.display());
+    println!("controllers: {}", join_addresses(&cluster.addresses().controllers));
     println!(
-        "CPU and memory are accounted, not enforced. Ctrl-C ends all that was started; the same command goes on."
+        "CPU and memory are accounted, not enforced. Ctrl-C stops all processes; the same command resumes the cluster."
     );
     if !contexts.ends_with(".latch/contexts.hcl") {
         println!("export LATCH_CONTEXTS={}", contexts.display());
     }
-    region.run()?;
-    println!("ended");
+    cluster.run()?;
+    println!("stopped");
     Ok(())
 }
 
--- a/crates/cli/src/commands/wait.rs
+++ b/crates/cli/src/commands/wait.rs
@@ -1,4 +1,4 @@
-//! `olivelatchctl wait`: until jobs are in a terminal state, or the timeout is over.
+//! `olivelatchctl wait`: waits until jobs are in a terminal state or the timeout has passed.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 use crate::output::{print_value, progress_bar};
 
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Longer timeouts are cut to this, as an `Instant` cannot hold any duration.
+/// Longer timeouts are reduced to this, as adding a very long duration to an `Instant` overflows.
 const MAX_TIMEOUT_S: f64 = 1e9;
 
-/// Statuses of jobs in a terminal state, as they are on the wire.
+/// The statuses of jobs in a terminal state, as on the wire.
 const DONE: &str = "done";
 const CANCELLED: &str = "withdrawn";
 
-/// When a wait gives up; without a timeout it never does.
+/// The time at which a wait gives up; `None` if it has no timeout.
 pub(super) struct WaitDeadline(Option<Instant>);
 
 impl WaitDeadline {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Polls the jobs until all are finished. `timeout_s`: in seconds.
+/// Polls the jobs until all are in a terminal state or the timeout, in seconds, has passed.
 pub(super) fn wait(
     common: &Common,
     client: &mut Client,
@@ -64,7 +64,7 @@
         if deadline.has_passed() {
             progress.finish_and_clear();
             let ids: Vec<&str> = unfinished.iter().map(|id| id.as_str()).collect();
-            eprintln!("olivelatchctl: not over in time: {}", ids.join(", "));
+            eprintln!("olivelatchctl: not finished within the timeout: {}", ids.join(", "));
             return Ok(ExitCode::from(WAIT_TIMEOUT));
         }
         std::thread::sleep(POLL_INTERVAL);
@@ -73,7 +73,7 @@
     Ok(if any_cancelled { ExitCode::from(NOT_SUCCESSFUL) } else { ExitCode::SUCCESS })
 }
 
-/// The job's status if it is terminal. While no controller can answer, the job counts as unfinished.
+/// Returns the job's status if it is terminal. While no controller can respond, the job counts as unfinished.
 fn terminal_state(client: &mut Client, id: &str) -> Result<Option<String>, ClientError> {
     match client.job_status(id) {
         Ok(job) => Ok(Some(job.status).filter(|status| [DONE, CANCELLED].contains(&status.as_str()))),
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! How a command fails: the error, its text for the user, and the exit codes that `olivelatchctl --help` documents.
+//! Errors of commands, their texts for the user, and the exit codes that `olivelatchctl --help` documents.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,25 +8,25 @@
 use olivelatch_local_cluster::LocalClusterError;
 use olivelatch_scale_test::ScaleError;
 
-/// Something was not found, or another failure.
+/// Something was not found, or the command failed in a way that has no other code.
 const OTHER_FAILURE: u8 = 1;
-/// Wrong arguments or files; clap uses the same code.
+/// Invalid arguments or files; clap uses the same code.
 const USAGE: u8 = 2;
 const NO_RESPONSE: u8 = 3;
 const REFUSED: u8 = 4;
 /// `wait`: a job was cancelled, or a run did not succeed.
 pub const NOT_SUCCESSFUL: u8 = 5;
-/// `wait`: the timeout passed first.
+/// `wait`: the timeout passed first. Also `config --wait`: the change is not in force in time.
 pub const WAIT_TIMEOUT: u8 = 6;
 
-/// Why a command failed. Its `Display` is what the user reads.
+/// Why a command failed. `Display` gives the message for the user.
 #[derive(Debug)]
 pub enum CommandError {
-    /// Wrong arguments or files.
+    /// Arguments or files are invalid.
     Usage(String),
     Client(ClientError),
     LocalCluster(LocalClusterError),
-    /// The request is invalid, or conflicts with the present state.
+    /// The request is invalid, or conflicts with the current state.
     Refused(String),
     Other(String),
 }
@@ -44,7 +44,7 @@
 }
 
 impl CommandError {
-    /// The exit code of a command that failed so.
+    /// Returns the exit code for the error.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Usage(_) => USAGE,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Errors in files that the user wrote are usage errors.
+/// Converts errors in files that the user wrote into usage errors.
 macro_rules! usage_error_from {
     ($($error:ty),+) => {
         $(impl From<$error> for CommandError {
@@ -97,8 +97,9 @@
     }
 }
 
-/// The path of this program, which starts itself for the processes of a region or of a scale run.
+/// Returns the path of this program, which is also started for the processes of a local cluster or a scale test.
 pub fn own_program() -> Result<PathBuf, CommandError> {
-    std::env::current_exe()
-        .map_err(|error| CommandError::Other(format!("finding olivelatchctl itself: {error}")))
+    std::env::current_exe().map_err(|error| {
+        CommandError::Other(format!("cannot find the path of the running olivelatchctl program: {error}"))
+    })
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,8 @@
 //! `olivelatchctl`: the command line of olivelatch.
 //!
-//! A thin assembly: `olivelatch-client` sends the requests, `olivelatch-local-cluster` runs a region on one machine,
-//! `olivelatch` is the controller that it starts. What is here is arguments, output for people and programs, and exit codes.
+//! This crate defines the arguments, the output for people and programs, and the exit codes.
+//! `olivelatch-client` sends the requests, `olivelatch-local-cluster` runs a local cluster, and `olivelatch`
+//! is the controller that the cluster starts.
 
 #![warn(missing_docs)]
 
@@ -20,7 +21,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // The controller has exit codes of its own.
+    // The controller returns its own exit codes.
     if let Command::Controller(args) = cli.command {
         return olivelatch::cli::run(std::iter::once("olivelatch".into()).chain(args.rest));
     }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! How commands print: JSON for programs or text for people, and progress bars on a terminal.
+//! Output of commands: JSON for programs or text for people, and progress bars on a terminal.
 
 use std::io::IsTerminal;
 
@@ -9,7 +9,7 @@
 use crate::args::Common;
 use crate::exit::CommandError;
 
-/// Prints one value: as a line of JSON with `--json`, else as the text, which is only made if it is needed.
+/// Prints one value: as a line of JSON with `--json`, otherwise as text, which is only rendered in that case.
 pub fn print_value(
     common: &Common,
     value: &impl Serialize,
@@ -23,7 +23,8 @@
     Ok(())
 }
 
-/// A progress bar on standard error; hidden for programs, for a single step and off a terminal.
+/// Returns a progress bar on standard error. It is hidden with `--json`, for less than two steps, and if
+/// standard error is not a terminal.
 pub fn progress_bar(common: &Common, length: usize, label: &str) -> ProgressBar {
     if common.json || length < 2 || !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
--- a/crates/cli/src/render/config.rs
+++ b/crates/cli/src/render/config.rs
@@ -1,10 +1,10 @@
-//! Entries of the configuration: what is set, what is effective, and what a change still waits for.
+//! Renders entries of the configuration: configured and effective values, and what a change still waits for.
 
 use olivelatch::protocol::config::{ConfigEntryView, TeamQuota};
 
 use super::{new_table, value_or_dash};
 
-/// The value that an entry sets.
+/// Renders the value that an entry sets.
 pub fn team_value_text(value: TeamQuota) -> String {
     match value {
         TeamQuota { limit_cpus: None, guaranteed_cpus: None } => "the platform's settings".into(),
@@ -14,22 +14,23 @@
     }
 }
 
-/// Whether a change is effective, or which controller it still waits for, and why; `seconds` since the change was sent.
+/// Renders whether a change is in force, or which controller it still waits for and why. `seconds` is the
+/// time since the change was sent.
 pub fn in_force_text(view: &ConfigEntryView, seconds: f64) -> String {
     match &view.pending_on {
         None => format!("{} version {}: in force after {seconds:.3} s", view.key, view.version),
         Some(pending) => format!(
-            "{} version {}: NOT in force after {seconds:.3} s: {} {}, for {:.1} s",
+            "{} version {}: NOT in force after {seconds:.3} s: {} {} (for {:.1} s so far)",
             view.key,
             view.version,
-            pending.controller.as_deref().unwrap_or("nobody known"),
+            pending.controller.as_deref().unwrap_or("an unknown controller"),
             pending.cause.description(),
             pending.since_s
         ),
     }
 }
 
-/// The list of entries, one a line.
+/// Renders a list of entries, one per line.
 pub fn config_table(entries: &[ConfigEntryView]) -> String {
     let mut table = new_table(&[
         "entry",
@@ -62,12 +63,12 @@
     table.to_string()
 }
 
-/// One entry, in full.
+/// Renders all values of one entry.
 pub fn config_entry(entry: &ConfigEntryView) -> String {
     let mut lines = vec![
         format!("{} version {}: {}", entry.key, entry.version, team_value_text(entry.configured)),
         format!(
-            "holds: limit {} CPUs, guaranteed {}",
+            "effective: limit {} CPUs, guaranteed {}",
             value_or_dash(entry.effective.limit_cpus),
             value_or_dash(entry.effective.guaranteed_cpus)
         ),
@@ -79,12 +80,12 @@
         format!("used: {} CPUs, {} above the limit", entry.used_cpus, entry.cpus_over_limit),
     ];
     if let (Some(by), Some(why)) = (&entry.changed_by, &entry.reason) {
-        lines.push(format!("by {by}: {}", if why.is_empty() { "(no reason given)" } else { why }));
+        lines.push(format!("changed by {by}: {}", if why.is_empty() { "(no reason given)" } else { why }));
     }
     match &entry.pending_on {
         None => lines.push("in force".into()),
         Some(pending) => {
-            let controller = pending.controller.as_deref().unwrap_or("nobody known");
+            let controller = pending.controller.as_deref().unwrap_or("an unknown controller");
             lines.push(format!("not in force: {controller} {}", pending.cause.description()));
         }
     }
--- a/crates/cli/src/render/controllers.rs
+++ b/crates/cli/src/render/controllers.rs
@@ -1,10 +1,10 @@
-//! The controllers, and what their leader knows of queues, machines and teams.
+//! Renders the status of the controllers, and the leader's view of queues, machines and teams.
 
 use olivelatch::protocol::operators::{ControllerStatus, LeaderStatus};
 
 use super::{MS_PER_SECOND, duration_text, new_table, value_or_dash, value_or_unknown};
 
-/// Each controller by its address, `None` where it does not respond; below them the leader's figures.
+/// Renders one line per controller, where the status is `None` if it does not respond, and the leader's figures below.
 pub fn controllers_table(statuses: &[(String, Option<ControllerStatus>)]) -> String {
     let mut table = new_table(&["CONTROLLER", "NODE", "STATE", "LIVE", "ENDED", "REVISION", "BEHIND", "UP"]);
     for (addr, status) in statuses {
@@ -14,7 +14,8 @@
         };
     }
     let leader_status = statuses.iter().find_map(|(_, status)| status.as_ref()?.leader_status.as_ref());
-    let details = leader_status.map_or("nobody leads: queues and machines are unknown".into(), leader_text);
+    let details =
+        leader_status.map_or("no leader responded: queues and machines are unknown".into(), leader_text);
     format!("{table}\n{details}")
 }
 
@@ -45,7 +46,7 @@
     let mut lines = vec![
         String::new(),
         format!(
-            "machines {} up, {} booting, {} silent; CPUs {:.1} of {:.1} used; {} tasks on machines",
+            "machines: {} up, {} booting, {} unreachable; CPUs: {:.1} of {:.1} used; {} tasks on machines",
             status.machines_up,
             status.machines_booting,
             status.machines_unreachable,
@@ -54,11 +55,11 @@
             status.tasks_placed
         ),
         format!(
-            "waiting: {} shared, {} dedicated, {} that no machine may take, {} gangs",
+            "waiting: {} tasks in shared queues, {} in dedicated queues, {} that no present machine may take; {} gangs and services",
             status.queued_shared, status.queued_dedicated, status.queued_backlog, status.gangs_waiting
         ),
         format!(
-            "since this takeover: {} starts, {} steals of {} tasks, {} spilled, {} stopped for others, {} machines lost",
+            "since the leader took over: {} tasks bound, {} steals of {} tasks, {} tasks spilled, {} preempted, {} machines lost",
             status.tasks_bound,
             status.steals,
             status.stolen_tasks,
--- a/crates/cli/src/render/events.rs
+++ b/crates/cli/src/render/events.rs
@@ -1,19 +1,22 @@
-//! The leader's last decisions on a job.
+//! Renders the leader's most recent decisions about a job.
 
 use olivelatch::protocol::operators::{JobEventKind, JobEventList};
 
 use super::{duration_text, new_table, now_ms, value_or_dash};
 
-/// The event's name on the wire, which is also the name that the documentation uses.
+/// Returns the event's name on the wire, which is also the name in the documentation.
 fn event_name(event: JobEventKind) -> String {
     serde_json::to_value(event).ok().and_then(|name| name.as_str().map(String::from)).unwrap_or_default()
 }
 
-/// The events of a job, oldest first as they come.
+/// Renders the events of a job in the order of the response, which is oldest first.
 pub fn events_table(list: &JobEventList) -> String {
     let mut table = new_table(&["AGO", "EVENT", "TASKS", "FIRST", "MACHINE"]);
     if list.truncated {
-        table.add_row(vec!["", "(earlier events are unknown: another node led, or they were too many)"]);
+        table.add_row(vec![
+            "",
+            "(earlier events are missing: another controller was the leader, or they were dropped)",
+        ]);
     }
     for event in &list.events {
         table.add_row(vec![
--- a/crates/cli/src/render/explanation.rs
+++ b/crates/cli/src/render/explanation.rs
@@ -1,4 +1,4 @@
-//! Why a job, or one of its tasks, is in its present state.
+//! Renders why a job, or one of its tasks, is in its current state.
 
 use anstyle::AnsiColor;
 use olivelatch::protocol::operators::{Explanation, JobPhase};
@@ -6,7 +6,7 @@
 use super::reasons::{reason_detail, reason_name, reason_remedy};
 use super::{paint, value_or_unknown};
 
-/// The state, then each reason with its figures and what would change it.
+/// Renders the state, and each reason with its figures and what would change it.
 pub fn explanation(explanation: &Explanation) -> String {
     let state = explanation.state.map_or("?", JobPhase::as_str);
     let task = explanation.task.map_or(String::new(), |task| format!(", task {task}"));
--- a/crates/cli/src/render/jobs.rs
+++ b/crates/cli/src/render/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: the list, and one job with its tasks.
+//! Renders lists of jobs, and one job with its tasks.
 
 use anstyle::AnsiColor;
 use comfy_table::{Cell, CellAlignment};
@@ -21,7 +21,7 @@
     paint(state.as_str(), state_colour(state))
 }
 
-/// The list of jobs, one a line.
+/// Renders a list of jobs, one per line.
 pub fn jobs_table(rows: &[JobSummary]) -> String {
     let mut table = new_table(&["JOB", "STATE", "TEAM", "CLASS", "DONE", "RUNNING", "ACCEPTED", "TOOK"]);
     for row in rows {
@@ -40,7 +40,7 @@
     colour_states(&table.to_string())
 }
 
-/// From acceptance to the terminal state; `-` while the job is not finished.
+/// Renders the time from acceptance to the terminal state; `-` while the job is not finished.
 fn turnaround_text(row: &JobSummary) -> String {
     if !row.state.is_terminal() {
         return "-".into();
@@ -50,7 +50,7 @@
     value_or_unknown(turnaround_ms.map(duration_text))
 }
 
-/// Paints the states in a laid-out table: colour codes in a cell would count towards the width of its column.
+/// Colours the states after the table is laid out, as colour codes in a cell would widen its column.
 fn colour_states(text: &str) -> String {
     let colour_line = |line: &str| {
         let word = line.split_whitespace().nth(1);
@@ -62,20 +62,21 @@
     text.lines().map(colour_line).collect::<Vec<_>>().join("\n")
 }
 
-/// One job: its counts, its times, what a task requests, and its tasks.
+/// Renders one job: its task counts, its times, the resources per task, and its unfinished tasks.
 pub fn job_detail(detail: &JobDetail) -> String {
     let mut lines = summary_lines(&detail.summary);
     lines.extend(request_line(detail));
     if detail.source == AnswerSource::Store && !detail.summary.state.is_terminal() {
         lines.push(
-            "told from the records, as no leader answers: what tasks do on their machines is unknown".into(),
+            "from the stored records, as no leader responds: the state of tasks on their machines is unknown"
+                .into(),
         );
     }
     if !detail.tasks.is_empty() {
         lines.push(tasks_table(detail));
     }
     if let Some(next) = detail.next {
-        lines.push(format!("more tasks follow after {next}"));
+        lines.push(format!("more tasks follow after task {next}"));
     }
     lines.join("\n")
 }
@@ -83,10 +84,10 @@
 fn summary_lines(row: &JobSummary) -> Vec<String> {
     let finished = row
         .finished_ms
-        .map_or(String::new(), |finished_ms| format!(", ended {}", age_text(Some(finished_ms))));
+        .map_or(String::new(), |finished_ms| format!(", finished {}", age_text(Some(finished_ms))));
     let first_start = row
         .first_start_ms
-        .map_or("at an unknown time or not yet".into(), |first_start_ms| age_text(Some(first_start_ms)));
+        .map_or("at an unknown time, or not yet".into(), |first_start_ms| age_text(Some(first_start_ms)));
     vec![
         format!("{}  {}", row.id, painted_state(row.state)),
         format!(
@@ -97,7 +98,7 @@
             value_or_unknown(row.tasks),
             value_or_unknown(row.running)
         ),
-        format!("accepted {}, first task ran {first_start}{finished}", age_text(row.accepted_ms)),
+        format!("accepted {}, first task started {first_start}{finished}", age_text(row.accepted_ms)),
     ]
 }
 
--- a/crates/cli/src/render/mod.rs
+++ b/crates/cli/src/render/mod.rs
@@ -1,7 +1,7 @@
-//! Tables and texts for people: pure functions from a response to what is printed, with one module for each kind of view.
+//! Renders responses as tables and texts for people, with one module for each kind of view.
 //!
-//! Colours only reach a terminal (`anstream` strips them elsewhere). Nothing here sends a request or keeps state; the wall
-//! clock is read only to turn a time stamp into an age.
+//! The functions send no requests and keep no state; they read the wall clock only to turn a time stamp into
+//! an age. Colours reach only terminals, as `anstream` strips them from other output.
 
 mod config;
 mod controllers;
@@ -40,12 +40,12 @@
     format!("{style}{text}{style:#}")
 }
 
-/// An unknown value is shown as `?`, never as 0 or as an empty field.
+/// Renders a value, or `?` if it is unknown: an unknown value is never shown as 0 or as an empty field.
 fn value_or_unknown<T: ToString>(value: Option<T>) -> String {
     value.map_or("?".into(), |value| value.to_string())
 }
 
-/// A value that does not apply is shown as `-`.
+/// Renders a value, or `-` if it does not apply.
 fn value_or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or("-".into(), |value| value.to_string())
 }
@@ -54,7 +54,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A duration rounded to the unit that a person would use.
+/// Renders a duration, rounded to a unit that suits its length.
 fn duration_text(ms: u64) -> String {
     const TEN_SECONDS: u64 = 10 * MS_PER_SECOND;
     const TWO_MINUTES: u64 = 2 * MS_PER_MINUTE;
@@ -69,7 +69,7 @@
     }
 }
 
-/// How long ago a time stamp (Unix time in ms) was.
+/// Renders how long ago a time stamp (Unix time in ms) was.
 fn age_text(timestamp_ms: Option<u64>) -> String {
     let elapsed_ms = |timestamp_ms| now_ms().saturating_sub(timestamp_ms);
     timestamp_ms.map_or("?".into(), |timestamp_ms| format!("{} ago", duration_text(elapsed_ms(timestamp_ms))))
--- a/crates/cli/src/render/reasons.rs
+++ b/crates/cli/src/render/reasons.rs
@@ -1,12 +1,12 @@
-//! The texts of one reason: its name in the interface, a sentence with its figures, and what would change it.
+//! Texts for the reasons of a state: the name on the wire, a sentence with the figures, and what would change it.
 //!
-//! The three tables list every reason, so that a new one does not compile until it has all its texts.
+//! The three functions match every reason, so that a new one does not compile until it has all three texts.
 
 use olivelatch::protocol::operators::{InstanceOfferView, MachineTypeCapacity, StateReason};
 
 use super::plural;
 
-/// The reason's name, as the operators' interface has it.
+/// Returns the reason's name on the wire.
 pub fn reason_name(reason: &StateReason) -> &'static str {
     match reason {
         StateReason::Terminal { .. } => "ended",
@@ -33,70 +33,78 @@
     }
 }
 
-/// What would move the job on.
+/// Returns what would change the state that the reason explains.
 pub(super) fn reason_remedy(reason: &StateReason) -> &'static str {
     match reason {
-        StateReason::Terminal { .. } => "nothing; it stays so",
+        StateReason::Terminal { .. } => "nothing; the state is final",
         StateReason::PersistingResult | StateReason::Starting { .. } | StateReason::Schedulable { .. } => {
-            "a moment"
+            "a short wait"
         }
-        StateReason::Running { .. } => "their ends",
-        StateReason::ImageFetch { .. } => "the fetch",
-        StateReason::WaitingForPeers { .. } => "the last of them",
+        StateReason::Running { .. } => "the completion of these tasks",
+        StateReason::ImageFetch { .. } => "the completion of the image fetch",
+        StateReason::WaitingForPeers { .. } => "the readiness of the other tasks of the gang",
         StateReason::RetryWait { .. } => {
-            "the wait; if it fails on every machine, the job itself (olivelatchctl logs)"
-        }
-        StateReason::WaitingForUpstream { .. } => "their ends (olivelatchctl graph show)",
-        StateReason::ActiveRunLimit { .. } => "the end of a run before it",
-        StateReason::PoolFull { .. } => "ends of other tasks in the pool, or more slots",
-        StateReason::TeamLimit { .. } => "ends of these jobs, or a higher limit of the team",
-        StateReason::QueuedBehind { .. } => "their ends, or a higher urgency",
-        StateReason::NoEligibleMachine { .. } => "a rental, or wider constraints of the job",
+            "the end of the backoff; if the tasks fail on every machine, a fix to the job (see olivelatchctl logs)"
+        }
+        StateReason::WaitingForUpstream { .. } => {
+            "the completion of these nodes (see olivelatchctl graph show)"
+        }
+        StateReason::ActiveRunLimit { .. } => "the completion of one of the active runs",
+        StateReason::PoolFull { .. } => "the completion of other tasks in the pool, or more slots",
+        StateReason::TeamLimit { .. } => "the completion of these jobs, or a higher limit for the team",
+        StateReason::QueuedBehind { .. } => "the completion of these jobs, or a higher urgency",
+        StateReason::NoEligibleMachine { .. } => {
+            "a suitable new machine from the cloud, or looser constraints of the job"
+        }
         StateReason::InsufficientCapacity { .. } | StateReason::GangInsufficientCapacity { .. } => {
-            "ends of other tasks, or more machines"
+            "the completion of other tasks, or more machines"
         }
-        StateReason::HeldForGang { .. } => "the gang's start",
-        StateReason::Provisioning { .. } => "their start",
-        StateReason::CloudRejected { .. } => "capacity of the cloud",
-        StateReason::KvUnreachable { .. } => "its return; another controller may reach it",
-        StateReason::NoLeader { .. } => "a takeover, some seconds",
+        StateReason::HeldForGang { .. } => "the start of these gangs",
+        StateReason::Provisioning { .. } => "the start of these machines",
+        StateReason::CloudRejected { .. } => "free capacity in the cloud",
+        StateReason::KvUnreachable { .. } => {
+            "recovery of its connection to the key-value store; another controller may reach it"
+        }
+        StateReason::NoLeader { .. } => "a failover to a new leader, which takes some seconds",
     }
 }
 
-/// The reason in a sentence, with its figures.
+/// Renders the reason in a sentence, with its figures.
 pub(super) fn reason_detail(reason: &StateReason) -> String {
     match reason {
-        StateReason::Terminal { state } => format!("it is over: {}", state.as_str()),
-        StateReason::PersistingResult => "all tasks are done, the end is being written".into(),
-        StateReason::Running { tasks } => format!("{} running or saving", task_count(*tasks)),
+        StateReason::Terminal { state } => format!("finished: {}", state.as_str()),
+        StateReason::PersistingResult => "all tasks are done; the final state is being stored".into(),
+        StateReason::Running { tasks } => format!("{} running or writing a checkpoint", task_count(*tasks)),
         StateReason::Starting { tasks } => {
-            format!("{} bound to a machine, the start is being written or on its way", task_count(*tasks))
+            format!("{} bound to a machine; the start is being stored or sent", task_count(*tasks))
         }
         StateReason::ImageFetch { tasks, image, image_gb, longest_fetch_s } => {
             let tasks = task_count(*tasks);
-            format!("{tasks} wait for image {image} ({image_gb} GB), {longest_fetch_s:.1} s so far")
+            format!(
+                "{tasks} waiting for image {image} ({image_gb} GB), for up to {longest_fetch_s:.1} s so far"
+            )
         }
         StateReason::WaitingForPeers { tasks } => {
-            format!("{} of the gang wait for the others", task_count(*tasks))
+            format!("{} of the gang waiting for the other tasks", task_count(*tasks))
         }
         StateReason::RetryWait { tasks, retry_in_s, failed_on } => {
             let tasks = task_count(*tasks);
             let failed_on = prefixed_list("; failed on ", failed_on);
-            format!("{tasks} failed or refused, tried again from {retry_in_s:.1} s on{failed_on}")
+            format!("{tasks} failed or rejected by a worker; next retry in {retry_in_s:.1} s{failed_on}")
         }
         StateReason::WaitingForUpstream { run, trigger_rule, unfinished, first_unfinished } => {
-            let count = plural(u64::from(*unfinished), "node is", "nodes are");
+            let count = plural(u64::from(*unfinished), "upstream node is", "upstream nodes are");
             let first = or_none(first_unfinished.join(", "));
-            format!("a node of {run} under the rule {trigger_rule}; {count} before it not over: {first}")
+            format!("a node of {run} with trigger rule {trigger_rule}; {count} unfinished: {first}")
         }
         StateReason::ActiveRunLimit { run, max_active_runs, earlier_runs } => {
             let earlier = or_none(earlier_runs.join(", "));
             format!(
-                "{run} waits for its turn: of its graph {max_active_runs} at a time; under way: {earlier}"
+                "{run} waits, as at most {max_active_runs} runs of its graph may be active; active now: {earlier}"
             )
         }
         StateReason::PoolFull { pool, used, slots } => {
-            format!("{used} of {slots} slots of pool {pool} are taken")
+            format!("{used} of {slots} slots of pool {pool} are in use")
         }
         StateReason::TeamLimit { team, used_cpus, limit_cpus, used_gpus, limit_gpus, used_by } => {
             let limit = limit_cpus.map_or("no limit".into(), |limit| limit.to_string());
@@ -107,7 +115,7 @@
         StateReason::QueuedBehind { jobs, tasks, cpu_seconds, first_jobs } => {
             let jobs = plural(u64::from(*jobs), "job", "jobs");
             let first = first_jobs.join(", ");
-            format!("{jobs} with {tasks} tasks ({cpu_seconds:.0} CPU seconds) come first: {first}")
+            format!("placed after {jobs} with {tasks} tasks ({cpu_seconds:.0} CPU seconds): {first}")
         }
         StateReason::NoEligibleMachine {
             requested_cpus,
@@ -119,34 +127,42 @@
             too_small,
             ..
         } => format!(
-            "no machine that it may use is up (a task needs {requested_cpus} CPUs, {requested_memory_gb} GB); \
-             of {machines} up, {wrong_machine_type} are of another type, {wrong_zone} in another zone, \
-             {spot_not_allowed} spot, {too_small} too small"
+            "no machine that the job may use is up (a task needs {requested_cpus} CPUs, {requested_memory_gb} GB); \
+             of {machines} machines up, {wrong_machine_type} are of another type, {wrong_zone} are in another zone, \
+             {spot_not_allowed} are spot machines, {too_small} are too small"
         ),
         StateReason::InsufficientCapacity { requested_cpus, requested_memory_gb, machine_types, .. } => {
             let capacity = join(machine_types, "; ", machine_type_capacity);
             format!("a task needs {requested_cpus} CPUs, {requested_memory_gb} GB; {capacity}")
         }
         StateReason::HeldForGang { machines, gangs } => {
-            let machines = plural(u64::from(*machines), "machine is", "machines are");
-            format!("{machines} with room held for {}", gangs.join(", "))
+            let machines = plural(
+                u64::from(*machines),
+                "machine with free capacity is",
+                "machines with free capacity are",
+            );
+            format!("{machines} reserved for {}", gangs.join(", "))
         }
         StateReason::GangInsufficientCapacity { required, schedulable, zone } => {
             let zone = zone.as_ref().map_or(String::new(), |zone| format!(" in zone {zone}"));
-            format!("the gang needs room for {required} tasks at once, there is room for {schedulable}{zone}")
+            format!(
+                "the gang needs capacity for {required} tasks at once, but there is capacity for {schedulable}{zone}"
+            )
         }
         StateReason::Provisioning { offers, booting } => {
             let booting = machine_count(*booting);
-            format!("{booting} boot; being rented: {}", or_none(offers_text(offers)))
+            format!("{booting} booting; requested from the cloud: {}", or_none(offers_text(offers)))
+        }
+        StateReason::CloudRejected { offers } => {
+            format!("the cloud had no capacity for {}", offers_text(offers))
         }
-        StateReason::CloudRejected { offers } => format!("the cloud had no more of {}", offers_text(offers)),
-        StateReason::Schedulable { machines } => format!("{} may start it now", machine_count(*machines)),
+        StateReason::Schedulable { machines } => format!("{} can start it now", machine_count(*machines)),
         StateReason::KvUnreachable { since_s } => {
-            format!("this controller has not reached the state service for {since_s:.1} s")
+            format!("this controller has not reached the key-value store for {since_s:.1} s")
         }
         StateReason::NoLeader { unreachable_leader } => match unreachable_leader {
-            Some(controller) => format!("{controller} led, and is not heard from"),
-            None => "nobody leads".into(),
+            Some(controller) => format!("{controller} is recorded as the leader, but does not respond"),
+            None => "there is no leader".into(),
         },
     }
 }
@@ -163,7 +179,7 @@
     if text.is_empty() { "none".into() } else { text }
 }
 
-/// The items behind a prefix; nothing at all without items.
+/// Joins the items after a prefix; returns an empty text, without the prefix, if there are none.
 fn prefixed_list(prefix: &str, items: &[String]) -> String {
     if items.is_empty() { String::new() } else { format!("{prefix}{}", items.join(", ")) }
 }
@@ -172,14 +188,14 @@
     items.iter().map(text).collect::<Vec<_>>().join(separator)
 }
 
-/// Why the machines of a type do not take a task, by the number of machines for each cause.
+/// Renders why the machines of a type cannot take a task, with the number of machines for each cause.
 fn machine_type_capacity(capacity: &MachineTypeCapacity) -> String {
     let causes = [
-        (capacity.without_capacity, "without room"),
-        (capacity.cordoned, "parked"),
-        (capacity.unschedulable, "closed"),
-        (capacity.excluded_after_failure, "failed the job before"),
-        (capacity.excluded_by_zone, "excluded by its zone rule"),
+        (capacity.without_capacity, "without capacity"),
+        (capacity.cordoned, "cordoned"),
+        (capacity.unschedulable, "unschedulable"),
+        (capacity.excluded_after_failure, "excluded because the job failed there"),
+        (capacity.excluded_by_zone, "excluded by the job's zone rules"),
     ];
     let causes: Vec<String> = causes
         .into_iter()
@@ -187,7 +203,7 @@
         .map(|(machines, cause)| format!("{machines} {cause}"))
         .collect();
     format!(
-        "{} of type {}: {}; most free on one: {} CPUs, {} GB",
+        "{} of type {}: {}; largest free capacity of one machine: {} CPUs, {} GB",
         machine_count(capacity.machines),
         capacity.machine_type,
         causes.join(", "),
@@ -200,8 +216,9 @@
     join(offers, "; ", |offer| {
         let count = if offer.count > 0 { format!("{} ", offer.count) } else { String::new() };
         let spot = if offer.spot { " (spot)" } else { "" };
-        let backoff =
-            offer.backoff_s.map_or(String::new(), |backoff_s| format!(", asked again in {backoff_s:.0} s"));
+        let backoff = offer
+            .backoff_s
+            .map_or(String::new(), |backoff_s| format!(", requested again in {backoff_s:.0} s"));
         format!("{count}{} in {}{spot}{backoff}", offer.machine_type, offer.zone)
     })
 }
--- a/crates/cli/src/render/runs.rs
+++ b/crates/cli/src/render/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of graphs, one a line.
+//! Renders lists of graph runs.
 
 use anstyle::AnsiColor;
 use comfy_table::{Cell, CellAlignment};
@@ -15,7 +15,7 @@
     }
 }
 
-/// The list of runs, one a line.
+/// Renders a list of runs, one per line.
 pub fn runs_table(rows: &[DagRunSummary]) -> String {
     let mut table = new_table(&["RUN", "GRAPH", "STATE", "NODES", "OF THEM", "ACCEPTED"]);
     for row in rows {
@@ -37,7 +37,7 @@
     lines.join("\n")
 }
 
-/// As with jobs, states are painted after the layout, because colour codes would widen the column.
+/// Colours the state after the table is laid out, as colour codes in a cell would widen its column.
 fn paint_state(line: &str, state: DagRunState) -> String {
     let word = state.as_str();
     line.replacen(&format!(" {word} "), &format!(" {} ", paint(word, run_colour(state))), 1)
--- a/crates/cli/src/tests/args.rs
+++ b/crates/cli/src/tests/args.rs
@@ -3,6 +3,6 @@
 use super::*;
 
 #[test]
-fn the_definition_is_sound() {
+fn the_argument_definitions_are_valid() {
     Cli::command().debug_assert();
 }
--- a/crates/cli/src/tests/render.rs
+++ b/crates/cli/src/tests/render.rs
@@ -5,7 +5,7 @@
 use super::jobs_table;
 use super::reasons::{reason_detail, reason_name, reason_remedy};
 
-/// The name shown is the name on the wire.
+/// The name that is shown must be the name on the wire, as users search the documentation for it.
 #[test]
 fn reasons_are_shown_by_their_names_on_the_wire() {
     let all = [
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A real cluster on loopback, driven through the command line. Ends only the processes that it started.
+//! A real cluster on loopback, driven through the command line. It stops only the processes that it started.
 
 // Each test binary uses only some of these functions.
 #![allow(dead_code)]
@@ -37,12 +37,12 @@
         self.wait_until("a leader", |cluster| !cluster.leaders().is_empty());
     }
 
-    /// The process of `olivelatchctl up`.
+    /// Returns the id of the `olivelatchctl up` process.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Kills without cleanup, as when the machine loses power.
+    /// Kills the cluster process without cleanup, as in a power failure.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("our own process");
@@ -60,7 +60,7 @@
             .expect("the program runs")
     }
 
-    /// The lines of JSON that a command prints.
+    /// Runs a command with `--json` and returns the lines that it prints.
     pub fn json(&self, arguments: &[&str]) -> Vec<Value> {
         let output = self.run_program(&[&["--json"], arguments].concat());
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -77,7 +77,7 @@
     pub fn wait_until(&self, what: &str, holds: impl Fn(&TestCluster) -> bool) {
         let end = Instant::now() + Duration::from_secs(90);
         while !holds(self) {
-            assert!(Instant::now() < end, "{what}: not in time");
+            assert!(Instant::now() < end, "timed out waiting for: {what}");
             std::thread::sleep(Duration::from_millis(150));
         }
     }
@@ -93,7 +93,7 @@
         row.map_or(0, |row| row["done"].as_u64().unwrap_or(0))
     }
 
-    /// Process ids of the controllers, found by the settings files on their command lines.
+    /// Returns the process ids of the controllers, which it finds by the settings files on their command lines.
     pub fn controller_pids(&self) -> Vec<String> {
         let prefix = self.folder.join("node-").display().to_string();
         let processes = std::fs::read_dir("/proc").expect("processes").flatten();
@@ -111,16 +111,17 @@
         assert!(killed.success());
     }
 
-    /// Completed tasks by job, from the workers' run log. Panics when a task was started again after it completed.
+    /// Returns the completed tasks by job, from the workers' run log. Panics if a task was started again
+    /// after it completed.
     pub fn done_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the record");
+        let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the run log");
         let mut done: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for line in text.lines() {
             let value: Value = serde_json::from_str(line).expect("JSON");
             let (job, task) = value["task"].as_str().expect("a task").split_once('/').expect("job/task");
             let tasks = done.entry(job.into()).or_default();
             if value["event"] == "start" {
-                assert!(!tasks.contains(task), "started again after done: {line}");
+                assert!(!tasks.contains(task), "started again after it was done: {line}");
             } else if value["done"] == true {
                 tasks.insert(task.into());
             }
@@ -128,7 +129,7 @@
         done
     }
 
-    /// Terminates gracefully, so that the process ends what it has started.
+    /// Terminates the cluster gracefully, so that it stops the processes that it started.
     pub fn stop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = Command::new("kill").arg("-TERM").arg(child.id().to_string()).status();
--- a/crates/cli/tests/config.rs
+++ b/crates/cli/tests/config.rs
@@ -12,7 +12,8 @@
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// Set, rejected, in conflict, applied from a file twice, unset; an unreachable cluster is named.
+/// Limits are set, rejected as too high, rejected because of a version conflict, applied from a file twice, and unset. An
+/// unknown context is reported as not changed and does not affect the other one.
 #[test]
 fn limits_change_while_the_cluster_runs() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -44,7 +45,7 @@
     assert!(code == DONE && text.contains("team/lab") && text.contains("team/office"), "{text}");
     assert_eq!(cluster.json(&["config", "get", "team/lab"])[0]["version"], 0, "nothing was written");
     let (code, text) = run(&["apply", &file, "--to", "far", "--to", "local", "--wait"]);
-    assert_ne!(code, DONE, "one of the regions is not there: {text}");
+    assert_ne!(code, DONE, "one of the contexts does not exist: {text}");
     assert!(text.contains("far: NOT CHANGED") && text.contains("in force after"), "{text}");
     let (code, text) = run(&["apply", &file, "--wait"]);
     assert!(code == DONE && text.contains("nothing to change"), "{text}");
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Exit codes of the command line for each response of a controller, compared with a golden file: scripts rely on them.
+//! Compares the exit codes of the command line for each response of a controller with a golden file: scripts
+//! rely on them.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -10,7 +11,7 @@
 
 use support::Golden;
 
-/// A controller that sends the same response to every request until the test ends.
+/// Starts a stand-in for a controller, which sends the same response to every request until the test ends.
 fn controller(status: u16, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let addr = listener.local_addr().expect("an address");
@@ -27,7 +28,7 @@
     addr
 }
 
-/// An address on which nothing listens.
+/// Returns an address on which nothing listens.
 fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     listener.local_addr().expect("an address")
--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -1,4 +1,4 @@
-//! DAG runs and plain jobs on one loopback cluster: several clients submit both at once while controllers are killed. The
+//! Tests DAG runs and plain jobs on one loopback cluster: several clients submit both while controllers are killed. The
 //! workers' run log, the published files and the client's view are checked against each other.
 
 mod common;
@@ -14,8 +14,8 @@
 use common::TestCluster;
 use serde_json::Value;
 
-/// Three stages with a fan-out over a list and a fan-in; a bill is written in two halves with a pause between. While the
-/// file `trouble` exists, one task of `balance` fails.
+/// A graph with fan-out over a list and fan-in. A bill is written in two halves with a pause between them, so
+/// that a reader could see an incomplete file. While the file `trouble` exists, one task of `balance` fails.
 const CHAIN: &str = r#"
 graph = "chain"
 vars {
@@ -48,7 +48,7 @@
 const EDGES: [(&str, &str); 4] =
     [("raw", "balance"), ("raw", "bill"), ("balance", "bill"), ("bill", "office")];
 
-/// The bills in a node's output: its own, or one per task.
+/// Returns the bills in a node's output: one for the node, or one per task.
 fn bill_files(output: &Path) -> Vec<PathBuf> {
     let single = output.join("bill");
     if single.exists() {
@@ -58,8 +58,8 @@
     tasks.map(|task| task.path().join("bill")).filter(|bill| bill.exists()).collect()
 }
 
-/// Reads the published files repeatedly until stopped: there are always five complete bills, and none is ever replaced.
-/// Returns how many outputs were checked.
+/// Reads the published files repeatedly until stopped. Each output must hold five complete bills and must
+/// never be replaced. Returns how many outputs were checked.
 fn watch_published_files(published: &Path, stop: &AtomicBool) -> Result<usize, String> {
     let mut targets: BTreeMap<PathBuf, PathBuf> = BTreeMap::new();
     let mut checked = 0;
@@ -80,7 +80,7 @@
                     .sum();
                 if lines != 15 {
                     return Err(format!(
-                        "{}: half of it is shown: {lines} lines in {bills:?}",
+                        "{}: published incompletely: expected 15 lines, found {lines} in {bills:?}",
                         name.display()
                     ));
                 }
@@ -101,9 +101,9 @@
     nodes.iter().find(|node| node["name"] == name).unwrap_or(&Value::Null)
 }
 
-/// For each job, the lines of the run log with its first start and its last successful exit.
+/// Returns for each job the line numbers of its first start and of its last successful exit in the run log.
 fn job_spans(cluster: &TestCluster) -> BTreeMap<String, (usize, usize)> {
-    let text = fs::read_to_string(cluster.folder.join("runs.jsonl")).expect("the record");
+    let text = fs::read_to_string(cluster.folder.join("runs.jsonl")).expect("the run log");
     let mut spans: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     for (line_number, line) in text.lines().enumerate() {
         let value: Value = serde_json::from_str(line).expect("JSON");
@@ -116,7 +116,7 @@
     spans
 }
 
-/// By the run log, every node of a run started after all its upstream nodes were done.
+/// Checks in the run log that every node of a run started after all its upstream nodes were done.
 fn check_order(cluster: &TestCluster, run: &Value) {
     let spans = job_spans(cluster);
     let span = |name: &str| spans.get(node_view(run, name)["job"].as_str().unwrap_or("")).copied();
@@ -159,7 +159,7 @@
         .collect();
     let submitted: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("a client")).collect();
-    cluster.wait_until("something is done", |cluster| job_spans(cluster).values().any(|(_, end)| *end > 0));
+    cluster.wait_until("a task is done", |cluster| job_spans(cluster).values().any(|(_, end)| *end > 0));
     cluster.kill_controllers();
     for (run, job) in &submitted {
         let waited = cluster.run_program(&["graph", "wait", run, "--timeout", "90"]);
@@ -174,8 +174,8 @@
     );
     let evidence = node_view(&failed, "balance")["evidence"].as_array().cloned().unwrap_or_default();
     assert_eq!(evidence.len(), 2, "{evidence:?}");
-    assert!(evidence.iter().all(|one| one["t"] == 2 && one["c"] == "error"), "{evidence:?}");
-    assert!(!cluster.folder.join("published/run-0/bill").exists(), "nothing of it is shown");
+    assert!(evidence.iter().all(|attempt| attempt["t"] == 2 && attempt["c"] == "error"), "{evidence:?}");
+    assert!(!cluster.folder.join("published/run-0/bill").exists(), "nothing of the failed run is published");
 
     fs::remove_file(&trouble).expect("our own file");
     let retried = cluster.run_program(&["graph", "retry", "run-0", "--wait"]);
@@ -187,11 +187,11 @@
     assert_eq!(
         node_view(&failed, "raw")["job"],
         node_view(&after, "raw")["job"],
-        "what went well is not done over"
+        "a node that succeeded is not run again"
     );
 
     stop.store(true, Ordering::Relaxed);
-    let checked = watcher.join().expect("the watcher").expect("whole files");
+    let checked = watcher.join().expect("the watcher").expect("complete files");
     assert!(checked > 20, "only {checked} outputs were checked");
     for (run, _) in &submitted {
         check_order(&cluster, &run_detail(&cluster, run));
@@ -208,11 +208,15 @@
     }
     // The job of the failed attempt keeps its state.
     let old = node_view(&failed, "balance")["job"].as_str().expect("a job").to_string();
-    assert_eq!(cluster.run_program(&["wait", &old]).status.code(), Some(5), "withdrawn for good");
+    assert_eq!(
+        cluster.run_program(&["wait", &old]).status.code(),
+        Some(5),
+        "the job of the failed attempt stays withdrawn"
+    );
 }
 
-/// Urgency orders DAG nodes and plain jobs alike: an urgent node overtakes waiting plain tasks, and an urgent plain job
-/// waiting nodes.
+/// Urgency orders DAG nodes and plain jobs alike: an urgent node overtakes waiting plain jobs, and an urgent plain job
+/// overtakes waiting nodes.
 #[test]
 fn urgency_orders_nodes_and_plain_jobs_alike() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -252,7 +256,10 @@
             assert!(cluster.run_program(&["wait", job, "--timeout", "90"]).status.success());
         }
         let spans = job_spans(&cluster);
-        assert!(spans[&jobs["critical"]].1 < spans[&jobs["low"]].1, "{urgent}: the urgent one is done first");
+        assert!(
+            spans[&jobs["critical"]].1 < spans[&jobs["low"]].1,
+            "{urgent}: the urgent job must be done first"
+        );
     }
 }
 
@@ -279,7 +286,7 @@
     assert!(code == Some(4) && text.contains("unknown pool"), "{text}");
     assert_eq!(cluster.run_program(&["graph", "show", "r"]).status.code(), Some(1));
     assert_eq!(cluster.json(&["graph", "list"])[0]["runs"].as_array().map(Vec::len), Some(0));
-    // Corrected, it is accepted under the same name: the rejected ones left nothing behind.
+    // The corrected graph is accepted under the same name: the rejected ones left nothing behind.
     let (code, text) = submit("graph = \"g\"\nnode \"a\" {\n  command = [\"true\"]\n}\n");
     assert_eq!(code, Some(0), "{text}");
     assert!(cluster.run_program(&["graph", "wait", "r", "--timeout", "60"]).status.success());
--- a/crates/cli/tests/measure.rs
+++ b/crates/cli/tests/measure.rs
@@ -1,4 +1,4 @@
-//! Measurements on loopback, for docs/measurements.md; not part of CI:
+//! Measurements on loopback for docs/measurements.md, which are not part of CI. Run them with:
 //!     cargo test --release -p olivelatchctl --test measure -- --ignored --nocapture --test-threads 1
 
 use std::io::{Read, Write};
@@ -100,20 +100,20 @@
     .to_string()
 }
 
-/// Latencies in milliseconds of submissions (rejected with 422, but only after the read that a poll needs) and
-/// heartbeats, sent one after the other.
+/// Returns the latencies in milliseconds of submissions and heartbeats, which are sent alternately. The submissions are
+/// rejected with 422, but only after the read that a poll needs too.
 fn latencies(cluster: &MeasuredCluster, first: u64) -> (Vec<f64>, Vec<f64>) {
     let (mut submissions, mut heartbeats) = (Vec::new(), Vec::new());
     for index in 0..300 {
         let addr = cluster.controllers[index as usize % cluster.controllers.len()];
         let start = Instant::now();
-        let (status, _) = request(addr, "POST", "/work", &submission(first + index)).expect("an answer");
+        let (status, _) = request(addr, "POST", "/work", &submission(first + index)).expect("a response");
         submissions.push(start.elapsed().as_secs_f64() * 1000.0);
         assert_eq!(status, 422);
         let heartbeat = json!({"box": "probe", "endpoint": "127.0.0.1:9", "boxkind": "local", "hall": "here", "loaners": false,
             "shift": 1, "tick": index + first, "baton": 0, "pieces": []});
         let start = Instant::now();
-        request(addr, "POST", "/v1/report", &heartbeat.to_string()).expect("an answer");
+        request(addr, "POST", "/v1/report", &heartbeat.to_string()).expect("a response");
         heartbeats.push(start.elapsed().as_secs_f64() * 1000.0);
     }
     (submissions, heartbeats)
@@ -122,7 +122,7 @@
 fn print_latencies(cluster: &MeasuredCluster, what: &str, first: u64) {
     let (submissions, heartbeats) = latencies(cluster, first);
     println!(
-        "{what}: submissions {}\n       reports     {}",
+        "{what}: submissions {}\n       heartbeats  {}",
         quantiles_text(submissions),
         quantiles_text(heartbeats)
     );
@@ -130,26 +130,26 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn slow_killed_and_greedy_clients() {
+fn latencies_beside_idle_slow_and_killed_clients() {
     let cluster = MeasuredCluster::start("4");
     latencies(&cluster, 1_000_000);
     print_latencies(&cluster, "alone", 2_000_000);
-    print_latencies(&cluster, "alone, again", 3_000_000);
+    print_latencies(&cluster, "alone, repeated", 3_000_000);
     let idle: Vec<TcpStream> = (0..2_000)
         .filter_map(|index| TcpStream::connect(cluster.controllers[index % cluster.controllers.len()]).ok())
         .collect();
-    print_latencies(&cluster, "beside 2,000 that say nothing", 4_000_000);
+    print_latencies(&cluster, "beside 2,000 idle connections", 4_000_000);
     drop(idle);
     std::thread::sleep(Duration::from_secs(1));
-    print_latencies(&cluster, "after they have gone", 5_000_000);
+    print_latencies(&cluster, "after they are closed", 5_000_000);
     let mut open = Vec::new();
     for index in 0..2_000 {
         let addr = cluster.controllers[index % cluster.controllers.len()];
         let Ok(mut stream) = TcpStream::connect(addr) else { continue };
         match index % 10 {
-            // Request lists repeatedly and never read the responses.
+            // Requests lists repeatedly and never reads the responses.
             0 => drop(stream.write_all("GET /v1/jobs?limit=500 HTTP/1.1\r\n\r\n".repeat(20).as_bytes())),
-            // Send half a request.
+            // Sends half a request.
             1 => drop(stream.write_all(b"POST /work HTTP/1.1\r\nContent-Length: 1000\r\n\r\n{\"uid\"")),
             _ => {}
         }
@@ -157,17 +157,17 @@
     }
     print_latencies(
         &cluster,
-        "beside 2,000, 200 of them readers that do not read, 200 with half a request",
+        "beside 2,000 connections, 200 that never read responses, 200 with half a request",
         6_000_000,
     );
     drop(open);
     std::thread::sleep(Duration::from_secs(1));
-    print_latencies(&cluster, "after all were killed", 7_000_000);
+    print_latencies(&cluster, "after all are closed", 7_000_000);
 }
 
 #[test]
 #[ignore = "a measurement"]
-fn submit_to_start() {
+fn time_from_submission_to_start() {
     let cluster = MeasuredCluster::start("2");
     cluster.run_program(&["submit", "--wait", "--", "true"]);
     let mut waits = Vec::new();
@@ -183,13 +183,13 @@
         waits.push(started.saturating_sub(before) as f64);
     }
     println!(
-        "from the start of `olivelatchctl submit` to the command's own clock: {}",
+        "from the start of `olivelatchctl submit` to the time that the command prints: {}",
         quantiles_text(waits)
     );
 }
 
 fn read_run_log(folder: &Path) -> (usize, f64) {
-    let text = std::fs::read_to_string(folder.join("runs.jsonl")).expect("the record");
+    let text = std::fs::read_to_string(folder.join("runs.jsonl")).expect("the run log");
     let values: Vec<Value> = text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
     let at_ms = |value: &Value| value["at_ms"].as_u64().unwrap_or(0);
     let starts = values.iter().filter(|value| value["event"] == "start").count();
@@ -200,7 +200,7 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn tasks_a_second() {
+fn task_starts_per_second() {
     const TASKS: usize = 4_000;
     let cluster = MeasuredCluster::start("4");
     let count = TASKS.to_string();
@@ -220,7 +220,7 @@
     ]);
     let (starts, seconds) = read_run_log(cluster.folder.path());
     println!(
-        "olivelatchctl up, 4 machines of 4 CPUs, tasks of 0.1 CPU: {starts} starts in {seconds:.2} s, {:.0} a second",
+        "olivelatchctl up, 4 machines of 4 CPUs, tasks of 0.1 CPU: {starts} starts in {seconds:.2} s, {:.0} per second",
         starts as f64 / seconds
     );
     let start = Instant::now();
@@ -228,7 +228,7 @@
         Command::new("true").status().expect("it runs");
     }
     println!(
-        "one after the other by themselves: {:.0} a second",
+        "for comparison, the command alone, one at a time: {:.0} per second",
         TASKS as f64 / start.elapsed().as_secs_f64()
     );
     let start = Instant::now();
@@ -236,5 +236,8 @@
         .map(|_| std::thread::spawn(|| (0..TASKS / 8).for_each(|_| drop(Command::new("true").status()))))
         .collect();
     threads.into_iter().for_each(|thread| thread.join().expect("a thread"));
-    println!("eight at once by themselves: {:.0} a second", TASKS as f64 / start.elapsed().as_secs_f64());
+    println!(
+        "for comparison, the command alone, eight at a time: {:.0} per second",
+        TASKS as f64 / start.elapsed().as_secs_f64()
+    );
 }
--- a/crates/cli/tests/region.rs
+++ b/crates/cli/tests/region.rs
@@ -1,5 +1,6 @@
-//! A real cluster on loopback, driven through the command line: failures of every kind during a batch, after which the
-//! client's view is compared with the workers' run log. Bounded in time and count; ends only what it started.
+//! Tests a real cluster on loopback through the command line: after failures of every kind during a batch,
+//! the client's view is compared with the workers' run log. The tests are bounded in time and stop only the
+//! processes that they started.
 
 mod common;
 
@@ -25,7 +26,7 @@
     assert!(killed.success());
 }
 
-/// The state of each job as the client lists it; the list is complete and has each job once.
+/// Returns the state of each job as the client lists it, and checks that the list is complete and has each job once.
 fn listed_states(cluster: &TestCluster) -> BTreeMap<String, String> {
     let list = cluster.json(&["list"]).remove(0);
     assert_eq!(list["complete"], true);
@@ -40,10 +41,11 @@
     states
 }
 
-/// The leader, then all controllers, then the whole cluster are killed during a batch. Afterwards the client lists every
-/// job in its true state: none is lost or reported done early, and no task runs again after it completed.
+/// The leader, then all controllers, then the whole cluster are killed during a batch. Afterwards the client
+/// lists every job in its actual state: none is lost or reported done early, and no task runs again after it
+/// completed.
 #[test]
-fn every_job_is_listed_truly_after_every_kind_of_failure() {
+fn jobs_are_listed_in_their_actual_state_after_every_kind_of_failure() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut cluster = TestCluster::start(&folder.path().join("r"), &["default=0:0", "office=0:1"]);
     let early = cluster.submit(&["--tasks", "5", "--", "true"]);
@@ -70,10 +72,10 @@
     let unreachable = cluster.run_program(&["--deadline", "1", "list"]);
     assert_eq!(unreachable.status.code(), Some(3), "{}", String::from_utf8_lossy(&unreachable.stderr));
     cluster.up();
-    // Processes that the killed cluster left behind are ended by the new one.
-    let leftovers_ended =
+    // The new cluster stops the processes that the killed one left behind.
+    let leftovers_stopped =
         |cluster: &TestCluster| cluster.controller_pids().iter().all(|pid| !leftover_pids.contains(pid));
-    cluster.wait_until("the leftovers are ended", leftovers_ended);
+    cluster.wait_until("the leftover processes are stopped", leftovers_stopped);
     let waited = cluster.run_program(&["wait", &wide, &narrow, &gang, "--timeout", "90"]);
     assert!(waited.status.success(), "{}", String::from_utf8_lossy(&waited.stderr));
     assert_eq!(cluster.json(&["cancel", &broken])[0]["state"], "withdrawn");
@@ -90,18 +92,19 @@
     assert_eq!(states, expected.map(|(id, state)| (id.clone(), state.to_string())).into());
     let done = cluster.done_by_run_log();
     for (id, tasks) in [(&early, 5), (&wide, 240), (&narrow, 6), (&gang, 3)] {
-        assert_eq!(done.get(id).map_or(0, BTreeSet::len), tasks, "{id} is called done");
+        assert_eq!(done.get(id).map_or(0, BTreeSet::len), tasks, "{id} is listed as done");
     }
     assert!(done.get(&broken).is_none_or(BTreeSet::is_empty));
     let logs = cluster.run_program(&["logs", &wide, "17"]);
-    assert!(String::from_utf8_lossy(&logs.stdout).contains("\n17\n"), "its output is there");
+    assert!(String::from_utf8_lossy(&logs.stdout).contains("\n17\n"), "the output of the task is stored");
     cluster.stop();
-    assert!(cluster.controller_pids().is_empty(), "ended politely, it ends all that it started");
+    assert!(cluster.controller_pids().is_empty(), "a graceful stop also stops all controllers");
 }
 
-/// While a job waits for its team's limit, `explain` names the limit and which jobs use how much of it; afterwards not.
+/// While a job waits because of its team's limit, `explain` names the limit and how much of it each job uses;
+/// afterwards it does not.
 #[test]
-fn explain_names_the_limit_who_uses_it_and_how_much() {
+fn explain_names_the_team_limit_and_its_usage_by_job() {
     let folder = tempfile::tempdir().expect("a folder");
     let cluster = TestCluster::start(&folder.path().join("r"), &["default=0:0", "office=0:2"]);
     let first = cluster.submit(&["--tasks", "2", "--team", "office", "--", "sleep", "600"]);
@@ -122,7 +125,7 @@
     let text = cluster.run_program(&["explain", &second]);
     let text = String::from_utf8_lossy(&text.stdout).into_owned();
     assert!(text.contains("team office uses 2 of 2 CPUs") && text.contains(&first), "{text}");
-    assert!(!text.contains('\u{1b}'), "no colours where there is no terminal");
+    assert!(!text.contains('\u{1b}'), "no colours if the output is not a terminal");
     assert!(cluster.run_program(&["cancel", &first]).status.success());
     assert!(cluster.run_program(&["wait", &second, "--timeout", "60"]).status.success());
     assert!(limit(&cluster).is_none());
@@ -155,7 +158,7 @@
     assert_eq!(
         code(&["submit", "--id", "job-000777", "--", "false"]).0,
         Some(4),
-        "another job under the name"
+        "a different job with the same id"
     );
     let stopped = cluster.submit(&["--", "sleep", "600"]);
     assert_eq!(code(&["wait", &stopped, "--timeout", "0.5"]).0, Some(6));
--- a/crates/cli/tests/scale_run.rs
+++ b/crates/cli/tests/scale_run.rs
@@ -1,4 +1,5 @@
-//! The small scale run with real processes on loopback: no invariant is violated, and a violation by workers is detected.
+//! Runs the small scale test with real processes on loopback: no invariant is violated, and violations by
+//! workers are detected.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -29,7 +30,7 @@
 
 /// The leader is killed halfway: invariants hold, jobs complete, and configuration changes come into force.
 #[test]
-fn the_small_plan_holds() {
+fn the_small_plan_runs_without_violations() {
     let out = tempfile::tempdir().expect("a folder");
     let (output, report) = run(&small_plan(), out.path());
     assert!(output.status.success(), "{}", output_text(&output));
@@ -45,17 +46,18 @@
     assert!(std::fs::read_to_string(out.path().join("report.html")).expect("a page").contains("<svg"));
 }
 
-/// Workers that omit tasks from their heartbeats cause them to be started elsewhere, which the check detects.
+/// Workers that omit tasks from their heartbeats cause the tasks to be started a second time, which the
+/// checker detects.
 #[test]
 fn defective_workers_are_detected() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("broken.hcl");
-    let whole = std::fs::read_to_string(small_plan()).expect("the small plan");
-    let fault = whole.find("fault \"").expect("its fault");
-    let change = whole.find("change \"").expect("its changes");
+    let small_plan = std::fs::read_to_string(small_plan()).expect("the small plan");
+    let fault = small_plan.find("fault \"").expect("its fault");
+    let change = small_plan.find("change \"").expect("its changes");
     assert!(fault < change, "the changes come last");
-    let text_of_plan = whole[..fault].replacen("seconds      = 30", "seconds      = 8", 1);
-    std::fs::write(&plan, text_of_plan.replacen("drain_s = 20", "drain_s = 5\ndefect = \"hide_tasks\"", 1))
+    let without_faults = small_plan[..fault].replacen("seconds      = 30", "seconds      = 8", 1);
+    std::fs::write(&plan, without_faults.replacen("drain_s = 20", "drain_s = 5\ndefect = \"hide_tasks\"", 1))
         .expect("a plan");
     let (output, report) = run(&plan, &folder.path().join("out"));
     assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
@@ -65,11 +67,11 @@
 
 /// A plan that is too large for the machine is rejected before anything is started.
 #[test]
-fn too_large_a_plan_is_rejected() {
+fn plans_that_are_too_large_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("large.hcl");
-    let whole = std::fs::read_to_string(small_plan()).expect("the small plan");
-    std::fs::write(&plan, whole.replacen("per_zone       = 40", "per_zone       = 100000000", 1))
+    let small_plan = std::fs::read_to_string(small_plan()).expect("the small plan");
+    std::fs::write(&plan, small_plan.replacen("per_zone       = 40", "per_zone       = 100000000", 1))
         .expect("a plan");
     let out = folder.path().join("out");
     let output = Command::new(PROGRAM).args(["scale", "run"]).arg(&plan).arg("--out").arg(&out).output();
--- a/crates/cli/tests/terminal_records.rs
+++ b/crates/cli/tests/terminal_records.rs
@@ -1,5 +1,6 @@
-//! Terminal records are kept forever: their cost in memory to a controller and the store, and in time until both serve.
-//! A measurement: `cargo test --release -p olivelatchctl --test terminal_records -- --ignored --nocapture`.
+//! Measures what terminal records, which are kept forever, cost: memory of the controllers and the store, and
+//! the time until all controllers serve. Run the measurement with:
+//!     cargo test --release -p olivelatchctl --test terminal_records -- --ignored --nocapture
 
 mod common;
 
@@ -16,14 +17,14 @@
 /// Records per commit to the store file.
 const BATCH: u64 = 10_000;
 
-/// Resident memory of a process in kB.
+/// Returns the resident memory of a process in kB.
 fn resident_kb(pid: u64) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
 }
 
-/// CPU time of a process in hundredths of a second.
+/// Returns the CPU time of a process in clock ticks, which are hundredths of a second.
 fn cpu_ticks(pid: u64) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let rest = text.rsplit(')').next().expect("fields");
@@ -31,9 +32,9 @@
     fields[11].parse::<u64>().expect("user time") + fields[12].parse::<u64>().expect("system time")
 }
 
-/// Writes a store file with `count` terminal records, as controllers with the operators' interface do.
+/// Writes a store file with `count` terminal records, in the form that controllers with the operators' interface write.
 fn write_records(path: &std::path::Path, count: u64) {
-    let (file, _, _) = StoreFile::open(path).expect("a state file");
+    let (file, _, _) = StoreFile::open(path).expect("a store file");
     let detail = TerminalDetail {
         team: "team-017".into(),
         class: "reading-ingest".into(),
@@ -61,7 +62,7 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn terminal_records_kept_for_ever() {
+fn cost_of_terminal_records() {
     for count in RECORD_COUNTS {
         let folder = tempfile::tempdir().expect("a folder");
         write_records(&folder.path().join("state.redb"), count);
@@ -73,14 +74,14 @@
             let controllers = top.first().and_then(Value::as_object).cloned().unwrap_or_default();
             controllers.len() == 3 && controllers.values().all(|controller| controller["jobs_ended"] == count)
         };
-        cluster.wait_until("all read the ends", loaded);
+        cluster.wait_until("all controllers have read the terminal records", loaded);
         let seconds = start.elapsed().as_secs_f64();
         let pids = cluster.controller_pids();
         let pids = pids.iter().filter_map(|pid| pid.parse::<u64>().ok());
         let controllers: Vec<(f64, f64)> =
             pids.map(|pid| (resident_kb(pid) as f64 / 1e3, cpu_ticks(pid) as f64 / 100.0)).collect();
         println!(
-            "{count} ends: file {:.1} MB, all controllers serve after {seconds:.1} s, region {:.1} MB, controllers (MB, processor s): {:?}",
+            "{count} terminal records: file {:.1} MB, all controllers serve after {seconds:.1} s, cluster process {:.1} MB, controllers (MB, CPU s): {:?}",
             size as f64 / 1e6,
             cluster.pid().map_or(0.0, |pid| resident_kb(u64::from(pid)) as f64 / 1e3),
             controllers
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: requests to any controller of a context until one of them gives a final response.
+//! The client: sends each request to the controllers of a context in turn until one of them gives a final response.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,24 +12,26 @@
 use crate::exchange::{ClientError, Request};
 use crate::retry::{AttemptOutcome, RetryDecision, RetryState};
 
-/// A controller that does not respond for so long is given up, and another one is tried.
+/// Timeout of one attempt: if a controller does not respond within it, the request is retried, on another one
+/// if possible.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Below this an attempt could not even connect.
+/// Lower bound for the timeout of an attempt close to the deadline: with less it could not even connect.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1);
 const JOB_STORE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A client of one context. It keeps no connection and no session: every request stands alone.
+/// A client of one context. It keeps no connection and no session between requests.
 pub struct Client {
     context: Context,
-    /// The longest that a request may take, with all its attempts.
+    /// The longest time that a request may take, including all attempts.
     deadline: Duration,
-    /// The controller that answered last is tried first.
+    /// Index of the controller that the next request tries first: at first a random one, then the one that gave
+    /// the last final response.
     preferred_controller: usize,
     rng: SmallRng,
 }
 
 impl Client {
-    /// A client of the context's controllers; no request takes longer than the deadline.
+    /// Creates a client of the context's controllers that gives up on a request when the deadline has passed.
     pub fn new(context: Context, deadline: Duration) -> Client {
         let mut rng: SmallRng = SmallRng::from_rng(&mut rand::rng());
         let preferred_controller = rng.random_range(0..context.controllers.len().max(1));
@@ -71,7 +73,7 @@
         ClientError::NoResponse { seconds: self.deadline.as_secs_f64(), tried: tried.join(", ") }
     }
 
-    /// The next request goes to another controller first.
+    /// Makes the next request try the following controller first.
     pub(crate) fn prefer_next_controller(&mut self) {
         self.preferred_controller = (self.preferred_controller + 1) % self.context.controllers.len().max(1);
     }
@@ -80,7 +82,8 @@
         Ok(serde_json::from_slice(&self.request("GET", path, b"")?)?)
     }
 
-    /// The status of each controller, asked one by one; `None` where it does not respond to a single attempt.
+    /// Queries the status of each controller, one after the other with a single attempt each; `None` if it
+    /// does not respond.
     pub fn controller_statuses(&self) -> Vec<(SocketAddr, Option<ControllerStatus>)> {
         let timeout = ATTEMPT_TIMEOUT.min(self.deadline);
         let request = Request { method: "GET", path: "/v1/status", body: b"" };
@@ -88,7 +91,7 @@
         self.context.controllers.iter().map(|addr| (*addr, status(addr))).collect()
     }
 
-    /// A request to the context's job store, repeated until it gives a final response or the deadline passes.
+    /// Sends a request to the context's job store, with retries until it gives a final response or the deadline passes.
     pub(crate) fn job_store_request(
         &self,
         method: &str,
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -1,4 +1,5 @@
-//! Entries of the configuration: read, changed on condition of the version that was read, waited for, and kept in files.
+//! Entries of the configuration: requests that read, change (by compare-and-swap on the version) and await
+//! them, and files that list them.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,52 +14,52 @@
 use crate::client::Client;
 use crate::exchange::ClientError;
 
-/// Between two requests whether a change is in force.
+/// Interval between two polls of whether a change is in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is wrong with a configuration file.
+/// Why a configuration file was not loaded.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {error}")]
     Read {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// Why not.
+        /// The underlying I/O error.
         error: std::io::Error,
     },
-    /// It is not HCL, or has unknown names in it.
+    /// The file is not valid HCL, or contains unknown names.
     #[error("{file}: {problem}")]
     Hcl {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// With the line, where it is known.
+        /// The parser's message, with the line number if it is known.
         problem: String,
     },
-    /// A team has no values.
+    /// The block of a team sets no value.
     #[error("{file}: team {team}: expected limit_cpus, guaranteed_cpus or both")]
     Empty {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// The team.
+        /// The name of the team.
         team: String,
     },
 }
 
-/// A file with entries; entries that it does not name are left as they are.
+/// A file with entries. Entries that it does not name are left unchanged when it is applied.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigFile {
-    /// The values of teams, by name.
+    /// The values to set, by team name.
     #[serde(default)]
     pub team: BTreeMap<String, TeamQuota>,
 }
 
 impl ConfigFile {
-    /// Reads a file.
+    /// Reads and parses a file.
     ///
     /// # Errors
-    /// It cannot be read, or is wrong.
+    /// The file cannot be read, or is invalid.
     pub fn load(path: &Path) -> Result<ConfigFile, ConfigFileError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -66,10 +67,10 @@
         ConfigFile::parse(&file, &text)
     }
 
-    /// Reads the text of a file; `file` is its name in errors.
+    /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// It is not HCL, or a team has no values.
+    /// The text is not valid HCL, contains unknown names, or a team has no values.
     pub fn parse(file: &str, text: &str) -> Result<ConfigFile, ConfigFileError> {
         let entries: ConfigFile = hcl::from_str(text).map_err(|error| ConfigFileError::Hcl {
             file: file.into(),
@@ -81,7 +82,7 @@
         Ok(entries)
     }
 
-    /// The entries that the file would change, with their present and their new values.
+    /// Returns the entries that the file would change, with their current and their new values.
     pub fn differences<'a>(&self, list: &'a ConfigEntryList) -> Vec<ConfigDifference<'a>> {
         let current = |team: &str| list.entries.iter().find(|entry| entry.key == format!("team/{team}"));
         let entries = self.team.iter().map(|(team, value)| ConfigDifference {
@@ -100,45 +101,45 @@
 /// An entry that a file would change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigDifference<'a> {
-    /// The entry's key, like `team/NAME`.
+    /// The key of the entry, such as `team/NAME`.
     pub entry: String,
-    /// `None`: the region has no such team.
+    /// The stored entry; `None` if the cluster has no such team.
     pub current: Option<&'a ConfigEntryView>,
     /// The value in the file.
     pub wanted: TeamQuota,
 }
 
-/// Who changes an entry, and why; both are kept with it.
+/// Who changes an entry, and why. Both are stored with the entry.
 #[derive(Debug, Clone)]
 pub struct ChangeAuthor {
     /// The operator's name.
     pub name: String,
-    /// May be empty.
+    /// The reason for the change; may be empty.
     pub reason: String,
 }
 
 impl Client {
-    /// All entries.
+    /// Returns all entries.
     ///
     /// # Errors
-    /// The configuration is off, or no controller answers in time.
+    /// The configuration is turned off, or no controller responds in time.
     pub fn config_list(&mut self) -> Result<ConfigEntryList, ClientError> {
         self.get("/v1/config")
     }
 
-    /// One entry by its key.
+    /// Returns one entry by its key.
     ///
     /// # Errors
-    /// There is no such entry, or no controller answers in time.
+    /// There is no such entry, or no controller responds in time.
     pub fn config_get(&mut self, entry: &str) -> Result<ConfigEntryView, ClientError> {
         self.get(&format!("/v1/config/{entry}"))
     }
 
-    /// Changes an entry if it still has the expected version. The request carries an id of its own, so that it is carried
-    /// out once however often it is repeated.
+    /// Changes an entry; if `expected` is given, only while the entry has that version. Each call generates a
+    /// change id, so that its retries are idempotent.
     ///
     /// # Errors
-    /// The entry has another version (status 409), the value is refused, or no controller answers in time.
+    /// The entry has another version (status 409), the value is rejected, or no controller responds in time.
     pub fn config_set(
         &mut self,
         entry: &str,
@@ -155,15 +156,15 @@
             change_id,
         };
         let body = serde_json::to_vec(&request)?;
-        // Changes are spread over the controllers, as each has a share of the kv store's rate limit.
+        // Spreads changes over the controllers, as each has only a share of the key-value store's rate limit.
         self.prefer_next_controller();
         Ok(serde_json::from_slice(&self.request("PUT", &format!("/v1/config/{entry}"), &body)?)?)
     }
 
-    /// Polls an entry until a version is in force or `within` has passed, and returns it as it was last.
+    /// Polls an entry until the given version is in force or `within` has passed, and returns the entry as last read.
     ///
     /// # Errors
-    /// There is no such entry, or no controller answers in time.
+    /// There is no such entry, or no controller responds in time.
     pub fn config_wait(
         &mut self,
         entry: &str,
--- a/crates/client/src/contexts.rs
+++ b/crates/client/src/contexts.rs
@@ -1,4 +1,4 @@
-//! Contexts: named sets of controllers that a client may talk to, in an HCL file.
+//! Contexts: named sets of controllers that a client can connect to, listed in an HCL file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,52 +8,52 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What is wrong with a contexts file.
+/// Why a contexts file, or a context in it, cannot be used.
 #[derive(Debug, Error)]
 pub enum ContextsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {error}")]
     Read {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// Why not.
+        /// The underlying I/O error.
         error: std::io::Error,
     },
-    /// It is not HCL, or has unknown names in it.
+    /// The file is not valid HCL, or contains unknown names.
     #[error("{file}: {problem}")]
     Hcl {
-        /// Its path.
+        /// The path of the file.
         file: String,
         /// The parser's message.
         problem: String,
     },
-    /// It has no context of that name.
-    #[error("{file}: there is no context {name:?}; it has {known}")]
+    /// The file has no context of that name.
+    #[error("{file}: no context named {name:?}; the file has: {known}")]
     Unknown {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// The name that was asked for.
+        /// The requested name; empty if none was given and the file has no default.
         name: String,
-        /// The names that it has.
+        /// The names of the contexts in the file.
         known: String,
     },
     /// The context has no controllers.
-    #[error("{file}: context {name:?} names no controllers")]
+    #[error("{file}: context {name:?} has no controllers")]
     Empty {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// The context.
+        /// The name of the context.
         name: String,
     },
 }
 
-/// Where a client sends its requests.
+/// The addresses to which a client sends its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Context {
     /// The controllers; any of them serves any request.
     pub controllers: Vec<SocketAddr>,
-    /// The service that keeps descriptions and logs.
+    /// The service that stores job descriptions and serves the logs of tasks.
     #[serde(default, rename = "desk")]
     pub job_store: Option<SocketAddr>,
 }
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contexts {
-    /// The context that is used if none is named.
+    /// The name of the context that is used if none is requested.
     #[serde(default)]
     pub current: Option<String>,
     /// The contexts by name.
@@ -71,10 +71,10 @@
 }
 
 impl Contexts {
-    /// Reads a file.
+    /// Reads and parses a file.
     ///
     /// # Errors
-    /// It cannot be read, or is wrong.
+    /// The file cannot be read, or is invalid.
     pub fn load(path: &Path) -> Result<Contexts, ContextsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -83,7 +83,8 @@
             .map_err(|error| ContextsError::Hcl { file, problem: collapse_whitespace(&error.to_string()) })
     }
 
-    /// One context: the named one, else the current one, else the only one. `file` is the file's name in errors.
+    /// Returns the named context; without a name the `current` one, or else the only one. `file` is the file's name in
+    /// errors.
     ///
     /// # Errors
     /// There is no such context, or it has no controllers.
@@ -99,7 +100,7 @@
         Ok(context.clone())
     }
 
-    /// The text of a file with one context.
+    /// Returns the text of a contexts file that holds one context, which is also the `current` one.
     pub fn to_hcl(name: &str, context: &Context) -> String {
         let controllers: Vec<String> = context.controllers.iter().map(|addr| format!("\"{addr}\"")).collect();
         let job_store =
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP request over a connection of its own, and the errors that requests end with.
+//! Sends one HTTP request over its own connection, and defines the errors of requests.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,37 +12,37 @@
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Why a request has no result.
+/// Why a request failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No controller answered within the deadline; the request may have been carried out.
-    #[error("no answer within {seconds:.0} s from {tried}")]
+    /// No server responded within the deadline; the request may still have been executed.
+    #[error("no response within {seconds:.0} s from {tried}")]
     NoResponse {
         /// The deadline, in seconds.
         seconds: f64,
         /// The addresses that were tried.
         tried: String,
     },
-    /// A controller answered with an error.
+    /// The server responded with an error status.
     #[error("{status}: {text}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The `error` of the body, or else the whole body.
+        /// The `error` field of the body, or the whole body if it has none.
         text: String,
-        /// The body as it came.
+        /// The unparsed body.
         body: Vec<u8>,
     },
-    /// The response is not what the protocol says.
-    #[error("an answer that is not as expected: {0}")]
+    /// The response body does not have the expected form.
+    #[error("unexpected response body: {0}")]
     InvalidResponse(#[from] serde_json::Error),
     /// The context has no job store.
-    #[error("the context names no desk: descriptions and logs have no place to go")]
+    #[error("the context has no job store for job descriptions and logs: set `desk` in the contexts file")]
     NoJobStore,
 }
 
 impl ClientError {
-    /// The HTTP status, if a controller refused the request.
+    /// Returns the HTTP status if the server responded with an error.
     pub fn status(&self) -> Option<u16> {
         match self {
             ClientError::Refused { status, .. } => Some(*status),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the same request may succeed later: no controller answered, or the one that did cannot serve it now.
+    /// Returns whether the same request may succeed later: no server responded, or the response was 503.
     pub fn is_unavailable(&self) -> bool {
         matches!(self, ClientError::NoResponse { .. } | ClientError::Refused { status: 503, .. })
     }
@@ -69,7 +69,7 @@
     value["error"].as_str().map_or_else(|| String::from_utf8_lossy(body).into_owned(), String::from)
 }
 
-/// A request that is sent again as it is to each controller that is tried.
+/// A request, which is sent unchanged in each attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Request<'a> {
     pub(crate) method: &'a str,
@@ -78,7 +78,8 @@
 }
 
 impl Request<'_> {
-    /// Sends the request and reads the response; `None` if the connection fails or the timeout passes first.
+    /// Sends the request and reads the response; `None` if the connection fails, the timeout passes first, or
+    /// the response is malformed or too large.
     pub(crate) fn send(&self, addr: SocketAddr, timeout: Duration) -> Option<Response> {
         let end = Instant::now() + timeout;
         let mut stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT.min(timeout)).ok()?;
@@ -101,7 +102,7 @@
         input.extend_from_slice(&chunk[..count]);
         match parse_response(&input, MAX_RESPONSE_BYTES) {
             Parsed::Complete(response, _) => return Some(response),
-            // Headers come on top of the body.
+            // The limit applies to the body; this leaves room for the headers.
             Parsed::Partial if input.len() <= MAX_RESPONSE_BYTES + CHUNK_BYTES => {}
             _ => return None,
         }
--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -1,4 +1,4 @@
-//! Requests on runs of graphs: uploaded in parts, committed atomically, read page by page.
+//! Requests about runs of graphs, which are uploaded in parts, committed atomically and read page by page.
 
 use olivelatch::protocol::graphs::{
     DagRunDetail, DagRunHeader, DagRunList, DagRunSummary, GraphPart, RerunRequest,
@@ -9,22 +9,22 @@
 use crate::client::Client;
 use crate::exchange::ClientError;
 
-/// Parts of one request together; controllers accept bodies up to 64 KiB.
+/// Size limit for the parts in one request, below the 64 KiB that controllers accept as a body.
 const MAX_BODY_BYTES: usize = 48 * 1024;
-/// How often a commit is tried; parts that are missing are uploaded in between.
+/// How many times a commit is attempted; missing parts are uploaded again between the attempts.
 const MAX_COMMIT_ATTEMPTS: usize = 3;
-/// Rows of a page, as the controllers limit them.
+/// Page sizes: the largest that the controllers allow.
 const RUNS_PER_PAGE: usize = 200;
 const NODES_PER_PAGE: usize = 500;
 
-/// The body of a commit that is refused as parts of it are not stored.
+/// The body of the response to a commit that is rejected because some of its parts are not stored.
 #[derive(Deserialize)]
 struct MissingParts {
     #[serde(default)]
     missing: Vec<u32>,
 }
 
-/// The end of the batch of parts from `start` on that one request may hold; at least one part.
+/// Returns the end of the largest batch of parts from `start` that fits in one request, with at least one part.
 fn end_of_batch(parts: &[GraphPart], start: usize) -> Result<usize, serde_json::Error> {
     let (mut end, mut bytes) = (start, 0);
     while end < parts.len() {
@@ -43,26 +43,27 @@
 }
 
 impl Client {
-    fn post_change(&mut self, path: &str, body: &Value) -> Result<Value, ClientError> {
+    fn post_json(&mut self, path: &str, body: &Value) -> Result<Value, ClientError> {
         Ok(serde_json::from_slice(&self.request("POST", path, body.to_string().as_bytes())?)?)
     }
 
-    /// Stores parts under consecutive numbers from `first`, as many in a request as its body may hold.
+    /// Uploads parts under consecutive numbers from `first`, with as many in each request as fit in its body.
     fn upload_parts(&mut self, run: &str, first: u32, parts: &[GraphPart]) -> Result<(), ClientError> {
         let mut start = 0;
         while start < parts.len() {
             let end = end_of_batch(parts, start)?;
             let body = json!({"first": first + start as u32, "parts": parts[start..end]});
-            self.post_change(&format!("/v1/graphs/{run}/parts"), &body)?;
+            self.post_json(&format!("/v1/graphs/{run}/parts"), &body)?;
             start = end;
         }
         Ok(())
     }
 
-    /// Uploads the parts of a run and commits them atomically, and returns the run's state. Repeated, it is the same run.
+    /// Uploads the parts of a run, commits them atomically and returns the run's state. Repeating the call
+    /// does not create another run.
     ///
     /// # Errors
-    /// The run is refused, its parts go missing repeatedly, or no controller answers in time.
+    /// The run is rejected, its parts expire repeatedly before the commit, or no controller responds in time.
     pub fn submit_run(
         &mut self,
         run: &str,
@@ -72,10 +73,10 @@
         self.upload_parts(run, 0, parts)?;
         let body = serde_json::to_value(header)?;
         for _ in 0..MAX_COMMIT_ATTEMPTS {
-            match self.post_change(&format!("/v1/graphs/{run}"), &body) {
+            match self.post_json(&format!("/v1/graphs/{run}"), &body) {
                 Ok(response) => return Ok(state_of(&response)),
                 Err(ClientError::Refused { status: 409, text, body }) => {
-                    // Parts of an upload that takes too long are dropped by the controllers.
+                    // Controllers drop the parts of an upload that takes too long.
                     let missing = serde_json::from_slice::<MissingParts>(&body)
                         .map_or(Vec::new(), |refusal| refusal.missing);
                     if missing.is_empty() {
@@ -88,32 +89,36 @@
                 Err(error) => return Err(error),
             }
         }
-        Err(ClientError::Refused { status: 409, text: "parts go missing".into(), body: Vec::new() })
+        Err(ClientError::Refused {
+            status: 409,
+            text: "parts of the run were missing in every commit attempt".into(),
+            body: Vec::new(),
+        })
     }
 
-    /// One page of the list of runs, of one graph or of all.
+    /// Returns one page of the list of runs, of one graph or of all graphs.
     ///
     /// # Errors
-    /// No controller answers in time, or it refuses the request.
+    /// No controller responds in time, or the request is rejected.
     pub fn runs(&mut self, graph: Option<&str>, after: Option<&str>) -> Result<DagRunList, ClientError> {
         let graph = graph.map_or(String::new(), |graph| format!("&graph={graph}"));
         let after = after.map_or(String::new(), |after| format!("&after={after}"));
         self.get(&format!("/v1/graphs?limit={RUNS_PER_PAGE}{graph}{after}"))
     }
 
-    /// A run without its nodes.
+    /// Returns a run without its nodes.
     ///
     /// # Errors
-    /// The run is unknown, or no controller answers in time.
-    pub fn run_row(&mut self, run: &str) -> Result<DagRunSummary, ClientError> {
+    /// The run is unknown, or no controller responds in time.
+    pub fn run_summary(&mut self, run: &str) -> Result<DagRunSummary, ClientError> {
         let detail: DagRunDetail = self.get(&format!("/v1/graphs/{run}?limit=1"))?;
         Ok(detail.summary)
     }
 
-    /// A run with all its nodes. The summary is that of the last page, so that it is not older than any node.
+    /// Returns a run with all its nodes. The summary comes from the last page, so that it is not older than any node.
     ///
     /// # Errors
-    /// The run is unknown, or no controller answers in time.
+    /// The run is unknown, or no controller responds in time.
     pub fn run_detail(&mut self, run: &str) -> Result<DagRunDetail, ClientError> {
         let mut detail: DagRunDetail = self.get(&format!("/v1/graphs/{run}?limit={NODES_PER_PAGE}"))?;
         while let Some(after) = detail.next {
@@ -125,22 +130,23 @@
         Ok(detail)
     }
 
-    /// Cancels a run, and returns its state after that.
+    /// Cancels a run and returns its new state.
     ///
     /// # Errors
-    /// The run is unknown or over, or no controller answers in time.
+    /// The run is unknown or already finished, or no controller responds in time.
     pub fn cancel_run(&mut self, run: &str) -> Result<String, ClientError> {
-        let response = self.post_change(&format!("/v1/graphs/{run}/cancel"), &json!({}))?;
+        let response = self.post_json(&format!("/v1/graphs/{run}/cancel"), &json!({}))?;
         Ok(state_of(&response))
     }
 
-    /// Runs nodes again: uploads the parts that list them, from the number `first` on, then commits these.
+    /// Runs nodes again: uploads the parts that list them under consecutive numbers from `first`, then
+    /// commits the parts.
     ///
     /// # Errors
-    /// The run has changed meanwhile (status 409), the request is refused, or no controller answers in time.
+    /// The run has changed since it was read (status 409), the request is rejected, or no controller responds in time.
     pub fn rerun_nodes(&mut self, run: &str, first: u32, parts: &[GraphPart]) -> Result<(), ClientError> {
         self.upload_parts(run, first, parts)?;
         let rerun = RerunRequest { first_part: first, parts: parts.len() as u32 };
-        self.post_change(&format!("/v1/graphs/{run}/redo"), &serde_json::to_value(rerun)?).map(drop)
+        self.post_json(&format!("/v1/graphs/{run}/redo"), &serde_json::to_value(rerun)?).map(drop)
     }
 }
--- a/crates/client/src/jobs.rs
+++ b/crates/client/src/jobs.rs
@@ -1,5 +1,5 @@
-//! Job files: HCL or JSON in the words of docs/client.md. A job that the controllers would find wrong is found before
-//! anything is sent, and reported with the file and the job.
+//! Job files: HCL or JSON with the fields that docs/client.md lists. Jobs are validated with the controllers'
+//! own code before anything is sent, and errors name the file and the job.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,39 +12,39 @@
 use serde_json::{Value, json};
 use thiserror::Error;
 
-/// What is wrong with a job file.
+/// Why a job file, or a job in it, cannot be used.
 #[derive(Debug, Error)]
 pub enum JobFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {error}")]
     Read {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// Why not.
+        /// The underlying I/O error.
         error: std::io::Error,
     },
-    /// It is not HCL or JSON, or has unknown names in it.
+    /// The file is not valid HCL or JSON, or contains unknown names.
     #[error("{file}: {problem}")]
-    Form {
-        /// Its path.
+    Parse {
+        /// The path of the file.
         file: String,
-        /// With the line, where it is known.
+        /// The parser's message, with the line number if it is known.
         problem: String,
     },
-    /// A job in it cannot be submitted.
+    /// A job in the file cannot be submitted.
     #[error("{file}: job {job:?}: {problem}")]
     Job {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// The job's name.
+        /// The job's name in the file.
         job: String,
-        /// What is wrong with the job.
+        /// Why the job cannot be submitted.
         problem: JobEntryError,
     },
-    /// It has no jobs.
+    /// The file has no jobs.
     #[error("{file}: no jobs")]
     Empty {
-        /// Its path.
+        /// The path of the file.
         file: String,
     },
 }
@@ -52,19 +52,19 @@
 /// Why a job cannot be submitted.
 #[derive(Debug, Error)]
 pub enum JobEntryError {
-    /// An unknown shape.
+    /// The shape is unknown.
     #[error("shape: expected array, gang or service, not {0:?}")]
     Shape(String),
-    /// An unknown urgency.
+    /// The urgency is unknown.
     #[error("urgency: expected critical, high, normal or low, not {0:?}")]
     Urgency(String),
-    /// An id that is not of the protocol's form.
+    /// The id does not have the form that the protocol requires.
     #[error("id: expected one like job-000412, not {0:?}")]
     Id(String),
-    /// The controllers would refuse it, with this text.
+    /// The controllers would reject the job, with this message.
     #[error("{0}")]
     Invalid(String),
-    /// A value that JSON cannot hold.
+    /// The job cannot be encoded as JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
 }
@@ -72,14 +72,14 @@
 /// The format of a job file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobFileFormat {
-    /// HCL.
+    /// HCL, with one `job` block per job.
     Hcl,
-    /// JSON.
+    /// JSON, with an object `job` that maps names to jobs.
     Json,
 }
 
 impl JobFileFormat {
-    /// By the file's extension; HCL unless it is `.json`.
+    /// Returns the format for a file's extension: JSON for `.json`, HCL for all others.
     fn of(path: &Path) -> JobFileFormat {
         if path.extension().is_some_and(|extension| extension == "json") {
             JobFileFormat::Json
@@ -89,61 +89,61 @@
     }
 }
 
-/// A job as a person writes it. CPUs, GPUs, memory, image and times are those of one task.
+/// A job as the user writes it. CPUs, GPUs, memory, image, run time and checkpoint times are those of one task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct JobEntry {
-    /// The job's id; without one the client chooses it.
+    /// The job's id; if `None`, the client generates one.
     pub id: Option<String>,
-    /// The team that the job counts for.
+    /// The team to whose quota the job counts.
     pub team: String,
-    /// The class of work, for estimates and objectives.
+    /// The job class, for run time estimates and service-level objectives.
     pub class: String,
     /// `array`, `gang` or `service`.
     pub shape: String,
     /// `critical`, `high`, `normal` or `low`.
     pub urgency: String,
-    /// How many tasks it has.
+    /// The number of tasks.
     pub tasks: u32,
-    /// CPUs.
+    /// CPUs per task.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs per task.
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory per task in GB.
     pub memory_gb: f64,
-    /// The image that machines fetch first.
+    /// The image that a machine fetches before it starts a task.
     pub image: String,
-    /// Its size in GB.
+    /// The size of the image in GB.
     pub image_gb: f64,
-    /// The machine types that it may use; `None`: any.
+    /// The machine types that the job may use; `None` allows all.
     #[serde(rename = "kinds")]
     pub machine_types: Option<Vec<String>>,
-    /// The zone that it must run in.
+    /// The zone in which the job must run; `None` allows all.
     pub zone: Option<String>,
-    /// All tasks must be in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks may run in the same zone.
     #[serde(rename = "scatter")]
     pub spread_zones: bool,
-    /// It may use spot machines.
+    /// Whether the job may use spot machines.
     pub spot: bool,
-    /// Estimated run time in seconds.
+    /// Estimated run time of a task in seconds; not used for services.
     #[serde(rename = "guess_s")]
     pub estimated_run_s: f64,
-    /// Seconds between checkpoints; 0: it writes none.
+    /// Seconds between two checkpoints of a task; 0 if it writes none.
     #[serde(rename = "checkpoint_s")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that it takes to write one.
+    /// Seconds that a task takes to write a checkpoint.
     #[serde(rename = "save_s")]
     pub checkpoint_write_s: f64,
-    /// When it should be complete, in seconds from its submission.
+    /// Time by which the job should be complete, in seconds from its submission.
     pub due_s: Option<f64>,
-    /// Program and arguments; no shell.
+    /// The program and its arguments, run without a shell.
     pub command: Vec<String>,
     /// Environment variables of the command.
     pub env: BTreeMap<String, String>,
-    /// The working folder of the command.
+    /// The working directory of the command.
     pub dir: Option<String>,
 }
 
@@ -177,16 +177,17 @@
     }
 }
 
-/// A job ready to be sent: the submission for the controllers, and the description for the workers.
+/// A validated job: the submission for the controllers, and the description for the workers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PreparedJob {
-    /// Its name in the file.
+    /// The job's name in the file.
     pub name: String,
-    /// Its id, given or chosen.
+    /// The job's id, given in the file or generated.
     pub id: String,
-    /// The submission.
+    /// The body of the submission.
     pub spec: Value,
-    /// What workers must know of it. `None`: they get it in another way.
+    /// The description for the workers: the submission and the command. `None` if the file names no command;
+    /// workers then need the description from another source.
     pub description: Option<Value>,
 }
 
@@ -197,7 +198,7 @@
     job: BTreeMap<String, JobEntry>,
 }
 
-/// A job file that was read.
+/// A parsed job file.
 #[derive(Debug)]
 pub struct JobFile {
     file: String,
@@ -223,13 +224,13 @@
     }
 }
 
-/// Ids of one millisecond.
+/// Number of distinct ids per millisecond.
 const IDS_PER_MS: u64 = 10_000;
-/// Ids have 18 digits at most.
+/// Generated ids have at most 18 digits.
 const ID_LIMIT: u64 = 1_000_000_000_000_000_000;
 
-/// A new id from the time and a random number. `index`: the job's position among those that are prepared together, which
-/// keeps their ids apart.
+/// Generates an id from the time and a random number. `index` is the job's position among the jobs that are prepared
+/// together; it keeps their ids distinct.
 fn new_id(index: u64) -> String {
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let random: u64 = rand::rng().random_range(0..IDS_PER_MS);
@@ -237,10 +238,10 @@
 }
 
 impl JobEntry {
-    /// The job ready to be sent. `index`: its position among the jobs that are prepared together.
+    /// Validates the job and builds its requests. `index` is its position among the jobs that are prepared together.
     ///
     /// # Errors
-    /// The controllers would refuse the job.
+    /// The controllers would reject the job.
     pub fn prepare(&self, name: &str, index: u64) -> Result<PreparedJob, JobEntryError> {
         let id = self.id.clone().unwrap_or_else(|| new_id(index));
         let spec = serde_json::to_value(self.manifest(&id)?)?;
@@ -279,7 +280,7 @@
     }
 }
 
-/// Checks a submission by the code that the controllers check it by.
+/// Validates a submission with the parser that the controllers use.
 fn check_submission(spec: &Value, id: &str) -> Result<(), JobEntryError> {
     match parse_submission(spec.to_string().as_bytes()) {
         Ok(UserRequest::Submit { manifest: Err(problem), .. }) => {
@@ -291,10 +292,10 @@
 }
 
 impl JobFile {
-    /// Reads a file, in the format of its extension.
+    /// Reads and parses a file; its extension decides on the format.
     ///
     /// # Errors
-    /// It cannot be read, or is wrong.
+    /// The file cannot be read, or is invalid.
     pub fn load(path: &Path) -> Result<JobFile, JobFileError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -302,10 +303,10 @@
         JobFile::parse(&file, &text, JobFileFormat::of(path))
     }
 
-    /// Reads the text of a file; `file` is its name in errors.
+    /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// It has another form, unknown names, or no jobs.
+    /// The text is not valid in the format, contains unknown names, or has no jobs.
     pub fn parse(file: &str, text: &str, format: JobFileFormat) -> Result<JobFile, JobFileError> {
         let parsed: Result<JobFileBody, String> = match format {
             JobFileFormat::Json => serde_json::from_str(text).map_err(|error| error.to_string()),
@@ -313,17 +314,17 @@
                 hcl::from_str(text).map_err(|error| with_line_number(text, &error.to_string()))
             }
         };
-        let body = parsed.map_err(|problem| JobFileError::Form { file: file.into(), problem })?;
+        let body = parsed.map_err(|problem| JobFileError::Parse { file: file.into(), problem })?;
         if body.job.is_empty() {
             return Err(JobFileError::Empty { file: file.into() });
         }
         Ok(JobFile { file: file.into(), jobs: body.job })
     }
 
-    /// All jobs ready to be sent.
+    /// Validates all jobs and builds their requests.
     ///
     /// # Errors
-    /// The first job that the controllers would refuse.
+    /// Names the first job that the controllers would reject.
     pub fn prepare(&self) -> Result<Vec<PreparedJob>, JobFileError> {
         let prepare = |(index, (name, entry)): (usize, (&String, &JobEntry))| {
             let in_file = |problem| JobFileError::Job { file: self.file.clone(), job: name.clone(), problem };
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,9 +1,9 @@
-//! The client library: sends requests to olivelatch's controllers, and reports truly what came of them.
+//! The olivelatch client library: sends requests to the controllers and reports the outcome, including unknown ones.
 //!
-//! `RetryState` decides which controller is tried next and when, within one deadline; it does no I/O and reads no clock.
-//! `Client` carries that out over plain connections and holds no session: every request can be sent again to any controller,
-//! and a repeated submission is the same submission. `JobFile`, `ConfigFile` and `Contexts` read what people write.
-//! docs/client.md gives the reasons.
+//! `RetryState` decides which controller is tried next and when, within one deadline; it does no I/O and
+//! reads no clock. `Client` sends the requests, each over its own connection, and keeps no session: every
+//! request can be repeated against any controller, and submissions are idempotent. `JobFile`, `ConfigFile`
+//! and `Contexts` parse the files that users write. docs/client.md gives the reasons.
 
 #![warn(missing_docs)]
 
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -1,55 +1,56 @@
-//! Decides which controller a request is sent to next, and when, under one deadline for all attempts. Does no I/O and reads
-//! no clock: the time comes in with each outcome.
+//! Decides which controller a request is sent to next, and when, under one deadline for all attempts. Does no
+//! I/O and reads no clock: the caller passes the time with the outcome of each attempt.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// The pause of a controller after a lost attempt: doubled by each further one, up to the maximum.
-const FIRST_PAUSE_MS: u64 = 100;
-const MAX_PAUSE_MS: u64 = 2_000;
-/// The pause after a refusal without `Retry-After`.
-const REFUSED_PAUSE_MS: u64 = 1_000;
+/// Backoff of a controller after its first lost attempt. Each further lost attempt doubles it, up to the maximum.
+const FIRST_BACKOFF_MS: u64 = 100;
+const MAX_BACKOFF_MS: u64 = 2_000;
+/// Backoff of a controller after a retryable response without `Retry-After`.
+const REFUSED_BACKOFF_MS: u64 = 1_000;
 
 const MS_PER_SECOND: u64 = 1_000;
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
-    /// A response came.
+    /// The controller responded.
     Response {
-        /// Its HTTP status.
+        /// The HTTP status of the response.
         status: u16,
-        /// Its `Retry-After`, in seconds.
+        /// The `Retry-After` header of the response, in seconds.
         retry_after_s: Option<u32>,
     },
-    /// Connection refused or lost, or no response in time: the request may have been carried out.
+    /// The connection was refused or lost, or no response arrived in time: the request may have been executed.
     Lost,
 }
 
-/// What to do next.
+/// What the client does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RetryDecision {
-    /// The last response is final.
+    /// Return the last response to the caller: it is final.
     Final,
-    /// Send the request to this controller.
+    /// Send the request to a controller.
     Send {
-        /// Its position.
+        /// The index of the controller.
         controller: usize,
-        /// How long to wait first, in ms.
+        /// Time to wait before sending, in ms.
         wait_ms: u64,
     },
-    /// No controller may be tried again before the deadline.
+    /// Stop: no controller may be tried again before the deadline.
     GiveUp,
 }
 
 #[derive(Debug)]
 struct ControllerBackoff {
+    /// The controller may not be tried before this time.
     not_before_ms: u64,
-    /// The pause after its next lost attempt.
-    pause_ms: u64,
+    /// Backoff after the next lost attempt.
+    backoff_ms: u64,
 }
 
-/// The attempts of one request. Times are in ms since it began.
+/// The retry state of one request. Times are in ms since the start of the request.
 #[derive(Debug)]
 pub(crate) struct RetryState {
     controllers: Vec<ControllerBackoff>,
@@ -57,19 +58,21 @@
     deadline_ms: u64,
 }
 
-/// Whether another attempt could not change the response.
+/// Returns whether a retry could not change the response.
 fn is_final(status: u16) -> bool {
     !matches!(status, 429 | 500..)
 }
 
 impl RetryState {
-    /// A request to so many controllers that tries `first` first, and none after the deadline.
+    /// Creates the state for a number of controllers. The first attempt goes to the one with index `first`; no attempt
+    /// starts after the deadline.
     pub fn new(controllers: usize, first: usize, deadline_ms: u64) -> RetryState {
-        let all = (0..controllers).map(|_| ControllerBackoff { not_before_ms: 0, pause_ms: FIRST_PAUSE_MS });
+        let all =
+            (0..controllers).map(|_| ControllerBackoff { not_before_ms: 0, backoff_ms: FIRST_BACKOFF_MS });
         RetryState { controllers: all.collect(), current: first % controllers.max(1), deadline_ms }
     }
 
-    /// What to do before any attempt.
+    /// Returns the decision for the first attempt.
     pub fn first_controller(&self) -> RetryDecision {
         if self.controllers.is_empty() {
             RetryDecision::GiveUp
@@ -78,8 +81,8 @@
         }
     }
 
-    /// What to do after the last attempt ended so, now: the controller that may be tried soonest comes next, and among
-    /// equals the one after the last.
+    /// Records the outcome of the last attempt at time `now_ms` and returns the next step: the controller
+    /// that may be tried soonest comes next; ties go to the first one after the last one tried, in a ring.
     pub fn after_attempt(
         &mut self,
         now_ms: u64,
@@ -93,12 +96,12 @@
                 AttemptOutcome::Response { retry_after_s: Some(seconds), .. } => {
                     u64::from(seconds) * MS_PER_SECOND
                 }
-                AttemptOutcome::Response { .. } => REFUSED_PAUSE_MS,
+                AttemptOutcome::Response { .. } => REFUSED_BACKOFF_MS,
                 AttemptOutcome::Lost => {
-                    let pause = last.pause_ms;
-                    last.pause_ms = (pause * 2).min(MAX_PAUSE_MS);
+                    let backoff = last.backoff_ms;
+                    last.backoff_ms = (backoff * 2).min(MAX_BACKOFF_MS);
                     // Jitter, so that clients that lost a controller together do not retry together.
-                    pause / 2 + rng.random_range(0..=pause / 2)
+                    backoff / 2 + rng.random_range(0..=backoff / 2)
                 }
             };
         let count = self.controllers.len();
--- a/crates/client/src/tests/jobs.rs
+++ b/crates/client/src/tests/jobs.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn files_of_both_forms_say_the_same() {
+fn hcl_and_json_files_give_the_same_jobs() {
     let hcl = "job \"a\" {\n  tasks = 3\n  command = [\"echo\", \"hi\"]\n  env = { X = \"1\" }\n}\n";
     let json = r#"{"job": {"a": {"tasks": 3, "command": ["echo", "hi"], "env": {"X": "1"}}}}"#;
     let read = |text, format| JobFile::parse("f", text, format).expect("a file").jobs;
@@ -14,20 +14,21 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_example_job_files_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
-    // Graph files are another form: olivelatch-dag-files checks them. Plans of scale runs have a folder and a check of their own.
+    // Graph files have another format, which olivelatch-dag-files checks. Scale test plans are in a subfolder
+    // and are checked by olivelatch-scale-test.
     let graph = |path: &Path| std::fs::read_to_string(path).is_ok_and(|text| text.contains("\ngraph "));
     let files = std::fs::read_dir(folder).expect("the examples").flatten();
     let files = files.filter(|file| file.path().is_file() && !graph(&file.path()));
     let checked =
-        files.map(|file| JobFile::load(&file.path()).and_then(|f| f.prepare()).expect("a good file").len());
+        files.map(|file| JobFile::load(&file.path()).and_then(|f| f.prepare()).expect("a valid file").len());
     assert!(checked.sum::<usize>() > 0);
 }
 
-/// Each mistake is named with its place and what was expected, before anything is sent.
+/// Errors are found before anything is sent, and name the location and what was expected.
 #[test]
-fn mistakes_are_named() {
+fn errors_name_the_location_and_what_was_expected() {
     let problem = |text: &str| {
         let file = JobFile::parse("f.hcl", text, JobFileFormat::Hcl);
         file.and_then(|file| file.prepare().map(drop)).expect_err("a problem").to_string()
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn ids_are_new_and_of_the_protocols_form() {
+fn generated_ids_are_unique_and_valid() {
     let ids: std::collections::BTreeSet<String> = (0..1000).map(new_id).collect();
     assert_eq!(ids.len(), 1000);
     assert!(ids.iter().all(|id| olivelatch::ids::JobId::parse(id).is_some()));
--- a/crates/client/tests/golden.rs
+++ b/crates/client/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Job files as the submissions made of them, and the client's requests, compared with golden files.
+//! Compares the submissions made from job files, and the client's requests, with golden files.
 
 #[path = "../../../tests/golden/support.rs"]
 mod support;
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use support::Golden;
 
-/// A job file with every field.
+/// A job file in which the first job sets every field.
 const EVERYTHING: &str = r#"
 job "all" {
   id           = "job-000412"
@@ -53,7 +53,7 @@
     Golden::new(env!("CARGO_MANIFEST_DIR"), name)
 }
 
-/// A prepared job; an id that the client generated is replaced by a constant.
+/// Returns a prepared job as JSON; an id that the client generated is replaced by a constant.
 fn prepared(job: &PreparedJob, generated_id: bool) -> Value {
     let with_stable_id = |value: &Value| {
         let mut value = value.clone();
@@ -99,7 +99,7 @@
     golden.check();
 }
 
-/// Files of config entries, as the values that the client sends.
+/// Checks the values that the client sends for the entries of a configuration file.
 #[test]
 fn config_entries() {
     let mut golden = golden("entries");
@@ -123,11 +123,11 @@
         let mut chunk = [0; 4096];
         while !is_complete(&request) {
             let count = stream.read(&mut chunk).expect("a request");
-            assert!(count > 0, "cut off");
+            assert!(count > 0, "the connection was closed before the request was complete");
             request.extend_from_slice(&chunk[..count]);
         }
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{response}", response.len());
-        stream.write_all(head.as_bytes()).expect("the answer goes out");
+        stream.write_all(head.as_bytes()).expect("the response is sent");
         String::from_utf8(request).expect("text")
     };
     (addr, std::thread::spawn(serve))
