--- a/crates/worker/src/attempt.rs
+++ b/crates/worker/src/attempt.rs
@@ -1,68 +1,68 @@
-//! One attempt of a task, from the command that starts it to its end.
+//! One attempt of a task, from the command that starts it until its end.
 
 use serde::{Deserialize, Serialize};
 
-/// Why an attempt ended, in the words of the protocol.
+/// Values of the protocol field `cause`, which says why an attempt ended.
 pub(crate) mod cause {
-    /// It finished.
+    /// The task finished successfully.
     pub(crate) const DONE: &str = "done";
-    /// It failed.
+    /// The task failed.
     pub(crate) const ERROR: &str = "error";
-    /// A controller stopped it.
-    pub(crate) const HALTED: &str = "halted";
+    /// A controller stopped the attempt.
+    pub(crate) const STOPPED: &str = "halted";
     /// The worker has no description of the job.
-    pub(crate) const UNKNOWN: &str = "unknown";
+    pub(crate) const UNKNOWN_JOB: &str = "unknown";
     /// Another attempt of the task has not ended.
     pub(crate) const BUSY: &str = "busy";
-    /// The machine has no room for it.
-    pub(crate) const FULL: &str = "full";
-    /// Its gang did not come together in time.
-    pub(crate) const INCOMPLETE: &str = "incomplete";
-    /// A member of its gang was lost.
-    pub(crate) const PEERS: &str = "peers";
+    /// The machine has too little free capacity for the task.
+    pub(crate) const INSUFFICIENT_CAPACITY: &str = "full";
+    /// The gang was not complete when the gather time-out expired.
+    pub(crate) const GANG_INCOMPLETE: &str = "incomplete";
+    /// Another member of the gang was lost.
+    pub(crate) const PEER_LOST: &str = "peers";
 }
 
-/// Where an attempt is in its life. Times are milliseconds.
+/// Lifecycle phase of an attempt. Times are milliseconds of the caller's clock.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptPhase {
-    /// Its image is being fetched.
+    /// The image is being fetched.
     FetchingImage {
-        /// When the image will be there.
+        /// Time at which the fetch completes.
         until: u64,
     },
-    /// It waits for the other members of its gang.
+    /// The attempt waits until all members of its gang are ready to start.
     WaitingForGang {
-        /// Since when.
+        /// Time at which the wait began.
         since: u64,
     },
-    /// It runs.
+    /// The task runs.
     Running {
-        /// When simulated work is done; None: until its process exits.
+        /// When simulated work finishes; `None` for a process, which runs until it exits.
         until: Option<u64>,
     },
-    /// A gang member's process has succeeded and waits for the others.
+    /// The process of this gang member has exited successfully; other members still run.
     WaitingForGangExit,
-    /// It was stopped and saves a checkpoint.
+    /// A controller stopped the attempt, which now saves a checkpoint.
     Checkpointing {
-        /// When simulated work has saved it; None: until its process exits.
+        /// When simulated work has saved the checkpoint; `None` for a process, which saves until it exits.
         until: Option<u64>,
     },
-    /// It was stopped, and its process has not exited yet.
+    /// The attempt was stopped without a checkpoint, and its process has not exited yet.
     Stopping {
-        /// How it will have ended.
+        /// The cause to report once the process has exited.
         cause: &'static str,
     },
-    /// It has ended.
+    /// The attempt has ended.
     Ended {
-        /// Why.
+        /// Why the attempt ended, as the protocol names it.
         cause: &'static str,
-        /// It saved a checkpoint.
+        /// Whether the attempt saved a checkpoint.
         checkpoint_kept: bool,
     },
 }
 
 impl AttemptPhase {
-    /// Ended without a checkpoint.
+    /// Returns the phase of an attempt that ended without a checkpoint.
     pub(crate) fn ended(cause: &'static str) -> AttemptPhase {
         AttemptPhase::Ended { cause, checkpoint_kept: false }
     }
@@ -71,9 +71,9 @@
 /// The result of a finished task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskResult {
-    /// The attempt whose output counts; 0 if that is not known.
+    /// Number of the attempt that produced the output; 0 if it was not recorded.
     pub attempt: u64,
-    /// The length of the list that it produced for mapped jobs.
+    /// Length of the list that the task produced for mapped jobs, if it produced one.
     #[serde(default)]
     #[serde(rename = "gave")]
     pub list_len: Option<u32>,
@@ -82,33 +82,33 @@
 /// An attempt of a task on this machine.
 #[derive(Debug, Clone)]
 pub struct TaskAttempt {
-    /// Name of the task: its job, a slash, its number.
+    /// Name of the task: the job's name, a slash and the task's index.
     pub task: String,
-    /// Number of the attempt; numbers rise.
+    /// Number of the attempt. Later attempts of a task have higher numbers.
     pub attempt: u64,
-    /// Where it is in its life.
+    /// Current phase of the attempt.
     pub phase: AttemptPhase,
-    /// Its image was fetched: from then on it counts as being on the machine.
+    /// Whether the image was fetched. From then on, invariant checks count the task as started on this machine.
     pub has_image: bool,
 }
 
-/// The job that a task belongs to.
+/// Returns the name of the job that a task belongs to.
 pub(crate) fn job_of_task(task: &str) -> &str {
     task.split('/').next().unwrap_or("")
 }
 
 impl TaskAttempt {
-    /// The job that the task belongs to.
+    /// Returns the name of the job that the task belongs to.
     pub fn job_name(&self) -> &str {
         job_of_task(&self.task)
     }
 
-    /// It has ended.
+    /// Returns whether the attempt has ended.
     pub fn is_ended(&self) -> bool {
         matches!(self.phase, AttemptPhase::Ended { .. })
     }
 
-    /// It runs, or its process may still exist.
+    /// Returns whether the task runs or its process may still exist.
     pub fn is_live(&self) -> bool {
         matches!(
             self.phase,
--- a/crates/worker/src/commands.rs
+++ b/crates/worker/src/commands.rs
@@ -1,20 +1,21 @@
-//! Commands of controllers, as JSON: in the response to a heartbeat or sent directly.
+//! Parses and executes the commands of controllers, which arrive as JSON in the response to a heartbeat or in a direct
+//! request.
 //!
-//! A command counts only with a fencing token that is not lower than the highest one seen, and a direct one only for
-//! the current epoch.
+//! A command is executed only if its fencing token is not lower than the highest one seen; a direct command must also
+//! carry the worker's current epoch.
 
 use serde_json::{Value, json};
 
 use crate::description::JobDescriptions;
 use crate::worker::Worker;
 
-/// What a controller wants done with an attempt.
+/// What a controller commands for an attempt.
 enum CommandAction {
     Run,
     Stop {
         grace_ms: u64,
     },
-    /// The controller has recorded the end of the attempt: it need not be reported any more.
+    /// The controller has recorded the end of the attempt, so the worker stops reporting it.
     Forget,
 }
 
@@ -22,7 +23,7 @@
 struct WorkerCommand {
     task: String,
     attempt: u64,
-    /// None: one that this version does not know.
+    /// `None` for a verb that this version does not know.
     action: Option<CommandAction>,
 }
 
@@ -46,12 +47,12 @@
 }
 
 impl Worker {
-    /// Takes in the response to the heartbeat sent at `sent`. False: its token is too low; it is dropped and does not
-    /// renew the lease.
+    /// Applies the response to the heartbeat that was sent at `sent_at`. Returns false if its fencing token is
+    /// missing or too low: such a response is dropped and does not renew the lease.
     pub fn apply_heartbeat_response(
         &mut self,
         body: &Value,
-        sent: u64,
+        sent_at: u64,
         now: u64,
         jobs: &JobDescriptions,
     ) -> bool {
@@ -60,12 +61,13 @@
             return false;
         }
         self.accept_token(token);
-        self.last_answered_heartbeat_sent_at = sent;
+        self.last_answered_heartbeat_sent_at = sent_at;
         self.execute_commands(&body["orders"], now, jobs);
         true
     }
 
-    /// Executes commands that a controller sent directly. Returns the status and the body of the response.
+    /// Executes commands that a controller sent directly. Returns the HTTP status and the body of the response, which
+    /// is a heartbeat unless the request is malformed.
     pub fn handle_direct_command(&mut self, body: &[u8], now: u64, jobs: &JobDescriptions) -> (u16, Value) {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (Some(token), Some(epoch)) = (body["baton"].as_u64(), body["shift"].as_u64()) else {
@@ -79,7 +81,7 @@
         (200, self.heartbeat(now))
     }
 
-    /// A new leader learns soon that its token has arrived.
+    /// Stores the token. A higher one makes a heartbeat due, so that a new leader soon sees its token acknowledged.
     fn accept_token(&mut self, token: u64) {
         self.has_unreported_change |= token > self.token;
         self.token = token;
--- a/crates/worker/src/description.rs
+++ b/crates/worker/src/description.rs
@@ -1,62 +1,62 @@
-//! What a worker must know of a job. Users upload it before they submit the job.
+//! Job descriptions: what a worker needs to run a job's tasks. Users upload them before they submit the job.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why an uploaded description is refused.
+/// Why an uploaded description is rejected.
 #[derive(Debug, Error)]
 pub enum DescriptionError {
-    /// It is not JSON of the expected form.
-    #[error("the description is not as expected: {0}")]
+    /// The body is not JSON of the expected form.
+    #[error("invalid job description: {0}")]
     Json(#[from] serde_json::Error),
-    /// There is nothing to run.
-    #[error("the description names no command")]
+    /// The description has no command to run.
+    #[error("the job description has no command; expected run.command to name a program")]
     NoCommand,
-    /// A value is out of its range.
+    /// A value is outside its allowed range.
     #[error("{field}: expected {expected}, not {found}")]
-    Value {
-        /// Name of the field.
+    OutOfRange {
+        /// JSON name of the field.
         field: &'static str,
-        /// What is allowed.
+        /// Allowed range, as text.
         expected: &'static str,
-        /// What it is.
+        /// Value found, as text.
         found: String,
     },
 }
 
-/// A program and how to start it, without a shell.
+/// A program and how to start it. It is started without a shell.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessCommand {
     /// The program and its arguments.
     pub command: Vec<String>,
-    /// Environment variables in addition to those that it inherits.
+    /// Environment variables, in addition to the inherited ones.
     #[serde(default)]
     pub env: BTreeMap<String, String>,
-    /// Its working directory; by default that of the local cluster.
+    /// Working directory of the process; by default that of the local cluster.
     #[serde(default)]
     pub dir: Option<String>,
 }
 
-/// What a task does.
+/// The work of a task: simulated, or a process.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskWork {
-    /// Nothing: it only takes time.
+    /// The task executes nothing; it only takes time.
     Simulated {
-        /// How long it runs.
+        /// Run time in milliseconds.
         run_ms: u64,
-        /// It fails as soon as it has its image.
+        /// Whether the task fails as soon as its image is fetched.
         fails: bool,
-        /// The length of the list that it produces.
+        /// Length of the list that the task produces, if it produces one.
         list_len: Option<u32>,
     },
-    /// It runs a command.
+    /// The task runs a command.
     Process(ProcessCommand),
 }
 
-/// A job as workers see it.
+/// What workers know about a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobDescription {
     /// CPUs of one task.
@@ -65,32 +65,32 @@
     pub gpus: f64,
     /// Memory of one task, in GB.
     pub memory_gb: f64,
-    /// Name of its image.
+    /// Name of the image.
     pub image: String,
-    /// Size of its image, in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Its tasks form a gang.
+    /// Whether the job's tasks form a gang.
     pub gang: bool,
     /// Number of tasks.
     pub tasks: u32,
-    /// Its tasks can save checkpoints.
+    /// Whether the job's tasks can save checkpoints.
     pub can_checkpoint: bool,
-    /// How long saving a checkpoint takes.
+    /// How long saving a checkpoint takes, in milliseconds.
     pub checkpoint_save_ms: u64,
-    /// What a task does.
+    /// The work of a task.
     pub work: TaskWork,
-    /// Jobs whose output it reads, by the names that it uses for them.
+    /// Jobs whose output this job reads, by the names under which its tasks refer to them.
     pub inputs: BTreeMap<String, String>,
-    /// The job over whose list it runs, with a task for each element.
+    /// For a mapped job, the job that produces the list; each element has one task.
     pub map_source: Option<String>,
 }
 
-/// Descriptions by the names of the jobs.
+/// Job descriptions, by job name.
 pub type JobDescriptions = BTreeMap<String, JobDescription>;
 
-/// What users upload: the fields of the submission, and the command in addition.
+/// The uploaded form of a description: the fields of the job's submission plus the command.
 #[derive(Deserialize)]
-struct Upload {
+struct UploadedDescription {
     shape: String,
     #[serde(rename = "pieces")]
     tasks: u32,
@@ -112,23 +112,23 @@
     map: Option<String>,
 }
 
-/// Upper bound of amounts; keeps sums and conversions exact enough.
+/// Upper bound of resource amounts and durations; it keeps sums and conversions exact enough.
 const MAX_AMOUNT: f64 = 1e9;
 
 fn checked_amount(field: &'static str, value: f64) -> Result<f64, DescriptionError> {
     if (0.0..=MAX_AMOUNT).contains(&value) {
         return Ok(value);
     }
-    Err(DescriptionError::Value { field, expected: "0 to 1e9", found: value.to_string() })
+    Err(DescriptionError::OutOfRange { field, expected: "0 to 1e9", found: value.to_string() })
 }
 
 impl JobDescription {
     /// Parses the uploaded description of a job that runs commands.
     ///
     /// # Errors
-    /// It is malformed, names no command, or has a value out of range.
+    /// The description is malformed, has no command, or has a value out of range.
     pub fn parse(bytes: &[u8]) -> Result<JobDescription, DescriptionError> {
-        let upload: Upload = serde_json::from_slice(bytes)?;
+        let upload: UploadedDescription = serde_json::from_slice(bytes)?;
         let run = upload.run.filter(|run| run.command.first().is_some_and(|program| !program.is_empty()));
         Ok(JobDescription {
             cpus: checked_amount("vcpus", upload.vcpus)?,
--- a/crates/worker/src/gangs.rs
+++ b/crates/worker/src/gangs.rs
@@ -1,7 +1,7 @@
-//! Gangs: their tasks start together, complete together and stop together.
+//! Gangs, whose tasks start together, complete together and stop together.
 //!
-//! A gang is one attempt of a job whose tasks run on several machines; the workers of a cluster are coordinated in one
-//! place. No I/O, no clock.
+//! A gang is one attempt of a job whose tasks run on several machines. One call coordinates all workers of a local or
+//! simulated cluster. This module does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,33 @@
 use crate::description::JobDescriptions;
 use crate::worker::Worker;
 
-/// Time limits of gangs.
+/// Time limits of gangs, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct GangTimes {
-    /// How long members wait for the others to come together.
+    /// How long members wait until all of them are ready to start.
     pub gather_timeout_ms: u64,
-    /// How soon members notice that another one is lost.
+    /// How long a member may be missing before the others are stopped.
     pub peer_loss_timeout_ms: u64,
 }
 
-/// A gang: its job and the number of the attempt.
+/// Identifies a gang: the name of its job and the number of the attempt.
 type GangKey = (String, u64);
 
-/// Where a member is.
+/// Position of a gang member: the index of its worker and of its attempt on that worker.
 #[derive(Clone, Copy)]
 struct MemberPosition {
     worker: usize,
     attempt: usize,
 }
 
-/// The members of a gang by the phases that matter.
+/// The active members of a gang, grouped by phase.
 #[derive(Default)]
 struct GangMembers {
     gathering: Vec<MemberPosition>,
     running: Vec<MemberPosition>,
     complete: Vec<MemberPosition>,
     fetching_count: usize,
-    /// When the first member began to wait.
+    /// When the earliest of the gathering members began to wait.
     gathering_since: u64,
 }
 
@@ -54,11 +54,11 @@
         }
     }
 
-    fn present_count(&self) -> usize {
+    fn active_count(&self) -> usize {
         self.gathering.len() + self.running.len() + self.complete.len() + self.fetching_count
     }
 
-    fn has_run(&self) -> bool {
+    fn has_started(&self) -> bool {
         !self.running.is_empty() || !self.complete.is_empty()
     }
 }
@@ -78,8 +78,8 @@
     gangs
 }
 
-/// Moves the gangs on all machines of a cluster along. `incomplete_since` is the caller's state between calls: since
-/// when a gang that ran has missed a member.
+/// Starts, completes and stops the gangs on all machines of a cluster. `incomplete_since` is state that the caller
+/// keeps between calls: since when a started gang has missed a member.
 pub fn coordinate_gangs(
     workers: &mut [Worker],
     now: u64,
@@ -97,17 +97,17 @@
             }
         } else if gang.complete.len() == tasks {
             for member in &gang.complete {
-                workers[member.worker].complete_attempt(member.attempt);
+                workers[member.worker].complete_gang_member(member.attempt);
             }
         } else if !gang.gathering.is_empty() && now >= gang.gathering_since + times.gather_timeout_ms {
-            stop_members(workers, &gang.gathering, cause::INCOMPLETE);
+            stop_members(workers, &gang.gathering, cause::GANG_INCOMPLETE);
         }
-        // Only a gang that has run misses its members; one that gathers waits for a replacement.
-        if gang.has_run() && gang.present_count() < tasks {
+        // A missing member stops only a gang that has started; one that still gathers waits for a replacement.
+        if gang.has_started() && gang.active_count() < tasks {
             let since = *incomplete_since.entry(key).or_insert(now);
             if now >= since + times.peer_loss_timeout_ms {
-                stop_members(workers, &gang.running, cause::PEERS);
-                stop_members(workers, &gang.complete, cause::PEERS);
+                stop_members(workers, &gang.running, cause::PEER_LOST);
+                stop_members(workers, &gang.complete, cause::PEER_LOST);
             }
         } else {
             incomplete_since.remove(&key);
@@ -117,6 +117,6 @@
 
 fn stop_members(workers: &mut [Worker], members: &[MemberPosition], cause: &'static str) {
     for member in members {
-        workers[member.worker].stop_peer(member.attempt, cause);
+        workers[member.worker].stop_gang_member(member.attempt, cause);
     }
 }
--- a/crates/worker/src/heartbeat.rs
+++ b/crates/worker/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! When a worker sends a heartbeat, to which controller, and what it does with the response. Times are milliseconds of
+//! Decides when a worker sends a heartbeat and to which controller, and handles the response. Times are milliseconds of
 //! a monotonic clock.
 
 use serde_json::Value;
@@ -9,63 +9,65 @@
 const STATUS_OK: u16 = 200;
 const STATUS_MISDIRECTED: u16 = 421;
 
-/// Times between heartbeats.
+/// Intervals and time-outs of heartbeats, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatTimes {
-    /// Between heartbeats without a change.
+    /// Interval between heartbeats when nothing changes.
     pub interval_ms: u64,
-    /// Least time between a heartbeat and one that a change makes due.
+    /// Minimum interval before a heartbeat that is sent early because of a change.
     pub min_change_interval_ms: u64,
-    /// Before the next controller is tried after one that refused the heartbeat or did not respond.
+    /// Delay before the next controller is tried, after one rejected the heartbeat or did not respond.
     pub retry_ms: u64,
-    /// A controller that has not responded within this counts as not responding.
+    /// Time-out of a request, after which the heartbeat counts as unanswered.
     pub response_timeout_ms: u64,
 }
 
-/// A heartbeat that waits for its response.
+/// A heartbeat whose response is outstanding.
 #[derive(Debug, Clone, Copy)]
 struct InFlight {
     sent_at: u64,
     epoch: u64,
 }
 
-/// The response to a heartbeat.
+/// The outcome of a heartbeat request.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatResponse<'a> {
-    /// HTTP status; 0 if there was no response.
+    /// HTTP status of the response; 0 if there was none.
     pub status: u16,
-    /// Body as JSON.
+    /// Body of the response, as JSON.
     pub body: &'a Value,
 }
 
-/// One worker's heartbeats: one in flight at a time, to one controller at a time.
+/// Sends the heartbeats of one worker: at most one is in flight, and all go to one controller until it fails or
+/// redirects the worker.
 #[derive(Debug)]
 pub struct HeartbeatSender {
-    /// Index of the current controller in the list, modulo its length.
+    /// Index of the current controller in the caller's list, modulo the length of the list.
     controller: usize,
     next_at: u64,
     in_flight: Option<InFlight>,
 }
 
 impl HeartbeatSender {
-    /// Starts with the controller of this index; the first heartbeat is due at `now`.
+    /// Creates a sender that starts with the controller at this index. The first heartbeat is due at `now`.
     pub fn new(controller: usize, now: u64) -> HeartbeatSender {
         HeartbeatSender { controller, next_at: now, in_flight: None }
     }
 
-    /// The index of the current controller in a list of this length.
+    /// Returns the index of the current controller in a list of this length.
     pub fn current_controller(&self, controller_count: usize) -> usize {
         self.controller % controller_count.max(1)
     }
 
-    /// Is a heartbeat due?
+    /// Returns whether a heartbeat is due: the interval has passed or, after a change, the minimum interval has. None
+    /// is due while one is in flight.
     pub fn is_due(&self, worker: &Worker, now: u64, times: HeartbeatTimes) -> bool {
         let after_change = worker.has_unreported_change
             && now + times.interval_ms >= self.next_at + times.min_change_interval_ms;
         self.in_flight.is_none() && (now >= self.next_at || after_change)
     }
 
-    /// The heartbeat to send now. `jitter_ms` prolongs the time to the next one.
+    /// Returns the heartbeat to send now and schedules the next one, delayed by `jitter_ms`.
     pub fn send(&mut self, worker: &mut Worker, now: u64, times: HeartbeatTimes, jitter_ms: u64) -> Value {
         worker.has_unreported_change = false;
         let body = worker.heartbeat(now);
@@ -74,8 +76,8 @@
         body
     }
 
-    /// Handles the response, or that there is none. A controller that does not serve this worker names the one that
-    /// does, which gets the next heartbeat at once; `controller_index` finds it in the list.
+    /// Handles a response, or the lack of one. A controller that does not serve this worker responds with the name of
+    /// the one that does; the next heartbeat goes there at once. `controller_index` finds a controller by its name.
     pub fn handle_response(
         &mut self,
         worker: &mut Worker,
@@ -94,10 +96,11 @@
             }
             return;
         }
-        let named = body["home"].as_str().filter(|_| status == STATUS_MISDIRECTED).and_then(controller_index);
-        match named.filter(|named| *named != self.controller) {
-            Some(named) => {
-                self.controller = named;
+        let redirect_target =
+            body["home"].as_str().filter(|_| status == STATUS_MISDIRECTED).and_then(controller_index);
+        match redirect_target.filter(|target| *target != self.controller) {
+            Some(target) => {
+                self.controller = target;
                 self.next_at = now;
             }
             None => {
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -1,9 +1,9 @@
-//! A worker: one machine's side of the protocol.
+//! A worker: one machine's side of the worker protocol.
 //!
-//! [`Worker`] decides what a heartbeat, its response and a direct command do to the tasks of its machine, by the rules
-//! of epochs, fencing tokens and leases. It does no I/O and reads no clock, and so serves virtual time as well as real
-//! machines. [`processes`] runs the commands that a `Worker` asks for. CPU and memory are accounted, not enforced.
-//! docs/local-cluster.md argues for both.
+//! [`Worker`] applies heartbeat responses and direct commands to the tasks of its machine, by the rules of epochs,
+//! fencing tokens and leases. It does no I/O and reads no clock, so it works in virtual time as well as on real
+//! machines. [`processes`] starts and stops processes as a `Worker` requests. CPU and memory are accounted for but not
+//! enforced. docs/local-cluster.md gives the reasons for both.
 
 #![warn(missing_docs)]
 
--- a/crates/worker/src/machine.rs
+++ b/crates/worker/src/machine.rs
@@ -4,10 +4,10 @@
 
 /// Tolerance for sums of fractional resources.
 const RESOURCE_EPSILON: f64 = 1e-9;
-/// Lower bound of the fetch rate, so that a rate of 0 gives a long time and not an infinite one.
+/// Lower bound of the fetch rate, so that a rate of 0 yields a long fetch time instead of an infinite one.
 const MIN_IMAGE_FETCH_GB_PER_S: f64 = 1e-6;
 
-/// What a machine is and has.
+/// A machine: its identity, type and capacity.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
     /// Unique name.
@@ -16,9 +16,9 @@
     pub endpoint: String,
     /// Name of its machine type.
     pub machine_type: String,
-    /// Zone it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// It is a spot instance, which the cloud may take back.
+    /// Whether the machine is a spot instance, which the cloud may reclaim.
     pub spot: bool,
     /// Number of CPUs.
     pub cpus: f64,
@@ -26,12 +26,12 @@
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
-    /// How fast it fetches images, in GB a second.
+    /// Rate at which the machine fetches images, in GB per second.
     pub image_fetch_gb_per_s: f64,
 }
 
 impl Machine {
-    /// Do the tasks of these jobs, one of each, fit the machine together?
+    /// Returns whether one task of each of these jobs fits on the machine together.
     pub(crate) fn fits<'a>(&self, jobs: impl Iterator<Item = &'a JobDescription>) -> bool {
         let (mut cpus, mut gpus, mut memory_gb) = (0.0, 0.0, 0.0);
         for job in jobs {
@@ -43,7 +43,7 @@
         fits(cpus, self.cpus) && fits(gpus, self.gpus) && fits(memory_gb, self.memory_gb)
     }
 
-    /// How long fetching an image takes.
+    /// Returns how long fetching an image takes, in milliseconds.
     pub(crate) fn image_fetch_ms(&self, image_gb: f64) -> u64 {
         (image_gb / self.image_fetch_gb_per_s.max(MIN_IMAGE_FETCH_GB_PER_S) * 1000.0) as u64
     }
--- a/crates/worker/src/processes.rs
+++ b/crates/worker/src/processes.rs
@@ -1,7 +1,8 @@
-//! Tasks as processes of the operating system.
+//! Runs tasks as operating system processes.
 //!
-//! Each runs in a process group of its own, so that a signal reaches all that it started. A file lists the processes by
-//! id and start time, so that the next local cluster can kill what this one left behind, and nothing else.
+//! Each task runs in its own process group, so that a signal also reaches its child processes. A file lists the
+//! processes by process id and start time, so that the next local cluster in this folder can kill exactly those that
+//! this one left running.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -15,7 +16,7 @@
 
 use crate::description::ProcessCommand;
 
-/// An attempt of a task on a machine.
+/// Identifies an attempt of a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// Name of the machine.
@@ -28,20 +29,20 @@
 
 struct Process {
     child: Child,
-    /// When it is killed if it has not exited: it was asked to terminate.
+    /// When the process is killed if it has not exited; set once it was sent SIGTERM.
     kill_at: Option<u64>,
 }
 
 /// A process that has exited.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ProcessExit {
-    /// Whose process it was.
+    /// The attempt that the process belonged to.
     pub key: AttemptKey,
-    /// Its exit status; None: a signal killed it.
+    /// Exit status; `None` if a signal killed the process or its status could not be read.
     pub code: Option<i32>,
 }
 
-/// The processes of a local cluster, and the file that lists them.
+/// The running processes of a local cluster, and the file that lists them.
 pub struct Processes {
     running: HashMap<AttemptKey, Process>,
     folder: PathBuf,
@@ -49,56 +50,57 @@
 }
 
 const PID_FILE_NAME: &str = "pids";
-/// Position of the start time in /proc/PID/stat among the fields after the name.
+/// Index of the start time among the fields of /proc/PID/stat that follow the process name.
 const START_TIME_FIELD: usize = 19;
 
-/// The start time of a process in clock ticks since boot. With the id it identifies a process, as ids are reused.
+/// Returns the start time of a process in clock ticks since boot. Process ids are reused, so only id and start time
+/// together identify a process.
 fn process_start_ticks(pid: u32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in parentheses may contain anything; the fields after it are numbers and letters.
-    let (_, rest) = stat.rsplit_once(')')?;
-    rest.split_whitespace().nth(START_TIME_FIELD)?.parse().ok()
+    // The process name is in parentheses and may itself contain parentheses; the fields after it contain none.
+    let (_, fields) = stat.rsplit_once(')')?;
+    fields.split_whitespace().nth(START_TIME_FIELD)?.parse().ok()
 }
 
 fn signal_group(pid: u32, signal: Signal) {
     if let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) {
-        // A group that no longer exists needs no signal.
+        // An error means that the group no longer exists, so there is nothing to signal.
         let _ = kill_process_group(pid, signal);
     }
 }
 
 impl Processes {
-    /// Opens the folder of the logs and of the list of processes. Processes that an earlier local cluster left running
-    /// are killed first, if they are still the same ones.
+    /// Opens the folder of the logs and of the process list. First kills the processes that an earlier local cluster
+    /// left running, if their start times show that they are still the same processes.
     ///
     /// # Errors
-    /// The folder or the list cannot be created.
+    /// The folder or the process list cannot be created.
     pub fn open(folder: &Path) -> io::Result<Processes> {
         std::fs::create_dir_all(folder)?;
-        kill_leftovers(&folder.join(PID_FILE_NAME));
+        kill_orphans(&folder.join(PID_FILE_NAME));
         let pid_file =
             OpenOptions::new().create(true).write(true).truncate(true).open(folder.join(PID_FILE_NAME))?;
         Ok(Processes { running: HashMap::new(), folder: folder.into(), pid_file })
     }
 
-    /// Adds a process to the list; also for processes that others started, such as controllers.
+    /// Adds a process to the process list. Also used for processes that are started elsewhere, such as controllers.
     ///
     /// # Errors
-    /// The list cannot be written.
+    /// The process list cannot be written.
     pub fn record_pid(&mut self, pid: u32) -> io::Result<()> {
         let line = format!("{pid} {}\n", process_start_ticks(pid).unwrap_or(0));
         self.pid_file.write_all(line.as_bytes())
     }
 
-    /// The file that the output of an attempt is written to.
+    /// Returns the path of the log file that receives the output of an attempt.
     pub fn log_path(folder: &Path, task: &str, attempt: u64) -> PathBuf {
         folder.join("logs").join(format!("{task}.{attempt}.log"))
     }
 
-    /// Starts a command, with environment variables that identify its task. Returns the process id.
+    /// Starts a command with environment variables that identify its task. Returns the process id.
     ///
     /// # Errors
-    /// There is no command, it cannot be started, or its log cannot be written.
+    /// The command is empty or cannot be started, or its log or the process list cannot be written.
     pub fn start(
         &mut self,
         key: AttemptKey,
@@ -107,8 +109,8 @@
         variables: &[(String, String)],
     ) -> io::Result<u32> {
         let output = self.create_log(&key)?;
-        let missing = || io::Error::new(io::ErrorKind::InvalidInput, "no command");
-        let (program, args) = command.command.split_first().ok_or_else(missing)?;
+        let empty_command = || io::Error::new(io::ErrorKind::InvalidInput, "the command is empty");
+        let (program, args) = command.command.split_first().ok_or_else(empty_command)?;
         let (job, task) = key.task.split_once('/').unwrap_or((&key.task, "0"));
         let mut program = Program::new(program);
         program
@@ -142,10 +144,10 @@
         OpenOptions::new().create(true).append(true).open(path)
     }
 
-    /// Writes to a task's log why it was not started.
+    /// Appends to a task's log the reason why the task could not be started.
     pub fn log_start_failure(&self, key: &AttemptKey, text: &str) {
         let log = Processes::log_path(&self.folder, &key.task, key.attempt);
-        // The failure itself is reported to the controller; the log is only for its user.
+        // An error here is ignored: the controller gets the failure from the heartbeat; the log only informs the user.
         let _ = OpenOptions::new()
             .create(true)
             .append(true)
@@ -153,7 +155,8 @@
             .and_then(|mut file| file.write_all(text.as_bytes()));
     }
 
-    /// Asks a process to terminate; it is killed if it has not exited after the grace period.
+    /// Sends SIGTERM to a process group. `collect_exits` kills the group if the process has not exited after the grace
+    /// period.
     pub fn stop(&mut self, key: &AttemptKey, grace_ms: u64, now: u64) {
         if let Some(process) = self.running.get_mut(key) {
             signal_group(process.child.id(), Signal::TERM);
@@ -162,14 +165,14 @@
         }
     }
 
-    /// Kills a process at once.
+    /// Kills a process group at once.
     pub fn kill(&mut self, key: &AttemptKey) {
         if let Some(process) = self.running.get(key) {
             signal_group(process.child.id(), Signal::KILL);
         }
     }
 
-    /// Processes that have exited since the last call. Kills those whose grace period is over.
+    /// Kills the processes whose grace period has expired, and returns those that have exited since the last call.
     pub fn collect_exits(&mut self, now: u64) -> Vec<ProcessExit> {
         let mut exits = Vec::new();
         self.running.retain(|key, process| {
@@ -180,7 +183,7 @@
             match process.child.try_wait() {
                 Ok(None) => true,
                 Ok(Some(status)) => {
-                    // Also kills what it started and left running.
+                    // Also kills child processes that the task left running.
                     signal_group(process.child.id(), Signal::KILL);
                     exits.push(ProcessExit { key: key.clone(), code: status.code() });
                     false
@@ -194,12 +197,12 @@
         exits
     }
 
-    /// Processes that have not been collected.
+    /// Returns the number of processes whose exit has not been collected.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Kills all processes and waits for them.
+    /// Kills all processes and waits until they have exited.
     pub fn kill_all(&mut self) {
         for (_, mut process) in self.running.drain() {
             signal_group(process.child.id(), Signal::KILL);
@@ -214,12 +217,12 @@
     }
 }
 
-/// Longest wait for leftovers to exit, so that the ports that they listen on are free.
-const LEFTOVER_WAIT_MS: u64 = 2_000;
-const LEFTOVER_POLL_MS: u64 = 10;
+/// How long to wait until killed orphans have exited, so that the ports that they listen on are free again.
+const ORPHAN_EXIT_TIMEOUT_MS: u64 = 2_000;
+const ORPHAN_POLL_INTERVAL_MS: u64 = 10;
 
-/// Kills the processes that the file lists, if they are still the same ones, and waits until they have exited.
-fn kill_leftovers(pid_file: &Path) {
+/// Kills the processes that the file lists if their start times still match, and waits until they have exited.
+fn kill_orphans(pid_file: &Path) {
     let Ok(text) = std::fs::read_to_string(pid_file) else { return };
     let mut killed = Vec::new();
     for line in text.lines() {
@@ -232,10 +235,10 @@
             killed.push((pid, start));
         }
     }
-    let deadline = Instant::now() + Duration::from_millis(LEFTOVER_WAIT_MS);
+    let deadline = Instant::now() + Duration::from_millis(ORPHAN_EXIT_TIMEOUT_MS);
     let is_running = |(pid, start): &(u32, u64)| process_start_ticks(*pid) == Some(*start);
     while killed.iter().any(is_running) && Instant::now() < deadline {
-        std::thread::sleep(Duration::from_millis(LEFTOVER_POLL_MS));
+        std::thread::sleep(Duration::from_millis(ORPHAN_POLL_INTERVAL_MS));
     }
 }
 
--- a/crates/worker/src/status.rs
+++ b/crates/worker/src/status.rs
@@ -1,4 +1,4 @@
-//! Heartbeats as JSON: what a worker reports of its machine and of its attempts.
+//! Heartbeats as JSON: what a worker reports about its machine and its attempts.
 
 use serde_json::{Value, json};
 
@@ -6,12 +6,12 @@
 use crate::worker::Worker;
 
 impl Worker {
-    /// The next heartbeat.
+    /// Returns the next heartbeat; this advances the sequence number.
     pub fn heartbeat(&mut self, now: u64) -> Value {
         self.sequence += 1;
         let statuses: Vec<Value> =
             self.attempts.iter().map(|attempt| attempt_json(attempt, self.result(&attempt.task))).collect();
-        let notice_s = self.termination_at.map(|until| until.saturating_sub(now) as f64 / 1000.0);
+        let notice_s = self.termination_at.map(|at| at.saturating_sub(now) as f64 / 1000.0);
         let machine = &self.machine;
         json!({"box": machine.name, "endpoint": machine.endpoint, "boxkind": machine.machine_type, "hall": machine.zone,
             "loaners": machine.spot, "shift": self.epoch, "tick": self.sequence, "baton": self.token,
@@ -19,7 +19,8 @@
     }
 }
 
-/// The status of an attempt. `made` and `gave` extend the protocol; controllers that don't know them ignore them.
+/// Returns the status of an attempt. `made` and `gave` are extensions of the protocol, which controllers ignore if they
+/// don't support them.
 fn attempt_json(attempt: &TaskAttempt, result: Option<TaskResult>) -> Value {
     let (status, cause, checkpoint_kept) = match &attempt.phase {
         AttemptPhase::FetchingImage { .. } => ("fetching", None, false),
--- a/crates/worker/src/tests/processes.rs
+++ b/crates/worker/src/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Tests of `processes`.
+//! Tests of the module `processes`.
 
 use super::*;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn exits_output_and_variables_are_reported() {
+fn exit_status_and_output_are_collected() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut processes = Processes::open(folder.path()).expect("processes");
     let started = Instant::now();
@@ -38,9 +38,9 @@
     assert!(processes.start(key("job-000001/4"), &missing, 4, &[]).is_err());
 }
 
-/// A process that ignores the termination signal is killed after the grace period, with all that it has started.
+/// A process that ignores SIGTERM is killed after the grace period, together with its child processes.
 #[test]
-fn stops_terminate_then_kill_the_whole_group() {
+fn stop_sends_sigterm_then_kills_the_process_group() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut processes = Processes::open(folder.path()).expect("processes");
     let started = Instant::now();
@@ -50,10 +50,10 @@
     processes
         .start(key("b/0"), &shell("trap '' TERM; echo up; sleep 60 & wait; wait; sleep 60"), 1, &[])
         .expect("a start");
-    let is_up = |task| {
+    let has_output = |task| {
         std::fs::read_to_string(Processes::log_path(folder.path(), task, 1)).is_ok_and(|log| !log.is_empty())
     };
-    while !(is_up("a/0") && is_up("b/0")) {
+    while !(has_output("a/0") && has_output("b/0")) {
         std::thread::sleep(Duration::from_millis(5));
     }
     let now = started.elapsed().as_millis() as u64;
@@ -70,25 +70,28 @@
     );
 }
 
-/// A local cluster that was killed leaves processes behind: the next one kills exactly those, and no other process that
-/// has got such an id since.
+/// A local cluster that is killed leaves its processes running. The next one must kill exactly those, and no unrelated
+/// process that has since got the same process id.
 #[test]
-fn leftovers_are_killed_only_if_id_and_start_match() {
+fn orphans_are_killed_only_if_id_and_start_time_match() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut leftover = Program::new("sleep").arg("60").process_group(0).spawn().expect("a process");
+    let mut orphan = Program::new("sleep").arg("60").process_group(0).spawn().expect("a process");
     let mut other = Program::new("sleep").arg("60").process_group(0).spawn().expect("a process");
-    let start_ticks = |pid| process_start_ticks(pid).expect("it runs");
+    let start_ticks = |pid| process_start_ticks(pid).expect("a running process");
     let text = format!(
         "{} {}\n{} {}\nnonsense\n",
-        leftover.id(),
-        start_ticks(leftover.id()),
+        orphan.id(),
+        start_ticks(orphan.id()),
         other.id(),
         start_ticks(other.id()) + 1
     );
     std::fs::write(folder.path().join(PID_FILE_NAME), text).expect("a file");
     let _processes = Processes::open(folder.path()).expect("processes");
-    assert_eq!(leftover.wait().expect("its end").code(), None);
-    assert!(other.try_wait().expect("its status").is_none(), "a process with another start is not ours");
-    other.kill().expect("our own process");
-    other.wait().expect("its end");
+    assert_eq!(orphan.wait().expect("an exit status").code(), None);
+    assert!(
+        other.try_wait().expect("a status").is_none(),
+        "a process with another start time must not be killed"
+    );
+    other.kill().expect("a child process");
+    other.wait().expect("an exit status");
 }
--- a/crates/worker/src/tests/worker.rs
+++ b/crates/worker/src/tests/worker.rs
@@ -1,4 +1,4 @@
-//! Tests of `worker` and its commands.
+//! Tests of the modules `worker` and `commands`.
 
 use serde_json::{Value, json};
 
@@ -47,9 +47,10 @@
     json!([{"verb": "run", "piece": task, "try": 1}])
 }
 
-/// Lower tokens are refused; when the lease expires, all attempts are killed and forgotten.
+/// Responses with a lower token or without one are rejected. When the lease expires, all attempts are killed and
+/// forgotten, and commands for the earlier epoch are rejected.
 #[test]
-fn lower_tokens_are_refused_and_lease_expiry_kills() {
+fn lower_tokens_are_rejected_and_lease_expiry_kills_attempts() {
     let jobs = jobs();
     let mut worker = Worker::new(machine(), 0);
     assert!(worker.apply_heartbeat_response(&response(5, &run("job-000001/0")), 0, 0, &jobs));
@@ -68,12 +69,16 @@
         worker.take_process_actions(),
         [ProcessAction::Kill { task: "job-000001/0".into(), attempt: 1 }]
     );
-    assert!(!worker.process_exited("job-000001/0", 1, true, None, &jobs), "a forgotten attempt is not done");
+    assert!(
+        !worker.process_exited("job-000001/0", 1, true, None, &jobs),
+        "the exit of a forgotten attempt must not complete the task"
+    );
     let body = json!({"baton": 5, "shift": 1, "orders": run("job-000001/0")}).to_string();
     assert_eq!(worker.handle_direct_command(body.as_bytes(), 1002, &jobs).0, 409);
 }
 
-/// A stopped attempt is reported as running until its process has exited; the exit tells whether it saved a checkpoint.
+/// A stopped attempt is reported as running, or as saving its checkpoint, until its process has exited. The exit status
+/// says whether the checkpoint was saved.
 #[test]
 fn a_stopped_attempt_ends_with_its_process() {
     let jobs = jobs();
@@ -101,14 +106,14 @@
     assert_eq!(
         worker.attempts[0].phase,
         AttemptPhase::ended("halted"),
-        "an exit with status 0 after a stop is no result"
+        "exit status 0 after a stop is not a result"
     );
     assert_eq!(worker.attempts[1].phase, AttemptPhase::Ended { cause: "halted", checkpoint_kept: true });
-    let again = json!([{"verb": "reap", "piece": "job-000001/0", "try": 1}, {"verb": "run", "piece": "job-000001/0", "try": 1}]);
-    worker.apply_heartbeat_response(&response(5, &again), 30, 30, &jobs);
+    let forget_and_rerun = json!([{"verb": "reap", "piece": "job-000001/0", "try": 1}, {"verb": "run", "piece": "job-000001/0", "try": 1}]);
+    worker.apply_heartbeat_response(&response(5, &forget_and_rerun), 30, 30, &jobs);
     worker.advance(40, 1000, &jobs);
     assert!(worker.process_exited("job-000001/0", 1, true, None, &jobs));
-    // Its result is kept: started again, it ends without running.
+    // The worker keeps the result, so another attempt of the task ends without running it.
     worker.apply_heartbeat_response(
         &response(5, &json!([{"verb": "run", "piece": "job-000001/0", "try": 2}])),
         50,
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -1,5 +1,5 @@
-//! The attempts on one machine, by the rules of epochs, fencing tokens and leases. Times are milliseconds of a
-//! monotonic clock.
+//! The state machine of one machine's attempts, by the rules of epochs, fencing tokens and leases. Times are
+//! milliseconds of a monotonic clock.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,30 @@
 use crate::description::{JobDescription, JobDescriptions, TaskWork};
 use crate::machine::Machine;
 
-/// What the machine has to do with processes.
+/// An action on a process, which the caller of the worker has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// Start the task's command.
+    /// Start the command of the task.
     Start {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// Its attempt.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// Terminate it, and kill it if it has not exited after the grace period.
+    /// Terminate the process, and kill it if it has not exited after the grace period.
     Stop {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// Its attempt.
+        /// Number of the attempt.
         attempt: u64,
-        /// The grace period.
+        /// Grace period in milliseconds.
         grace_ms: u64,
     },
-    /// Kill it at once.
+    /// Kill the process at once.
     Kill {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// Its attempt.
+        /// Number of the attempt.
         attempt: u64,
     },
 }
@@ -41,39 +41,39 @@
 /// One machine's worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// Its machine.
+    /// The machine that the worker runs on.
     pub machine: Machine,
-    /// Rises when its lease expires: all attempts of earlier epochs are gone.
+    /// Number of the current epoch. Incremented when the lease expires, which kills and forgets all attempts.
     pub epoch: u64,
-    /// Rises with every heartbeat and every response to a command, within the epoch.
+    /// Incremented with every heartbeat, including those in responses to direct requests; reset in a new epoch.
     pub sequence: u64,
-    /// The highest fencing token seen; commands with lower ones are refused.
+    /// Highest fencing token seen. Commands with a lower token are rejected.
     pub token: u64,
-    /// When the cloud takes the machine back, if it has given notice.
+    /// When the cloud reclaims the machine, if it has sent a termination notice.
     pub termination_at: Option<u64>,
-    /// Attempts that have not been forgotten, in the order in which they were started.
+    /// Attempts of the current epoch that have not been forgotten, in the order in which they were started.
     pub attempts: Vec<TaskAttempt>,
-    /// Images that need not be fetched again.
+    /// Images on the machine, which need no further fetch.
     pub cached_images: Vec<String>,
-    /// When the last heartbeat that got a response was sent: the lease counts from then.
+    /// Start of the lease: when the last heartbeat with an accepted response was sent, or when the epoch began.
     pub last_answered_heartbeat_sent_at: u64,
-    /// For tests: every task fails as soon as it has its image.
+    /// For tests: every task fails as soon as its image is fetched.
     pub fails_tasks: bool,
-    /// For tests: simulated work takes this many times as long.
+    /// For tests: factor by which simulated work takes longer.
     pub slowdown_factor: u64,
-    /// Tasks that got their image since the caller last emptied the list, for checks of invariants.
+    /// Tasks whose image fetch completed since the caller last emptied the list, for invariant checks.
     pub started_tasks: Vec<String>,
-    /// A heartbeat should go out before its regular time.
+    /// Whether something changed since the last heartbeat, so that the next one is sent early.
     pub has_unreported_change: bool,
-    /// Results of tasks that finished here. Started again, such a task ends at once, and its first result counts.
+    /// Results of finished tasks. If such a task is started again, it ends at once and keeps its first result.
     results: BTreeMap<String, TaskResult>,
-    /// Lengths of lists of gang members that finished before the others.
+    /// List lengths of gang tasks whose process has exited while other members still run, by task name.
     gang_list_lens: BTreeMap<String, u32>,
     process_actions: Vec<ProcessAction>,
 }
 
 impl Worker {
-    /// A worker without tasks, whose lease starts now.
+    /// Creates a worker without tasks, whose lease starts now.
     pub fn new(machine: Machine, now: u64) -> Worker {
         Worker {
             machine,
@@ -94,31 +94,31 @@
         }
     }
 
-    /// What is to be done with processes since the last call, in order.
+    /// Returns the process actions requested since the last call, in order.
     pub fn take_process_actions(&mut self) -> Vec<ProcessAction> {
         std::mem::take(&mut self.process_actions)
     }
 
-    /// Adds a result from before a restart.
+    /// Adds the result of a task that finished earlier or on another machine.
     pub fn restore_result(&mut self, task: &str, result: TaskResult) {
         self.keep_result(task, result);
     }
 
-    /// The result of a finished task.
+    /// Returns the result of a task, if it has finished.
     pub fn result(&self, task: &str) -> Option<TaskResult> {
         self.results.get(task).copied()
     }
 
-    /// The first result of a task counts.
+    /// Stores the result of a task unless it already has one: the first result counts.
     fn keep_result(&mut self, task: &str, result: TaskResult) {
         self.results.entry(task.into()).or_insert(result);
     }
 
-    /// The position of an attempt that has not ended.
+    /// Returns the index of an attempt that has not ended.
     fn find_active(&self, task: &str, attempt: u64) -> Option<usize> {
-        let is_wanted =
+        let is_active =
             |known: &TaskAttempt| known.task == task && known.attempt == attempt && !known.is_ended();
-        self.attempts.iter().position(is_wanted)
+        self.attempts.iter().position(is_active)
     }
 
     fn has_capacity_for(&self, job: &JobDescription, jobs: &JobDescriptions) -> bool {
@@ -127,16 +127,19 @@
         self.machine.fits(std::iter::once(job).chain(used))
     }
 
-    /// A controller wants the attempt to run. One that is known already is left as it is: commands are repeated.
+    /// Executes the command to run an attempt. Controllers repeat commands, so an attempt that the worker already has
+    /// is left unchanged.
     pub(crate) fn start_attempt(&mut self, task: String, attempt: u64, now: u64, jobs: &JobDescriptions) {
         if self.attempts.iter().any(|known| known.task == task && known.attempt == attempt) {
             return;
         }
         let is_busy = self.attempts.iter().any(|known| known.task == task && !known.is_ended());
         let phase = match jobs.get(job_of_task(&task)) {
-            None => AttemptPhase::ended(cause::UNKNOWN),
+            None => AttemptPhase::ended(cause::UNKNOWN_JOB),
             Some(_) if is_busy => AttemptPhase::ended(cause::BUSY),
-            Some(job) if !self.has_capacity_for(job, jobs) => AttemptPhase::ended(cause::FULL),
+            Some(job) if !self.has_capacity_for(job, jobs) => {
+                AttemptPhase::ended(cause::INSUFFICIENT_CAPACITY)
+            }
             Some(job) if self.cached_images.contains(&job.image) => {
                 AttemptPhase::FetchingImage { until: now }
             }
@@ -147,7 +150,8 @@
         self.attempts.push(TaskAttempt { task, attempt, phase, has_image: false });
     }
 
-    /// A controller wants the attempt to stop. It saves a checkpoint if it can do so within the grace period.
+    /// Executes the command to stop an attempt. The attempt saves a checkpoint if the grace period is long enough for
+    /// it.
     pub(crate) fn stop_attempt(
         &mut self,
         task: &str,
@@ -170,8 +174,8 @@
                 AttemptPhase::Checkpointing { until: *until }
             }
             AttemptPhase::Stopping { cause } => AttemptPhase::Stopping { cause },
-            _ if has_process => AttemptPhase::Stopping { cause: cause::HALTED },
-            _ => AttemptPhase::ended(cause::HALTED),
+            _ if has_process => AttemptPhase::Stopping { cause: cause::STOPPED },
+            _ => AttemptPhase::ended(cause::STOPPED),
         };
         if has_process {
             let is_saving = matches!(stopped.phase, AttemptPhase::Checkpointing { .. });
@@ -180,12 +184,13 @@
         }
     }
 
-    /// Drops an attempt that has ended.
+    /// Executes the command to forget an attempt, if it has ended.
     pub(crate) fn forget_attempt(&mut self, task: &str, attempt: u64) {
         self.attempts.retain(|known| !(known.task == task && known.attempt == attempt && known.is_ended()));
     }
 
-    /// Applies the passing of time. Gangs need [`coordinate_gangs`](crate::coordinate_gangs) as well.
+    /// Advances the worker to time `now`: expires the lease, and completes image fetches, simulated work and simulated
+    /// checkpoints. Gangs also need [`coordinate_gangs`](crate::coordinate_gangs).
     pub fn advance(&mut self, now: u64, lease_ms: u64, jobs: &JobDescriptions) {
         if now > self.last_answered_heartbeat_sent_at + lease_ms {
             self.begin_epoch(now);
@@ -201,7 +206,7 @@
                 }
                 AttemptPhase::Checkpointing { until: Some(until) } if until <= now => {
                     self.attempts[index].phase =
-                        AttemptPhase::Ended { cause: cause::HALTED, checkpoint_kept: true };
+                        AttemptPhase::Ended { cause: cause::STOPPED, checkpoint_kept: true };
                 }
                 _ => {}
             }
@@ -209,7 +214,7 @@
         }
     }
 
-    /// The lease has expired: all attempts are killed and forgotten.
+    /// Begins a new epoch after the lease has expired: all attempts are killed and forgotten.
     fn begin_epoch(&mut self, now: u64) {
         self.epoch += 1;
         self.sequence = 0;
@@ -250,7 +255,7 @@
         self.keep_result(&task, result);
     }
 
-    /// The attempt runs from now on.
+    /// Starts the work of an attempt.
     pub(crate) fn start_running(&mut self, index: usize, now: u64, jobs: &JobDescriptions) {
         let attempt = &mut self.attempts[index];
         let until = match jobs.get(attempt.job_name()).map(|job| &job.work) {
@@ -267,8 +272,8 @@
         self.has_unreported_change = true;
     }
 
-    /// Stops an attempt whose gang cannot go on.
-    pub(crate) fn stop_peer(&mut self, index: usize, cause: &'static str) {
+    /// Stops an attempt because its gang is incomplete or has lost a member.
+    pub(crate) fn stop_gang_member(&mut self, index: usize, cause: &'static str) {
         let attempt = &mut self.attempts[index];
         if matches!(attempt.phase, AttemptPhase::Stopping { .. } | AttemptPhase::Ended { .. }) {
             return;
@@ -287,8 +292,8 @@
         self.has_unreported_change = true;
     }
 
-    /// All members of the attempt's gang have succeeded.
-    pub(crate) fn complete_attempt(&mut self, index: usize) {
+    /// Completes an attempt after all members of its gang have succeeded.
+    pub(crate) fn complete_gang_member(&mut self, index: usize) {
         let attempt = &mut self.attempts[index];
         attempt.phase = AttemptPhase::ended(cause::DONE);
         let (task, attempt) = (attempt.task.clone(), attempt.attempt);
@@ -297,8 +302,9 @@
         self.has_unreported_change = true;
     }
 
-    /// The task's process has exited; `success`: with status 0; `list_len`: the length of the list that it left. True:
-    /// the task is done, and its result counts from now on.
+    /// Handles the exit of a task's process. `success` says whether the process succeeded, and `list_len` is the
+    /// length of the list that it wrote. Returns whether the task is done, in which case its result counts from now
+    /// on.
     pub fn process_exited(
         &mut self,
         task: &str,
@@ -312,7 +318,7 @@
         let is_gang = jobs.get(exited.job_name()).is_some_and(|job| job.gang);
         exited.phase = match &exited.phase {
             AttemptPhase::Checkpointing { .. } => {
-                AttemptPhase::Ended { cause: cause::HALTED, checkpoint_kept: success }
+                AttemptPhase::Ended { cause: cause::STOPPED, checkpoint_kept: success }
             }
             AttemptPhase::Stopping { cause } => AttemptPhase::ended(cause),
             _ if success && is_gang => AttemptPhase::WaitingForGangExit,
--- a/crates/worker/tests/golden.rs
+++ b/crates/worker/tests/golden.rs
@@ -78,7 +78,7 @@
     golden.check();
 }
 
-/// Commands of a controller, one after another, a second apart.
+/// Executes the direct commands of a controller in sequence, one second apart.
 #[test]
 fn direct_commands() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "orders");
@@ -100,7 +100,7 @@
         ),
         ("reap", json!({"baton": 32, "shift": epoch, "orders": [command("reap", 4)]})),
         ("an earlier leader", json!({"baton": 31, "shift": epoch, "orders": []})),
-        ("another session", json!({"baton": 32, "shift": epoch + 1, "orders": []})),
+        ("another epoch", json!({"baton": 32, "shift": epoch + 1, "orders": []})),
         ("malformed", json!({"orders": []})),
         ("done", json!({"baton": 32, "shift": epoch, "orders": []})),
     ];
@@ -108,8 +108,8 @@
         let now = 2_000 + 1_000 * index as u64;
         worker.last_answered_heartbeat_sent_at = now;
         worker.advance(now, 60_000, &jobs);
-        let (status, reply) = worker.handle_direct_command(body.to_string().as_bytes(), now, &jobs);
-        golden.case(&format!("{index} {name}"), json!({"status": status, "body": reply.to_string()}));
+        let (status, response) = worker.handle_direct_command(body.to_string().as_bytes(), now, &jobs);
+        golden.case(&format!("{index} {name}"), json!({"status": status, "body": response.to_string()}));
     }
     golden.check();
 }
