--- a/crates/kv-store/src/engine.rs
+++ b/crates/kv-store/src/engine.rs
@@ -1,4 +1,4 @@
-//! The state of the store: keys with revisions, leases, and the changes to make durable.
+//! The state of the store in memory: keys with revisions, leases, and the deltas that must be made durable.
 
 use std::collections::BTreeMap;
 
@@ -8,37 +8,37 @@
 use crate::limits::{Limits, TokenBucket};
 use crate::txn::{KvMutation, Txn};
 
-/// What must outlive the process. The deltas of one transaction belong together.
+/// A change that must be made durable. The deltas of one transaction must be committed together.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delta {
     /// A key was written.
     Put {
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// Its new value.
+        /// New value of the key.
         value: Value,
-        /// Its new revision.
+        /// New revision of the key.
         stamp: u64,
-        /// The lease that it is attached to.
+        /// The lease that the key is attached to, if any.
         lease: Option<u64>,
     },
     /// A key was deleted.
     Delete {
-        /// The key.
+        /// Name of the key.
         key: String,
     },
-    /// The store has this revision now.
+    /// New revision of the store.
     Revision(u64),
     /// A lease was granted.
     GrantLease {
-        /// Its number.
+        /// Number of the lease.
         lease: u64,
-        /// Its time to live, in milliseconds.
-        life_ms: u64,
+        /// Time to live of the lease, in milliseconds.
+        ttl_ms: u64,
     },
     /// A lease was revoked or has expired.
     RemoveLease {
-        /// Its number.
+        /// Number of the lease.
         lease: u64,
     },
 }
@@ -58,9 +58,9 @@
 
 /// Why a transaction was not applied.
 pub(crate) enum TxnError {
-    /// It writes keys with a lease that does not exist.
+    /// The transaction attaches a key to a lease that does not exist.
     NoSuchLease,
-    /// These keys don't have the expected revisions.
+    /// These keys do not have the expected revisions.
     PreconditionsFailed(Vec<String>),
 }
 
@@ -71,18 +71,19 @@
     revision: u64,
     pub(crate) change_log: ChangeLog,
     leases: BTreeMap<u64, Lease>,
-    /// The number of the lease granted last.
-    next_lease: u64,
+    /// Number of the lease that was granted last.
+    last_lease: u64,
     pub(crate) limits: Limits,
     pub(crate) request_bucket: TokenBucket,
     pub(crate) change_bucket: TokenBucket,
     pending_deltas: Vec<Delta>,
-    /// Without a file behind it, deltas are not collected.
+    /// Whether deltas are collected. An engine that is not backed by a file collects none.
     records_deltas: bool,
 }
 
 impl KvEngine {
-    /// The state that a file kept. Every lease has its full time to live again: a restart must not shorten one.
+    /// Restores the state from the deltas of a state file. Every lease starts with its full time to live, because a
+    /// restart must not shorten a lease.
     pub fn restore(saved: &[Delta], now: u64) -> KvEngine {
         let mut engine = KvEngine { records_deltas: true, ..KvEngine::default() };
         for delta in saved {
@@ -93,12 +94,12 @@
                 }
                 Delta::Delete { key } => drop(engine.entries.remove(key)),
                 Delta::Revision(revision) => engine.revision = *revision,
-                Delta::GrantLease { lease, life_ms } => {
-                    engine.next_lease = engine.next_lease.max(*lease);
-                    engine.leases.insert(*lease, Lease { expires_at_ms: now + life_ms, ttl_ms: *life_ms });
+                Delta::GrantLease { lease, ttl_ms } => {
+                    engine.last_lease = engine.last_lease.max(*lease);
+                    engine.leases.insert(*lease, Lease { expires_at_ms: now + ttl_ms, ttl_ms: *ttl_ms });
                 }
                 Delta::RemoveLease { lease } => {
-                    engine.next_lease = engine.next_lease.max(*lease);
+                    engine.last_lease = engine.last_lease.max(*lease);
                     engine.leases.remove(lease);
                 }
             }
@@ -107,61 +108,61 @@
         engine
     }
 
-    /// Replaces the limits.
+    /// Replaces the limits of rates and sizes.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// What changed since the last call. It must be durable before any response is sent.
+    /// Returns the deltas since the last call. They must be durable before any response that depends on them is sent.
     pub fn take_deltas(&mut self) -> Vec<Delta> {
         std::mem::take(&mut self.pending_deltas)
     }
 
-    /// The revision of the last transaction that changed something.
+    /// Returns the current revision, which is that of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<&Value> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// All keys in order.
+    /// Returns all keys in order.
     pub fn keys(&self) -> impl Iterator<Item = &str> {
         self.entries.keys().map(String::as_str)
     }
 
-    /// Number of keys.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// There are no keys.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Leases granted so far.
+    /// Returns how many leases have been granted so far.
     pub fn granted_lease_count(&self) -> u64 {
-        self.next_lease
+        self.last_lease
     }
 
-    /// Writes a key without a request: for tests.
+    /// For tests: writes a key without a request.
     pub fn put(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.write(key, &value, None);
         self.record_delta(Delta::Revision(self.revision));
     }
 
-    /// Gives every lease its full time to live again, after an outage.
+    /// Renews every lease with its full time to live, as after an outage of the store.
     pub fn renew_all_leases(&mut self, now: u64) {
         for lease in self.leases.values_mut() {
             lease.expires_at_ms = now + lease.ttl_ms;
         }
     }
 
-    /// Removes the leases that have expired; returns how long until the next one does, in milliseconds.
+    /// Removes the expired leases. Returns the time until the next lease expires, in milliseconds.
     pub fn expire_leases(&mut self, now: u64) -> Option<u64> {
         let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at_ms <= now);
         for id in expired.map(|(id, _)| *id).collect::<Vec<u64>>() {
@@ -170,27 +171,28 @@
         self.leases.values().map(|lease| lease.expires_at_ms.saturating_sub(now)).min()
     }
 
-    /// Has any key with this prefix changed after the revision? Also true if that is no longer known.
+    /// Returns whether any key with this prefix changed after revision `after`. Also true if the change log no longer
+    /// covers the changes after `after`.
     pub fn has_changed(&self, prefix: &str, after: u64) -> bool {
         self.change_log.has_changed(after, prefix)
     }
 
     pub(crate) fn grant_lease(&mut self, ttl_ms: u64, now: u64) -> u64 {
-        self.next_lease += 1;
-        let lease = self.next_lease;
+        self.last_lease += 1;
+        let lease = self.last_lease;
         self.leases.insert(lease, Lease { expires_at_ms: now + ttl_ms, ttl_ms });
-        self.record_delta(Delta::GrantLease { lease, life_ms: ttl_ms });
+        self.record_delta(Delta::GrantLease { lease, ttl_ms });
         lease
     }
 
-    /// False if there is no such lease.
+    /// Renews a lease. Returns false if it does not exist.
     pub(crate) fn renew_lease(&mut self, id: u64, now: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else { return false };
         lease.expires_at_ms = now + lease.ttl_ms;
         true
     }
 
-    /// False if there is no such lease.
+    /// Removes a lease with the keys attached to it. Returns false if the lease does not exist.
     pub(crate) fn revoke_lease(&mut self, id: u64) -> bool {
         let exists = self.leases.contains_key(&id);
         if exists {
@@ -199,7 +201,7 @@
         exists
     }
 
-    /// Removes a lease with the keys attached to it.
+    /// Removes a lease and the keys attached to it.
     fn remove_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let attached = self.entries.iter().filter(|(_, entry)| entry.lease == Some(id));
@@ -214,13 +216,14 @@
         self.record_delta(Delta::Revision(self.revision));
     }
 
-    /// Applies all mutations of a transaction with one new revision, or none.
+    /// Applies all mutations of a transaction under one new revision if all preconditions hold; otherwise changes
+    /// nothing.
     pub(crate) fn apply_txn(&mut self, txn: &Txn<'_>) -> Result<(), TxnError> {
-        let has_no_lease = |mutation: &KvMutation<'_>| match mutation {
+        let needs_missing_lease = |mutation: &KvMutation<'_>| match mutation {
             KvMutation::Put { lease: Some(lease), .. } => !self.leases.contains_key(lease),
             _ => false,
         };
-        if txn.mutations.iter().any(has_no_lease) {
+        if txn.mutations.iter().any(needs_missing_lease) {
             return Err(TxnError::NoSuchLease);
         }
         let revision_of = |key: &str| self.entries.get(key).map_or(0, |entry| entry.revision);
--- a/crates/kv-store/src/lib.rs
+++ b/crates/kv-store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The key-value store, as its protocol defines it: for local clusters and tests.
+//! A key-value store that implements the protocol of the state service, for local clusters and tests.
 //!
-//! [`KvEngine`] decides: keys, revisions, transactions, leases, changes. It does no I/O and reads no clock; what must
-//! outlive the process comes out as [`Delta`]s. [`StoreFile`] makes those durable, and a response may be sent only
-//! after its `commit`. Neither holds more than the keys and the last 10,000 changes. docs/store.md describes and
-//! justifies the file format.
+//! [`KvEngine`] holds keys, revisions, leases and recent changes, and handles requests. It does no I/O and reads no
+//! clock; changes that must be durable are returned as [`Delta`]s. [`StoreFile`] writes those to disk, and a response
+//! may be sent only after its `commit`. Memory holds the keys, the leases and the last 10,000 changes. docs/store.md
+//! describes the file format and gives the reasons for it.
 
 #![warn(missing_docs)]
 
--- a/crates/kv-store/src/limits.rs
+++ b/crates/kv-store/src/limits.rs
@@ -1,15 +1,15 @@
-//! Rate limits with bursts of one second's worth, and limits of size.
+//! Rate limits, which allow bursts of up to one second's worth, and size limits.
 
-/// What the store allows. By default rates are not limited.
+/// Limits of the store. By default, rates are unlimited.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Requests a second.
+    /// Maximum rate of requests.
     pub requests_per_s: f64,
-    /// Changed keys a second.
+    /// Maximum rate of changed keys.
     pub changes_per_s: f64,
-    /// Length of a value as JSON.
+    /// Maximum length of a value, encoded as JSON.
     pub max_value_bytes: usize,
-    /// Changes in one transaction.
+    /// Maximum number of changes in one transaction.
     pub max_txn_changes: usize,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A token bucket: it holds one second's worth and refills with time.
+/// A token bucket with a capacity of one second's worth of tokens.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TokenBucket {
     used_tokens: f64,
@@ -32,7 +32,8 @@
 }
 
 impl TokenBucket {
-    /// Takes `amount` tokens if the bucket has them now. An infinite rate is no limit.
+    /// Takes `amount` tokens if the bucket holds that many, and returns whether it did. With an infinite rate it always
+    /// returns true.
     pub(crate) fn try_take(&mut self, now_ms: u64, per_s: f64, amount: f64) -> bool {
         if per_s.is_infinite() {
             return true;
--- a/crates/kv-store/src/requests.rs
+++ b/crates/kv-store/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the store and its responses, in the JSON of its protocol.
+//! Handles requests to the store. Requests and responses are JSON, as its protocol defines.
 
 use std::ops::{Bound, RangeInclusive};
 
@@ -7,7 +7,7 @@
 use crate::engine::{KvEngine, TxnError};
 use crate::txn::Txn;
 
-/// Status and body.
+/// HTTP status and body of a response.
 pub type JsonResponse = (u16, Value);
 
 const MAX_PAGE_KEYS: usize = 1000;
@@ -15,7 +15,7 @@
 const MAX_TXN_BYTES: usize = 64 * 1024;
 const LEASE_TTL_RANGE_MS: RangeInclusive<u64> = 100..=600_000;
 
-/// The value of a parameter in the query of a path.
+/// Returns the value of a query parameter of a request path.
 pub fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
@@ -25,13 +25,13 @@
     (400, json!({"error": error}))
 }
 
-/// The response to a request about one lease.
+/// Returns the response to a request that renews or revokes a lease.
 fn lease_response(exists: bool) -> JsonResponse {
     (if exists { 200 } else { 404 }, json!({}))
 }
 
 impl KvEngine {
-    /// Handles one request at time `now`. Its deltas must be durable before the response is sent.
+    /// Handles one request at time `now`. The resulting deltas must be durable before the response is sent.
     pub fn handle_request(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> JsonResponse {
         self.expire_leases(now);
         if !self.request_bucket.try_take(now, self.limits.requests_per_s, 1.0) {
@@ -63,26 +63,27 @@
         }
     }
 
-    /// A page of keys with a prefix. It ends early enough that no value can take it beyond the limit of its bytes.
+    /// Returns a page of the keys with a prefix. The page ends early enough that one more value cannot exceed the byte
+    /// limit.
     fn list_response(&self, path: &str) -> JsonResponse {
         let prefix = query_parameter(path, "starts").unwrap_or("");
         let after = query_parameter(path, "after").unwrap_or("");
         let limit = query_parameter(path, "page").map_or(Some(MAX_PAGE_KEYS), |text| text.parse().ok());
         let Some(limit) = limit.filter(|limit| *limit > 0) else { return bad_request("page") };
         let from = if after < prefix { Bound::Included(prefix) } else { Bound::Excluded(after) };
-        let mut rest = self
+        let mut remaining = self
             .entries
             .range::<str, _>((from, Bound::Unbounded))
             .take_while(|(key, _)| key.starts_with(prefix))
             .peekable();
         let (mut pairs, mut bytes) = (Vec::new(), 0);
         while pairs.len() < limit.min(MAX_PAGE_KEYS) && bytes < MAX_PAGE_BYTES - MAX_TXN_BYTES {
-            let Some((key, entry)) = rest.next() else { break };
+            let Some((key, entry)) = remaining.next() else { break };
             let pair = json!({"key": key, "value": entry.value, "stamp": entry.revision});
             bytes += pair.to_string().len() + 1;
             pairs.push(pair);
         }
-        (200, json!({"pairs": pairs, "has_next": rest.peek().is_some(), "ledger_rev": self.revision()}))
+        (200, json!({"pairs": pairs, "has_next": remaining.peek().is_some(), "ledger_rev": self.revision()}))
     }
 
     fn changes_response(&self, path: &str) -> JsonResponse {
--- a/crates/kv-store/src/store_file.rs
+++ b/crates/kv-store/src/store_file.rs
@@ -1,6 +1,6 @@
-//! The file behind the store: what was committed survives any end of the process.
+//! The file that backs the store. Committed changes survive a crash of the process.
 //!
-//! One transaction of the database for each commit; docs/store.md has the format.
+//! Each commit is one database transaction. docs/store.md describes the format.
 
 use std::path::Path;
 
@@ -11,34 +11,36 @@
 
 use crate::engine::Delta;
 
-/// Why the file cannot be read or written.
+/// Why the state file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// It cannot be opened.
-    #[error("{file}: {error}")]
+    /// The file cannot be opened.
+    #[error("cannot open the state file {file}: {error}")]
     Open {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// The cause.
+        /// The error of the database.
         error: Box<redb::DatabaseError>,
     },
-    /// The database failed.
-    #[error("the state file: {0}")]
+    /// The database failed to read or write.
+    #[error("cannot read or write the state file: {0}")]
     Redb(#[from] Box<redb::Error>),
-    /// A value is not the JSON that was written.
-    #[error("the state file: the value of {key} is not what was written: {error}")]
+    /// A value cannot be decoded from JSON, or encoded as JSON.
+    #[error("the value of {key} in the state file is not valid JSON of the expected form: {error}")]
     Value {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// The cause.
+        /// The error of the JSON parser or writer.
         error: serde_json::Error,
     },
-    /// It has a format of another version.
-    #[error("{file}: written by version {found} of the format, this program reads {FORMAT_VERSION}")]
+    /// The file has another format version.
+    #[error(
+        "the state file {file} has format version {found}; this program reads only version {FORMAT_VERSION}"
+    )]
     Format {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// The version found.
+        /// Format version of the file.
         found: u64,
     },
 }
@@ -47,15 +49,16 @@
 const KEYS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("keys");
 const LEASES: TableDefinition<'_, u64, u64> = TableDefinition::new("leases");
 const NUMBERS: TableDefinition<'_, &str, u64> = TableDefinition::new("numbers");
-/// What a local cluster keeps beside the keys: descriptions, results, the cloud.
+/// Records of a local cluster that are not keys of the store: job descriptions, task results and the cloud's state.
 const AUXILIARY: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("beside");
 
-// Names in the table of numbers.
+// Row names in the table NUMBERS.
 const FORMAT_NAME: &str = "format";
+/// The row holds the number of the lease that was granted last.
 const NEXT_LEASE_NAME: &str = "next_lease";
 const REVISION_NAME: &str = "revision";
 
-/// A key's value in the file.
+/// The stored form of a key's value.
 #[derive(Serialize, Deserialize)]
 struct StoredEntry {
     value: Value,
@@ -64,16 +67,16 @@
     lease: Option<u64>,
 }
 
-/// A record that is kept beside the keys and committed with them.
+/// A record that is not a key of the store, but is committed together with the keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AuxiliaryRecord {
-    /// Unique name.
+    /// Unique name of the record.
     pub name: String,
-    /// Content; None deletes the record.
+    /// Content of the record; `None` deletes it.
     pub bytes: Option<Vec<u8>>,
 }
 
-/// The open file.
+/// An open state file.
 pub struct StoreFile {
     database: Database,
 }
@@ -83,10 +86,10 @@
 }
 
 impl StoreFile {
-    /// Opens or creates the file, and reads all that was committed.
+    /// Opens or creates the file, and returns it with all that was committed.
     ///
     /// # Errors
-    /// The file cannot be opened or read, is damaged, or has a format of another version.
+    /// The file cannot be opened or read, is damaged, or has another format version.
     pub fn open(path: &Path) -> Result<(StoreFile, Vec<Delta>, Vec<AuxiliaryRecord>), StoreError> {
         let file = path.display().to_string();
         let open = |error| StoreError::Open { file: file.clone(), error: Box::new(error) };
@@ -98,7 +101,7 @@
         Ok((store, deltas, auxiliary))
     }
 
-    /// Creates the tables if the file is new; refuses a format of another version.
+    /// Creates the tables if the file is new. Fails if the file has another format version.
     fn create_tables(&self, file: &str) -> Result<(), StoreError> {
         let txn = self.database.begin_write().map_err(redb_error)?;
         {
@@ -120,13 +123,13 @@
         let txn = self.database.begin_read().map_err(redb_error)?;
         let mut deltas = Vec::new();
         let numbers = txn.open_table(NUMBERS).map_err(redb_error)?;
-        if let Some(next) = numbers.get(NEXT_LEASE_NAME).map_err(redb_error)? {
-            // Removed leases are not kept, but their numbers must not be granted again.
-            deltas.push(Delta::RemoveLease { lease: next.value() });
+        if let Some(last_lease) = numbers.get(NEXT_LEASE_NAME).map_err(redb_error)? {
+            // Removed leases are not stored. This delta makes sure that their numbers are not granted again.
+            deltas.push(Delta::RemoveLease { lease: last_lease.value() });
         }
         for row in txn.open_table(LEASES).map_err(redb_error)?.iter().map_err(redb_error)? {
             let (lease, ttl) = row.map_err(redb_error)?;
-            deltas.push(Delta::GrantLease { lease: lease.value(), life_ms: ttl.value() });
+            deltas.push(Delta::GrantLease { lease: lease.value(), ttl_ms: ttl.value() });
         }
         for row in txn.open_table(KEYS).map_err(redb_error)?.iter().map_err(redb_error)? {
             let (key, bytes) = row.map_err(redb_error)?;
@@ -151,10 +154,11 @@
         rows.collect()
     }
 
-    /// Writes all of it or nothing; it is on disk when this returns. No response that depends on it may be sent before.
+    /// Writes the deltas and the records atomically and durably. A response that depends on them may be sent only after
+    /// this returns.
     ///
     /// # Errors
-    /// The database cannot be written; nothing of the commit is durable then.
+    /// The database cannot be written; in this case nothing of the commit is durable.
     pub fn commit(&self, deltas: &[Delta], auxiliary: &[AuxiliaryRecord]) -> Result<(), StoreError> {
         if deltas.is_empty() && auxiliary.is_empty() {
             return Ok(());
@@ -180,8 +184,8 @@
             }
             Delta::Delete { key } => drop(keys.remove(key.as_str()).map_err(redb_error)?),
             Delta::Revision(revision) => drop(numbers.insert(REVISION_NAME, revision).map_err(redb_error)?),
-            Delta::GrantLease { lease, life_ms } => {
-                leases.insert(lease, life_ms).map_err(redb_error)?;
+            Delta::GrantLease { lease, ttl_ms } => {
+                leases.insert(lease, ttl_ms).map_err(redb_error)?;
                 numbers.insert(NEXT_LEASE_NAME, lease).map_err(redb_error)?;
             }
             Delta::RemoveLease { lease } => drop(leases.remove(lease).map_err(redb_error)?),
--- a/crates/kv-store/src/tests/engine.rs
+++ b/crates/kv-store/src/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Tests of `engine`, through its requests.
+//! Tests of the module `engine`, through requests.
 
 use super::*;
 use crate::change_log::MAX_KEPT_CHANGES;
@@ -13,7 +13,7 @@
     txn(engine, &body)
 }
 
-/// A failed precondition changes nothing; all changes of one transaction have one revision.
+/// A transaction whose precondition fails changes nothing. All changes of a transaction get the same revision.
 #[test]
 fn transactions_are_atomic() {
     let mut engine = KvEngine::default();
@@ -23,23 +23,28 @@
         json!({"guards": [{"key": "a", "stamp": 1}], "then": [{"write": "b", "value": 1}, {"drop": "a"}]});
     assert_eq!(txn(&mut engine, &both).1["ledger_rev"], 2);
     let (_, changes) = engine.handle_request("GET", "/changes?after=1", b"", 0);
-    let stamps: Vec<_> = changes["events"].as_array().expect("events").iter().map(|e| &e["stamp"]).collect();
-    assert_eq!(stamps, [&json!(2), &json!(2)]);
-    assert_eq!(txn(&mut engine, &json!({"guards": []})).1["ledger_rev"], 2, "it only compares");
-    for wrong in [
+    let revisions: Vec<_> =
+        changes["events"].as_array().expect("events").iter().map(|event| &event["stamp"]).collect();
+    assert_eq!(revisions, [&json!(2), &json!(2)]);
+    assert_eq!(
+        txn(&mut engine, &json!({"guards": []})).1["ledger_rev"],
+        2,
+        "a transaction without changes keeps the revision"
+    );
+    for malformed in [
         json!([]),
         json!({"then": [{"write": "a b", "value": 1}]}),
         json!({"then": [{}]}),
         json!({"guards": 1}),
     ] {
-        assert_eq!(txn(&mut engine, &wrong).0, 400);
+        assert_eq!(txn(&mut engine, &malformed).0, 400);
     }
 }
 
-/// An expired lease deletes its keys, never early; a write with an expired lease is refused whatever the
-/// preconditions.
+/// Lease expiry deletes the keys of the lease, and never early. A write with an expired lease is rejected whatever the
+/// preconditions are.
 #[test]
-fn leases_expire_in_time_with_their_keys() {
+fn lease_expiry_deletes_keys_on_time() {
     let mut engine = KvEngine::default();
     let grant = |engine: &mut KvEngine, now| {
         engine.handle_request("POST", "/grants", b"{\"life_ms\":1000}", now).1["permit"].clone()
@@ -51,12 +56,12 @@
     assert_eq!(engine.handle_request("GET", "/kv/k", b"", 1998).0, 200);
     assert_eq!(engine.handle_request("GET", "/kv/k", b"", 1999).0, 404);
     assert_eq!(engine.handle_request("POST", "/grants/1/renew", b"{}", 2000).0, 404);
-    let late = engine.handle_request("POST", "/txn", body.as_bytes(), 2000);
-    assert_eq!(late, (400, json!({"error": "no such lease"})));
+    let late_write = engine.handle_request("POST", "/txn", body.as_bytes(), 2000);
+    assert_eq!(late_write, (400, json!({"error": "no such lease"})));
     assert_eq!(engine.handle_request("POST", "/grants", b"{\"life_ms\":1}", 0).0, 400);
 }
 
-/// A poll for changes that are no longer kept fails, and no poll gets a part of a revision.
+/// A poll for changes that have been dropped fails, and no poll returns only a part of a revision.
 #[test]
 fn old_changes_are_compacted_by_whole_revisions() {
     let mut engine = KvEngine::default();
@@ -72,7 +77,7 @@
 }
 
 #[test]
-fn pages_continue_after_their_last_key_and_limits_refuse() {
+fn listing_is_paginated_and_requests_are_rate_limited() {
     let mut engine = KvEngine::default();
     for key in ["a/1", "a/2", "a/3", "b/1"] {
         put(&mut engine, key, 0, 1);
--- a/crates/kv-store/src/txn.rs
+++ b/crates/kv-store/src/txn.rs
@@ -1,12 +1,12 @@
-//! Transactions as requests carry them: parsed and checked, not yet applied.
+//! Transactions, parsed from requests and validated, but not yet applied.
 
 use serde_json::Value;
 
 use crate::limits::Limits;
 
 const MAX_KEY_BYTES: usize = 200;
-/// Preconditions allowed for each change that a transaction may have.
-const PRECONDITIONS_PER_CHANGE: usize = 4;
+/// A transaction may have this many times as many preconditions as it may have changes.
+const MAX_PRECONDITIONS_PER_CHANGE: usize = 4;
 
 /// Mutations that are applied together if all preconditions hold.
 pub(crate) struct Txn<'a> {
@@ -14,7 +14,7 @@
     pub(crate) mutations: Vec<KvMutation<'a>>,
 }
 
-/// The key must have this revision; 0: it must not exist.
+/// The key must have this revision; 0 means that it must not exist.
 pub(crate) struct Precondition<'a> {
     pub(crate) key: &'a str,
     pub(crate) revision: u64,
@@ -29,7 +29,7 @@
     (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(char::is_whitespace)
 }
 
-/// The array of this name, empty if it is absent; None if it is something else.
+/// Returns the array in this field, empty if the field is absent, or `None` if the field is not an array.
 fn array_field<'a>(body: &'a Value, name: &str) -> Option<&'a [Value]> {
     match &body[name] {
         Value::Null => Some(&[]),
@@ -60,7 +60,7 @@
 }
 
 impl<'a> Txn<'a> {
-    /// None if the body is malformed or exceeds a limit.
+    /// Parses a transaction. Returns `None` if the body is malformed or exceeds a limit.
     pub(crate) fn parse(body: &'a Value, limits: &Limits) -> Option<Txn<'a>> {
         let preconditions = array_field(body, "guards")?.iter().map(Precondition::parse);
         let mutations = array_field(body, "then")?.iter().map(|json| KvMutation::parse(json, limits));
@@ -69,7 +69,7 @@
             mutations: mutations.collect::<Option<_>>()?,
         };
         let fits = txn.mutations.len() <= limits.max_txn_changes
-            && txn.preconditions.len() <= PRECONDITIONS_PER_CHANGE * limits.max_txn_changes;
+            && txn.preconditions.len() <= MAX_PRECONDITIONS_PER_CHANGE * limits.max_txn_changes;
         fits.then_some(txn)
     }
 }
--- a/crates/kv-store/tests/golden.rs
+++ b/crates/kv-store/tests/golden.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use support::Golden;
 
-/// Requests in their order: each sees the effects of those before it.
+/// Returns the requests in the order in which they are executed; each sees the effects of the earlier ones.
 fn requests() -> Vec<(&'static str, &'static str, Value)> {
     let write =
         |key: &str, permit: Value| json!({"write": key, "value": {"a": [1, 2.5, "b"]}, "permit": permit});
@@ -45,10 +45,10 @@
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "replies");
     let mut engine = KvEngine::restore(&[], 1_000);
     for (index, (method, path, body)) in requests().into_iter().enumerate() {
-        let (status, reply) = engine.handle_request(method, path, body.to_string().as_bytes(), 1_000);
+        let (status, response) = engine.handle_request(method, path, body.to_string().as_bytes(), 1_000);
         golden.case(
             &format!("{index:02} {method} {path}"),
-            json!({"status": status, "body": reply.to_string()}),
+            json!({"status": status, "body": response.to_string()}),
         );
     }
     golden.check();
--- a/crates/kv-store/tests/torn.rs
+++ b/crates/kv-store/tests/torn.rs
@@ -1,5 +1,5 @@
-//! The state file after crashes of every kind: what was acknowledged is there; what was not is there as a whole or not
-//! at all.
+//! Tests of the state file after crashes and restarts. Acknowledged transactions must be there; unacknowledged ones
+//! must be there completely or not at all.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-/// The part of the file that decides which of two states counts.
+/// Size of the file header, which selects the one of two stored states that is valid.
 const HEADER_BYTES: usize = 320;
 
 fn commit(file: &StoreFile, engine: &mut KvEngine, key: &str, value: u64) {
@@ -22,48 +22,62 @@
     (file, KvEngine::restore(&deltas, 0), auxiliary.len())
 }
 
-/// The last write cut at bytes that it changed: the file opens to the state before it or after it, never to a mixture.
+/// Tears the last commit at the bytes that it changed. The file must open with the state before or after that commit,
+/// never with a mixture.
 #[test]
-fn a_torn_last_write_opens_to_an_acknowledged_state() {
+fn a_torn_last_commit_recovers_to_a_consistent_state() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("state");
     let (file, mut engine, _) = open(&path);
     for value in 0..40 {
         commit(&file, &mut engine, &format!("key/{value}"), value);
     }
-    // Copies of a file in use, as after a loss of power.
+    // Reads the file while the database has it open, as it would be after a power failure.
     let before = std::fs::read(&path).expect("the file");
     let acknowledged = engine.revision();
     commit(&file, &mut engine, "key/new", 7);
     let after = std::fs::read(&path).expect("the file");
-    assert!(before.len() == after.len(), "the file grew; the test needs a write in place");
-    let changed: Vec<usize> = (0..after.len()).filter(|at| before[*at] != after[*at]).collect();
-    assert!(changed.len() > 20, "a commit changes something");
+    assert!(before.len() == after.len(), "the file grew; the test needs a commit that keeps its size");
+    let changed: Vec<usize> = (0..after.len()).filter(|offset| before[*offset] != after[*offset]).collect();
+    assert!(changed.len() > 20, "the commit changed too few bytes for this test");
     let copy = folder.path().join("torn");
-    let mut seen = [0, 0];
-    // Every changed byte would be thousands of files: the header byte by byte, and a sample of the rest.
-    let header = changed.iter().copied().filter(|at| *at < HEADER_BYTES);
-    let rest = changed.iter().copied().filter(|at| *at >= HEADER_BYTES);
-    let cuts: Vec<usize> = header.chain(rest.step_by(changed.len().div_ceil(30))).collect();
+    // How many torn files opened with the old state and with the new one.
+    let mut opened_counts = [0, 0];
+    // Cutting at every changed byte would take thousands of files, so this cuts at every changed byte of the header and
+    // at a sample of the others.
+    let header = changed.iter().copied().filter(|offset| *offset < HEADER_BYTES);
+    let body = changed.iter().copied().filter(|offset| *offset >= HEADER_BYTES);
+    let cuts: Vec<usize> = header.chain(body.step_by(changed.len().div_ceil(30))).collect();
     for cut in cuts {
         for front_new in [true, false] {
             let (front, back) = if front_new { (&after, &before) } else { (&before, &after) };
             let mut torn = front[..cut].to_vec();
             torn.extend_from_slice(&back[cut..]);
             std::fs::write(&copy, &torn).expect("a copy");
-            let (_, engine, results) = open(&copy);
-            let new = engine.revision() > acknowledged;
-            seen[usize::from(new)] += 1;
+            let (_, engine, record_count) = open(&copy);
+            let has_new_commit = engine.revision() > acknowledged;
+            opened_counts[usize::from(has_new_commit)] += 1;
             assert_eq!(engine.get("key/39"), Some(&json!(39)), "cut at {cut}");
-            assert_eq!(engine.get("key/new").is_some(), new, "cut at {cut}: half a transaction");
-            assert_eq!(engine.get("last"), Some(&json!(if new { "key/new" } else { "key/39" })));
-            assert_eq!(results, 40 + usize::from(new), "cut at {cut}: the results belong to the transaction");
+            assert_eq!(
+                engine.get("key/new").is_some(),
+                has_new_commit,
+                "cut at {cut}: a partial transaction"
+            );
+            assert_eq!(engine.get("last"), Some(&json!(if has_new_commit { "key/new" } else { "key/39" })));
+            assert_eq!(
+                record_count,
+                40 + usize::from(has_new_commit),
+                "cut at {cut}: the auxiliary records belong to the commit"
+            );
         }
     }
-    assert!(seen[0] > 0 && seen[1] > 0, "cuts before and after the commit takes effect: {seen:?}");
+    assert!(
+        opened_counts[0] > 0 && opened_counts[1] > 0,
+        "expected files with the old and with the new state, got {opened_counts:?}"
+    );
 }
 
-/// A restart gives a lease its full time to live again, and no number is granted twice.
+/// A restart renews a lease with its full time to live, and no lease number is granted twice.
 #[test]
 fn leases_survive_a_restart() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -81,20 +95,16 @@
     file.commit(&engine.take_deltas(), &[]).expect("a commit");
     drop(file);
     let (_, mut engine, _) = open(&path);
-    assert_eq!(
-        engine.handle_request("GET", "/kv/leader", b"", 0).0,
-        404,
-        "the expiry of the lease was durable"
-    );
+    assert_eq!(engine.handle_request("GET", "/kv/leader", b"", 0).0, 404, "the lease expiry is durable");
     assert_eq!(engine.handle_request("POST", "/grants", b"{\"life_ms\":4000}", 0).1["permit"], 2);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes a state file holds, opening it succeeds or fails, without a crash or a hang.
+    /// Opening a state file with arbitrary bytes succeeds or returns an error; it neither panics nor hangs.
     #[test]
-    fn any_bytes_are_refused_or_read(bytes in proptest::collection::vec(any::<u8>(), 0..6000)) {
+    fn a_file_with_arbitrary_bytes_is_rejected_or_read(bytes in proptest::collection::vec(any::<u8>(), 0..6000)) {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("state");
         std::fs::write(&path, &bytes).expect("a file");
@@ -103,9 +113,9 @@
         }
     }
 
-    /// Whatever a request holds, the engine responds, and changes nothing unless the status is 200.
+    /// The engine responds to arbitrary requests, and changes nothing unless the status is 200.
     #[test]
-    fn any_request_is_answered(path in "/(kv|txn|changes|grants)[/?a-z0-9=&-]{0,20}", body in ".{0,200}") {
+    fn arbitrary_requests_get_a_response(path in "/(kv|txn|changes|grants)[/?a-z0-9=&-]{0,20}", body in ".{0,200}") {
         let mut engine = KvEngine::default();
         for method in ["GET", "POST", "DELETE", "PUT"] {
             let before = engine.revision();
@@ -116,7 +126,7 @@
     }
 }
 
-/// Replaying the deltas gives the same state as the requests themselves.
+/// A state restored from the file, or from the deltas, equals the state after the requests.
 #[test]
 fn a_file_restores_the_state_of_the_engine() {
     let folder = tempfile::tempdir().expect("a folder");
