--- a/crates/local-cluster/src/addresses.rs
+++ b/crates/local-cluster/src/addresses.rs
@@ -1,4 +1,5 @@
-//! Where the parts of a region listen: loopback addresses that stay the same while its folder is there.
+//! The loopback addresses on which a local cluster listens. They are kept in its folder, so that a restart uses them
+//! again.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -10,20 +11,20 @@
 
 const ADDRESSES_FILE: &str = "region.json";
 
-/// Where the parts of a region listen. Kept in a file of its folder.
+/// The addresses of a local cluster's servers. They are stored in a file in its folder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClusterAddresses {
-    /// The kv store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub kv_store: SocketAddr,
-    /// The cloud.
+    /// Address of the simulated cloud.
     pub cloud: SocketAddr,
-    /// Descriptions and logs.
+    /// Address of the job store, which serves job descriptions and task logs.
     #[serde(rename = "desk")]
     pub job_store: SocketAddr,
-    /// The controllers' interface for users, operators and workers.
+    /// Address of each controller for users, operators and workers.
     pub controllers: Vec<SocketAddr>,
-    /// Where controllers listen for one another.
+    /// Address of each controller for the other controllers.
     pub meshes: Vec<SocketAddr>,
 }
 
@@ -31,13 +32,13 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// An address that nobody listens at now.
+/// Returns a loopback address with a port that is free now.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind(loopback(0))?.local_addr()
 }
 
-/// The addresses that the folder's region had before, so that clients find it again; new ones in a new folder, or for another
-/// number of controllers.
+/// Returns the addresses stored in the folder, so that clients find a restarted cluster at the same addresses.
+/// Allocates and stores new ones if the folder is new or the number of controllers has changed.
 pub(crate) fn allocate_addresses(
     folder: &Path,
     controllers: usize,
@@ -46,12 +47,12 @@
     let file = path.display().to_string();
     if let Ok(bytes) = std::fs::read(&path) {
         let addresses: ClusterAddresses = serde_json::from_slice(&bytes)
-            .map_err(|error| LocalClusterError::Addresses { file: file.clone(), error })?;
+            .map_err(|error| LocalClusterError::Json { file: file.clone(), error })?;
         if addresses.controllers.len() == controllers {
             return Ok(addresses);
         }
     }
-    let free = || free_address().map_err(io_error("a free port"));
+    let free = || free_address().map_err(io_error("finding a free port"));
     let addresses = ClusterAddresses {
         kv_store: free()?,
         cloud: free()?,
@@ -60,7 +61,7 @@
         meshes: (0..controllers).map(|_| free()).collect::<Result<_, _>>()?,
     };
     let bytes = serde_json::to_vec_pretty(&addresses)
-        .map_err(|error| LocalClusterError::Addresses { file: file.clone(), error })?;
-    std::fs::write(&path, bytes).map_err(io_error(file))?;
+        .map_err(|error| LocalClusterError::Json { file: file.clone(), error })?;
+    std::fs::write(&path, bytes).map_err(io_error(format!("writing {file}")))?;
     Ok(addresses)
 }
--- a/crates/local-cluster/src/cloud.rs
+++ b/crates/local-cluster/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud, simulated: it provides machines up to its capacity, and lists them with their states. No I/O and no clock:
-//! times are those of the caller's clock, in ms.
+//! The simulated cloud, which provides machines up to its capacity and lists them with their states. It does no I/O and
+//! reads no clock: times are milliseconds of the caller's clock.
 
 use std::collections::BTreeMap;
 
@@ -8,60 +8,60 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// A machine type, and how many machines of it there are.
+/// A machine type, and the cloud's capacity for it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeSpec {
-    /// Its name.
+    /// Name of the machine type.
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// Memory in GB.
+    /// Memory of a machine, in GB.
     #[serde(rename = "memory")]
     pub memory_gb: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     pub gpus: f64,
-    /// How fast it fetches images, in GB per second.
+    /// Rate at which a machine fetches images, in GB per second.
     #[serde(rename = "fetch")]
     pub fetch_gb_per_s: f64,
-    /// How long it boots, in seconds.
+    /// Boot time in seconds.
     pub boot_s: f64,
-    /// The zones that have it.
+    /// Zones that offer the machine type.
     pub zones: Vec<String>,
-    /// On-demand machines in each zone.
+    /// Capacity of on-demand machines in each zone.
     #[serde(rename = "count")]
     pub on_demand_per_zone: usize,
-    /// Spot machines in each zone.
+    /// Capacity of spot machines in each zone.
     #[serde(rename = "spot")]
     pub spot_per_zone: usize,
 }
 
-/// A machine that was provided.
+/// A machine that the cloud has provided.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CloudMachine {
-    /// Its name.
+    /// Unique name of the machine.
     pub name: String,
-    /// Where its worker listens.
+    /// Address on which the machine's worker listens.
     pub endpoint: String,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// When it has booted.
+    /// When the machine has booted.
     #[serde(rename = "up_at")]
     pub ready_at: u64,
-    /// When it was provided.
+    /// When the cloud provided the machine, or when it failed.
     #[serde(rename = "rented_at")]
     pub provisioned_at: u64,
-    /// It failed, and is listed so until it is released.
+    /// Whether the machine has failed. A failed machine is listed until it is released.
     #[serde(default)]
     pub failed: bool,
 }
 
 impl CloudMachine {
-    /// The machine as its worker knows it, served at `endpoint`.
+    /// Returns the machine in the form that its worker uses, with the worker listening on `endpoint`.
     pub fn machine(&self, machine_type: &MachineTypeSpec, endpoint: String) -> Machine {
         Machine {
             name: self.name.clone(),
@@ -77,30 +77,30 @@
     }
 }
 
-/// The cloud's machines and what is known of requests for them.
+/// The state of the simulated cloud: its machine types, machines and earlier provisioning requests.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Cloud {
-    /// The machine types that it has.
+    /// Machine types that the cloud offers.
     #[serde(rename = "kinds")]
     pub machine_types: Vec<MachineTypeSpec>,
-    /// Machines that were provided and not released.
+    /// Machines that were provided and have not been released.
     pub machines: Vec<CloudMachine>,
-    /// The machines of each request by its id, which makes requests idempotent.
+    /// Names of the machines provided for each request, by request id. They make requests idempotent.
     #[serde(rename = "bookings")]
     provisioning_requests: BTreeMap<String, Vec<String>>,
     #[serde(rename = "next")]
     next_machine: usize,
-    /// Names of machines that were released.
+    /// Names of the machines that were released since the caller last cleared the list.
     pub released: Vec<String>,
 }
 
-/// Machines of one request at most.
+/// Maximum number of machines in one provisioning request.
 const MAX_MACHINES_PER_REQUEST: u64 = 50;
-/// Machines of one page at most.
+/// Maximum number of machines on one page of the list.
 const MAX_PAGE_MACHINES: usize = 500;
 
 impl Cloud {
-    /// Carries out a request; the HTTP status and the body of the response.
+    /// Handles a request. Returns the HTTP status and the body of the response.
     pub fn handle_request(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> (u16, Value) {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match (method, path.split('?').next().unwrap_or("")) {
@@ -166,7 +166,7 @@
         (200, json!({"boxes": names}))
     }
 
-    /// Adds a machine beyond any capacity, and returns its name.
+    /// Adds a machine regardless of the capacity, and returns its name.
     pub fn add_machine(
         &mut self,
         machine_type: &str,
@@ -191,7 +191,8 @@
         name
     }
 
-    /// The region was started again: its machines are gone, and are listed as failed until they are released.
+    /// Marks all machines as failed. After a restart of the local cluster no machine runs any longer, but each is
+    /// listed as failed until it is released.
     pub fn fail_all(&mut self, now: u64) {
         for machine in &mut self.machines {
             machine.failed = true;
@@ -199,7 +200,7 @@
         }
     }
 
-    /// A machine type by its name.
+    /// Returns the machine type with this name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineTypeSpec> {
         self.machine_types.iter().find(|spec| spec.name == name)
     }
--- a/crates/local-cluster/src/cluster/mod.rs
+++ b/crates/local-cluster/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The region's one loop over sockets, processes and time. A response goes out only after everything that it reports is on
-//! disk.
+//! The event loop of a local cluster, which handles sockets, processes and timers. A response is sent only after
+//! everything that it reports is on disk.
 
 mod requests;
 
@@ -29,31 +29,32 @@
 use crate::settings::{Platform, TeamSettings};
 use crate::task_outputs::TaskOutputs;
 
-/// What a region consists of.
+/// Configuration of a local cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// The folder of its state, logs and outputs.
+    /// Folder for the cluster's state, logs and outputs.
     pub folder: PathBuf,
-    /// How many controllers it has.
+    /// Number of controllers.
     pub controllers: usize,
-    /// The machines that its cloud rents.
+    /// Machine types that the simulated cloud offers.
     pub machine_types: Vec<MachineTypeSpec>,
-    /// Teams: name, CPUs guaranteed, CPUs at most (0: no limit).
+    /// Name, guaranteed CPUs and CPU limit of each team. A limit of 0 means no limit.
     pub teams: Vec<(String, f64, f64)>,
-    /// The controllers' program.
+    /// How controllers are started.
     pub controller_plan: ControllerPlan,
 }
 
-const KV_STORE: ListenerId = ListenerId(0);
+const KV_STORE_LISTENER: ListenerId = ListenerId(0);
 const CLOUD_LISTENER: ListenerId = ListenerId(1);
-const JOB_STORE: ListenerId = ListenerId(2);
-/// Listeners from here on are those of machines.
+const JOB_STORE_LISTENER: ListenerId = ListenerId(2);
+/// Listeners with this number or a higher one belong to machines.
 const FIRST_MACHINE_LISTENER: usize = 16;
 const TICK_INTERVAL_MS: u64 = 20;
-const CLOUD_NAME: &str = "cloud";
+/// Name of the auxiliary record that holds the state of the cloud.
+const CLOUD_RECORD_NAME: &str = "cloud";
 const SIGNALS_KEY: usize = usize::MAX - 1;
 
-/// A region that serves, in one thread.
+/// A running local cluster. A single thread serves all of it.
 pub struct LocalCluster {
     folder: PathBuf,
     poller: Arc<EventPoller>,
@@ -75,12 +76,12 @@
     next_listener: usize,
     signals: Registration<UnixStream>,
     stop: Arc<AtomicBool>,
-    /// Responses that wait for the next commit.
+    /// Responses to send after the next commit: connection, HTTP status and body.
     pending_responses: Vec<(ConnectionId, u16, Value)>,
     requests: u64,
 }
 
-/// Wakes the poller at signals; the first two also set the flag.
+/// Makes SIGINT, SIGTERM and SIGCHLD wake the poller. SIGINT and SIGTERM also set the stop flag.
 fn register_signals(
     poller: &Arc<EventPoller>,
     stop: &Arc<AtomicBool>,
@@ -98,19 +99,22 @@
 }
 
 impl LocalCluster {
-    /// Opens a region's folder, new or old, and listens; `run` serves and starts the controllers.
+    /// Opens the folder of a new or an earlier cluster, and starts to listen. `run` serves requests and starts the
+    /// controllers.
     ///
     /// # Errors
-    /// The folder or its state file cannot be opened (another region may hold it), or an address is taken.
+    /// The folder or its state file cannot be opened (another local cluster may have it open), or an address is in use.
     pub fn open(config: ClusterConfig) -> Result<LocalCluster, LocalClusterError> {
         let folder = config.folder;
         let folder_name = folder.display().to_string();
-        std::fs::create_dir_all(&folder).map_err(io_error(&folder_name))?;
+        std::fs::create_dir_all(&folder).map_err(io_error(format!("creating the folder {folder_name}")))?;
         let (file, deltas, saved) = StoreFile::open(&folder.join("state.redb"))?;
-        // Not before the file is open: its lock keeps two regions from ending each other's processes.
-        let processes = Processes::open(&folder).map_err(io_error(&folder_name))?;
+        // The state file must be opened first: its lock prevents two local clusters in the same folder from killing
+        // each other's processes.
+        let processes = Processes::open(&folder)
+            .map_err(io_error(format!("opening the process list in {folder_name}")))?;
         let addresses = allocate_addresses(&folder, config.controllers)?;
-        let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
+        let poller = Arc::new(EventPoller::new().map_err(io_error("creating the event poller"))?);
         let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
         listen_on(&addresses, &mut server, &mut keys)?;
         let stop = Arc::new(AtomicBool::new(false));
@@ -119,20 +123,21 @@
             teams.map(|(name, guaranteed, limit)| TeamSettings { name, guaranteed, limit }).collect();
         let platform = Platform::local(teams);
         let controllers = Controllers::write_settings(&folder, config.controller_plan, &addresses, &platform)
-            .map_err(io_error(&folder_name))?;
+            .map_err(io_error(format!("writing the controllers' settings in {folder_name}")))?;
         let mut job_store = JobStore::default();
         let mut cloud = restore_saved(&saved, &mut job_store);
         cloud.machine_types = config.machine_types;
         cloud.fail_all(0);
-        // Terminal records may have been committed just before the region was killed.
+        // An earlier process may have been killed after it committed terminal records and before it published the
+        // outputs.
         let outputs = TaskOutputs::new(&folder);
         publish_outputs(&outputs, &job_store, &terminal_records(&deltas))?;
         Ok(LocalCluster {
             outputs,
-            signals: register_signals(&poller, &stop).map_err(io_error("signals"))?,
+            signals: register_signals(&poller, &stop).map_err(io_error("registering signal handlers"))?,
             http_client: HttpClient::new(&poller),
             machines: Machines::open(&folder, addresses.controllers.clone())
-                .map_err(io_error(&folder_name))?,
+                .map_err(io_error(format!("opening the run log in {folder_name}")))?,
             kv_engine: KvEngine::restore(&deltas, 0),
             start: Instant::now(),
             folder,
@@ -154,12 +159,12 @@
         })
     }
 
-    /// Where the parts of the region listen.
+    /// Returns the addresses on which the cluster listens.
     pub fn addresses(&self) -> &ClusterAddresses {
         &self.addresses
     }
 
-    /// A flag that ends `run` once it is set.
+    /// Returns the flag that makes `run` return once it is set.
     pub fn stop_flag(&self) -> Arc<AtomicBool> {
         self.stop.clone()
     }
@@ -168,10 +173,11 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Serves until the flag is set or a signal comes; then it ends all processes that it started.
+    /// Serves until the stop flag is set or the process receives SIGINT or SIGTERM. Then kills all processes that it
+    /// started.
     ///
     /// # Errors
-    /// The disk, the poller or the start of a process fails.
+    /// The state file or another file cannot be written, the event poller fails, or a controller cannot be started.
     pub fn run(mut self) -> Result<(), LocalClusterError> {
         let mut events = Events::new();
         let mut last_tick = 0;
@@ -180,7 +186,7 @@
             match self.poller.wait(&mut events, Duration::from_millis(TICK_INTERVAL_MS)) {
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return Err(io_error("the poller")(error)),
+                Err(error) => return Err(io_error("waiting for events")(error)),
             }
             let now = self.elapsed_ms();
             let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
@@ -203,9 +209,9 @@
     fn handle_event(&mut self, key: usize, now: u64) -> Result<(), LocalClusterError> {
         if key == SIGNALS_KEY {
             let mut bytes = [0; 64];
-            // Only the wakeup matters, not which signals came.
+            // The bytes only wake the poller; which signals were received does not matter.
             while matches!(self.signals.source().read(&mut bytes), Ok(n) if n > 0) {}
-            return self.signals.set_interest(true, false).map_err(io_error("signals"));
+            return self.signals.set_interest(true, false).map_err(io_error("re-arming the signal pipe"));
         }
         if self.server.owns_key(key) {
             let mut next = self.server.handle_event(&mut self.keys, key, now);
@@ -230,7 +236,8 @@
         self.controllers.restart_exited(now, &mut self.processes).map_err(io_error("starting a controller"))
     }
 
-    /// Starts workers for machines that have booted, and ends those of machines that were released.
+    /// Starts the workers of machines that have booted, and stops the workers of machines that were released or have
+    /// failed.
     fn reconcile_machines(&mut self, now: u64) -> Result<(), LocalClusterError> {
         let booted: Vec<usize> = (0..self.cloud.machines.len())
             .filter(|index| {
@@ -242,7 +249,7 @@
             let listener = ListenerId(self.next_listener);
             self.next_listener += 1;
             let endpoint = self.server.listen(&mut self.keys, loopback(0), listener);
-            let endpoint = endpoint.map_err(io_error("a worker's port"))?;
+            let endpoint = endpoint.map_err(io_error("listening for a worker"))?;
             let machine = &mut self.cloud.machines[index];
             machine.endpoint = endpoint.to_string();
             let machine = machine.clone();
@@ -263,23 +270,23 @@
         Ok(())
     }
 
-    /// Writes all changes to disk, then sends the responses that report them.
+    /// Commits all changes to the state file, then sends the responses that report them.
     fn commit(&mut self) -> Result<(), LocalClusterError> {
         let now = self.elapsed_ms();
-        self.answer_due_watches(now);
+        self.complete_due_watches(now);
         let deltas = self.kv_engine.take_deltas();
         let terminal_records = terminal_records(&deltas);
         let mut auxiliary = self.job_store.take_unsaved();
         if std::mem::take(&mut self.cloud_changed) {
             let bytes = serde_json::to_vec(&self.cloud)
-                .map_err(|error| LocalClusterError::Addresses { file: CLOUD_NAME.into(), error })?;
-            auxiliary.push(AuxiliaryRecord { name: CLOUD_NAME.into(), bytes: Some(bytes) });
+                .map_err(|error| LocalClusterError::Json { file: CLOUD_RECORD_NAME.into(), error })?;
+            auxiliary.push(AuxiliaryRecord { name: CLOUD_RECORD_NAME.into(), bytes: Some(bytes) });
         }
         self.file.commit(&deltas, &auxiliary)?;
         publish_outputs(&self.outputs, &self.job_store, &terminal_records)?;
         for (connection, status, body) in std::mem::take(&mut self.pending_responses) {
             let bytes = serde_json::to_vec(&body).unwrap_or_default();
-            // The response to the connection's next request, if that is there already, waits for the next commit.
+            // The connection may already have sent its next request, whose response waits for the next commit.
             let mut next = self.server.respond(connection, status, &bytes);
             while let Some(incoming) = next {
                 next = self.handle_request(incoming, now);
@@ -289,21 +296,23 @@
     }
 }
 
-/// Listens for the kv store, the cloud and the job store.
+/// Listens on the addresses of the key-value store, the cloud and the job store.
 fn listen_on(
     addresses: &ClusterAddresses,
     server: &mut HttpServer,
     keys: &mut KeyAllocator,
 ) -> Result<(), LocalClusterError> {
-    for (addr, listener) in
-        [(addresses.kv_store, KV_STORE), (addresses.cloud, CLOUD_LISTENER), (addresses.job_store, JOB_STORE)]
-    {
+    for (addr, listener) in [
+        (addresses.kv_store, KV_STORE_LISTENER),
+        (addresses.cloud, CLOUD_LISTENER),
+        (addresses.job_store, JOB_STORE_LISTENER),
+    ] {
         server.listen(keys, addr, listener).map_err(io_error(format!("listening on {addr}")))?;
     }
     Ok(())
 }
 
-/// Publishes the outputs of nodes that succeeded by these terminal records, which must be on disk.
+/// Publishes the outputs of the nodes that these terminal records report as successful. The records must be on disk.
 fn publish_outputs(
     outputs: &TaskOutputs,
     job_store: &JobStore,
@@ -311,12 +320,12 @@
 ) -> Result<(), LocalClusterError> {
     for (key, value) in terminal_records {
         let published = outputs.publish_on_success(key, value, &job_store.descriptions, &job_store.results);
-        published.map_err(io_error(format!("publishing {key}")))?;
+        published.map_err(io_error(format!("publishing the output for {key}")))?;
     }
     Ok(())
 }
 
-/// The terminal records among changes.
+/// Returns the keys and values of the terminal records among the deltas.
 fn terminal_records(deltas: &[Delta]) -> Vec<(String, Value)> {
     let records = deltas.iter().filter_map(|delta| match delta {
         Delta::Put { key, value, .. } if key.starts_with("olivelatch/end/") => {
@@ -327,14 +336,14 @@
     records.collect()
 }
 
-/// Restores the job store and the cloud as an earlier process of the region left them.
+/// Restores the job store, and returns the cloud, from the records that an earlier process of the cluster saved.
 fn restore_saved(saved: &[AuxiliaryRecord], job_store: &mut JobStore) -> Cloud {
     let mut cloud = Cloud::default();
     for record in saved {
         if job_store.restore(record) {
             continue;
         }
-        if record.name == CLOUD_NAME
+        if record.name == CLOUD_RECORD_NAME
             && let Some(restored) =
                 record.bytes.as_deref().and_then(|bytes| serde_json::from_slice(bytes).ok())
         {
--- a/crates/local-cluster/src/cluster/requests.rs
+++ b/crates/local-cluster/src/cluster/requests.rs
@@ -1,15 +1,15 @@
-//! Requests to the region: each goes to the part that serves its listener, and its response waits for the next commit.
+//! Dispatches requests to the component that serves their listener. Responses wait for the next commit.
 
 use olivelatch_kv_store::query_parameter;
 use olivelatch_net::server::{ConnectionId, IncomingRequest};
 use serde_json::{Value, json};
 
-use super::{CLOUD_LISTENER, JOB_STORE, KV_STORE, LocalCluster};
+use super::{CLOUD_LISTENER, JOB_STORE_LISTENER, KV_STORE_LISTENER, LocalCluster};
 
-/// The longest that a request for changes waits.
+/// Upper bound of the time that a request for changes may wait.
 const MAX_WATCH_MS: u64 = 60_000;
 
-/// A request for changes that waits until there is one.
+/// A request for changes that waits for a change or for its time-out.
 pub(super) struct PendingWatch {
     connection: ConnectionId,
     path: String,
@@ -19,14 +19,14 @@
 }
 
 impl LocalCluster {
-    /// Carries out a request. Its response goes out after the next commit, and with it the connection's next request is
-    /// read.
+    /// Handles a request, and queues its response until the next commit. Always returns `None`: the connection's next
+    /// request is read when the response has been sent.
     pub(super) fn handle_request(&mut self, incoming: IncomingRequest, now: u64) -> Option<IncomingRequest> {
         self.requests += 1;
         let IncomingRequest { connection, listener, request } = incoming;
         let (method, path, body) = (request.method.as_str(), request.path.as_str(), request.body.as_slice());
         let (status, body) = match listener {
-            KV_STORE => {
+            KV_STORE_LISTENER => {
                 if let Some(watch) = self.pending_watch(connection, method, path, now) {
                     self.pending_watches.push(watch);
                     return None;
@@ -37,7 +37,7 @@
                 self.cloud_changed |= method == "POST";
                 self.cloud.handle_request(method, path, body, now)
             }
-            JOB_STORE => {
+            JOB_STORE_LISTENER => {
                 let response = self.job_store.handle_request(&self.folder, method, path, body);
                 response.unwrap_or_else(|| self.describe_cluster(method, path))
             }
@@ -47,7 +47,7 @@
         None
     }
 
-    /// The watch that a request for changes becomes if there are none yet and it may wait.
+    /// Returns the watch for a request for changes, if it allows waiting and there are no changes yet.
     fn pending_watch(
         &self,
         connection: ConnectionId,
@@ -58,10 +58,10 @@
         if method != "GET" || !path.starts_with("/changes?") {
             return None;
         }
-        let value = |name: &str| query_parameter(path, name);
-        let block_ms = value("block_ms")?.parse::<u64>().ok().filter(|ms| *ms > 0)?.min(MAX_WATCH_MS);
-        let after = value("after")?.parse().ok()?;
-        let prefix = value("starts").unwrap_or("").to_string();
+        let parameter = |name: &str| query_parameter(path, name);
+        let block_ms = parameter("block_ms")?.parse::<u64>().ok().filter(|ms| *ms > 0)?.min(MAX_WATCH_MS);
+        let after = parameter("after")?.parse().ok()?;
+        let prefix = parameter("starts").unwrap_or("").to_string();
         let must_wait = !self.kv_engine.has_changed(&prefix, after);
         must_wait.then(|| PendingWatch {
             connection,
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Answers the watches that have a change, and those whose time is over.
-    pub(super) fn answer_due_watches(&mut self, now: u64) {
+    /// Queues the responses to watches that have a change or have timed out.
+    pub(super) fn complete_due_watches(&mut self, now: u64) {
         let (due, waiting): (Vec<PendingWatch>, Vec<PendingWatch>) =
             std::mem::take(&mut self.pending_watches).into_iter().partition(|watch| {
                 watch.deadline <= now || self.kv_engine.has_changed(&watch.prefix, watch.after)
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Requests on the region itself, for `olivelatchctl` and tests.
+    /// Handles requests about the local cluster itself, which come from `olivelatchctl` and tests.
     fn describe_cluster(&mut self, method: &str, path: &str) -> (u16, Value) {
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        match (method, parts.as_slice()) {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match (method, segments.as_slice()) {
             ("GET", ["region"]) => {
                 let machines = self.machines.names();
                 (
@@ -98,13 +98,19 @@
                     "pids": self.controllers.pids(), "revision": self.kv_engine.revision(), "requests": self.requests}),
                 )
             }
-            // For demonstrations and tests: as if the controller's process had crashed.
+            // For demonstrations and tests: kills the controller's process, as in a crash.
             ("POST", ["controllers", index, "kill"]) => match index.parse::<usize>() {
                 Ok(index) if index < self.addresses.controllers.len() => {
                     self.controllers.kill_controller(index);
                     (200, json!({"killed": index}))
                 }
-                _ => (404, json!({"error": "no such controller"})),
+                _ => {
+                    let count = self.addresses.controllers.len();
+                    (
+                        404,
+                        json!({"error": format!("no controller with index {index:?}; this cluster has {count} controllers")}),
+                    )
+                }
             },
             _ => (404, json!({"error": "no such path"})),
         }
--- a/crates/local-cluster/src/controllers.rs
+++ b/crates/local-cluster/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers as child processes: their files, their logs, and their restarts.
+//! Runs the controllers as child processes: writes their settings, opens their logs and restarts them.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -11,23 +11,23 @@
 use crate::addresses::ClusterAddresses;
 use crate::settings::{Platform, controller_name, controller_settings};
 
-/// A controller that ended is started again after this.
+/// Delay before a controller that has exited is restarted.
 const RESTART_DELAY_MS: u64 = 3_000;
 
-/// The program of the controllers, and what it gets besides its settings.
+/// How controllers are started: their program, and its arguments, tunables and log level.
 #[derive(Debug, Clone)]
 pub struct ControllerPlan {
-    /// The program; it is started with `arguments`, then `--tunables FILE --config FILE`.
+    /// Path of the program. It is started with `arguments`, followed by `--tunables FILE --config FILE`.
     pub program: PathBuf,
-    /// These arguments.
+    /// Arguments that precede the two flags.
     pub arguments: Vec<String>,
-    /// The text of the tunables file (HCL).
+    /// Content of the tunables file, in HCL.
     pub tunables: String,
-    /// `error`, `info` or `debug`.
+    /// Log level of the controllers: `error`, `info` or `debug`.
     pub log_level: String,
 }
 
-/// A controller's files, and its process while it runs.
+/// The files of a controller, and its process while it runs.
 struct Controller {
     settings: PathBuf,
     log: PathBuf,
@@ -35,7 +35,7 @@
     restart_at: u64,
 }
 
-/// All controllers of the region.
+/// All controllers of the cluster.
 pub struct Controllers {
     controller_plan: ControllerPlan,
     tunables: PathBuf,
@@ -43,7 +43,7 @@
 }
 
 impl Controllers {
-    /// Writes the files that they read; `restart_exited` starts them.
+    /// Writes the settings and the tunables file that the controllers read. `restart_exited` starts the controllers.
     pub fn write_settings(
         folder: &Path,
         controller_plan: ControllerPlan,
@@ -75,12 +75,13 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
-            // A process group of its own, as tasks have: the next region ends leftovers by their groups.
+            // Gives the controller its own process group, as tasks have: the next local cluster kills orphaned
+            // processes by group.
             .process_group(0)
             .spawn()
     }
 
-    /// Starts the controllers that are due, and records their process ids.
+    /// Starts the controllers that do not run and whose restart delay has passed, and records their process ids.
     pub fn restart_exited(&mut self, now: u64, processes: &mut Processes) -> io::Result<()> {
         for index in 0..self.controllers.len() {
             let controller = &mut self.controllers[index];
@@ -99,21 +100,21 @@
         Ok(())
     }
 
-    /// The process id of each controller that runs, by its position.
+    /// Returns the process id of each controller, or `None` for one that does not run.
     pub fn pids(&self) -> Vec<Option<u32>> {
         self.controllers.iter().map(|controller| controller.child.as_ref().map(Child::id)).collect()
     }
 
-    /// Kills a controller; `restart_exited` starts it again.
+    /// Kills a controller. `restart_exited` restarts it.
     pub fn kill_controller(&mut self, index: usize) {
         if let Some(child) = self.controllers.get_mut(index).and_then(|controller| controller.child.as_mut())
         {
-            // One that has ended already needs no signal; `restart_exited` finds it.
+            // An error means that the process has already exited; `restart_exited` notices that.
             let _ = child.kill();
         }
     }
 
-    /// Kills all controllers for good.
+    /// Kills all controllers and waits until they have exited.
     pub fn stop_all(&mut self) {
         for controller in &mut self.controllers {
             if let Some(mut child) = controller.child.take() {
--- a/crates/local-cluster/src/error.rs
+++ b/crates/local-cluster/src/error.rs
@@ -1,35 +1,36 @@
-//! How a region fails.
+//! Errors of a local cluster.
 
 use std::io;
 
 use olivelatch_kv_store::StoreError;
 use thiserror::Error;
 
-/// Why a region could not be opened or went down.
+/// Why a local cluster could not be opened, or why it stopped with an error.
 #[derive(Debug, Error)]
 pub enum LocalClusterError {
-    /// A file, a socket or a process.
-    #[error("{what}: {error}")]
+    /// An operation on a file, a socket or a process failed.
+    #[error("{operation}: {error}")]
     Io {
-        /// What was being done.
-        what: String,
-        /// Why it failed.
+        /// The operation that failed.
+        operation: String,
+        /// The underlying error.
         error: io::Error,
     },
-    /// The state file.
+    /// The state file cannot be read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// JSON that cannot be read or written.
-    #[error("{file}: {error}")]
-    Addresses {
-        /// The file, or the record in the state file.
+    /// A file or a record cannot be decoded from JSON, or encoded as JSON.
+    #[error("{file}: invalid JSON: {error}")]
+    Json {
+        /// Path of the file, or name of the record in the state file.
         file: String,
-        /// Why not.
+        /// The error of the JSON parser or writer.
         error: serde_json::Error,
     },
 }
 
-pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> LocalClusterError {
-    let what = what.into();
-    move |error| LocalClusterError::Io { what, error }
+/// Returns a function that adds the failed operation to an I/O error.
+pub(crate) fn io_error(operation: impl Into<String>) -> impl FnOnce(io::Error) -> LocalClusterError {
+    let operation = operation.into();
+    move |error| LocalClusterError::Io { operation, error }
 }
--- a/crates/local-cluster/src/job_store.rs
+++ b/crates/local-cluster/src/job_store.rs
@@ -1,4 +1,4 @@
-//! The job store: descriptions of jobs that users upload and workers read, results of tasks, and logs.
+//! The job store: job descriptions, which users upload and workers read, task results, and task logs.
 
 use std::collections::BTreeMap;
 use std::fs::{DirEntry, File};
@@ -14,10 +14,10 @@
 
 const DESCRIPTION_PREFIX: &str = "description/";
 const RESULT_PREFIX: &str = "result/";
-/// Of a longer log only the end is shown.
+/// Only the last part of this size is returned of a longer log.
 const MAX_LOG_BYTES: u64 = 48 * 1024;
 
-/// Descriptions of jobs, and the results of their tasks: both outlive the region's process.
+/// Job descriptions and task results. Both are saved in the state file and survive a restart.
 #[derive(Default)]
 pub struct JobStore {
     pub descriptions: JobDescriptions,
@@ -31,10 +31,10 @@
 }
 
 impl JobStore {
-    /// Restores a record; false if it is none of the job store's.
+    /// Restores a saved record. Returns false if the record does not belong to the job store.
     pub fn restore(&mut self, saved: &AuxiliaryRecord) -> bool {
         if let Some(task) = saved.name.strip_prefix(RESULT_PREFIX) {
-            // Versions before graphs did not store the attempt.
+            // Versions without graphs stored no attempt; such a record gets the default result, with attempt 0.
             let result = saved.bytes.as_deref().and_then(|bytes| serde_json::from_slice(bytes).ok());
             self.results.insert(task.into(), result.unwrap_or_default());
             return true;
@@ -49,14 +49,15 @@
         true
     }
 
-    /// Stores a description. The same again is idempotent, another one under the name is a conflict.
+    /// Stores the description of a job. A repeated upload is idempotent; a different description for the same job is a
+    /// conflict.
     fn store_description(&mut self, job: &str, bytes: &[u8]) -> (u16, Value) {
         if !is_job_name(job) {
             return (400, json!({"error": format!("expected a name like job-000412, not {job:?}")}));
         }
         match (self.uploads.get(job), JobDescription::parse(bytes)) {
             (Some(known), _) if known == bytes => (200, json!({"uid": job})),
-            (Some(_), _) => (409, json!({"error": "another description has that name"})),
+            (Some(_), _) => (409, json!({"error": format!("{job} already has a different description")})),
             (None, Err(problem)) => (400, json!({"error": problem.to_string()})),
             (None, Ok(description)) => {
                 self.descriptions.insert(job.into(), description);
@@ -70,9 +71,9 @@
         }
     }
 
-    /// Records the result of a task, which must be on disk before a heartbeat reports it.
+    /// Records the result of a task. The result must be on disk before a heartbeat reports it.
     pub fn record_result(&mut self, task: &str, result: TaskResult) {
-        // The first result stays: another attempt's output must never replace it.
+        // The first result is kept: the output of another attempt must never replace it.
         if self.results.contains_key(task) {
             return;
         }
@@ -81,12 +82,13 @@
         self.unsaved.push(AuxiliaryRecord { name: format!("{RESULT_PREFIX}{task}"), bytes: Some(bytes) });
     }
 
-    /// The records that the next commit must write.
+    /// Returns the records that the next commit must write.
     pub fn take_unsaved(&mut self) -> Vec<AuxiliaryRecord> {
         std::mem::take(&mut self.unsaved)
     }
 
-    /// A request; `None` if the path is none of the job store's. `folder` is the region's.
+    /// Handles a request. Returns `None` if the path does not belong to the job store. `folder` is the folder of the
+    /// local cluster.
     pub fn handle_request(
         &mut self,
         folder: &Path,
@@ -95,12 +97,12 @@
         body: &[u8],
     ) -> Option<(u16, Value)> {
         let path = path.split('?').next().unwrap_or("");
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        Some(match (method, parts.as_slice()) {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        Some(match (method, segments.as_slice()) {
             ("PUT", ["descriptions", job]) => self.store_description(job, body),
             ("GET", ["descriptions", job]) => match self.uploads.get(*job) {
                 Some(bytes) => (200, serde_json::from_slice(bytes).unwrap_or(Value::Null)),
-                None => (404, json!({"error": "no such description"})),
+                None => (404, json!({"error": format!("no description was uploaded for {job}")})),
             },
             ("GET", ["logs", job, task]) if is_job_name(job) && task.parse::<u32>().is_ok() => {
                 read_logs(folder, job, task)
@@ -110,7 +112,7 @@
     }
 }
 
-/// The output of each attempt of a task.
+/// Returns the log of each attempt of a task.
 fn read_logs(folder: &Path, job: &str, task: &str) -> (u16, Value) {
     let prefix = format!("{task}.");
     let files = std::fs::read_dir(folder.join("logs").join(job)).into_iter().flatten().flatten();
@@ -120,7 +122,7 @@
     let mut attempts: Vec<u64> = files.filter_map(attempt).collect();
     attempts.sort_unstable();
     if attempts.is_empty() {
-        return (404, json!({"error": "no output: the task has not started, or not in this region"}));
+        return (404, json!({"error": "no output: the task has not started in this cluster"}));
     }
     let logs: Vec<Value> = attempts
         .iter()
@@ -133,7 +135,7 @@
     (200, json!({"task": format!("{job}/{task}"), "attempts": logs}))
 }
 
-/// The end of a log, or all of it.
+/// The last part of a log, or all of it if it is short.
 struct LogTail {
     text: String,
     truncated: bool,
@@ -151,5 +153,6 @@
         file.take(MAX_LOG_BYTES).read_to_end(&mut bytes)?;
         Ok(LogTail { text: String::from_utf8_lossy(&bytes).into_owned(), truncated })
     };
-    read().unwrap_or_else(|error| LogTail { text: format!("(unreadable: {error})"), truncated: false })
+    read()
+        .unwrap_or_else(|error| LogTail { text: format!("(cannot read the log: {error})"), truncated: false })
 }
--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -1,9 +1,11 @@
-//! A region on one machine.
+//! A cluster on one machine.
 //!
-//! `Cloud` simulates the cloud, in memory and without a clock of its own: scenarios use it in virtual time, `LocalCluster`
-//! behind sockets. `LocalCluster` is one thread around `polling`: it serves the kv store (`olivelatch-kv-store`), the cloud,
-//! the workers (`olivelatch-worker`) and the job store, to which users upload descriptions, and starts the controllers. It
-//! listens on loopback only, and sends a response only after what it reports is on disk. docs/local-cluster.md gives the reasons.
+//! `LocalCluster` is a single thread around `polling`. It serves the key-value store (`olivelatch-kv-store`), a
+//! simulated cloud, the workers (`olivelatch-worker`) and the job store, to which users upload job descriptions, and
+//! it starts the controllers. It listens only on loopback addresses, and sends a response only after everything that
+//! the response reports is on disk. docs/local-cluster.md gives the reasons.
+//!
+//! `Cloud` simulates the cloud in memory and reads no clock, so scenarios can use it in virtual time.
 
 #![warn(missing_docs)]
 
--- a/crates/local-cluster/src/machines.rs
+++ b/crates/local-cluster/src/machines.rs
@@ -1,4 +1,4 @@
-//! The region's machines: workers that send heartbeats to the controllers and run real commands.
+//! The machines of a local cluster. Their workers send heartbeats to the controllers and run commands as processes.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -22,7 +22,8 @@
 use crate::settings::{GANG_PEER_S, GANG_WAIT_S, HEARTBEAT_S, LEASE_S, controller_index};
 use crate::task_outputs::TaskOutputs;
 
-/// On loopback heartbeats cost little, so they may follow one another faster than the protocol's half second.
+/// Heartbeats over loopback are cheap, so a change may be reported sooner than after the protocol's minimum interval of
+/// half a second.
 const HEARTBEAT_TIMES: HeartbeatTimes = HeartbeatTimes {
     interval_ms: (HEARTBEAT_S * 1000.0) as u64,
     min_change_interval_ms: 50,
@@ -35,34 +36,34 @@
     (seconds * 1000.0) as u64
 }
 
-/// A worker's listener, and how its heartbeats are sent.
+/// The listener of a worker, and the connection and schedule of its heartbeats.
 struct HeartbeatChannel {
     listener: ListenerId,
     call_slot: CallSlot,
     sender: HeartbeatSender,
 }
 
-/// The workers of all machines.
+/// The workers of all machines, with the state that they share.
 pub struct Machines {
     workers: Vec<Worker>,
     heartbeat_channels: Vec<HeartbeatChannel>,
-    /// Attempts of gangs that lack a member, and since when.
-    broken_gangs: BTreeMap<(String, u64), u64>,
+    /// Since when each started gang (job and attempt) has missed a member.
+    incomplete_gangs: BTreeMap<(String, u64), u64>,
     controllers: Vec<SocketAddr>,
     outputs: TaskOutputs,
-    /// What ran when, by the workers; written after the results that it reports are on disk.
+    /// Log of process starts and exits. An entry is written after the result that it reports is on disk.
     run_log: File,
     pending_log: String,
 }
 
 impl Machines {
-    /// No machines yet, in a region's folder.
+    /// Opens the run log in the folder of a local cluster. There are no machines yet.
     pub fn open(folder: &Path, controllers: Vec<SocketAddr>) -> io::Result<Machines> {
         let run_log = OpenOptions::new().create(true).append(true).open(folder.join("runs.jsonl"))?;
         Ok(Machines {
             workers: Vec::new(),
             heartbeat_channels: Vec::new(),
-            broken_gangs: BTreeMap::new(),
+            incomplete_gangs: BTreeMap::new(),
             controllers,
             outputs: TaskOutputs::new(folder),
             run_log,
@@ -82,7 +83,7 @@
         self.workers.iter().map(|worker| worker.machine.name.clone()).collect()
     }
 
-    /// Starts the worker of a machine that has booted, served at `endpoint`.
+    /// Starts the worker of a machine that has booted. It is served on `endpoint`.
     pub fn add_machine(
         &mut self,
         machine: &CloudMachine,
@@ -95,7 +96,7 @@
         let machine = machine.machine(machine_type, endpoint.to_string());
         let mut worker = Worker::new(machine, now);
         job_store.results.iter().for_each(|(task, result)| worker.restore_result(task, *result));
-        // Heartbeats are spread over the controllers.
+        // Different workers start with different controllers, which distributes the heartbeats.
         let first_controller = listener.0 % self.controllers.len().max(1);
         self.workers.push(worker);
         self.heartbeat_channels.push(HeartbeatChannel {
@@ -105,7 +106,8 @@
         });
     }
 
-    /// Ends the worker of a machine that was released, with its tasks. Returns its listener.
+    /// Removes the worker of a machine that was released or has failed, and kills its tasks. Returns the listener of
+    /// the worker.
     pub fn remove_machine(
         &mut self,
         name: &str,
@@ -126,7 +128,7 @@
         Some(channel.listener)
     }
 
-    /// A request to the worker behind a listener: a controller's commands, or its status.
+    /// Handles a request to the worker behind a listener: commands of a controller, or a status query.
     pub fn handle_request(
         &mut self,
         listener: ListenerId,
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Lets time pass on all machines: takes the exits of processes, and starts and stops what is due.
+    /// Advances all workers to time `now`: handles the exits of processes, coordinates gangs, and starts and stops
+    /// processes.
     pub fn step_workers(&mut self, now: u64, job_store: &mut JobStore, processes: &mut Processes) {
         for exit in processes.collect_exits(now) {
             self.handle_exit(&exit, job_store, now);
@@ -160,11 +163,11 @@
         }
         let times =
             GangTimes { gather_timeout_ms: to_ms(GANG_WAIT_S), peer_loss_timeout_ms: to_ms(GANG_PEER_S) };
-        // A gang's tasks are done when the last of them has exited.
+        // The tasks of a gang are done once the last of them has exited.
         let waiting = self.tasks_waiting_for_gang();
-        coordinate_gangs(&mut self.workers, now, times, &job_store.descriptions, &mut self.broken_gangs);
+        coordinate_gangs(&mut self.workers, now, times, &job_store.descriptions, &mut self.incomplete_gangs);
         for (index, task) in waiting {
-            self.record_gang_task(index, &task, job_store, now);
+            self.record_completed_gang_task(index, &task, job_store, now);
         }
         for index in 0..self.workers.len() {
             for action in self.workers[index].take_process_actions() {
@@ -173,8 +176,8 @@
         }
     }
 
-    /// Stores the result of a gang's task if its gang is done by now.
-    fn record_gang_task(&mut self, index: usize, task: &str, job_store: &mut JobStore, now: u64) {
+    /// Stores the result of a gang's task if the gang has just completed.
+    fn record_completed_gang_task(&mut self, index: usize, task: &str, job_store: &mut JobStore, now: u64) {
         let done = AttemptPhase::Ended { cause: "done", checkpoint_kept: false };
         let worker = &self.workers[index];
         let attempt = worker.attempts.iter().find(|attempt| attempt.task == task && attempt.phase == done);
@@ -185,7 +188,8 @@
             "machine": machine, "code": 0, "done": true}));
     }
 
-    /// Members of gangs that have exited in success and wait for the others, by the position of their worker.
+    /// Returns the gang tasks that have exited successfully and wait for other members, each with the index of its
+    /// worker.
     fn tasks_waiting_for_gang(&self) -> Vec<(usize, String)> {
         let waiting = |(index, worker): (usize, &Worker)| {
             let attempts = worker.attempts.iter();
@@ -195,7 +199,8 @@
         self.workers.iter().enumerate().flat_map(waiting).collect()
     }
 
-    /// A task is done: any machine that gets a command to run it again, now or later, reports it as done at once.
+    /// Stores the result of a task in the job store and in all workers, so that a machine that is commanded to run
+    /// the task again reports it as done at once.
     fn store_result(&mut self, task: &str, result: TaskResult, job_store: &mut JobStore) {
         job_store.record_result(task, result);
         self.workers.iter_mut().for_each(|worker| worker.restore_result(task, result));
@@ -264,16 +269,18 @@
         self.append_log(&json!({"at_ms": now, "event": "start", "task": key.task, "attempt": key.attempt,
             "machine": key.machine, "pid": pid, "problem": problem}));
         if let Some(problem) = problem {
-            // Users find the reason in the task's log.
-            processes.log_start_failure(key, &format!("cannot start: {problem}\n"));
+            // The log of the task tells the user why the task failed.
+            processes.log_start_failure(key, &format!("cannot start the task: {problem}\n"));
             self.workers[index].process_exited(&key.task, key.attempt, false, None, &job_store.descriptions);
         }
     }
 
-    /// Sends the heartbeats that are due. Everything that they report must be on disk.
+    /// Writes the pending entries of the run log and sends the heartbeats that are due. Everything that these report
+    /// must be on disk.
     pub fn send_heartbeats(&mut self, keys: &mut KeyAllocator, http_client: &mut HttpClient, now: u64) {
         if !self.pending_log.is_empty() {
-            // The log is for checks and people: a full disk must not stop the machines.
+            // A write error is ignored: the log only serves tests and users, and a full disk must not stop the
+            // machines.
             let _ = self.run_log.write_all(self.pending_log.as_bytes());
             self.pending_log.clear();
         }
@@ -295,7 +302,7 @@
         }
     }
 
-    /// The response to a heartbeat, or none, after which the next controller is tried.
+    /// Handles the response to a heartbeat. Without a response, the next controller is tried.
     pub fn handle_response(
         &mut self,
         slot: CallSlot,
@@ -316,7 +323,7 @@
         sender.handle_response(worker, response, now, HEARTBEAT_TIMES, &job_store.descriptions, index_of);
     }
 
-    /// Attempts that have their image and have not ended.
+    /// Returns the number of attempts that run or whose process may still exist.
     pub fn running_tasks(&self) -> usize {
         self.workers.iter().flat_map(|worker| &worker.attempts).filter(|attempt| attempt.is_live()).count()
     }
--- a/crates/local-cluster/src/settings.rs
+++ b/crates/local-cluster/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a region's controllers, as the platform would write them.
+//! The settings of controllers, in the form in which the platform writes them.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -7,100 +7,101 @@
 
 const NAME_PREFIX: &str = "node-";
 
-/// A team's share of a region.
+/// The quota of a team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamSettings {
-    /// The team.
+    /// Name of the team.
     pub name: String,
-    /// CPUs that it always gets.
+    /// Guaranteed CPUs.
     pub guaranteed: f64,
-    /// CPUs at most; 0: no limit.
+    /// Maximum CPUs; 0 means no limit.
     pub limit: f64,
 }
 
-/// Times of a local region's workers, in seconds.
+// Timings of a local cluster's workers, in seconds.
 pub(crate) const HEARTBEAT_S: f64 = 1.0;
 pub(crate) const LEASE_S: f64 = 6.0;
 pub(crate) const GANG_WAIT_S: f64 = 30.0;
 pub(crate) const GANG_PEER_S: f64 = 2.0;
 pub(crate) const CANCEL_S: f64 = 20.0;
-/// What the settings of controllers say of the platform.
+
+/// The part of the controllers' settings that describes the platform.
 #[derive(Debug, Clone)]
 pub struct Platform {
-    /// Zones; controllers are spread over them in turn.
+    /// Zones. Controllers are assigned to them round-robin.
     pub zones: Vec<String>,
-    /// The teams and their shares.
+    /// The teams and their quotas.
     pub teams: Vec<TeamSettings>,
-    /// The objectives of classes.
+    /// Service-level objectives of job classes.
     pub objectives: Vec<ObjectivePlan>,
-    /// The workers' protocol.
+    /// Timings of the worker protocol.
     pub workers: WorkerTimings,
-    /// Limits of the kv store.
+    /// Limits of the key-value store.
     pub kv_limits: KvLimits,
-    /// Requests to the cloud per second.
+    /// Maximum rate of requests to the cloud, per second.
     pub cloud_requests_per_s: f64,
-    /// How far the cloud's list may be behind, in seconds.
+    /// Maximum lag of the cloud's list of machines, in seconds.
     pub list_lag_s: f64,
-    /// Limits of a controller's process.
+    /// Resource limits of a controller's process.
     pub quota: ControllerQuota,
 }
 
-/// The time within which most jobs of a class should be done.
+/// A service-level objective: the time within which most jobs of a class should finish.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectivePlan {
-    /// The class of jobs.
+    /// Job class.
     pub class: String,
-    /// From acceptance, in seconds.
+    /// Target time from acceptance to the end of the job, in seconds.
     pub within_s: f64,
 }
 
-/// Times of the workers, in seconds.
+/// Timings of the worker protocol, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerTimings {
-    /// Between two heartbeats.
+    /// Interval between heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// How long a worker goes on without a response.
+    /// Duration of a worker's lease, counted from the last heartbeat with an accepted response.
     pub lease_s: f64,
-    /// How long a member of a gang waits for the others.
+    /// How long a gang member waits until all members are ready to start.
     pub gang_wait_s: f64,
-    /// How long a gang goes on without a member.
+    /// How long a gang keeps running after it has lost a member.
     pub gang_peer_s: f64,
-    /// Within what time a cancelled task stops.
+    /// Maximum time until a cancelled task has stopped.
     pub cancel_s: f64,
 }
 
-/// Limits of the kv store.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KvLimits {
-    /// Requests per second.
+    /// Maximum requests per second.
     pub requests_per_s: f64,
-    /// Changes per second.
+    /// Maximum changes per second.
     #[serde(rename = "changes_per_s")]
     pub mutations_per_s: f64,
-    /// The largest value, in kB.
+    /// Maximum size of a value, in kB.
     pub value_kb: f64,
-    /// Changes of one transaction.
+    /// Maximum number of changes in one transaction.
     #[serde(rename = "txn_changes")]
     pub txn_mutations: usize,
 }
 
-/// Limits of a controller's process.
+/// Resource limits of a controller's process.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerQuota {
-    /// The part of a core.
+    /// Share of one CPU core.
     pub core_share: f64,
-    /// Memory in MB.
+    /// Maximum memory, in MB.
     pub memory_mb: f64,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
 impl Platform {
-    /// A region on one machine: one zone, and limits that it does not reach.
+    /// Returns the platform of a local cluster: a single zone, and limits high enough not to be reached there.
     pub fn local(teams: Vec<TeamSettings>) -> Platform {
         Platform {
             zones: vec!["here".into()],
@@ -126,17 +127,17 @@
     }
 }
 
-/// The name of a controller by its position.
+/// Returns the name of the controller with this index.
 pub fn controller_name(index: usize) -> String {
     format!("{NAME_PREFIX}{index}")
 }
 
-/// The position of a controller by its name; `None` if there are not so many controllers.
+/// Returns the index of the controller with this name, or `None` if the name is not that of one of the controllers.
 pub fn controller_index(name: &str, controllers: usize) -> Option<usize> {
     name.strip_prefix(NAME_PREFIX)?.parse().ok().filter(|index| *index < controllers)
 }
 
-/// A controller's settings as the platform would write them.
+/// Returns the settings of a controller, in the form in which the platform writes them.
 pub fn controller_settings(addresses: &ClusterAddresses, index: usize, platform: &Platform) -> Value {
     let zone = |index: usize| &platform.zones[index % platform.zones.len()];
     let others: Vec<Value> = (0..addresses.controllers.len())
--- a/crates/local-cluster/src/task_outputs.rs
+++ b/crates/local-cluster/src/task_outputs.rs
@@ -1,5 +1,5 @@
-//! Outputs of tasks. Each attempt writes into a folder of its own; the output of a graph's node is published atomically
-//! once its terminal record is stored. Nothing here decides which attempt counts: stored results and records do.
+//! Task outputs. Each attempt writes into its own folder. The output of a graph node is published atomically after the
+//! node's terminal record is stored. Which attempt counts is decided by the stored results and records, not here.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -12,22 +12,22 @@
 use serde::de::IgnoredAny;
 use serde_json::Value;
 
-/// The file into which a task writes its list, a JSON array.
+/// Name of the file into which a task writes its list, as a JSON array.
 pub const LIST_FILE: &str = "list.json";
-/// A longer list is ignored.
+/// A list file that is larger than this is ignored.
 const MAX_LIST_BYTES: u64 = 16 * 1024 * 1024;
-/// The folder with links to the outputs of all tasks of a job.
+/// Name of the folder that has links to the outputs of all tasks of a job.
 const COMPLETE_FOLDER: &str = "whole";
 
-/// Results of tasks by their names.
+/// Task results, by task name.
 pub type TaskResults = BTreeMap<String, TaskResult>;
 
-/// The outputs in a region's folder.
+/// The task outputs in the folder of a local cluster.
 pub struct TaskOutputs {
     folder: PathBuf,
 }
 
-/// The part of a terminal record that decides whether an output is published.
+/// The fields of a terminal record that decide whether an output is published.
 #[derive(Deserialize)]
 struct TerminalRecord {
     node: Option<NodeResult>,
@@ -47,7 +47,7 @@
 }
 
 impl TaskOutputs {
-    /// The outputs in this folder.
+    /// Returns the task outputs in this folder.
     pub fn new(folder: &Path) -> TaskOutputs {
         TaskOutputs { folder: folder.into() }
     }
@@ -56,13 +56,13 @@
         self.folder.join("out").join(job)
     }
 
-    /// Where an attempt writes.
+    /// Returns the folder into which an attempt writes.
     pub fn attempt_folder(&self, job: &str, task: &str, attempt: u64) -> PathBuf {
         self.job_folder(job).join(format!("{task}.{attempt}"))
     }
 
-    /// The output of a job that is done: with one task the folder of its winning attempt, with several the folder with links
-    /// to each of them.
+    /// Returns the output folder of a finished job: the folder of the winning attempt if the job has one task,
+    /// otherwise the folder with a link to the winning attempt of each task.
     fn winning_output(
         &self,
         job: &str,
@@ -75,14 +75,14 @@
         Some(self.attempt_folder(job, "0", results.get(&format!("{job}/0"))?.attempt))
     }
 
-    /// The length of the list that an attempt wrote, if it wrote one.
+    /// Returns the length of the list that an attempt wrote, if it wrote one.
     pub fn list_length(&self, task: &str, attempt: u64) -> Option<u32> {
         let (job, task) = task.split_once('/')?;
         let list: Vec<IgnoredAny> = read_list(&self.attempt_folder(job, task, attempt))?;
         u32::try_from(list.len()).ok()
     }
 
-    /// Syncs what an attempt wrote, so that it is on disk before its result is.
+    /// Syncs the files that an attempt wrote to disk, which must happen before its result is stored.
     pub fn sync(&self, task: &str, attempt: u64) -> io::Result<()> {
         let Some((job, task)) = task.split_once('/') else { return Ok(()) };
         let folder = self.attempt_folder(job, task, attempt);
@@ -93,8 +93,9 @@
         File::open(&folder)?.sync_all()
     }
 
-    /// Makes an attempt's folder, and the variables of its environment: `OLIVELATCH_OUT`, `OLIVELATCH_IN_<NAME>` for each
-    /// input, and in a mapped node `OLIVELATCH_ITEM` and `OLIVELATCH_TASKS`, the number of items.
+    /// Creates the folder of an attempt and returns its environment variables: `OLIVELATCH_OUT`,
+    /// `OLIVELATCH_IN_<NAME>` for each input, and in a mapped node `OLIVELATCH_ITEM` and `OLIVELATCH_TASKS`, the
+    /// number of items.
     pub fn prepare_attempt(
         &self,
         task: &str,
@@ -124,7 +125,8 @@
         Ok(variables)
     }
 
-    /// The folder of a job's output; links to the outputs of its tasks are made if they are not there yet.
+    /// Returns the output folder of a job, or `None` if it has none yet. Creates the links to the outputs of its
+    /// tasks if they do not exist.
     fn input_folder(
         &self,
         job: &str,
@@ -138,7 +140,8 @@
         Ok(self.winning_output(job, description, results))
     }
 
-    /// Makes the folder with a link to the winning attempt of each task. It gets its name once it is complete.
+    /// Creates the folder with a link to the winning attempt of each task. It is built under a temporary name and
+    /// renamed once it is complete.
     fn link_winning_attempts(&self, job: &str, results: &TaskResults) -> io::Result<()> {
         let complete = self.job_folder(job).join(COMPLETE_FOLDER);
         if complete.exists() {
@@ -153,8 +156,8 @@
         fs::rename(partial, complete)
     }
 
-    /// Publishes the output of a node if the record is the terminal record of one that succeeded. That is atomic, and replaces
-    /// an earlier output of the node. Outputs of other attempts are removed after that.
+    /// Publishes the output of a node if the record is the terminal record of a node that succeeded. This is atomic and
+    /// replaces an earlier output of the node. Afterwards the outputs of other attempts are removed.
     pub fn publish_on_success(
         &self,
         key: &str,
@@ -166,9 +169,9 @@
         let Ok(TerminalRecord { node: Some(node) }) = TerminalRecord::deserialize(value) else {
             return Ok(());
         };
-        // Names that would lead out of the folder are not published.
-        let is_plain = |name: &str| !name.is_empty() && !name.contains('/') && !name.starts_with('.');
-        if node.outcome != "success" || !is_plain(&node.run) || !is_plain(&node.name) {
+        // A name that could point outside the folder is not published.
+        let is_safe_name = |name: &str| !name.is_empty() && !name.contains('/') && !name.starts_with('.');
+        if node.outcome != "success" || !is_safe_name(&node.run) || !is_safe_name(&node.name) {
             return Ok(());
         }
         let Some(output) = self.input_folder(job, jobs, results)? else { return Ok(()) };
@@ -199,13 +202,13 @@
     }
 }
 
-/// The variable that names the folder of an input.
+/// Returns the name of the environment variable that holds the folder of an input.
 fn input_variable(node: &str) -> String {
     let upper = |c: char| if c.is_ascii_alphanumeric() { c.to_ascii_uppercase() } else { '_' };
     format!("OLIVELATCH_IN_{}", node.chars().map(upper).collect::<String>())
 }
 
-/// The results of a job's tasks, by the tasks' indices.
+/// Returns the results of a job's tasks, each with the index of the task.
 fn results_of<'a>(job: &'a str, results: &'a TaskResults) -> impl Iterator<Item = (&'a str, &'a TaskResult)> {
     let prefix = format!("{job}/");
     let of_job = results.range(prefix.clone()..).take_while(move |(task, _)| task.starts_with(&prefix));
@@ -214,8 +217,8 @@
 
 fn read_list<T: for<'a> Deserialize<'a>>(folder: &Path) -> Option<Vec<T>> {
     let path = folder.join(LIST_FILE);
-    let short_enough = fs::metadata(&path).is_ok_and(|metadata| metadata.len() <= MAX_LIST_BYTES);
-    if short_enough { serde_json::from_slice(&fs::read(path).ok()?).ok() } else { None }
+    let is_within_limit = fs::metadata(&path).is_ok_and(|metadata| metadata.len() <= MAX_LIST_BYTES);
+    if is_within_limit { serde_json::from_slice(&fs::read(path).ok()?).ok() } else { None }
 }
 
 #[cfg(test)]
--- a/crates/local-cluster/src/tests/machines.rs
+++ b/crates/local-cluster/src/tests/machines.rs
@@ -1,11 +1,11 @@
-//! Tests of `machines`.
+//! Tests of the module `machines`.
 
 use super::*;
 
-/// A task that was done on one machine does not run again on another that was up already: workers knew only the
-/// results from before they came up.
+/// A task that is done on one machine must not run again on another machine that was already up. Formerly, a worker had
+/// only the results from before its start.
 #[test]
-fn a_result_counts_on_every_machine() {
+fn a_task_result_applies_to_machines_that_are_already_up() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut processes = Processes::open(folder.path()).expect("processes");
     let mut machines = Machines::open(folder.path(), Vec::new()).expect("machines");
@@ -16,7 +16,7 @@
     let response = job_store.handle_request(folder.path(), "PUT", path, upload.to_string().as_bytes());
     assert_eq!(response.expect("a response").0, 201);
     let mut cloud = crate::cloud::Cloud::default();
-    let kind = MachineTypeSpec {
+    let machine_type = MachineTypeSpec {
         name: "local".into(),
         cpus: 4.0,
         memory_gb: 8.0,
@@ -28,18 +28,25 @@
         spot_per_zone: 0,
     };
     let endpoint = SocketAddr::from(([127, 0, 0, 1], 9));
-    for at in 0..2 {
+    for index in 0..2 {
         cloud.add_machine("local", "here", false, 0, 0);
-        machines.add_machine(&cloud.machines[at], &kind, endpoint, ListenerId(at), &job_store, 0);
+        machines.add_machine(
+            &cloud.machines[index],
+            &machine_type,
+            endpoint,
+            ListenerId(index),
+            &job_store,
+            0,
+        );
     }
     machines.store_result("job-000001/0", TaskResult { attempt: 1, list_len: None }, &mut job_store);
-    for port in [ListenerId(0), ListenerId(1)] {
-        let orders = json!({"baton": 1, "shift": 1,
+    for listener in [ListenerId(0), ListenerId(1)] {
+        let commands = json!({"baton": 1, "shift": 1,
                 "orders": [{"verb": "run", "piece": "job-000001/0", "try": 2}]});
-        machines.handle_request(port, "POST", "/orders", orders.to_string().as_bytes(), &job_store, 0);
+        machines.handle_request(listener, "POST", "/orders", commands.to_string().as_bytes(), &job_store, 0);
     }
     machines.step_workers(10, &mut job_store, &mut processes);
-    assert_eq!(processes.running_count(), 0, "nothing runs");
+    assert_eq!(processes.running_count(), 0, "the task must not run again");
     let cause = |worker: &mut Worker| worker.heartbeat(10)["pieces"][0]["cause"].clone();
     assert!(machines.workers.iter_mut().all(|worker| cause(worker) == "done"));
 }
--- a/crates/local-cluster/src/tests/task_outputs.rs
+++ b/crates/local-cluster/src/tests/task_outputs.rs
@@ -1,4 +1,4 @@
-//! Tests of `task_outputs`.
+//! Tests of the module `task_outputs`.
 
 use super::*;
 use olivelatch_worker::{ProcessCommand, TaskWork};
@@ -22,59 +22,68 @@
 }
 
 fn write(outputs: &TaskOutputs, job: &str, task: &str, attempt: u64, text: &str) {
-    let place = outputs.attempt_folder(job, task, attempt);
-    fs::create_dir_all(&place).expect("a place");
-    fs::write(place.join("bill"), text).expect("a file");
+    let folder = outputs.attempt_folder(job, task, attempt);
+    fs::create_dir_all(&folder).expect("an attempt folder");
+    fs::write(folder.join("bill"), text).expect("a file");
 }
 
-fn end(name: &str, outcome: &str) -> Value {
+fn terminal_record(name: &str, outcome: &str) -> Value {
     json!({"end": "done", "at": 1, "node": {"run": "r", "n": name, "o": outcome}})
 }
 
-/// Half-written output is never shown; the winner's is, whole, and after it the leftovers go. Done over, the node's
-/// new output takes the place of the old one, which is shown until then.
+/// Partial output is never published. The complete output of the winning attempts is; then the outputs of other
+/// attempts are removed. When the node runs again, its new output replaces the old one, which stays published until
+/// then.
 #[test]
-fn outputs_appear_whole_or_not_at_all() {
+fn outputs_are_published_completely_or_not_at_all() {
     let folder = tempfile::tempdir().expect("a folder");
     let outputs = TaskOutputs::new(folder.path());
-    let (one, two) = ("job-000001", "job-000002");
+    let (first_job, second_job) = ("job-000001", "job-000002");
     let jobs = JobDescriptions::from([
-        (one.into(), description(2, &[], None)),
-        (two.into(), description(2, &[], None)),
+        (first_job.into(), description(2, &[], None)),
+        (second_job.into(), description(2, &[], None)),
     ]);
-    write(&outputs, one, "0", 7, "half");
-    write(&outputs, one, "0", 8, "whole 0");
-    write(&outputs, one, "1", 9, "whole 1");
+    write(&outputs, first_job, "0", 7, "half");
+    write(&outputs, first_job, "0", 8, "whole 0");
+    write(&outputs, first_job, "1", 9, "whole 1");
     let mut results = TaskResults::from([("job-000001/0".into(), TaskResult { attempt: 8, list_len: None })]);
-    let shown = folder.path().join("published/r/bills");
-    let follow = |job: &str, outcome, results: &TaskResults| {
+    let published = folder.path().join("published/r/bills");
+    let publish = |job: &str, outcome, results: &TaskResults| {
         outputs
-            .publish_on_success(&format!("olivelatch/end/{job}"), &end("bills", outcome), &jobs, results)
-            .expect("follow");
+            .publish_on_success(
+                &format!("olivelatch/end/{job}"),
+                &terminal_record("bills", outcome),
+                &jobs,
+                results,
+            )
+            .expect("a publication");
     };
-    follow(one, "failed", &results);
-    assert!(!shown.exists());
+    publish(first_job, "failed", &results);
+    assert!(!published.exists());
     results.insert("job-000001/1".into(), TaskResult { attempt: 9, list_len: None });
-    follow(one, "success", &results);
-    let read = |task: &str| fs::read_to_string(shown.join(task).join("bill")).expect("a bill");
+    publish(first_job, "success", &results);
+    let read = |task: &str| fs::read_to_string(published.join(task).join("bill")).expect("a bill");
     assert_eq!([read("0"), read("1")], ["whole 0", "whole 1"]);
-    assert!(!outputs.attempt_folder(one, "0", 7).exists(), "leftovers are gone");
-    write(&outputs, two, "0", 3, "new 0");
+    assert!(
+        !outputs.attempt_folder(first_job, "0", 7).exists(),
+        "the output of the losing attempt is removed"
+    );
+    write(&outputs, second_job, "0", 3, "new 0");
     assert_eq!(read("0"), "whole 0");
-    write(&outputs, two, "1", 4, "new 1");
+    write(&outputs, second_job, "1", 4, "new 1");
     results.insert("job-000002/0".into(), TaskResult { attempt: 3, list_len: None });
     results.insert("job-000002/1".into(), TaskResult { attempt: 4, list_len: None });
-    follow(two, "success", &results);
+    publish(second_job, "success", &results);
     assert_eq!([read("0"), read("1")], ["new 0", "new 1"]);
 }
 
 #[test]
-fn tasks_are_told_their_inputs_and_their_element() {
+fn attempts_get_variables_for_inputs_and_list_item() {
     let folder = tempfile::tempdir().expect("a folder");
     let outputs = TaskOutputs::new(folder.path());
-    let place = outputs.attempt_folder("job-000001", "0", 5);
-    fs::create_dir_all(&place).expect("a place");
-    fs::write(place.join(LIST_FILE), r#"["north", {"id": 2}]"#).expect("a list");
+    let input_folder = outputs.attempt_folder("job-000001", "0", 5);
+    fs::create_dir_all(&input_folder).expect("an attempt folder");
+    fs::write(input_folder.join(LIST_FILE), r#"["north", {"id": 2}]"#).expect("a list");
     assert_eq!(outputs.list_length("job-000001/0", 5), Some(2));
     assert_eq!(outputs.list_length("job-000001/0", 6), None);
     let results = TaskResults::from([("job-000001/0".into(), TaskResult { attempt: 5, list_len: Some(2) })]);
@@ -85,7 +94,7 @@
     let variables = outputs.prepare_attempt("job-000002/0", 9, &jobs, &results).expect("variables");
     let value =
         |name: &str| variables.iter().rev().find(|(known, _)| known == name).map(|(_, value)| value.clone());
-    assert_eq!(value("OLIVELATCH_IN_RAW_DATA"), Some(place.display().to_string()));
+    assert_eq!(value("OLIVELATCH_IN_RAW_DATA"), Some(input_folder.display().to_string()));
     assert_eq!(value("OLIVELATCH_ITEM").as_deref(), Some("north"));
     assert_eq!(value("OLIVELATCH_TASKS").as_deref(), Some("2"));
     let second = outputs.prepare_attempt("job-000002/1", 9, &jobs, &results).expect("variables");
