--- a/crates/cli/tests/terminal_records.rs
+++ b/crates/cli/tests/terminal_records.rs
@@ -49,7 +49,7 @@
             Delta::Put {
                 key: RecordKey::Terminal(JobId(index)).encode(),
                 value,
-                stamp: index + 1,
+                revision: index + 1,
                 lease: None,
             }
         };
--- a/crates/kv-store/src/engine.rs
+++ b/crates/kv-store/src/engine.rs
@@ -18,7 +18,7 @@
         /// New value of the key.
         value: Value,
         /// New revision of the key.
-        stamp: u64,
+        revision: u64,
         /// The lease that the key is attached to, if any.
         lease: Option<u64>,
     },
@@ -88,8 +88,8 @@
         let mut engine = KvEngine { records_deltas: true, ..KvEngine::default() };
         for delta in saved {
             match delta {
-                Delta::Put { key, value, stamp, lease } => {
-                    let entry = Entry { value: value.clone(), revision: *stamp, lease: *lease };
+                Delta::Put { key, value, revision, lease } => {
+                    let entry = Entry { value: value.clone(), revision: *revision, lease: *lease };
                     engine.entries.insert(key.clone(), entry);
                 }
                 Delta::Delete { key } => drop(engine.entries.remove(key)),
@@ -254,7 +254,7 @@
         let revision = self.revision;
         self.entries.insert(key.into(), Entry { value: value.clone(), revision, lease });
         self.change_log.push(revision, json!({"write": key, "value": value, "stamp": revision}));
-        self.record_delta(Delta::Put { key: key.into(), value: value.clone(), stamp: revision, lease });
+        self.record_delta(Delta::Put { key: key.into(), value: value.clone(), revision, lease });
     }
 
     fn delete(&mut self, key: &str) {
--- a/crates/kv-store/src/store_file.rs
+++ b/crates/kv-store/src/store_file.rs
@@ -136,7 +136,7 @@
             let key = key.value().to_string();
             let entry: StoredEntry = serde_json::from_slice(bytes.value())
                 .map_err(|error| StoreError::Value { key: key.clone(), error })?;
-            deltas.push(Delta::Put { key, value: entry.value, stamp: entry.revision, lease: entry.lease });
+            deltas.push(Delta::Put { key, value: entry.value, revision: entry.revision, lease: entry.lease });
         }
         if let Some(revision) = numbers.get(REVISION_NAME).map_err(redb_error)? {
             deltas.push(Delta::Revision(revision.value()));
@@ -176,8 +176,8 @@
     let mut numbers = txn.open_table(NUMBERS).map_err(redb_error)?;
     for delta in deltas {
         match delta {
-            Delta::Put { key, value, stamp, lease } => {
-                let entry = StoredEntry { value: value.clone(), revision: *stamp, lease: *lease };
+            Delta::Put { key, value, revision, lease } => {
+                let entry = StoredEntry { value: value.clone(), revision: *revision, lease: *lease };
                 let bytes = serde_json::to_vec(&entry)
                     .map_err(|error| StoreError::Value { key: key.clone(), error })?;
                 keys.insert(key.as_str(), bytes.as_slice()).map_err(redb_error)?;
