--- a/crates/cli/src/render/jobs.rs
+++ b/crates/cli/src/render/jobs.rs
@@ -2,7 +2,7 @@
 
 use anstyle::AnsiColor;
 use comfy_table::{Cell, CellAlignment};
-use olivelatch::protocol::operators::{AnswerSource, JobDetail, JobPhase, JobSummary};
+use olivelatch::protocol::operators::{JobDetail, JobPhase, JobSummary, ResponseSource};
 
 use super::{age_text, duration_text, new_table, paint, value_or_dash, value_or_unknown};
 
@@ -66,7 +66,7 @@
 pub fn job_detail(detail: &JobDetail) -> String {
     let mut lines = summary_lines(&detail.summary);
     lines.extend(request_line(detail));
-    if detail.source == AnswerSource::Store && !detail.summary.state.is_terminal() {
+    if detail.source == ResponseSource::Store && !detail.summary.state.is_terminal() {
         lines.push(
             "told from the records, as no leader answers: what tasks do on their machines is unknown".into(),
         );
--- a/src/coordination/controller/operator_views.rs
+++ b/src/coordination/controller/operator_views.rs
@@ -10,8 +10,8 @@
 use crate::ids::{JobId, from_milli};
 use crate::protocol::HttpResponse;
 use crate::protocol::operators::{
-    AnswerSource, ControllerStatus, Explanation, JobDetail, JobEventList, JobList, JobPhase, ListQuery,
-    OperatorRequest, StateReason, TaskStateView, TaskSummary,
+    ControllerStatus, Explanation, JobDetail, JobEventList, JobList, JobPhase, ListQuery, OperatorRequest,
+    ResponseSource, StateReason, TaskStateView, TaskSummary,
 };
 use crate::protocol::peer::MAX_FRAME_BYTES;
 
@@ -102,7 +102,7 @@
         }
         let detail = JobDetail {
             controller: self.state.settings.controller.clone(),
-            source: if self.state.is_leader() { AnswerSource::Leader } else { AnswerSource::Store },
+            source: if self.state.is_leader() { ResponseSource::Leader } else { ResponseSource::Store },
             summary,
             spec: live_job.map(|job| spec_view(cache, job)),
             tasks,
--- a/src/protocol/operators/jobs.rs
+++ b/src/protocol/operators/jobs.rs
@@ -64,7 +64,7 @@
 /// Where a response comes from: the leader knows where tasks are, the stored records only where they may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AnswerSource {
+pub enum ResponseSource {
     Leader,
     #[serde(rename = "records")]
     Store,
@@ -150,7 +150,7 @@
 pub struct JobDetail {
     #[serde(rename = "node")]
     pub controller: String,
-    pub source: AnswerSource,
+    pub source: ResponseSource,
     #[serde(rename = "row")]
     pub summary: JobSummary,
     /// Null for a job that is over, as its manifest is deleted.
--- a/src/protocol/operators/mod.rs
+++ b/src/protocol/operators/mod.rs
@@ -13,7 +13,7 @@
 pub use events::{JobEvent, JobEventKind, JobEventList};
 pub use explanation::{Explanation, InstanceOfferView, JobUsage, MachineTypeCapacity, StateReason};
 pub use jobs::{
-    AnswerSource, JobDetail, JobList, JobPhase, JobSpecView, JobSummary, TaskStateView, TaskSummary,
+    JobDetail, JobList, JobPhase, JobSpecView, JobSummary, ResponseSource, TaskStateView, TaskSummary,
 };
 pub use requests::{ListQuery, OperatorRequest, StateFilter, parse_operator_request};
 pub use status::{ControllerStatus, JobCountersView, LeaderStatus, TeamStatus};
--- a/tests/golden/views.rs
+++ b/tests/golden/views.rs
@@ -8,7 +8,7 @@
     FailedAttempt, GraphPart, NodeTemplate, PartsUpload, RerunRequest,
 };
 use olivelatch::protocol::operators::{
-    AnswerSource, ControllerStatus, Explanation, JobDetail, JobEventKind, JobEventList, JobList, JobPhase,
+    ControllerStatus, Explanation, JobDetail, JobEventKind, JobEventList, JobList, JobPhase, ResponseSource,
     StateReason, TaskStateView,
 };
 use olivelatch_dag::{NodeOutcome, TriggerRule};
@@ -118,7 +118,7 @@
     );
     golden.round_trip::<Vec<JobPhase>>("states of jobs", &json!(["pending", "running", "done", "withdrawn"]));
     golden.round_trip::<JobDetail>("detail", &job_detail());
-    golden.round_trip::<Vec<AnswerSource>>("sources", &json!(["leader", "records"]));
+    golden.round_trip::<Vec<ResponseSource>>("sources", &json!(["leader", "records"]));
     golden.round_trip::<Vec<TaskStateView>>(
         "states of tasks",
         &json!([
