--- a/src/coordination/controller/operator_views.rs
+++ b/src/coordination/controller/operator_views.rs
@@ -36,7 +36,7 @@
             jobs_active: jobs_active as u64,
             jobs_terminal: jobs_terminal as u64,
             requests_pending: self.user_requests.unsent_count() as u64,
-            failovers: self.leaderships_started,
+            leaderships_started: self.leaderships_started,
             uptime_s: age_s(self.started_at),
             job_counters: job_counter_views(&state.cache),
             leader_status: state.leader.as_ref().map(|leader| leader.leader_status(&state.cache.names)),
--- a/src/protocol/operators/status.rs
+++ b/src/protocol/operators/status.rs
@@ -33,7 +33,7 @@
     pub requests_pending: u64,
     /// How often it became the leader.
     #[serde(rename = "takeovers")]
-    pub failovers: u64,
+    pub leaderships_started: u64,
     /// Seconds since it started.
     pub uptime_s: f64,
     /// Jobs by class and team. `completions_reported` is this controller's own count, the rest agrees on all.
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -127,7 +127,11 @@
             gauge.encode(encoder.encode_descriptor(name, help, None, MetricType::Gauge)?)?;
         }
         let mut counters = leader.map(leader_counters).unwrap_or_default();
-        counters.push(("olivelatch_takeovers", "Times that it began to lead", self.status.failovers));
+        counters.push((
+            "olivelatch_takeovers",
+            "Times that it began to lead",
+            self.status.leaderships_started,
+        ));
         let help =
             "Late, doubled or foreign words of other controllers, and connections that newer ones replaced";
         counters.push(("olivelatch_mesh_dropped", help, self.mesh_dropped));
