--- a/src/coordination/leader/event_log.rs
+++ b/src/coordination/leader/event_log.rs
@@ -212,7 +212,7 @@
         let event = match cause {
             ExitCause::Done => JobEventKind::Done,
             ExitCause::Error => JobEventKind::Failed,
-            ExitCause::InsufficientCapacity | ExitCause::Busy | ExitCause::Unknown => {
+            ExitCause::InsufficientCapacity | ExitCause::Busy | ExitCause::UnknownJob => {
                 JobEventKind::WorkerRejected
             }
             ExitCause::PeersLost | ExitCause::GangIncomplete => JobEventKind::GangLeft,
--- a/src/coordination/leader/machines/task_status.rs
+++ b/src/coordination/leader/machines/task_status.rs
@@ -203,7 +203,7 @@
     match cause {
         ExitCause::Error => ERROR_RETRY_DELAY_MS,
         ExitCause::InsufficientCapacity | ExitCause::Busy => REFUSAL_RETRY_DELAY_MS,
-        ExitCause::Unknown => UNKNOWN_EXIT_RETRY_DELAY_MS,
+        ExitCause::UnknownJob => UNKNOWN_EXIT_RETRY_DELAY_MS,
         ExitCause::Done | ExitCause::Stopped { .. } | ExitCause::PeersLost | ExitCause::GangIncomplete => 0,
     }
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -28,7 +28,7 @@
     /// Another attempt of the task is on the machine.
     Busy,
     /// The worker has no description of the job.
-    Unknown,
+    UnknownJob,
 }
 
 /// What an attempt is doing.
@@ -208,7 +208,7 @@
         Some("incomplete") => ExitCause::GangIncomplete,
         Some("full") => ExitCause::InsufficientCapacity,
         Some("busy") => ExitCause::Busy,
-        Some("unknown") => ExitCause::Unknown,
+        Some("unknown") => ExitCause::UnknownJob,
         _ => ExitCause::Error,
     }
 }
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -55,7 +55,7 @@
         ExitCause::Error => "error",
         ExitCause::InsufficientCapacity => "full",
         ExitCause::Busy => "busy",
-        ExitCause::Unknown => "unknown",
+        ExitCause::UnknownJob => "unknown",
     }
 }
 
