--- a/src/coordination/controller/peer_messages.rs
+++ b/src/coordination/controller/peer_messages.rs
@@ -18,13 +18,17 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            PeerMessage::HealthStatus { kv_reachable, misrouted_workers, misrouted_workers_elsewhere } => {
+            PeerMessage::HealthStatus {
+                kv_reachable,
+                misdirected_workers,
+                misdirected_workers_elsewhere,
+            } => {
                 self.peers.receive_beacon(
                     clock.now,
                     controller,
                     kv_reachable,
-                    misrouted_workers,
-                    misrouted_workers_elsewhere,
+                    misdirected_workers,
+                    misdirected_workers_elsewhere,
                 );
             }
             PeerMessage::TransferLeadership => {
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -67,8 +67,8 @@
             let misdirected_elsewhere = others.map(|(_, peer)| peer.misdirected).sum();
             let message = PeerMessage::HealthStatus {
                 kv_reachable: store_reachable,
-                misrouted_workers: misdirected,
-                misrouted_workers_elsewhere: misdirected_elsewhere,
+                misdirected_workers: misdirected,
+                misdirected_workers_elsewhere: misdirected_elsewhere,
             };
             out.push(Action::SendPeerMessage { controller: controller.clone(), message });
         }
--- a/src/coordination/tests/peers.rs
+++ b/src/coordination/tests/peers.rs
@@ -49,8 +49,8 @@
         let counts = out.into_iter().map(|action| match action {
             Action::SendPeerMessage {
                 controller,
-                message: PeerMessage::HealthStatus { misrouted_workers, misrouted_workers_elsewhere, .. },
-            } => (controller, misrouted_workers, misrouted_workers_elsewhere),
+                message: PeerMessage::HealthStatus { misdirected_workers, misdirected_workers_elsewhere, .. },
+            } => (controller, misdirected_workers, misdirected_workers_elsewhere),
             other => panic!("{other:?}"),
         });
         counts.collect::<Vec<_>>()
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -16,7 +16,7 @@
     RevisionNotice { revision: u64 },
     /// Sent once a second: whether the key-value store responds, and how many workers that belong to the leader
     /// recently sent heartbeats to this controller instead, or to others that this one can reach.
-    HealthStatus { kv_reachable: bool, misrouted_workers: u32, misrouted_workers_elsewhere: u32 },
+    HealthStatus { kv_reachable: bool, misdirected_workers: u32, misdirected_workers_elsewhere: u32 },
     /// The leader steps down in favour of the receiver.
     TransferLeadership,
     /// A client's query that only the leader can answer. Sent only where the operators' interface is enabled.
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -362,8 +362,8 @@
     };
     let health_status = |kv_reachable| PeerMessage::HealthStatus {
         kv_reachable,
-        misrouted_workers: 3,
-        misrouted_workers_elsewhere: 4,
+        misdirected_workers: 3,
+        misdirected_workers_elsewhere: 4,
     };
     vec![
         ("hello", PeerMessage::Hello { controller: "n0".into() }),
