--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,33 +1,33 @@
-//! The cloud that provisions machines: requests and replies, and their HTTP form.
+//! Requests to the cloud that provisions machines, its replies, and their HTTP form.
 //!
-//! Parses and serializes only. The replies keep apart what was certainly not carried out ([`CloudReply::Rejected`]) from
-//! what may have been ([`CloudReply::Unknown`]).
+//! This module only parses and serializes. Replies distinguish requests that were not carried out
+//! ([`CloudReply::Rejected`]) from those that may have been ([`CloudReply::Unknown`]).
 
 use serde::{Deserialize, Serialize};
 
 use super::{HttpOutcome, HttpRequest};
 
-/// Most machines of one page of the list.
+/// Maximum number of machines per page of the machine list.
 const LIST_PAGE_SIZE: u32 = 500;
-/// Most machines that one request returns.
+/// Maximum number of machines that one request gives back to the cloud.
 pub const MAX_SCALE_IN_BATCH: usize = 100;
-/// Most machines that one request provisions.
+/// Maximum number of machines that one request provisions.
 pub const MAX_SCALE_OUT_COUNT: u32 = 50;
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
-    /// The machine types on offer.
+    /// Requests the machine types that the cloud offers.
     Catalog,
-    /// Provision machines; a repeated `request_id` is the same request.
+    /// Provisions machines. `request_id` makes the request idempotent.
     ScaleOut { request_id: String, machine_type: String, zone: String, spot: bool, count: u32 },
-    /// Return machines.
+    /// Gives machines back to the cloud.
     ScaleIn { machines: Vec<String> },
-    /// The machines provisioned now, those behind `after`.
+    /// Lists the provisioned machines, starting after the machine named `after`.
     ListMachines { after: Option<String> },
 }
 
-/// A machine type as the cloud publishes it and as it is stored.
+/// A machine type as the cloud publishes it; stored in the same form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeRecord {
     pub name: String,
@@ -36,25 +36,27 @@
     #[serde(default, rename = "accelerators")]
     pub gpus: f64,
     pub memory_gb: f64,
-    /// Local disk for images, in GB.
+    /// Local disk space for cached images, in GB.
     #[serde(default, rename = "local_gb")]
     pub image_cache_gb: f64,
-    /// Rate at which images are fetched, in GB per second; 0 if it is not published.
+    /// Rate at which images are fetched, in GB per second; 0 if the cloud does not publish it.
     #[serde(default, rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
+    /// Price of an on-demand instance, in the cloud's unit; only comparisons between prices matter.
     #[serde(default)]
     pub price: f64,
-    /// Price as a spot instance; null if there are none.
+    /// Price of a spot instance, in the same unit; null if the type has none.
     #[serde(default, rename = "low_price")]
     pub spot_price: Option<f64>,
-    /// Usual seconds from the request to the first heartbeat.
+    /// Typical time from the provisioning request to the first heartbeat, in seconds.
     #[serde(default, rename = "ready_s")]
     pub boot_s: f64,
+    /// Zones in which the type is offered.
     #[serde(default, rename = "halls")]
     pub zones: Vec<String>,
 }
 
-/// The state of a machine by the cloud's list.
+/// The state of a machine according to the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudMachineState {
     Booting,
@@ -62,25 +64,25 @@
     Failed,
 }
 
-/// A machine of the cloud's list.
+/// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudMachine {
     pub name: String,
-    /// Address of its worker; empty while it is not known.
+    /// Address of its worker; empty until the cloud knows it.
     pub endpoint: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub state: CloudMachineState,
-    /// Milliseconds since it was provisioned.
+    /// Time since it was provisioned, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A reply of the cloud, or what is known without one.
+/// A reply of the cloud, or the outcome of a request that got none.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     Catalog(Vec<MachineTypeRecord>),
-    /// Names of the machines provisioned.
+    /// Names of the machines that were provisioned.
     ScaledOut(Vec<String>),
     NoCapacity,
     ScaledIn,
@@ -88,11 +90,11 @@
         machines: Vec<CloudMachine>,
         has_more: bool,
     },
-    /// Not carried out: rate limit, outage or malformed request.
+    /// Not carried out: the request was not sent (503), was rate-limited or malformed, or the cloud is down.
     Rejected {
         status: u16,
     },
-    /// It may have been carried out, or may be later.
+    /// The request may have been carried out, or may still be.
     Unknown,
 }
 
@@ -149,7 +151,7 @@
 }
 
 impl CloudRequest {
-    /// The HTTP form of the request. A count above [`MAX_SCALE_OUT_COUNT`] is lowered to it.
+    /// Returns the HTTP form of the request. A count above [`MAX_SCALE_OUT_COUNT`] is lowered to it.
     pub fn to_http_request(&self) -> HttpRequest {
         match self {
             CloudRequest::Catalog => HttpRequest::get("/catalog".into()),
@@ -173,7 +175,7 @@
         }
     }
 
-    /// The reply that an HTTP outcome of this request stands for.
+    /// Converts the HTTP outcome of this request to a reply.
     pub fn parse_reply(&self, outcome: &HttpOutcome) -> CloudReply {
         match outcome {
             HttpOutcome::NotSent => CloudReply::Rejected { status: 503 },
@@ -181,7 +183,7 @@
             HttpOutcome::Response { status: 200, body } => {
                 self.parse_success(body).unwrap_or(CloudReply::Unknown)
             }
-            HttpOutcome::Response { status: 503, body } if names_lack_of_capacity(body) => {
+            HttpOutcome::Response { status: 503, body } if reports_no_capacity(body) => {
                 CloudReply::NoCapacity
             }
             HttpOutcome::Response { status, .. } => CloudReply::Rejected { status: *status },
@@ -208,8 +210,9 @@
     }
 }
 
-/// An outage and a lack of capacity share a status; only the text tells them apart.
-fn names_lack_of_capacity(body: &[u8]) -> bool {
+/// Returns whether a 503 response means a lack of capacity. An outage has the same status; only the text of the
+/// response tells the two apart.
+fn reports_no_capacity(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("no capacity")
 }
 
--- a/src/protocol/config.rs
+++ b/src/protocol/config.rs
@@ -1,7 +1,7 @@
-//! Configuration at run time: what operators set over HTTP, and the stored records that hold it.
+//! Runtime configuration: the entries that operators set over HTTP, and the records that store them.
 //!
-//! An entry can only lower what the platform's settings allow. Parses and serializes; whether a change is accepted or in
-//! force is decided in `coordination`.
+//! An entry can only lower what the platform's settings allow. This module only parses and serializes; `coordination`
+//! decides whether a change is accepted and when it is in force.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -9,28 +9,30 @@
 use super::HttpResponse;
 use super::query_params::{invalid_parameter, parse_json_body, parse_query, parse_value};
 
-/// The format of stored entries that this version reads and writes.
+/// The format version of the stored entries that this software version reads and writes.
 pub const ENTRY_FORMAT_VERSION: u32 = 1;
-/// Longest name of a team in an entry, in bytes.
+/// Longest team name in an entry, in bytes.
 const MAX_NAME_BYTES: usize = 100;
-/// Longest reason, author and id of a change, in bytes.
+/// Longest reason, author or id of a change, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
-/// How the name of an entry about a team begins.
+/// Prefix of the names of team entries.
 const TEAM_PREFIX: &str = "team/";
 
-/// Why the name of an entry is not valid.
+/// Why the key of an entry is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum EntryError {
+pub enum ConfigKeyError {
     #[error("expected an entry like team/NAME, not {0:?}")]
     UnknownKind(String),
-    #[error("expected a team's name of 1 to {MAX_NAME_BYTES} bytes without spaces and slashes, not {0:?}")]
+    #[error(
+        "expected a team name of 1 to {MAX_NAME_BYTES} bytes without spaces, control characters and /?&%#, not {0:?}"
+    )]
     InvalidTeamName(String),
 }
 
-/// What an entry is about.
+/// The key of an entry: what the entry configures.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConfigKey {
-    /// A team's limit and guarantee.
+    /// The quota of the team with this name: its limit and its guarantee.
     Team(String),
 }
 
@@ -38,19 +40,19 @@
     /// Parses `team/NAME`.
     ///
     /// # Errors
-    /// The name is of another kind, or the team's name is not valid.
-    pub fn parse(text: &str) -> Result<ConfigKey, EntryError> {
-        let name = text.strip_prefix(TEAM_PREFIX).ok_or_else(|| EntryError::UnknownKind(text.into()))?;
+    /// The name has another prefix, or the team's name is not valid.
+    pub fn parse(text: &str) -> Result<ConfigKey, ConfigKeyError> {
+        let name = text.strip_prefix(TEAM_PREFIX).ok_or_else(|| ConfigKeyError::UnknownKind(text.into()))?;
         let is_valid = (1..=MAX_NAME_BYTES).contains(&name.len())
             && !name.contains(|c: char| c.is_whitespace() || c.is_control() || "/?&%#".contains(c));
         if is_valid {
             Ok(ConfigKey::Team(name.into()))
         } else {
-            Err(EntryError::InvalidTeamName(name.into()))
+            Err(ConfigKeyError::InvalidTeamName(name.into()))
         }
     }
 
-    /// The team it is about.
+    /// Returns the name of the team.
     pub fn team(&self) -> &str {
         let ConfigKey::Team(name) = self;
         name
@@ -63,11 +65,11 @@
     }
 }
 
-/// What an entry sets; null leaves the value of the platform's settings.
+/// The values that an entry sets; null keeps the value of the platform's settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamQuota {
-    /// CPUs that the team may use at most.
+    /// Most CPUs that the team may use.
     #[serde(default)]
     pub limit_cpus: Option<f64>,
     /// CPUs that the team is guaranteed.
@@ -75,7 +77,7 @@
     pub guaranteed_cpus: Option<f64>,
 }
 
-/// A stored entry. Its version is the store's revision of its last change.
+/// A stored entry. Its version is the revision of the key-value store at its last change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigRecord {
     #[serde(rename = "format")]
@@ -86,15 +88,15 @@
     pub changed_by: String,
     #[serde(rename = "why")]
     pub reason: String,
-    /// The time of day of the change, in milliseconds.
+    /// Wall-clock time of the change, in milliseconds since the Unix epoch.
     #[serde(rename = "at")]
     pub changed_at_ms: u64,
-    /// The id of the last change, by which a repeated request is recognized.
+    /// Idempotency key of the last change, by which a repeated request is recognized.
     #[serde(rename = "change")]
     pub change_id: String,
 }
 
-/// The value as it is stored: unlike [`TeamQuota`] it accepts fields that later versions add.
+/// The stored form of [`TeamQuota`], which accepts fields that later versions add.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredTeamQuota {
     #[serde(default)]
@@ -121,7 +123,8 @@
 pub struct ConfigChangeRequest {
     #[serde(rename = "value")]
     pub quota: TeamQuota,
-    /// The version that the change replaces; any other is a conflict. 0: the entry must not exist. Null: no condition.
+    /// The version that the change replaces; any other current version is a conflict. 0 means that the entry must not
+    /// exist; null sets no condition.
     #[serde(default)]
     #[serde(rename = "expected")]
     pub expected_version: Option<u64>,
@@ -135,11 +138,12 @@
     pub change_id: String,
 }
 
-/// A request to the configuration.
+/// A request to read or change the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigRequest {
     List,
-    /// One entry. With a version, the response waits until it or a later one is in force, or for a time limit.
+    /// Reads one entry. With `min_version`, the response is delayed until that version or a later one is in force, or
+    /// until a time-out.
     Get {
         key: ConfigKey,
         min_version: Option<u64>,
@@ -150,64 +154,65 @@
     },
 }
 
-/// What a change that is not in force waits for.
+/// What a change that is not in force yet is waiting for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PendingOn {
-    /// The controller that may still act on an older value; null while the leader is unknown.
+    /// The controller that may still act on an older value; null if it is not known.
     #[serde(rename = "node")]
     pub controller: Option<String>,
     #[serde(rename = "reason")]
     pub cause: PropagationBlocker,
+    /// Seconds since the responding controller read the change, or since it last read all records; 0 if neither.
     pub since_s: f64,
 }
 
-/// Why a change is not known to be in force.
+/// Why a change is not known to be in force yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PropagationBlocker {
-    /// The controller that responds has not read the change itself.
+    /// The responding controller has not read the change itself.
     #[serde(rename = "not_read")]
     RevisionNotRead,
     /// The leader has not acknowledged the change.
     LeaderBehind,
-    /// The leader is of an earlier version or has the feature turned off: it acts on the platform's settings.
+    /// The leader runs an earlier software version or has the feature turned off: it acts on the platform's settings.
     #[serde(rename = "leader_ignores")]
     LeaderConfigDisabled,
-    /// The entry is of a later format, or of a kind unknown to the controller that responds.
+    /// The responding controller does not support the format or the kind of the entry.
     #[serde(rename = "not_understood")]
     UnsupportedFormat,
 }
 
 impl PropagationBlocker {
-    /// A description for people, which continues a sentence that begins with the controller.
+    /// Returns a description that completes a sentence whose subject is the controller.
     pub fn description(self) -> &'static str {
         match self {
             PropagationBlocker::RevisionNotRead => "has not read the change yet",
-            PropagationBlocker::LeaderBehind => "leads and has not said that it has read the change",
+            PropagationBlocker::LeaderBehind => "is the leader and has not acknowledged the change",
             PropagationBlocker::LeaderConfigDisabled => {
-                "leads and does not read configuration (an earlier version, or turned off)"
+                "is the leader and ignores configuration entries (earlier software version, or feature turned off)"
             }
             PropagationBlocker::UnsupportedFormat => {
-                "does not understand the entry (written by a later version)"
+                "does not support the format of the entry (written by a later software version)"
             }
         }
     }
 }
 
-/// One entry as operators see it.
+/// One entry as shown to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntryView {
     #[serde(rename = "entry")]
     pub key: String,
-    /// 0 if it was never set.
+    /// Revision of the key-value store at its last change; 0 if it was never set.
     pub version: u64,
-    /// What the entry sets; null where the platform's settings apply.
+    /// The values that the entry sets; null where the platform's settings apply.
     #[serde(rename = "value")]
     pub configured: TeamQuota,
-    /// What the platform's settings allow.
+    /// The values of the platform's settings, which the entry can only lower.
     #[serde(rename = "platform")]
     pub ceiling: TeamQuota,
-    /// What applies: the entry within the ceiling.
+    /// The values that apply: those of the entry, within the ceiling.
     #[serde(rename = "holds")]
     pub effective: TeamQuota,
     #[serde(rename = "by")]
@@ -220,7 +225,7 @@
     pub is_effective: bool,
     #[serde(rename = "waits_for")]
     pub pending_on: Option<PendingOn>,
-    /// CPUs of the team's tasks that run or may run.
+    /// CPUs of the team's tasks that are running or may be running.
     pub used_cpus: f64,
     /// The part of `used_cpus` above the effective limit.
     #[serde(rename = "above_cpus")]
@@ -230,18 +235,19 @@
 /// All entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntryList {
+    /// Name of the controller that responded.
     #[serde(rename = "node")]
     pub controller: String,
     /// Revision of the key-value store up to which the list is complete.
     pub revision: u64,
-    /// One for every team of the platform's settings, and the entries that this controller does not understand.
+    /// One entry for each team of the platform's settings, then the entries that this controller does not support.
     pub entries: Vec<ConfigEntryView>,
 }
 
-/// Parses a request whose path starts with `/v1/config`; `path` is what follows `/v1/`. None if there is no such path.
+/// Parses a request whose path starts with `/v1/config`; `path` is the part after `/v1/`. None if the path is unknown.
 ///
 /// # Errors
-/// The response to send if the path exists but the request is not valid.
+/// Returns the response to send if the path exists but the request is not valid.
 pub fn parse_config_request(
     method: &str,
     path: &str,
@@ -252,7 +258,7 @@
     if rest.is_empty() {
         return Some(match method {
             "GET" => Ok(ConfigRequest::List),
-            _ => Err(HttpResponse::error(405, "wrong method")),
+            _ => Err(HttpResponse::error(405, "method not allowed: expected GET")),
         });
     }
     Some(parse_entry_request(method, rest.strip_prefix('/')?, query, body))
@@ -268,7 +274,7 @@
     match method {
         "GET" => parse_min_version(query).map(|min_version| ConfigRequest::Get { key, min_version }),
         "PUT" => parse_change(body).map(|change| ConfigRequest::Set { key, change }),
-        _ => Err(HttpResponse::error(405, "wrong method")),
+        _ => Err(HttpResponse::error(405, "method not allowed: expected GET or PUT")),
     }
 }
 
@@ -276,7 +282,7 @@
     let mut version = None;
     for (name, value) in parse_query(query)? {
         match name {
-            "version" => version = Some(parse_value(name, "a version", value)?),
+            "version" => version = Some(parse_value(name, "a version number", value)?),
             _ => return Err(invalid_parameter("query", "version=N", name)),
         }
     }
--- a/src/protocol/graphs/mod.rs
+++ b/src/protocol/graphs/mod.rs
@@ -1,8 +1,8 @@
-//! The graphs' interface: runs of directed acyclic graphs, uploaded in parts, committed, cancelled, rerun and shown.
+//! The interface for runs of directed acyclic graphs (DAGs): upload in parts, commit, cancel, rerun and inspect.
 //!
-//! Clients write what controllers read and the other way round, so one set of types serves both. [`GraphPart`] is also
-//! stored as it is in the durable records: the order and names of its fields on the wire must not change. Nothing here
-//! decides anything, does I/O or reads a clock.
+//! Clients and controllers use the same types: one side serializes what the other parses. [`GraphPart`] is also stored
+//! in the durable records, so the names and the order of its fields on the wire must not change. The modules make no
+//! decisions, do no I/O and read no clock.
 
 mod name;
 mod parts;
@@ -20,11 +20,12 @@
     DagNodeState, DagNodeView, DagRunDetail, DagRunList, DagRunState, DagRunSummary, FailedAttempt,
 };
 
-/// Most nodes of one graph.
+/// Maximum number of nodes per graph.
 pub const MAX_NODES: u32 = 20_000;
-/// Most parts of one run, those of its reruns included.
+/// Maximum number of parts per run, including those of its reruns.
 pub const MAX_PARTS: u32 = 4_000;
 
+/// The default of fields whose smallest valid value is 1.
 fn one() -> u32 {
     1
 }
--- a/src/protocol/graphs/name.rs
+++ b/src/protocol/graphs/name.rs
@@ -1,4 +1,4 @@
-//! Names of runs.
+//! Names of DAG runs.
 
 use std::fmt;
 
@@ -10,14 +10,14 @@
 pub struct DagRunName(Box<str>);
 
 impl DagRunName {
-    /// Accepts letters, digits, dots, dashes and underscores.
+    /// Parses a name of 1 to 100 ASCII letters, digits, dots, dashes and underscores.
     pub fn parse(text: &str) -> Option<DagRunName> {
         let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_');
         let is_valid = (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed);
         is_valid.then(|| DagRunName(text.into()))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/src/protocol/graphs/parts.rs
+++ b/src/protocol/graphs/parts.rs
@@ -1,4 +1,4 @@
-//! The parts in which a graph is uploaded and stored, and how a client cuts a graph into them.
+//! The parts in which a graph is uploaded and stored, and the function that splits a graph into them.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,18 +9,18 @@
 pub struct DagNodeRecord {
     #[serde(rename = "n")]
     pub name: String,
-    /// The number of its job (`JobId`).
+    /// Number of its job's id (`JobId`).
     #[serde(rename = "j")]
     pub job: u64,
-    /// Index of its template, counted over all parts.
+    /// Index of its template among the templates of all parts.
     #[serde(rename = "t")]
     pub template: u32,
-    /// Index of the node whose output list it is mapped over, one task for each item.
+    /// For a mapped node, the index of the node whose output list it maps over: it has one task per list item.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub mapped_from: Option<u32>,
 }
 
-/// A part of a run. Templates and nodes are indexed over all parts, in their order.
+/// A part of a run. Indexes of templates and nodes count through all parts, in the order of the parts.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GraphPart {
@@ -28,18 +28,19 @@
     pub templates: Vec<NodeTemplate>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub nodes: Vec<DagNodeRecord>,
-    /// A node, the first of a range of its upstream nodes, and the length of the range.
+    /// Edges: the index of a node, the first index of a range of its upstream nodes, and the length of the range.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub edges: Vec<(u32, u32, u32)>,
-    /// Ranges of nodes to run again: the first, the length, and the number of the first one's new job.
+    /// Ranges of nodes to rerun: the first index, the length of the range, and the number of the first node's new job;
+    /// the new jobs of the other nodes have the numbers that follow.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "redo")]
     pub reruns: Vec<(u32, u32, u64)>,
 }
 
-/// Cuts a graph into parts whose JSON has at most `max_bytes` bytes, in the order in which items are indexed.
+/// Splits a graph into parts whose JSON has at most `max_bytes` bytes. Items keep their order, so indexes stay valid.
 ///
-/// An item that is larger than a part gets a part of its own.
+/// An item that is larger than `max_bytes` gets a part of its own.
 pub fn split_into_parts(
     templates: Vec<NodeTemplate>,
     nodes: Vec<DagNodeRecord>,
@@ -64,19 +65,20 @@
     builder.parts
 }
 
-/// Bytes of field names and brackets of a part.
+/// Estimated size of the field names and brackets in a part's JSON, in bytes.
 const PART_OVERHEAD_BYTES: usize = 60;
 
-/// Fills one part after the other.
+/// Fills parts one after another.
 struct PartBuilder {
     parts: Vec<GraphPart>,
-    /// Size of the last part's JSON.
+    /// Estimated size of the last part's JSON.
     bytes: usize,
+    /// Size limit of each part's JSON.
     max_bytes: usize,
 }
 
 impl PartBuilder {
-    /// The part to which the item is to be added.
+    /// Returns the part to which to add the item: the last one, or a new one if the item does not fit into the last.
     fn part_with_space_for(&mut self, item: &impl Serialize) -> &mut GraphPart {
         let bytes = serde_json::to_string(item).map_or(0, |text| text.len()) + 1;
         if self.bytes + bytes > self.max_bytes && self.bytes > PART_OVERHEAD_BYTES {
--- a/src/protocol/graphs/requests.rs
+++ b/src/protocol/graphs/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the graphs' interface, parsed from paths, queries and bodies.
+//! Requests to the interface for DAG runs, parsed from paths, queries and bodies.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -12,37 +12,37 @@
     parse_query,
 };
 
-/// Largest limit on the active runs of a graph.
+/// Largest valid value of `max_active_runs`.
 const MAX_ACTIVE_RUNS: u32 = 1_000;
 
-/// What commits a run whose parts have been uploaded.
+/// The body of the request that commits a run after its parts have been uploaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DagRunHeader {
-    /// Name of the graph, which its runs share.
+    /// Name of the graph, which all runs of the graph share.
     pub graph: String,
-    /// Number of parts uploaded.
+    /// Number of parts that were uploaded.
     pub parts: u32,
     /// Number of nodes in all parts.
     pub nodes: u32,
-    /// Most runs of the graph that are active at the same time.
+    /// Maximum number of runs of the graph that are active at the same time; 1 by default.
     #[serde(default = "one")]
     #[serde(rename = "most_runs")]
     pub max_active_runs: u32,
 }
 
-/// Consecutive parts of a run.
+/// Consecutive parts of a run, uploaded in one request.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct PartsUpload {
-    /// Index of the first of them.
+    /// Index of the first of these parts.
     #[serde(rename = "first")]
     pub first_part: u32,
     pub parts: Vec<GraphPart>,
 }
 
-/// Runs nodes again that parts uploaded before name.
+/// The body of the request that reruns nodes, which are listed in parts uploaded before.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct RerunRequest {
-    /// Index of the first of these parts: `next_part` of the run's summary.
+    /// Index of the first of these parts, which must be `next_part` of the run's summary.
     #[serde(rename = "from")]
     pub first_part: u32,
     /// Number of these parts.
@@ -59,7 +59,7 @@
 }
 
 impl DagRequest {
-    /// The run that it changes.
+    /// Returns the name of the run that the request changes.
     pub fn run(&self) -> &DagRunName {
         match self {
             DagRequest::UploadParts { run, .. }
@@ -70,28 +70,30 @@
     }
 }
 
-/// Which runs a list shows.
+/// A request for one page of a list of runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DagRunQuery {
+    /// Only runs of this graph are listed; None lists the runs of all graphs.
     pub graph: Option<String>,
-    /// The page starts behind this run.
+    /// The page starts after this run; None for the first page.
     pub after: Option<DagRunName>,
+    /// Maximum number of runs.
     pub limit: usize,
 }
 
-/// A parsed request to the graphs' interface.
+/// A parsed request to the interface for DAG runs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GraphRouteRequest {
-    /// Changes a run.
+    /// A request that changes a run.
     Modify(DagRequest),
-    /// Reads only.
+    /// A read-only request.
     Query(OperatorRequest),
 }
 
-/// Why a header can't commit a run. The texts name fields as they are written on the wire.
+/// Why the header of a run is not valid. The texts name fields as they are written on the wire.
 #[derive(Debug, Error)]
 enum HeaderError {
-    #[error("graph: expected a name like nightly, not {0:?}")]
+    #[error("graph: expected 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes and underscores, not {0:?}")]
     InvalidGraphName(String),
     #[error("{field} must be 1 to {max}")]
     OutOfRange { field: &'static str, max: u32 },
@@ -116,10 +118,10 @@
     }
 }
 
-/// Parses a request whose path starts with `/v1/graphs`; `path` is what follows `/v1/`. None if there is no such path.
+/// Parses a request whose path starts with `/v1/graphs`; `path` is the part after `/v1/`. None if the path is unknown.
 ///
 /// # Errors
-/// The response to send if the path exists but the request is not valid.
+/// Returns the response to send if the path exists but the request is not valid.
 pub fn parse_graph_request(
     method: &str,
     path: &str,
@@ -137,7 +139,7 @@
         }
         ("POST", ["graphs", run, "redo"]) => parse_rerun(run, body).map(GraphRouteRequest::Modify),
         (_, ["graphs"] | ["graphs", _] | ["graphs", _, "parts" | "cancel" | "redo"]) => {
-            Err(HttpResponse::error(405, "wrong method"))
+            Err(HttpResponse::error(405, "method not allowed"))
         }
         _ => return None,
     })
@@ -181,7 +183,7 @@
 }
 
 fn parse_inspect(run: &str, query: &str) -> Result<OperatorRequest, HttpResponse> {
-    let page = parse_page_query(query, MAX_PAGE_SIZE, "a node's position")?;
+    let page = parse_page_query(query, MAX_PAGE_SIZE, "a node's index")?;
     let run = parse_run_name(run)?;
     Ok(OperatorRequest::InspectDagRun { run, after: page.after, limit: page.limit })
 }
--- a/src/protocol/graphs/tests/requests.rs
+++ b/src/protocol/graphs/tests/requests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// A request that is not valid is rejected with what was expected.
+/// Invalid requests are rejected with the right status code.
 #[test]
-fn requests_are_parsed_or_rejected() {
+fn valid_requests_parse_and_invalid_ones_are_rejected() {
     let header = br#"{"graph":"nightly","parts":2,"nodes":30}"#;
     let Some(Ok(GraphRouteRequest::Modify(DagRequest::Commit { header, .. }))) =
         parse_graph_request("POST", "graphs/n-1", "", header)
@@ -23,7 +23,7 @@
         ("GET", "graphs/n/cancel", "", 405),
     ] {
         let response =
-            parse_graph_request(method, path, "", body.as_bytes()).expect("a path").expect_err("refused");
+            parse_graph_request(method, path, "", body.as_bytes()).expect("a path").expect_err("a rejection");
         assert_eq!(response.status, status, "{method} {path} {body}");
     }
     assert!(parse_graph_request("GET", "graphs/n/colour", "", b"").is_none());
--- a/src/protocol/graphs/views.rs
+++ b/src/protocol/graphs/views.rs
@@ -1,16 +1,15 @@
-//! Runs and their nodes as operators see them.
+//! Views of DAG runs and their nodes, as shown to operators.
 
 use std::collections::BTreeMap;
 
 use olivelatch_dag::{Failure, TriggerRule};
 use serde::{Deserialize, Serialize};
 
-/// Where a run is in its life.
-
+/// The state of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DagRunState {
-    /// As many runs of the graph as allowed are active.
+    /// The run has not started because the graph's limit of active runs is reached.
     Waiting,
     Running,
     Cancelling,
@@ -20,7 +19,7 @@
 }
 
 impl DagRunState {
-    /// The name used on the wire and in tables.
+    /// Returns the name used on the wire and in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             DagRunState::Waiting => "waiting",
@@ -32,50 +31,53 @@
         }
     }
 
-    /// Whether the run is over.
+    /// Returns whether the run has reached a final state.
     pub fn is_terminal(self) -> bool {
         matches!(self, DagRunState::Success | DagRunState::Failed | DagRunState::Cancelled)
     }
 }
 
-/// One run of a list. Times are times of day in milliseconds.
+/// One run in a list. Times are wall-clock times in milliseconds since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DagRunSummary {
     pub run: String,
     pub graph: String,
     pub state: DagRunState,
+    /// Number of nodes.
     pub nodes: u32,
-    /// Number of nodes by the name of their state.
+    /// Number of nodes in each state, by the name of the state.
     #[serde(rename = "states")]
     pub node_states: BTreeMap<String, u32>,
     pub accepted_ms: u64,
+    /// Null until the run has reached a final state.
     #[serde(rename = "ended_ms")]
     pub finished_ms: Option<u64>,
-    /// Index of the first part of the next rerun.
+    /// Index that the first part of the next rerun must have.
     pub next_part: u32,
 }
 
-/// A page of runs, in the order of their names.
+/// A page of runs, sorted by name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DagRunList {
+    /// Name of the controller that responded.
     #[serde(rename = "node")]
     pub controller: String,
     /// Revision of the key-value store up to which the list is complete.
     pub revision: u64,
     pub runs: Vec<DagRunSummary>,
-    /// The `after` of the next page; null at the end.
+    /// The value of `after` for the next page; null on the last page.
     pub next: Option<String>,
 }
 
-/// Where a node is in its life.
+/// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DagNodeState {
     Waiting,
-    /// Its tasks may run, and none does yet.
+    /// Its tasks may run, but none is running yet.
     Ready,
     Running,
-    /// Its tasks may run, and one that failed waits for a retry.
+    /// Its tasks may run, and at least one of them has failed and waits for its retry.
     UpForRetry,
     Success,
     Failed,
@@ -85,7 +87,7 @@
 }
 
 impl DagNodeState {
-    /// The name used on the wire and in tables.
+    /// Returns the name used on the wire and in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             DagNodeState::Waiting => "waiting",
@@ -104,6 +106,7 @@
 /// An attempt that failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedAttempt {
+    /// Index of the task within its job.
     #[serde(rename = "t")]
     pub task: u32,
     #[serde(flatten)]
@@ -114,34 +117,39 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DagNodeView {
     pub name: String,
+    /// Id of the job that runs the node.
     pub job: String,
     pub state: DagNodeState,
     #[serde(rename = "rule")]
     pub trigger_rule: TriggerRule,
-    /// Ranges of its upstream nodes: the first, and the length.
+    /// Ranges of its upstream nodes: the index of the first node, and the length of the range.
     #[serde(rename = "after")]
     pub upstream: Vec<(u32, u32)>,
-    /// Index of the node whose output list it is mapped over.
+    /// For a mapped node, the index of the node whose output list it maps over.
     #[serde(rename = "map")]
     pub mapped_from: Option<u32>,
-    /// Number of its tasks; null for a mapped node until the list is known.
+    /// Number of tasks; null for a mapped node until the length of the list is known.
     pub tasks: Option<u32>,
+    /// Number of tasks done.
     pub done: u32,
+    /// Number of tasks running.
     pub running: u32,
+    /// Run time of a task as the user estimates it, in seconds.
     #[serde(rename = "guess_s")]
     pub estimated_run_s: f64,
-    /// Estimated seconds of run time on the longest path downstream of it.
+    /// Estimated run time of the longest path downstream of the node, in seconds.
     #[serde(rename = "ahead_s")]
     pub downstream_path_s: f64,
-    /// The attempt whose output was published.
+    /// The attempt whose output was published; null if there is none.
     #[serde(rename = "attempt")]
     pub published_attempt: Option<u64>,
-    /// Length of the list that it published.
+    /// Length of the output list that the attempt published.
     #[serde(rename = "gave")]
     pub output_list_len: Option<u32>,
+    /// Wall-clock time in milliseconds since the Unix epoch; null until the node has finished.
     #[serde(rename = "ended_ms")]
     pub finished_ms: Option<u64>,
-    /// The last failed attempts of each task.
+    /// The latest failed attempts: a bounded number of them, not necessarily of all tasks.
     #[serde(rename = "evidence")]
     pub failed_attempts: Vec<FailedAttempt>,
 }
@@ -149,6 +157,7 @@
 /// One run with a page of its nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DagRunDetail {
+    /// Name of the controller that responded.
     #[serde(rename = "node")]
     pub controller: String,
     #[serde(rename = "row")]
@@ -157,6 +166,6 @@
     #[serde(rename = "first")]
     pub first_node: u32,
     pub nodes: Vec<DagNodeView>,
-    /// The `after` of the next page.
+    /// The value of `after` for the next page; null on the last page.
     pub next: Option<u32>,
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,7 +1,7 @@
-//! The consensus-backed key-value store: requests and replies, and their HTTP form.
+//! Requests to the consensus-backed key-value store, its replies, and their HTTP form.
 //!
-//! Parses and serializes only. The replies keep apart what was certainly not carried out ([`KvReply::Rejected`]) from
-//! what may have been ([`KvReply::Unknown`]), as callers must not repeat the latter blindly.
+//! This module only parses and serializes. Replies distinguish requests that were not carried out
+//! ([`KvReply::Rejected`]) from those that may have been ([`KvReply::Unknown`]), which callers must not retry blindly.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -9,7 +9,7 @@
 use super::{HttpOutcome, HttpRequest};
 use crate::ids::{LeaseId, Revision};
 
-/// One change of a transaction. Values are JSON texts.
+/// One change within a transaction. Values are serialized JSON.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvMutation {
     Put { key: String, value: String, lease: Option<LeaseId> },
@@ -17,7 +17,7 @@
 }
 
 impl KvMutation {
-    /// The key that it changes.
+    /// Returns the key that the mutation changes.
     pub fn key(&self) -> &str {
         match self {
             KvMutation::Put { key, .. } | KvMutation::Delete { key } => key,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A condition of a transaction: the key's last revision is this one (0: it does not exist).
+/// A condition of a transaction: the key was last modified at this revision, or does not exist if the revision is 0.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Precondition {
     pub key: String,
@@ -35,17 +35,17 @@
 /// A request to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
-    /// Keys with a prefix, in their order, those behind `after`.
+    /// Lists keys with a prefix in key order, starting after the key `after`.
     ListPage { prefix: String, after: Option<String>, limit: u32 },
-    /// Changes of keys with a prefix after a revision; the reply does not wait for any.
+    /// Requests the changes of keys with a prefix after a revision; the store replies at once, even if there are none.
     PollChanges { prefix: String, after: Revision },
-    /// Compare-and-swap: all mutations if all preconditions hold, else none.
+    /// Compare-and-swap: applies all mutations if all preconditions hold, and none otherwise.
     Transaction { preconditions: Vec<Precondition>, mutations: Vec<KvMutation> },
-    /// Create a lease that expires unless it is renewed within its time to live.
+    /// Creates a lease that expires unless it is renewed within its time to live.
     GrantLease { ttl_ms: u64 },
-    /// Start the lease's time to live anew.
+    /// Restarts the lease's time to live.
     RenewLease { lease: LeaseId },
-    /// End a lease, which deletes its keys.
+    /// Revokes a lease, which deletes the keys attached to it.
     RevokeLease { lease: LeaseId },
 }
 
@@ -53,12 +53,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct KvEntry {
     pub key: String,
-    /// None: the key was deleted.
+    /// None if the key was deleted.
     pub value: Option<String>,
     pub revision: Revision,
 }
 
-/// A reply of the store, or what is known without one.
+/// A reply of the store, or the outcome of a request that got none.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvReply {
     ListPage {
@@ -66,7 +66,7 @@
         has_more: bool,
         revision: Revision,
     },
-    /// The changes up to a revision.
+    /// The changes up to and including `revision`.
     ChangedEntries {
         entries: Vec<KvEntry>,
         revision: Revision,
@@ -75,7 +75,7 @@
     Committed {
         revision: Revision,
     },
-    /// The transaction was not carried out: the conditions on these keys do not hold.
+    /// The transaction was not carried out: the preconditions on these keys do not hold.
     PreconditionFailed {
         failed_keys: Vec<String>,
     },
@@ -86,9 +86,9 @@
     LeaseUpdated,
     /// The lease has expired or was revoked.
     LeaseNotFound,
-    /// Changes since the requested revision are no longer available: the keys have to be listed again.
+    /// The store has compacted the changes since the requested revision: the caller has to list the keys again.
     Compacted,
-    /// 429 or 503: certainly not carried out.
+    /// Not carried out: the request was not sent (503), or the store replied with an error status such as 429 or 503.
     Rejected {
         status: u16,
     },
@@ -191,7 +191,7 @@
 }
 
 impl KvRequest {
-    /// The HTTP form of the request.
+    /// Returns the HTTP form of the request.
     pub fn to_http_request(&self) -> HttpRequest {
         match self {
             KvRequest::ListPage { prefix, after, limit } => {
@@ -218,11 +218,11 @@
         }
     }
 
-    /// The reply that an HTTP outcome of this request stands for.
+    /// Converts the HTTP outcome of this request to a reply.
     pub fn parse_reply(&self, outcome: &HttpOutcome) -> KvReply {
         let (status, body) = match outcome {
             HttpOutcome::NotSent => return KvReply::Rejected { status: 503 },
-            // A retry would exceed the limit as well: listing the keys again reads them in pages.
+            // A retry of the poll would exceed the limit as well, whereas listing the keys again reads them in pages.
             HttpOutcome::TooLarge if matches!(self, KvRequest::PollChanges { .. }) => {
                 return KvReply::Compacted;
             }
@@ -239,7 +239,7 @@
             404 if matches!(self, KvRequest::RenewLease { .. } | KvRequest::RevokeLease { .. }) => {
                 KvReply::LeaseNotFound
             }
-            400 if matches!(self, KvRequest::Transaction { .. }) && names_missing_lease(body) => {
+            400 if matches!(self, KvRequest::Transaction { .. }) && reports_missing_lease(body) => {
                 KvReply::LeaseNotFound
             }
             _ => KvReply::Rejected { status },
@@ -276,8 +276,9 @@
     }
 }
 
-/// A transaction with a lease that has expired is rejected as malformed; only the text tells why.
-fn names_missing_lease(body: &[u8]) -> bool {
+/// Returns whether a transaction failed because its lease does not exist. The store rejects such a transaction with
+/// status 400, as it does a malformed one; only the text of the response tells the two apart.
+fn reports_missing_lease(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("no such lease")
 }
 
@@ -303,6 +304,7 @@
     HttpRequest::post("/txn", &wire)
 }
 
+/// Returns None for a value that is not valid JSON; the transaction is then sent without this mutation.
 fn mutation_wire<'a>(mutation: &'a KvMutation, value: Option<&'a RawValue>) -> Option<MutationWire<'a>> {
     Some(match mutation {
         KvMutation::Put { key, lease, .. } => {
--- a/src/protocol/operators/events.rs
+++ b/src/protocol/operators/events.rs
@@ -1,25 +1,25 @@
-//! What happened to a job, as its leader recorded it.
+//! Events of a job, as recorded by the leader.
 //!
-//! Events are diagnostics: the leader keeps a bounded number of them in memory, and none survive a failover.
+//! Events are for diagnostics only: the leader keeps a bounded number of them in memory, and a failover loses them.
 
 use serde::{Deserialize, Serialize};
 
-/// What the leader decided or observed about tasks of a job.
+/// A decision or observation of the leader about a job or its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobEventKind {
     Accepted,
-    /// Taken over from an earlier leader, whose events are lost.
+    /// The job was accepted under an earlier leader, whose events are lost.
     #[serde(rename = "inherited")]
     Recovered,
-    /// Put into the shared queue of an image.
+    /// Added to the shared queue of a machine; a `QueuedBacklog` event follows for tasks that found no machine.
     QueuedShared,
-    /// Put into the dedicated queue of a machine.
+    /// Added to the dedicated queue of a machine.
     QueuedDedicated,
-    /// Put aside, as no present machine may take it.
+    /// Added to the backlog, because no current machine may run it.
     #[serde(rename = "queued_nowhere")]
     QueuedBacklog,
-    /// Moved to an idle machine that stole it.
+    /// Moved to the machine that stole it from the shared queue of another machine.
     Stolen,
     /// Moved from a dedicated queue to a shared one.
     Spilled,
@@ -34,29 +34,32 @@
     StoppedForCancel,
     Done,
     Failed,
-    /// Rejected by the worker: no capacity, or busy.
+    /// Rejected by the worker: it had too little free capacity, still had another attempt of the task, or did not have
+    /// the description of the job.
     #[serde(rename = "refused")]
     WorkerRejected,
     Stopped,
-    /// Ended because another task of its gang did.
+    /// Ended by the worker because another task of its gang was lost or not ready in time.
     GangLeft,
+    /// The machine that it was assigned to was lost, or lost its tasks.
     #[serde(rename = "machine_gone")]
     MachineLost,
     #[serde(rename = "withdrawn")]
     Cancelled,
+    /// The job is done and its terminal record is durable.
     JobDone,
 }
 
 /// One event of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobEvent {
-    /// Time of day in milliseconds.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
     #[serde(rename = "event")]
     pub kind: JobEventKind,
-    /// The first task it is about; null if it is about the job as a whole.
+    /// Index of the first task that it concerns; null if it concerns the job as a whole.
     pub first_task: Option<u32>,
-    /// Number of tasks: adjacent events of one kind are merged.
+    /// Number of tasks that it concerns: successive events of the same kind on the same machine are merged.
     pub tasks: u32,
     pub machine: Option<String>,
 }
@@ -64,10 +67,11 @@
 /// The events of one job, oldest first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobEventList {
+    /// Name of the controller that responded.
     #[serde(rename = "node")]
     pub controller: String,
     pub job: String,
-    /// Older events are missing: they were dropped, or another controller led before.
+    /// Whether earlier events are missing, because they were dropped or recorded by an earlier leader.
     #[serde(rename = "earlier_unknown")]
     pub truncated: bool,
     pub events: Vec<JobEvent>,
--- a/src/protocol/operators/mod.rs
+++ b/src/protocol/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' interface: typed requests, and the views that answer them.
+//! The operators' interface: typed requests, and the views in the responses.
 //!
-//! Clients parse the views that controllers serialize, so one set of types serves both. Each submodule holds one
-//! kind of view. Nothing here decides anything, does I/O or reads a clock; names on the wire are mapped by serde.
+//! Controllers serialize the views and clients parse them, so both use the same types. Each submodule contains one kind
+//! of view. The modules make no decisions, do no I/O and read no clock; serde maps the names used on the wire.
 
 mod events;
 mod explanation;
--- a/src/protocol/operators/requests.rs
+++ b/src/protocol/operators/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the operators' interface, parsed from paths and queries.
+//! Requests to the operators' interface, parsed from paths and queries.
 
 use super::JobPhase;
 use crate::ids::JobId;
@@ -9,17 +9,17 @@
     parse_value,
 };
 
-/// A read-only request of the operators' interface.
+/// A read-only request to the operators' interface.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorRequest {
     ListJobs(ListQuery),
-    /// One job with a page of its tasks, those after a given one.
+    /// Requests one job with a page of its unfinished tasks, starting after task `after`.
     InspectJob {
         id: JobId,
         after: Option<u32>,
         limit: usize,
     },
-    /// Why a job, or one of its tasks, is in its state.
+    /// Asks why a job, or one of its tasks, is in its current state.
     ExplainJob {
         id: JobId,
         task: Option<u32>,
@@ -30,7 +30,7 @@
     Status,
     Metrics,
     ListDagRuns(DagRunQuery),
-    /// One run with a page of its nodes, those after a given one.
+    /// Requests one run with a page of its nodes, starting after node `after`.
     InspectDagRun {
         run: DagRunName,
         after: Option<u32>,
@@ -38,18 +38,19 @@
     },
 }
 
-/// Which jobs a list shows.
+/// A request for one page of a list of jobs. A filter that is None lets all jobs pass.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListQuery {
-    /// The page starts behind this job.
+    /// The page starts after this job; None for the first page.
     pub after: Option<JobId>,
+    /// Maximum number of jobs.
     pub limit: usize,
     pub team: Option<String>,
     pub class: Option<String>,
     pub state: Option<StateFilter>,
 }
 
-/// Which phases a list of jobs shows.
+/// A filter of jobs by phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateFilter {
     /// Pending or running.
@@ -60,10 +61,10 @@
 }
 
 impl StateFilter {
-    /// The names that [`StateFilter::parse`] accepts.
+    /// The names that [`StateFilter::parse`] accepts, for error messages.
     const EXPECTED: &str = "live, ended, pending, running, done or withdrawn";
 
-    /// Parses the `state` parameter of a list.
+    /// Parses the `state` parameter of a request for a list.
     pub fn parse(name: &str) -> Option<StateFilter> {
         Some(match name {
             "live" => StateFilter::Active,
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Whether a job in this phase is shown.
+    /// Returns whether the filter lets a job in this phase pass.
     pub fn matches(self, phase: JobPhase) -> bool {
         match self {
             StateFilter::Active => !phase.is_terminal(),
@@ -86,10 +87,11 @@
     }
 }
 
-/// Parses what follows `/v1/` in a request's path, and its query. None if the operators' interface has no such path.
+/// Parses a request from its query and the part of its path after `/v1/`. None if the operators' interface has no such
+/// path.
 ///
 /// # Errors
-/// The response to send if the path exists but the request is not valid.
+/// Returns the response to send if the path exists but the request is not valid.
 pub fn parse_operator_request(path: &str, query: &str) -> Option<Result<OperatorRequest, HttpResponse>> {
     let segments: Vec<&str> = path.split('/').collect();
     Some(match segments.as_slice() {
--- a/src/protocol/operators/status.rs
+++ b/src/protocol/operators/status.rs
@@ -1,25 +1,25 @@
-//! The state of one controller and of the leader's cluster, for `olivelatchctl top` and `/metrics`.
+//! The status of one controller, and of the cluster if it is the leader, for `olivelatchctl top` and `/metrics`.
 
 use serde::{Deserialize, Serialize};
 
-/// The state of one controller.
+/// The status of one controller.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ControllerStatus {
     #[serde(rename = "node")]
     pub controller: String,
     pub zone: String,
-    /// Whether it accepts requests.
+    /// Whether the controller accepts requests.
     pub ready: bool,
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// The leader, if this controller knows it.
+    /// Name of the leader; null if this controller does not know it.
     pub leader: Option<String>,
-    /// Revision of the key-value store up to which its cache is complete.
+    /// Revision of the key-value store up to which the controller's cache is complete.
     pub revision: u64,
     /// Seconds since the last successful poll of the key-value store; null before the first.
     #[serde(rename = "mirror_age_s")]
     pub cache_age_s: Option<f64>,
-    /// Whether the store responds to it.
+    /// Whether the controller has loaded the stored records and can reach the key-value store.
     #[serde(rename = "state_reachable")]
     pub kv_reachable: bool,
     /// Jobs that are pending or running.
@@ -28,15 +28,16 @@
     /// Jobs that are done or cancelled.
     #[serde(rename = "jobs_ended")]
     pub jobs_terminal: u64,
-    /// Users' requests that wait for a response.
+    /// Users' requests that wait for a response, without those whose write to the key-value store is in flight.
     #[serde(rename = "requests_held")]
     pub requests_pending: u64,
-    /// How often it became the leader.
+    /// How often the controller became the leader since it started.
     #[serde(rename = "takeovers")]
     pub leaderships_started: u64,
-    /// Seconds since it started.
+    /// Seconds since the controller started.
     pub uptime_s: f64,
-    /// Jobs by class and team. `completions_reported` is this controller's own count, the rest agrees on all.
+    /// Jobs by class and team. `completions_reported` counts this controller's responses only; the other counts are the
+    /// same on all controllers.
     #[serde(default)]
     #[serde(rename = "accounts")]
     pub job_counters: Vec<JobCountersView>,
@@ -45,22 +46,23 @@
     pub leader_status: Option<LeaderStatus>,
 }
 
-/// Counts of the jobs of one class and team, from the stored records (docs/operations.md).
+/// Numbers of jobs of one class and team, derived from the stored records (docs/operations.md).
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct JobCountersView {
     pub team: String,
     pub class: String,
     pub accepted: u64,
+    /// Jobs of which at least one task ran or may have run.
     pub started: u64,
     pub done: u64,
     #[serde(rename = "withdrawn")]
     pub cancelled: u64,
-    /// Jobs whose users received `done` from this controller.
+    /// Jobs whose users received the status `done` from this controller.
     #[serde(rename = "told")]
     pub completions_reported: u64,
 }
 
-/// The cluster as the leader sees it; counters start with its leadership.
+/// The cluster as the leader sees it. Counters start at 0 when it becomes the leader.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LeaderStatus {
     /// Machines whose workers send heartbeats.
@@ -72,43 +74,43 @@
     pub machines_unreachable: u64,
     /// CPUs of the machines that are up.
     pub cpus: f64,
-    /// CPUs of the tasks bound to these machines.
+    /// CPUs of the tasks that are bound to machines that are up.
     pub cpus_used: f64,
     /// Tasks in shared queues.
     pub queued_shared: u64,
     /// Tasks in dedicated queues.
     pub queued_dedicated: u64,
-    /// Tasks that no present machine may take.
+    /// Tasks that no current machine may run.
     #[serde(rename = "queued_nowhere")]
     pub queued_backlog: u64,
-    /// Gangs and services with tasks to place.
+    /// Gangs and services that have tasks to place.
     pub gangs_waiting: u64,
-    /// Tasks that may be on machines.
+    /// Tasks that are placed on machines, or may still be there.
     #[serde(rename = "tasks_out")]
     pub tasks_placed: u64,
-    /// Tasks bound to machines so far.
+    /// Counter of tasks bound to machines.
     #[serde(rename = "starts")]
     pub tasks_bound: u64,
-    /// Steals that moved at least one task.
+    /// Counter of steals that moved at least one task.
     pub steals: u64,
-    /// Tasks taken from queues of other machines, by steals or because of their priority.
+    /// Counter of tasks taken from the queues of other machines, by steals or because of their priority.
     pub stolen_tasks: u64,
-    /// Tasks moved from dedicated to shared queues.
+    /// Counter of tasks moved from dedicated to shared queues.
     pub spilled_tasks: u64,
-    /// Tasks stopped to make room for others.
+    /// Counter of tasks preempted to free capacity for other tasks.
     pub preempted_tasks: u64,
-    /// Machines lost with the tasks on them.
+    /// Counter of machines lost with the tasks on them.
     pub machines_lost: u64,
-    /// Mutations requested from the key-value store.
+    /// Counter of mutations sent to the key-value store.
     #[serde(rename = "state_changes")]
     pub kv_mutations: u64,
-    /// Segments of the assignment log in the store.
+    /// Current number of segments of the assignment log in the store.
     #[serde(rename = "log_parts")]
     pub log_segments: u64,
     pub teams: Vec<TeamStatus>,
 }
 
-/// What a team uses and may use.
+/// The CPUs that a team uses, its guarantee and its limit; a limit that is null is not set.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct TeamStatus {
     pub team: String,
--- a/src/protocol/operators/tests/requests.rs
+++ b/src/protocol/operators/tests/requests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// A query that is not valid is rejected with what was expected; nothing is guessed.
+/// An invalid query is rejected with a response that names the invalid parameter; no value is guessed.
 #[test]
-fn queries_are_parsed_or_rejected_by_name() {
+fn valid_queries_parse_and_invalid_ones_name_the_parameter() {
     let ok = parse_operator_request("jobs", "after=job-000412&limit=7&state=live&team=core");
     let Some(Ok(OperatorRequest::ListJobs(list))) = ok else { panic!("{ok:?}") };
     assert_eq!((list.after, list.limit, list.state), (Some(JobId(412)), 7, Some(StateFilter::Active)));
-    for (path, query, named) in [
+    for (path, query, expected_text) in [
         ("jobs", "after=412", "after"),
         ("jobs", "limit=0", "limit"),
         ("jobs", "limit=100000", "limit"),
@@ -20,7 +20,7 @@
     ] {
         let Some(Err(response)) = parse_operator_request(path, query) else { panic!("{path}?{query}") };
         let body = String::from_utf8_lossy(&response.body).to_string();
-        assert!(response.status == 400 && body.contains(named), "{path}?{query}: {body}");
+        assert!(response.status == 400 && body.contains(expected_text), "{path}?{query}: {body}");
     }
     assert_eq!(
         parse_operator_request("jobs/412", "").and_then(Result::err).map(|response| response.status),
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,6 +1,6 @@
-//! Messages between controllers: length-prefixed frames that hold `rkyv` archives, validated on receipt.
+//! Messages between controllers: length-prefixed frames that hold `rkyv` archives, which are validated on receipt.
 //!
-//! Controllers of different versions may exchange them: the order of variants and fields must not change.
+//! Controllers of different versions may exchange messages, so the order of variants and fields must not change.
 
 use rkyv::{Archive, Deserialize, Serialize, rancor};
 
@@ -10,20 +10,22 @@
 /// A message from one controller to another.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum PeerMessage {
-    /// First frame of a connection: the name of the controller that opened it.
+    /// The first frame of a connection, with the name of the controller that opened it.
     Hello { controller: String },
-    /// A job was accepted or is over at this revision: the receiver polls the store and replies with its read watermark.
+    /// The store has a change at this revision that the receiver should read. The receiver polls the store and replies
+    /// with its read watermark.
     RevisionNotice { revision: u64 },
-    /// Sent once a second: whether the key-value store responds, and how many workers that belong to the leader
-    /// recently sent heartbeats to this controller instead, or to others that this one can reach.
+    /// Health beacon, sent once a second: whether the sender can reach the key-value store, how many workers recently
+    /// sent heartbeats to the sender although another controller leads, and how many did so to the other controllers
+    /// that the sender receives beacons from.
     HealthStatus { kv_reachable: bool, misdirected_workers: u32, misdirected_workers_elsewhere: u32 },
-    /// The leader steps down in favour of the receiver.
+    /// The leader steps down and asks the receiver to become the leader.
     TransferLeadership,
-    /// A client's query that only the leader can answer. Sent only where the operators' interface is enabled.
+    /// A client's query that only the leader can answer. Sent only if the operators' interface is enabled.
     Query { query_id: u64, query: LeaderQuery },
-    /// The leader's response to a query, ready to be forwarded to the client.
+    /// The leader's response to a query, which the receiver forwards to the client.
     QueryResponse { query_id: u64, status: u16, retry_after_s: Option<u32>, body: Vec<u8> },
-    /// The sender has read the stored records up to this revision, and responds with nothing older.
+    /// The sender has read the stored records up to this revision, and its responses reflect at least that state.
     ReadWatermark { revision: u64 },
 }
 
@@ -36,7 +38,7 @@
 }
 
 impl OperatorRequest {
-    /// The query to forward to the leader; None if any controller can answer the request.
+    /// Returns the query to forward to the leader; None if any controller can answer the request.
     pub fn to_leader_query(&self) -> Option<LeaderQuery> {
         Some(match self {
             OperatorRequest::InspectJob { id, after, limit } => {
@@ -69,12 +71,12 @@
     }
 }
 
-/// Largest payload of a frame; a longer one is treated as garbage.
+/// Largest payload of a frame, in bytes; a frame that announces a longer one is invalid.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Size of a frame's header: the payload's length, little endian.
+/// Size of a frame's header, which holds the payload's length in bytes as a little-endian `u32`.
 pub const FRAME_HEADER_BYTES: usize = 4;
 
-/// A frame: the header and the archived message.
+/// Returns the frame of a message: the header and the archived message.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let bytes = rkyv::to_bytes::<rancor::Error>(message).unwrap_or_default();
     let mut frame = Vec::with_capacity(bytes.len() + FRAME_HEADER_BYTES);
@@ -83,7 +85,7 @@
     frame
 }
 
-/// The message in a frame's payload; None if it does not validate.
+/// Returns the message in a frame's payload; None if the payload is not a valid archive.
 pub fn decode(payload: &[u8]) -> Option<PeerMessage> {
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(payload.len());
     aligned.extend_from_slice(payload);
--- a/src/protocol/query_params.rs
+++ b/src/protocol/query_params.rs
@@ -1,7 +1,7 @@
-//! Query strings, JSON bodies and job names of requests over HTTP, shared by the interfaces of operators, graphs and
-//! configuration.
+//! Parsing of query strings, JSON bodies and job ids in HTTP requests, shared by the interfaces for operators, graphs
+//! and configuration.
 //!
-//! A parameter that is wrong is rejected with a response that names it and says what was expected.
+//! An invalid parameter is rejected with a response that names it and says what was expected.
 
 use std::str::FromStr;
 
@@ -10,12 +10,12 @@
 use super::HttpResponse;
 use crate::ids::JobId;
 
-/// Rows of a page if the request names no limit.
+/// Number of rows per page if the request sets no limit.
 pub const DEFAULT_PAGE_SIZE: usize = 100;
 /// Largest number of rows that a request may ask for in one page.
 pub const MAX_PAGE_SIZE: usize = 500;
 
-/// Splits a query into names and values, in their order.
+/// Splits a query into pairs of name and value, in the order of the query.
 pub(super) fn parse_query(query: &str) -> Result<Vec<(&str, &str)>, HttpResponse> {
     query
         .split('&')
@@ -28,29 +28,31 @@
         .collect()
 }
 
-/// The response to a parameter or field whose value is not acceptable.
+/// Returns the response to a request with an invalid parameter or field.
 pub(super) fn invalid_parameter(name: &str, expected: &str, found: &str) -> HttpResponse {
     HttpResponse::error(400, &format!("{name}: expected {expected}, not {found:?}"))
 }
 
-/// Parses a value that has a standard text form; `expected` describes it to the client.
+/// Parses a value with [`FromStr`]; `expected` describes a valid value to the client.
 pub(super) fn parse_value<T: FromStr>(name: &str, expected: &str, value: &str) -> Result<T, HttpResponse> {
     value.parse().map_err(|_| invalid_parameter(name, expected, value))
 }
 
-/// Parses the number of rows of a page.
+/// Parses the maximum number of rows per page.
 pub(super) fn parse_limit(text: &str) -> Result<usize, HttpResponse> {
     let limit = text.parse().ok().filter(|limit| (1..=MAX_PAGE_SIZE).contains(limit));
     limit.ok_or_else(|| invalid_parameter("limit", &format!("1 to {MAX_PAGE_SIZE}"), text))
 }
 
-/// A page of numbered rows: where it starts and how many rows it has at most.
+/// A request for one page of numbered rows.
 pub(super) struct PageQuery {
+    /// The page starts after the row with this number; None for the first page.
     pub(super) after: Option<u32>,
+    /// Maximum number of rows.
     pub(super) limit: usize,
 }
 
-/// Parses a query that may hold `after` and `limit` alone; `expected_after` describes the former to the client.
+/// Parses a query that may only contain `after` and `limit`; `expected_after` describes a valid `after` to the client.
 pub(super) fn parse_page_query(
     query: &str,
     default_limit: usize,
@@ -67,12 +69,12 @@
     Ok(page)
 }
 
-/// Parses the JSON body of a request; the response to a wrong one carries the parser's message.
+/// Parses the JSON body of a request; the error response contains the parser's message.
 pub(super) fn parse_json_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, HttpResponse> {
     serde_json::from_slice(body).map_err(|error| HttpResponse::error(400, &error.to_string()))
 }
 
-/// Parses a job's name from a path. A name of another form was never accepted, so that no such job exists.
+/// Parses a job id from a path. A text of another form gets a 404 response, because no job with such an id can exist.
 pub(crate) fn parse_job_id(text: &str) -> Result<JobId, HttpResponse> {
     JobId::parse(text).ok_or_else(|| HttpResponse::error(404, "no such job"))
 }
--- a/src/protocol/tests/workers.rs
+++ b/src/protocol/tests/workers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn heartbeats_are_parsed_escaped_or_not() {
+fn heartbeats_parse_with_and_without_escapes() {
     let plain = r#"{"box":"m","boxkind":"k","hall":"a","loaners":true,"shift":1,"tick":2,
             "pieces":[{"piece":"job-000412/3","try":2,"status":"ended","cause":"done"}]}"#;
     let escaped = plain.replace("job-000412/3", "job-000412\\/3").replace("done", "d\\u006fne");
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,7 +1,7 @@
-//! Users: submit a job, poll its status, cancel it.
+//! The users' interface: submit a job, poll its status, cancel it.
 //!
-//! [`JobManifest`] is stored as it is in a job's durable record: its names on the wire and the order of its fields must
-//! not change. Parses, checks ranges and serializes; nothing here does I/O or reads a clock.
+//! [`JobManifest`] is also stored in a job's durable record, so its names on the wire and the order of its fields must
+//! not change. This module parses, checks ranges and serializes; it does no I/O and reads no clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,13 +9,13 @@
 pub use super::operators::JobPhase as JobStatus;
 use crate::ids::{JobId, seconds_to_ms, to_milli_ceil};
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job relate to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks.
     #[serde(rename = "array")]
     Array,
-    /// Tasks that run at the same time or not at all.
+    /// Tasks that must all run at the same time.
     #[serde(rename = "gang")]
     Gang,
     /// Tasks that run until the job is cancelled.
@@ -36,7 +36,7 @@
     Low,
 }
 
-/// A job as its user describes it. Resources and sizes are of one task.
+/// A job as its user submits it. Resources are per task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobManifest {
     #[serde(rename = "uid")]
@@ -49,6 +49,7 @@
     pub kind: JobKind,
     #[serde(rename = "urgency")]
     pub priority_class: PriorityClass,
+    /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
     #[serde(rename = "vcpus")]
@@ -60,45 +61,50 @@
     pub image: String,
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Machine types it may run on; null: any.
+    /// Machine types that it may run on; null means any.
     #[serde(default)]
     #[serde(rename = "boxkinds")]
     pub machine_types: Option<Vec<String>>,
-    /// Zone it must run in; null: any.
+    /// Zone that it must run in; null means any.
     #[serde(default)]
     #[serde(rename = "hall")]
     pub zone: Option<String>,
-    /// All tasks have to run in one zone.
+    /// Whether all tasks must run in one zone, whichever it is.
     #[serde(rename = "together")]
     pub same_zone: bool,
-    /// Tasks are to be spread over zones.
+    /// Whether at most half of the tasks may run in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
+    /// Whether tasks may run on spot instances.
     #[serde(rename = "loaners")]
     pub spot_allowed: bool,
+    /// Run time of a task as the user estimates it, in seconds.
     #[serde(rename = "guess_s")]
     pub estimated_run_s: f64,
+    /// Seconds between two checkpoints of a task; 0 if it saves none.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_interval_s: f64,
+    /// Seconds that saving a checkpoint takes.
     #[serde(rename = "flush_s")]
     pub checkpoint_save_s: f64,
-    /// Seconds after its submission by which it should be done.
+    /// Deadline, in seconds after the submission.
     #[serde(default)]
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
 }
 
-/// Most tasks a job may have.
+/// Maximum number of tasks per job.
 pub const MAX_TASKS: u32 = 100_000;
 /// Longest name of a class, a team, an image or a zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-/// Largest amount of a resource, size in GB or time in seconds.
+/// Largest valid value of a resource amount, a size in GB or a time in seconds.
 pub(super) const MAX_QUANTITY: f64 = 1e9;
 
 /// A request of a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserRequest {
-    /// The id is valid, the rest may not be: a job that is known already is reported before any error.
+    /// Submits a job. The id is valid, the manifest may not be: if the job already exists, the response reports that
+    /// rather than the error in the manifest.
     Submit {
         id: JobId,
         manifest: Result<Box<JobManifest>, String>,
@@ -112,7 +118,7 @@
 }
 
 impl UserRequest {
-    /// The job that it is about.
+    /// Returns the id of the job that the request concerns.
     pub fn id(&self) -> JobId {
         match self {
             UserRequest::Submit { id, .. } | UserRequest::Poll { id } | UserRequest::Cancel { id } => *id,
@@ -131,7 +137,7 @@
     running: Option<u32>,
 }
 
-/// The response with a job's status; `counts` are its tasks done and running.
+/// Returns the response with a job's status; `counts` are the numbers of tasks done and running.
 pub fn status_response(code: u16, id: JobId, status: JobStatus, counts: Option<(u32, u32)>) -> HttpResponse {
     HttpResponse::json(
         code,
@@ -147,12 +153,12 @@
 /// Parses the body of a submission.
 ///
 /// # Errors
-/// The response to send if the body does not even hold a valid id.
+/// Returns the response to send if the body contains no valid id.
 pub fn parse_submission(body: &[u8]) -> Result<UserRequest, HttpResponse> {
     let value: serde_json::Value =
-        serde_json::from_slice(body).map_err(|_| HttpResponse::error(400, "the body is not JSON"))?;
+        serde_json::from_slice(body).map_err(|_| HttpResponse::error(400, "the body is not valid JSON"))?;
     let Some(object) = value.as_object() else {
-        return Err(HttpResponse::error(400, "the body is not an object"));
+        return Err(HttpResponse::error(400, "the body is not a JSON object"));
     };
     let id = object
         .get("uid")
@@ -168,7 +174,7 @@
 /// Checks the ranges of a manifest.
 ///
 /// # Errors
-/// A message for the user that names the field as it is written on the wire.
+/// Returns a message for the user that names the invalid field as it is written on the wire.
 pub fn validate_manifest(manifest: &JobManifest) -> Result<(), String> {
     if manifest.tasks == 0 || manifest.tasks > MAX_TASKS {
         return Err(format!("pieces must be 1 to {MAX_TASKS}"));
@@ -185,14 +191,14 @@
     ];
     for (name, value) in quantities {
         if !(0.0..=MAX_QUANTITY).contains(&value) {
-            return Err(format!("{name} is out of range"));
+            return Err(format!("{name} must be 0 to {MAX_QUANTITY}, not {value}"));
         }
     }
     if to_milli_ceil(manifest.cpus) == 0
         && to_milli_ceil(manifest.memory_gb) == 0
         && to_milli_ceil(manifest.gpus) == 0
     {
-        return Err("a task must take something of its machine".into());
+        return Err("at least one of vcpus, memory_gb and accelerators must be greater than 0".into());
     }
     let names = [("jobclass", &manifest.job_class), ("owner", &manifest.team), ("bundle", &manifest.image)];
     for (name, value) in names {
@@ -201,13 +207,13 @@
         }
     }
     if manifest.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME_BYTES) {
-        return Err("hall is too long".into());
+        return Err(format!("hall must be at most {MAX_NAME_BYTES} bytes"));
     }
     Ok(())
 }
 
 impl JobManifest {
-    /// The run time that the user estimates for a task, in milliseconds.
+    /// Returns the run time of a task as the user estimates it, in milliseconds.
     pub fn estimated_run_ms(&self) -> u64 {
         seconds_to_ms(self.estimated_run_s)
     }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,7 +1,7 @@
-//! Workers: heartbeats with the status of tasks come in, commands go out.
+//! Messages between controllers and workers: heartbeats with the status of tasks, and commands.
 //!
-//! Parses and serializes only. Commands carry the leader's fencing token, by which workers reject those of a former
-//! leader.
+//! This module only parses and serializes. Commands carry the leader's fencing token, by which workers reject commands
+//! of a former leader.
 
 use std::borrow::Cow;
 
@@ -10,24 +10,25 @@
 use super::{HttpRequest, HttpResponse};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskId};
 
-/// Why an attempt is over.
+/// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
     Done,
-    /// Stopped by a command; whether it saved its progress.
+    /// Stopped by a command.
     Stopped {
+        /// Whether it saved its progress first.
         checkpointed: bool,
     },
-    /// Other tasks of its gang were lost.
+    /// Another task of its gang was lost.
     PeersLost,
-    /// Its gang did not come together in time.
+    /// Not all tasks of its gang were ready in time.
     GangIncomplete,
     Error,
     /// The machine has too little free capacity.
     InsufficientCapacity,
     /// Another attempt of the task is on the machine.
     Busy,
-    /// The worker has no description of the job.
+    /// The worker does not have the description of the job.
     UnknownJob,
 }
 
@@ -50,9 +51,9 @@
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskPhase,
-    /// Of a task that is done: the attempt whose output was published, if the worker reports it.
+    /// For a task that is done: the attempt whose output was published, if the worker reports it.
     pub published_attempt: Option<Attempt>,
-    /// Length of the list that it published.
+    /// Length of the output list that the attempt published.
     pub output_list_len: Option<u32>,
 }
 
@@ -66,11 +67,11 @@
     pub zone: String,
     pub spot: bool,
     pub epoch: AgentEpoch,
-    /// Rises with each heartbeat of an epoch.
+    /// Increases with each heartbeat of an epoch.
     pub sequence: u64,
-    /// The highest token that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
-    /// Milliseconds until the cloud reclaims the machine, once it has announced that.
+    /// Milliseconds until the cloud reclaims the spot instance; None unless the cloud has given notice.
     pub reclaim_notice_ms: Option<u64>,
     pub tasks: Vec<TaskStatus>,
 }
@@ -82,20 +83,20 @@
         task: TaskId,
         attempt: Attempt,
     },
-    /// Stop the attempt, with this time to save its progress.
+    /// Stop the attempt, which has `grace_ms` to save its progress.
     Stop {
         task: TaskId,
         attempt: Attempt,
         grace_ms: u64,
     },
-    /// The end of the attempt is recorded: stop reporting it.
+    /// Stop reporting the attempt: its exit has been recorded.
     Forget {
         task: TaskId,
         attempt: Attempt,
     },
 }
 
-/// Text is borrowed from the body unless it is escaped, as heartbeats are most of what is parsed.
+/// Strings are borrowed from the body unless they contain escapes, because most of the parsed input is heartbeats.
 #[derive(Deserialize)]
 struct TaskStatusWire<'a> {
     #[serde(borrow, rename = "piece")]
@@ -165,7 +166,7 @@
     controller: Option<&'a str>,
 }
 
-/// Parses a heartbeat; None if it is not valid as a whole.
+/// Parses a heartbeat; None if any part of it is invalid.
 pub fn parse_heartbeat(body: &[u8]) -> Option<Heartbeat> {
     let wire: HeartbeatWire<'_> = serde_json::from_slice(body).ok()?;
     let tasks = wire.tasks.iter().map(parse_task_status).collect::<Option<Vec<TaskStatus>>>()?;
@@ -227,7 +228,7 @@
     }
 }
 
-/// The response to a heartbeat.
+/// Returns the response to a heartbeat.
 pub fn commands_response(token: FencingToken, commands: &[WorkerCommand]) -> HttpResponse {
     HttpResponse::json(
         200,
@@ -235,7 +236,7 @@
     )
 }
 
-/// Commands sent between heartbeats; the worker rejects them in another epoch.
+/// Returns a request that sends commands between heartbeats; the worker rejects it if its epoch is another one.
 pub fn commands_request(token: FencingToken, epoch: AgentEpoch, commands: &[WorkerCommand]) -> HttpRequest {
     HttpRequest::post(
         "/orders",
@@ -247,7 +248,7 @@
     )
 }
 
-/// Redirects a worker to the leader, if it is known.
+/// Returns the response (421) that redirects a worker to the leader, if the leader is known.
 pub fn redirect_response(controller: Option<&str>) -> HttpResponse {
     HttpResponse::json(421, &RedirectWire { controller })
 }
