--- a/src/coordination/controller/operator_views.rs
+++ b/src/coordination/controller/operator_views.rs
@@ -10,8 +10,8 @@
 use crate::ids::{JobId, from_milli};
 use crate::protocol::HttpResponse;
 use crate::protocol::operators::{
-    AnswerSource, ControllerStatus, Explanation, JobDetail, JobEventList, JobList, JobPhase, ListQuery,
-    OperatorRequest, StateReason, TaskStateView, TaskSummary,
+    ControllerStatus, Explanation, JobDetail, JobEventList, JobList, JobPhase, ListQuery, OperatorRequest,
+    ResponseSource, StateReason, TaskStateView, TaskSummary,
 };
 use crate::protocol::peer::MAX_FRAME_BYTES;
 
@@ -36,7 +36,7 @@
             jobs_active: jobs_active as u64,
             jobs_terminal: jobs_terminal as u64,
             requests_pending: self.user_requests.pending_count() as u64,
-            failovers: self.leaderships_started,
+            leaderships_started: self.leaderships_started,
             uptime_s: age_s(self.started_at),
             job_counters: job_counter_views(&state.cache),
             leader_status: state.leader.as_ref().map(|leader| leader.leader_status(&state.cache.names)),
@@ -103,7 +103,7 @@
         }
         let detail = JobDetail {
             controller: self.state.settings.controller.clone(),
-            source: if self.state.is_leader() { AnswerSource::Leader } else { AnswerSource::Store },
+            source: if self.state.is_leader() { ResponseSource::Leader } else { ResponseSource::Store },
             summary,
             spec: live_job.map(|job| spec_view(cache, job)),
             tasks,
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -151,7 +151,7 @@
         counters.push((
             "olivelatch_takeovers",
             "Number of times this controller became the leader",
-            self.status.failovers,
+            self.status.leaderships_started,
         ));
         let help = "Messages and connections of other controllers dropped: invalid, duplicate, from an unknown \
             sender, above the connection limit, or replaced by a newer connection";
