--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -1,31 +1,31 @@
-//! Messages between the run and its processes, as JSON over loopback.
+//! The messages that the run exchanges with its processes, as JSON over loopback.
 
 use std::collections::BTreeMap;
 
 use olivelatch_worker::{JobDescription, Machine, TaskWork};
 use serde::{Deserialize, Serialize};
 
-/// A job as simulated workers know it.
+/// The description of a job that simulated workers receive before the job is submitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SimulatedJob {
-    /// Its id.
+    /// Id of the job.
     pub job: String,
-    /// CPUs of a task.
+    /// CPUs of one task.
     pub cpus: f64,
-    /// Memory of a task in GB.
+    /// Memory of one task in GB.
     pub memory_gb: f64,
-    /// The image that machines fetch first.
+    /// Image that a machine fetches before it starts a task.
     pub image: String,
-    /// Its size in GB.
+    /// Size of the image in GB.
     pub size_gb: f64,
-    /// The tasks run as a gang.
+    /// Whether the tasks run as a gang.
     pub gang: bool,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// How long a task saves when it is stopped, in ms.
+    /// Time that a task takes to save a checkpoint when it is stopped, in ms.
     #[serde(rename = "save_ms")]
     pub checkpoint_ms: u64,
-    /// How long a task runs, in ms.
+    /// Run time of a task in ms.
     pub run_ms: u64,
 }
 
@@ -48,25 +48,25 @@
     }
 }
 
-/// A machine as its simulated worker knows it.
+/// The machine that a simulated worker runs on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SimulatedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub name: String,
-    /// Where its worker listens.
+    /// Address and port at which the machine's worker listens.
     pub endpoint: String,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// Its zone.
+    /// Name of the zone.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// CPUs.
+    /// CPUs of the machine.
     pub cpus: f64,
-    /// Memory in GB.
+    /// Memory of the machine in GB.
     pub memory_gb: f64,
-    /// How fast it fetches images.
+    /// Rate at which the machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
 }
 
@@ -86,97 +86,98 @@
     }
 }
 
-/// A command to a zone's process of simulated workers.
+/// A command to the process that runs a zone's simulated workers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ZoneCommand {
-    /// A machine has booted.
+    /// Starts the worker of a machine that has booted.
     Boot(SimulatedMachine),
-    /// A machine is gone, with all tasks on it.
+    /// Removes a machine and all tasks on it.
     #[serde(rename = "drop")]
     Remove(String),
-    /// A job that may be started from now on.
+    /// Describes a job, so that its tasks can be started from now on.
     Describe(SimulatedJob),
-    /// The zone is cut off from every controller, or reachable again.
+    /// Partitions the zone from every controller (true), or ends the partition (false).
     #[serde(rename = "cut")]
     SetPartitioned(bool),
 }
 
-/// What became of a task on a worker.
+/// How the state of a task on a worker changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskEventKind {
-    /// It has its image: from now on it is on the machine.
+    /// The machine has fetched the task's image; from now on the task counts as placed on the machine.
     #[serde(rename = "on")]
     Placed,
-    /// It runs.
+    /// The task started to run.
     #[serde(rename = "runs")]
     Started,
-    /// It is not on the machine any more.
+    /// The task was removed from the machine without having completed.
     #[serde(rename = "off")]
     Removed,
-    /// It is not on the machine any more and has completed.
+    /// The task completed and was removed from the machine.
     #[serde(rename = "done")]
     Completed,
 }
 
-/// An event that a simulated worker saw.
+/// A change in the state of a task, as a simulated worker observed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEvent {
-    /// In ms since the start of the run.
+    /// Time of the event in ms since the start of the run.
     pub at_ms: u64,
-    /// The machine.
+    /// Name of the worker's machine.
     pub worker: String,
     /// The task, as `JOB/INDEX`.
     pub task: String,
-    /// Its upper bits are the token of the leader that started it.
+    /// Number of the attempt. Its upper bits are the fencing token of the leader that started it.
     pub attempt: u64,
-    /// What happened.
+    /// The change that was observed.
     pub kind: TaskEventKind,
 }
 
-/// The state of a zone's process.
+/// The status of a zone's process, sent in response to each batch of commands.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// `events` has all events before this time.
+    /// All events before this time, in ms since the start of the run, have been delivered with this status or
+    /// an earlier one.
     pub until_ms: u64,
-    /// The events since the last status.
+    /// Events since the last status.
     pub events: Vec<TaskEvent>,
-    /// Workers that are up.
+    /// Number of workers that are up.
     pub workers: usize,
-    /// Tasks that are on a machine.
+    /// Number of tasks that are placed on a machine.
     #[serde(rename = "on")]
     pub tasks_on_machines: usize,
-    /// Heartbeats sent since the start, as all counters below.
+    /// Heartbeats sent. This counter and those below count from the start of the run.
     #[serde(rename = "reports")]
     pub heartbeats_sent: u64,
-    /// Heartbeats with a response of status 200.
+    /// Heartbeats that a controller answered with HTTP status 200.
     #[serde(rename = "answered")]
     pub heartbeats_acknowledged: u64,
-    /// Commands that came directly.
+    /// Requests with commands that controllers sent directly to a worker.
     #[serde(rename = "commands")]
     pub commands_received: u64,
-    /// Bytes received.
+    /// Bytes received by the workers.
     pub bytes_in: u64,
-    /// Bytes sent.
+    /// Bytes sent by the workers.
     pub bytes_out: u64,
 }
 
-/// What the kv store has served since the start.
+/// Counters of the kv store since the start of the run, and its present state.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct KvMeasurements {
     /// Requests of controllers.
     pub requests: u64,
-    /// Requests above a rate limit.
+    /// Requests that were refused because they exceeded a rate limit.
     pub refused: u64,
-    /// The present revision.
+    /// Present revision of the store.
     pub revision: u64,
-    /// Changes that were carried out.
+    /// Mutations that were applied.
     #[serde(rename = "changes")]
     pub mutations: u64,
-    /// Keys that it holds.
+    /// Number of keys stored.
     pub keys: usize,
-    /// The leader by its record.
+    /// Name of the leader according to the leader record; `None` if there is no such record.
     pub leader: Option<String>,
     /// Bytes received.
     pub bytes_in: u64,
--- a/crates/scale-test/src/invariants.rs
+++ b/crates/scale-test/src/invariants.rs
@@ -1,89 +1,90 @@
-//! The independent checker: judges what simulated workers saw by the users' rules, and knows nothing of the controllers'
-//! state. Events must come in the order of their times. Does no I/O and reads no clock.
+//! The independent checker: verifies that the events observed by the simulated workers keep the guarantees
+//! given to users. It does not use any state of the controllers. Events must be passed in time order. Does no
+//! I/O and reads no clock.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::control::{TaskEvent, TaskEventKind};
 
-/// Tolerance for rounding of CPUs.
-const SLACK_CPUS: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of CPUs.
+const CPU_TOLERANCE: f64 = 1e-6;
 
-/// What the checker must know of a job.
+/// The properties of a job that the checker needs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobFacts {
-    /// Index of its team.
+    /// Index of the team that owns the job.
     pub team: usize,
-    /// CPUs of a task.
+    /// CPUs of one task.
     pub cpus: f64,
 }
 
-/// A cancelled job, in milliseconds of the run.
+/// The times of a cancellation, in milliseconds since the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancelTimes {
-    /// When its user received the confirmation.
+    /// Time at which the user received the confirmation.
     pub at_ms: u64,
-    /// When all its tasks must have stopped.
+    /// Deadline by which all tasks of the job must have stopped.
     pub stopped_by_ms: u64,
 }
 
-/// A rule that was broken.
+/// A violated invariant. All times are in milliseconds since the start of the run.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 #[serde(tag = "rule", rename_all = "snake_case")]
 pub enum Violation {
-    /// A task is on two workers at once.
+    /// A task is on two workers at the same time.
     RanTwice {
-        /// When.
+        /// Time of the violation.
         at_ms: u64,
-        /// The task.
+        /// The task, as `JOB/INDEX`.
         task: String,
-        /// The two workers.
+        /// Names of the two workers.
         workers: [String; 2],
     },
     /// A team uses more than its limit.
     #[serde(rename = "quota")]
     QuotaExceeded {
-        /// When.
+        /// Time of the violation.
         at_ms: u64,
         /// Index of the team.
         team: usize,
-        /// CPUs that it uses.
+        /// CPUs that the team uses.
         cpus: f64,
-        /// CPUs that it may use.
+        /// CPUs that the team may use.
         limit: f64,
     },
-    /// A task is on a worker, or starts, too long after its cancellation was confirmed.
+    /// A task of a cancelled job is still on a worker, or is placed on one, after the deadline for its stop.
     RanCancelled {
-        /// When.
+        /// Time of the violation.
         at_ms: u64,
-        /// The task.
+        /// The task, as `JOB/INDEX`.
         task: String,
-        /// Its worker.
+        /// Name of the worker.
         worker: String,
     },
-    /// A job that was never submitted has a task on a worker.
+    /// A worker has a task of a job that was never submitted.
     #[serde(rename = "invented")]
     UnknownJob {
-        /// When.
+        /// Time of the violation.
         at_ms: u64,
-        /// The task.
+        /// The task, as `JOB/INDEX`.
         task: String,
     },
-    /// No controller knows an accepted job any more.
+    /// A controller reported that it does not know a job that had been accepted.
     #[serde(rename = "forgotten")]
     LostJob {
-        /// The job.
+        /// Id of the job.
         job: String,
     },
-    /// A terminal state was followed by another one.
+    /// A job changed from one terminal state to another state.
     #[serde(rename = "went_back")]
     TerminalStateChanged {
-        /// The job.
+        /// Id of the job.
         job: String,
     },
 }
 
 impl Violation {
-    /// The rule's name in the report.
+    /// Returns the name of the violated rule, as in the report.
     pub fn rule_name(&self) -> &'static str {
         match self {
             Violation::RanTwice { .. } => "ran_twice",
@@ -96,16 +97,16 @@
     }
 }
 
-/// What is on the workers now, and which rules were broken.
+/// Tracks the tasks that are on workers and records the violations found.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     jobs: HashMap<String, JobFacts>,
     limits: Vec<f64>,
-    /// Workers that each task is on.
+    /// Names of the workers that each task is on.
     task_workers: HashMap<String, Vec<String>>,
     used_cpus: Vec<f64>,
     cancelled: HashMap<String, CancelTimes>,
-    /// Cancelled jobs by the time at which their tasks must have stopped.
+    /// Cancelled jobs by the deadline by which their tasks must have stopped.
     stop_deadlines: BTreeMap<u64, Vec<String>>,
     violations: Vec<Violation>,
     events_checked: u64,
@@ -116,17 +117,17 @@
 }
 
 impl InvariantChecker {
-    /// A checker that has seen nothing. `limits`: CPUs that each team may use at most.
+    /// Creates a checker without events. `limits` is the maximum number of CPUs of each team.
     pub fn new(limits: Vec<f64>) -> InvariantChecker {
         InvariantChecker { used_cpus: vec![0.0; limits.len()], limits, ..InvariantChecker::default() }
     }
 
-    /// Records a job before it is submitted.
+    /// Records a job; must be called before the job is submitted.
     pub fn record_submission(&mut self, job: &str, facts: JobFacts) {
         self.jobs.insert(job.into(), facts);
     }
 
-    /// Records that a cancellation was confirmed; the first confirmation counts.
+    /// Records that a cancellation was confirmed; later confirmations of the same job are ignored.
     pub fn record_cancellation(&mut self, job: &str, when: CancelTimes) {
         if self.cancelled.contains_key(job) {
             return;
@@ -135,12 +136,12 @@
         self.stop_deadlines.entry(when.stopped_by_ms).or_default().push(job.into());
     }
 
-    /// Records that no controller knows an accepted job.
+    /// Records that a controller reported an accepted job as unknown.
     pub fn record_lost_job(&mut self, job: &str) {
         self.violations.push(Violation::LostJob { job: job.into() });
     }
 
-    /// Records that a job left its terminal state.
+    /// Records that a job left a terminal state.
     pub fn record_terminal_state_change(&mut self, job: &str) {
         self.violations.push(Violation::TerminalStateChanged { job: job.into() });
     }
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Checks that the tasks of cancelled jobs have stopped by their deadlines up to `now_ms`.
+    /// Checks the deadlines of cancelled jobs that lie before `now_ms`: all tasks of these jobs must have
+    /// stopped.
     pub fn advance_to(&mut self, now_ms: u64) {
         let later = self.stop_deadlines.split_off(&now_ms);
         let due = std::mem::replace(&mut self.stop_deadlines, later);
@@ -202,7 +204,7 @@
     fn add_cpu_use(&mut self, at_ms: u64, team: usize, cpus: f64) {
         let (Some(used), Some(limit)) = (self.used_cpus.get_mut(team), self.limits.get(team)) else { return };
         *used += cpus;
-        if *used > limit + SLACK_CPUS {
+        if *used > limit + CPU_TOLERANCE {
             self.violations.push(Violation::QuotaExceeded { at_ms, team, cpus: *used, limit: *limit });
         }
     }
@@ -221,23 +223,25 @@
         }
     }
 
-    /// How many tasks are on a worker.
+    /// Returns the number of tasks that are on a worker.
     pub fn tasks_on_workers(&self) -> usize {
         self.task_workers.len()
     }
 
-    /// CPUs that a team can still use under its limit, by what the workers saw.
+    /// Returns the CPUs that a team can still use before it reaches its limit, according to the workers'
+    /// events.
     pub fn free_cpus(&self, team: usize) -> f64 {
         let used = self.used_cpus.get(team).copied().unwrap_or(0.0);
         self.limits.get(team).map_or(0.0, |limit| limit - used)
     }
 
-    /// What was found, in the order of finding.
+    /// Returns the violations in the order in which they were found.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// How many events were checked.
+    /// Returns the number of events that were checked.
+
     pub fn events_checked(&self) -> u64 {
         self.events_checked
     }
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,10 +1,12 @@
-//! The scale run: the control plane at a planned size, on one machine.
+//! The scale test: runs the control plane at a planned size on one machine.
 //!
-//! Real controllers, as processes as they are deployed, and the real kv store with its file run on loopback with simulated
-//! workers: the worker's own code (`olivelatch-worker`) with simulated tasks, many workers in a process. An open-loop load
-//! follows a plan (HCL), faults come by time, and an independent checker judges what the simulated workers saw.
-//! `plan`, `arrivals`, `invariants` and `measurements` do no I/O and read no clock. No process outlives a run, and the run
-//! refuses to start where the machine is too small. docs/scale.md is the operators' page.
+//! Controllers run as the same processes that are deployed, next to the real kv store with its file, all on
+//! loopback. The workers are simulated: they use the worker's own code (`olivelatch-worker`) with simulated
+//! tasks, and one process holds many of them. An open-loop load follows a plan (an HCL file), faults are
+//! injected at the times that the plan sets, and an independent checker verifies the events that the
+//! simulated workers observed. `plan`, `arrivals`, `invariants` and `measurements` do no I/O and read no
+//! clock. No process outlives a run. A run refuses to start if the machine is too small for its plan.
+//! Operators find the documentation in docs/scale.md.
 
 #![warn(missing_docs)]
 
--- a/crates/scale-test/src/plan/mod.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! The plan of a scale run: an HCL file, checked before anything is started.
+//! The plan of a scale run: an HCL file that is validated before any process is started.
 
 mod validation;
 
@@ -13,35 +13,35 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a file cannot be used as a plan.
+/// The reason why a file cannot be used as a plan.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {error}")]
     Read {
-        /// The plan's file.
+        /// Path of the plan's file.
         file: String,
-        /// Why not.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// It is not HCL, or has unknown or missing fields.
+    /// The file is not valid HCL, or has unknown or missing fields.
     #[error("{file}: {problem}")]
     Hcl {
-        /// The plan's file.
+        /// Path of the plan's file.
         file: String,
-        /// What is wrong, with the line.
+        /// Description of the syntax error or field, with the line number.
         problem: String,
     },
-    /// A value is outside of its range.
+    /// A value is out of range.
     #[error("{file}: {field}: expected {expected}, not {found}")]
     InvalidValue {
-        /// The plan's file.
+        /// Path of the plan's file.
         file: String,
-        /// Block and field.
+        /// Names of the block and the field.
         field: String,
-        /// Values that are allowed.
+        /// Range or list of the allowed values.
         expected: String,
-        /// The value in the plan.
+        /// Value in the plan.
         found: String,
     },
 }
@@ -50,31 +50,31 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineTypePlan {
-    /// CPUs of a machine.
+    /// CPUs of one machine.
     pub cpus: f64,
-    /// Memory of a machine in GB.
+    /// Memory of one machine in GB.
     pub memory_gb: f64,
-    /// How fast a machine fetches images.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Seconds from the request for a machine until it is up.
     pub boot_s: f64,
-    /// Machines that a zone has room for.
+    /// Maximum number of machines of this type in a zone.
     pub per_zone: usize,
-    /// Of these, how many are up when the run begins.
+    /// Number of machines of this type in a zone that are up when the run begins.
     pub up_at_start: usize,
 }
 
-/// Teams, the largest first: shares fall off as one over the rank.
+/// The teams, ordered by size: a team's share is proportional to 1/rank, so the first team is the largest.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamsPlan {
     /// Number of teams.
     pub count: usize,
-    /// CPUs guaranteed to all teams together.
+    /// Sum of the CPUs guaranteed to the teams.
     pub guaranteed_cpus: f64,
-    /// A team's limit: so many times its guarantee, and at least `least_limit_cpus`.
+    /// A team's limit is its guarantee times this factor, but at least `least_limit_cpus`.
     pub limit_factor: f64,
-    /// Least limit of a team, in CPUs.
+    /// Minimum limit of a team, in CPUs.
     #[serde(rename = "least_limit_cpus")]
     pub min_limit_cpus: f64,
 }
@@ -83,9 +83,9 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PhasePlan {
-    /// Its length.
+    /// Length of the phase in seconds.
     pub seconds: f64,
-    /// Task starts a second that the arriving jobs need, on average.
+    /// Mean number of task starts per second that the arriving jobs need.
     pub starts_per_s: f64,
 }
 
@@ -93,81 +93,83 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobPlan {
-    /// Batch, gang or another kind that the scheduler knows.
+    /// Job kind that the scheduler distinguishes, such as array or gang.
     pub shape: JobKind,
     /// Priority class of the jobs.
     pub urgency: PriorityClass,
-    /// Part of all task starts that jobs of this kind need.
+    /// Fraction of all task starts that belong to jobs of this kind, from 0 to 1.
     pub share: f64,
-    /// Numbers of tasks, one drawn for each job.
+    /// Possible numbers of tasks; one is drawn for each job.
     pub tasks: Vec<u32>,
-    /// CPUs of a task.
+    /// CPUs of one task.
     pub cpus: f64,
-    /// Memory of a task in GB.
+    /// Memory of one task in GB.
     pub memory_gb: f64,
-    /// Least and longest run time of a job's tasks, in seconds.
+    /// Minimum and maximum run time of a job's tasks, in seconds.
     pub run_s: [f64; 2],
-    /// All tasks of a job must be in the same zone.
+    /// Whether all tasks of a job must run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
     /// Size of an image in GB.
     pub image_gb: f64,
-    /// Number of different images, one drawn for each job.
+    /// Number of different images; one is drawn for each job.
     pub images: u32,
-    /// Seconds within which most jobs of the kind should be done: the controllers provision machines by it.
+    /// Objective for this kind: the seconds within which most of its jobs should be done. The controllers
+    /// provision machines to meet it.
     #[serde(default)]
     #[serde(rename = "done_within_s")]
     pub objective_s: Option<f64>,
-    /// Part of the jobs that their users cancel.
+    /// Fraction of the jobs that their users cancel, from 0 to 1.
     #[serde(default)]
     #[serde(rename = "cancelled")]
     pub cancelled_share: f64,
 }
 
-/// A fault, when it begins (seconds of the load) and when it ends.
+/// A fault. Its times are in seconds; `at_s` counts from the beginning of the load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// The leader's process is killed, and started again after `back_s`.
+    /// Kills the leader's process and starts it again after `back_s`.
     KillLeader {
-        /// When it begins.
+        /// Time at which the fault begins.
         at_s: f64,
-        /// Seconds until the restart.
+        /// Seconds from the kill to the restart.
         back_s: f64,
     },
-    /// A share of the workers is lost with all their tasks; the cloud has no room for others until `back_s` later.
+    /// Fails a share of the machines with all their tasks and reduces the cloud's capacity by the same share
+    /// until `back_s` later.
     KillWorkers {
-        /// When it begins.
+        /// Time at which the fault begins.
         at_s: f64,
-        /// Part of the workers, from 0 to 1.
+        /// Fraction of the machines that fail, from 0 to 1.
         share: f64,
-        /// Seconds until the cloud has its capacity again.
+        /// Seconds until the capacity of the cloud is restored.
         back_s: f64,
     },
-    /// A controller's process is paused.
+    /// Pauses a controller's process.
     #[serde(rename = "freeze")]
     PauseController {
-        /// When it begins.
+        /// Time at which the fault begins.
         at_s: f64,
-        /// The leader's process, or else a follower's.
+        /// Whether the leader is paused (true) or a follower (false).
         leader: bool,
-        /// Its length in seconds.
+        /// Length of the pause in seconds.
         for_s: f64,
     },
-    /// The workers of these zones neither reach a controller nor are reached.
+    /// Partitions zones: their workers cannot reach any controller, and no controller can reach them.
     #[serde(rename = "cut_zones")]
     PartitionZones {
-        /// When it begins.
+        /// Time at which the fault begins.
         at_s: f64,
         /// Names of the zones.
         zones: Vec<String>,
-        /// Its length in seconds.
+        /// Length of the partition in seconds.
         for_s: f64,
     },
 }
 
 impl FaultKind {
-    /// When it begins, in seconds from the begin of the load.
+    /// Returns the time at which the fault begins, in seconds from the beginning of the load.
     pub fn at_s(&self) -> f64 {
         match self {
             FaultKind::KillLeader { at_s, .. }
@@ -178,28 +180,28 @@
     }
 }
 
-/// A fault built into the simulated workers, to show that the checker detects it.
+/// A defect that the simulated workers have on purpose, to test that the checker detects its effects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Defect {
-    /// Heartbeats leave out the tasks that are on the machine.
+    /// Heartbeats omit the tasks that are on the machine.
     HideTasks,
-    /// Commands to stop a task are not carried out.
+    /// Commands to stop a task are ignored.
     #[serde(rename = "ignore_halts")]
     IgnoreStops,
 }
 
-/// Changes of team limits while the load runs.
+/// A series of changes to team limits during the load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangesPlan {
-    /// When they begin, in seconds from the begin of the load.
+    /// Start of the series, in seconds from the beginning of the load.
     pub from_s: f64,
-    /// When they end, in seconds from the begin of the load.
+    /// End of the series, in seconds from the beginning of the load.
     pub to_s: f64,
-    /// Seconds between two changes, or between two bursts.
+    /// Seconds between two bursts of changes.
     pub every_s: f64,
-    /// Changes made at once.
+    /// Number of changes requested at the same time in each burst.
     pub burst: usize,
 }
 
@@ -207,7 +209,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of all random generators of the run.
+    /// Seed of all random number generators of the run.
     pub seed: u64,
     /// Number of controllers.
     pub controllers: usize,
@@ -216,24 +218,24 @@
     /// Machine types by name.
     #[serde(rename = "machine")]
     pub machines: IndexMap<String, MachineTypePlan>,
-    /// The teams.
+    /// Number of teams, and their guarantees and limits.
     pub teams: TeamsPlan,
     /// Timings of heartbeats, leases and gangs.
     pub workers: WorkerTimings,
     /// Limits of the kv store.
     pub state: KvLimits,
-    /// Rate limit of the cloud.
+    /// Rate limit of the cloud, in requests per second.
     pub cloud_requests_per_s: f64,
-    /// What a controller's process may use.
+    /// Resources that a controller's process may use.
     pub quota: ControllerQuota,
-    /// The controllers' tunables (HCL).
+    /// Content of the controllers' tunables file (HCL).
     pub tunables: String,
-    /// Seconds that the controllers get to find the machines before the load begins.
+    /// Seconds that the controllers get to discover the machines before the load begins.
     pub settle_s: f64,
     /// Phases of the load by name, in order.
     #[serde(rename = "phase")]
     pub phases: IndexMap<String, PhasePlan>,
-    /// Seconds after the last phase in which unfinished jobs may complete.
+    /// Maximum time in seconds that the run waits after the last phase for unfinished jobs to complete.
     pub drain_s: f64,
     /// Kinds of jobs by name.
     #[serde(rename = "job")]
@@ -244,12 +246,12 @@
     /// Series of configuration changes by name.
     #[serde(rename = "change", default)]
     pub changes: IndexMap<String, ChangesPlan>,
-    /// A fault built into the simulated workers.
+    /// Defect of the simulated workers, if the run tests the checker.
     #[serde(default)]
     pub defect: Option<Defect>,
 }
 
-/// How far the cloud's list of machines lags behind its state.
+/// Seconds by which the cloud's list of machines lags behind its state.
 const LIST_LAG_S: f64 = 0.5;
 
 impl Plan {
@@ -257,7 +259,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, is no plan, or asks for more than a run may use.
+    /// The file cannot be read, is not a valid plan, or has a value that is out of range.
     pub fn load(path: &Path) -> Result<Plan, PlanError> {
         let file = path.display().to_string();
         let text =
@@ -265,11 +267,11 @@
         Plan::parse(&file, &text)
     }
 
-    /// Parses and checks a plan; `file` is named in errors.
+    /// Parses and validates a plan; `file` is the file name shown in errors.
     ///
     /// # Errors
     ///
-    /// The text is no plan, or asks for more than a run may use.
+    /// The text is not a valid plan, or has a value that is out of range.
     pub fn parse(file: &str, text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = hcl::from_str(text).map_err(|error| PlanError::Hcl {
             file: file.into(),
@@ -284,22 +286,23 @@
         Ok(plan)
     }
 
-    /// Seconds of all phases together.
+    /// Returns the length of the load in seconds: the sum of all phases.
     pub fn load_s(&self) -> f64 {
         self.phases.values().map(|phase| phase.seconds).sum()
     }
 
-    /// Number of processes: controllers, one of simulated workers for each zone, the kv store, the run itself.
+    /// Returns the number of processes: the controllers, one process of simulated workers per zone, the kv
+    /// store and the run itself.
     pub fn processes(&self) -> usize {
         self.controllers + self.zones.len() + 2
     }
 
-    /// Workers that the zones have room for.
+    /// Returns the maximum number of workers in all zones together.
     pub fn max_workers(&self) -> usize {
         self.machines.values().map(|machine| machine.per_zone * self.zones.len()).sum()
     }
 
-    /// Name, guarantee and limit of each team, the largest first.
+    /// Returns the name, guarantee and limit of each team, ordered from the largest to the smallest.
     pub fn team_plans(&self) -> Vec<TeamSettings> {
         let weight = |rank: usize| 1.0 / (rank + 1) as f64;
         let total_weight: f64 = (0..self.teams.count).map(weight).sum();
@@ -311,7 +314,7 @@
         (0..self.teams.count).map(team).collect()
     }
 
-    /// The platform as the controllers' settings describe it.
+    /// Returns the platform from which the controllers' settings are written.
     pub fn platform(&self) -> Platform {
         Platform {
             zones: self.zones.clone(),
@@ -332,7 +335,7 @@
         self.jobs.iter().filter_map(objective).collect()
     }
 
-    /// The machine types of the simulated cloud.
+    /// Returns the machine types of the simulated cloud.
     pub fn machine_types(&self) -> Vec<MachineTypeSpec> {
         let machine_type = |(name, machine): (&String, &MachineTypePlan)| MachineTypeSpec {
             name: name.clone(),
@@ -349,7 +352,7 @@
     }
 }
 
-/// The name of a team by its rank.
+/// Returns the name of the team with this rank; rank 0 is the largest team.
 pub fn team_name(rank: usize) -> String {
     format!("team-{rank:03}")
 }
--- a/crates/scale-test/src/plan/validation.rs
+++ b/crates/scale-test/src/plan/validation.rs
@@ -1,11 +1,11 @@
-//! Ranges of a plan's values, so that no run is started that could not be played.
+//! Checks that the values of a plan are in range, so that no run starts that could not be carried out.
 
 use super::{FaultKind, Plan};
 
-/// Processes that a run may start.
+/// Maximum number of processes that a run may start.
 const MAX_PROCESSES: usize = 200;
 
-/// A value outside of its range.
+/// A value that is out of range.
 pub(super) struct InvalidValue {
     pub(super) field: String,
     pub(super) expected: String,
@@ -13,7 +13,7 @@
 }
 
 impl Plan {
-    /// Checks all values; the first one outside of its range is returned.
+    /// Checks all values and returns the first one that is out of range as the error.
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         self.validate_sizes()?;
         self.validate_machines()?;
