--- a/crates/scale-test/src/arrivals.rs
+++ b/crates/scale-test/src/arrivals.rs
@@ -1,5 +1,6 @@
-//! Which jobs arrive when: an open loop, so arrivals never wait for responses. Seeded: the same plan gives the same jobs.
-//! Does no I/O and reads no clock.
+//! Draws the jobs of the load and their arrival times. The load is an open loop: arrivals never wait for
+//! responses. The random number generator is seeded, so the same plan gives the same jobs. Does no I/O and
+//! reads no clock.
 
 use olivelatch::protocol::users::JobKind;
 use rand::rngs::StdRng;
@@ -9,36 +10,37 @@
 use crate::control::SimulatedJob;
 use crate::plan::{JobPlan, PhasePlan, Plan, team_name};
 
-/// Least time from the submission of a job to its cancellation, and the length of the window from which that is drawn.
+/// Minimum time from a job's submission to its cancellation, and the length of the window after it in which
+/// the cancellation time is drawn.
 const CANCEL_AFTER_MS: u64 = 2_000;
 const CANCEL_WINDOW_MS: u64 = 20_000;
-/// How long a task takes to save a checkpoint when it is stopped.
+/// Time that a task takes to save a checkpoint when it is stopped.
 const CHECKPOINT_MS: u64 = 500;
 
-/// A job that arrives. Times are milliseconds from the begin of the load.
+/// A job that arrives. Times are in milliseconds from the beginning of the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When the job is submitted.
+    /// Planned time of the submission.
     pub at_ms: u64,
-    /// Its id.
+    /// Id of the job.
     pub job: String,
-    /// The kind of job: its name in the plan.
+    /// Class of the job: the name of its kind in the plan.
     pub class: String,
-    /// Rank of its team.
+    /// Rank of the team that owns the job; 0 is the largest team.
     pub team: usize,
-    /// Number of its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs of one task.
     pub cpus: f64,
-    /// What the user sends to a controller.
+    /// Body of the submission that the user sends to a controller.
     pub submission: Value,
-    /// What the workers know of the job.
+    /// Description of the job that is sent to the workers.
     pub description: SimulatedJob,
-    /// When its user cancels it.
+    /// Earliest time at which the user cancels the job; `None` if the user does not cancel it.
     pub cancel_at_ms: Option<u64>,
 }
 
-/// The arrivals of one kind of job.
+/// The sequence of arrivals of one kind of job.
 struct ArrivalStream {
     class: String,
     plan: JobPlan,
@@ -46,11 +48,11 @@
     next_arrival_ms: f64,
 }
 
-/// All arrivals of a plan, in the order of their times.
+/// All arrivals of a plan, in time order.
 pub struct Arrivals {
     rng: StdRng,
     streams: Vec<ArrivalStream>,
-    /// End and starts a second of each phase.
+    /// End of each phase in milliseconds, and its task starts per second.
     phase_rates: Vec<(f64, f64)>,
     /// Cumulative weights of the teams.
     cumulative_team_weights: Vec<f64>,
@@ -58,7 +60,7 @@
 }
 
 impl Arrivals {
-    /// The arrivals of a plan, from the begin of the load.
+    /// Creates the arrivals of a plan, from the beginning of the load.
     pub fn new(plan: &Plan) -> Arrivals {
         let mut arrivals = Arrivals {
             rng: StdRng::seed_from_u64(plan.seed),
@@ -78,13 +80,15 @@
         arrivals
     }
 
-    /// Jobs a second of a stream at a time, and when that next changes.
+    /// Returns the jobs per second of a stream at a time, and the end of the phase, when this rate next
+    /// changes; `None` after the last phase.
     fn arrival_rate(&self, stream: &ArrivalStream, at_ms: f64) -> Option<(f64, f64)> {
         let (end_ms, starts_per_s) = self.phase_rates.iter().find(|(end_ms, _)| at_ms < *end_ms)?;
         Some((starts_per_s * stream.plan.share / stream.mean_tasks, *end_ms))
     }
 
-    /// Draws the stream's next arrival; gaps are exponential within a phase.
+    /// Draws the stream's next arrival time; the gaps between arrivals are exponentially distributed within a
+    /// phase.
     fn advance(&mut self, stream: &mut ArrivalStream) {
         loop {
             let Some((per_s, end_ms)) = self.arrival_rate(stream, stream.next_arrival_ms) else {
@@ -97,12 +101,13 @@
                 stream.next_arrival_ms += gap_ms;
                 return;
             }
-            // Exponential gaps are memoryless: the gap is drawn anew from where the rate changes.
+            // The exponential distribution is memoryless, so the gap can be drawn again from the time at
+            // which the rate changes.
             stream.next_arrival_ms = end_ms;
         }
     }
 
-    /// The next job that arrives up to this time.
+    /// Removes and returns the next job that arrives at `now_ms` or earlier.
     pub fn pop_due(&mut self, now_ms: u64) -> Option<Arrival> {
         let index = (0..self.streams.len())
             .min_by(|a, b| self.streams[*a].next_arrival_ms.total_cmp(&self.streams[*b].next_arrival_ms))?;
@@ -161,7 +166,7 @@
     }
 }
 
-/// End in milliseconds and task starts a second of each phase.
+/// Returns the end of each phase in milliseconds, and its task starts per second.
 fn phase_rates(plan: &Plan) -> Vec<(f64, f64)> {
     let mut end_ms = 0.0;
     let rate = |phase: &PhasePlan| {
@@ -171,7 +176,7 @@
     plan.phases.values().map(rate).collect()
 }
 
-/// Sums of the teams' weights, which are one over the rank.
+/// Returns the cumulative sums of the teams' weights; the weight of the n-th largest team is 1/n.
 fn cumulative_team_weights(teams: usize) -> Vec<f64> {
     let mut sum = 0.0;
     let add_weight = |rank: usize| {
@@ -181,7 +186,7 @@
     (0..teams).map(add_weight).collect()
 }
 
-/// What the user sends to a controller, in the words of the protocol.
+/// Returns the body of the submission that the user sends to a controller.
 fn submission(stream: &ArrivalStream, job: &SimulatedJob, team: usize, run_s: f64) -> Value {
     let plan = &stream.plan;
     json!({"uid": job.job, "jobclass": stream.class, "owner": team_name(team), "shape": plan.shape,
--- a/crates/scale-test/src/changes.rs
+++ b/crates/scale-test/src/changes.rs
@@ -1,5 +1,5 @@
-//! Operators of a run: they change team limits at planned times and wait until each change is in force. Decides; does no
-//! I/O and reads no clock.
+//! The simulated operators of a run, who change team limits at planned times and poll until each change is in
+//! force. Decides which requests to send; does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
 use crate::measurements::{ConfigChangeLatency, LatencyHistogram};
 use crate::plan::ChangesPlan;
 
-/// The operators' objective: within this a change is in force everywhere.
+/// The operators' objective: a change is in force everywhere within this time.
 const OBJECTIVE_MS: u64 = 3_000;
-/// HTTP status of a request above a rate limit, which is repeated.
+/// HTTP status of a request that exceeded a rate limit; the request is retried.
 const TOO_MANY_REQUESTS: u16 = 429;
 const REQUEST_TIMEOUT_MS: u64 = 4_000;
 const RETRY_MS: u64 = 200;
-/// Least part of its platform limit that a team's limit is lowered to.
+/// A change sets a team's limit to at least this fraction of its limit in the plan.
 const MIN_LIMIT_SHARE: f64 = 0.9;
 
 /// A change that was requested.
@@ -28,30 +28,32 @@
     team: usize,
     request: ConfigChangeRequest,
     requested_at: u64,
+    /// Time at which the next request is due; `None` while one is in flight and after the last one.
     next_attempt: Option<u64>,
+    /// Version of the configuration entry that contains the change, once the change is accepted.
     version: Option<u64>,
-    /// Requests so far; each goes to the next controller in turn.
+    /// Number of requests sent so far; each goes to the next controller in turn.
     attempts: usize,
     finished: bool,
 }
 
-/// A request that goes out now.
+/// A request of an operator that is due.
 pub struct ChangeRequestToSend {
     /// Index of the change.
     pub change: usize,
-    /// Index of the controller that gets it, modulo the number of controllers.
+    /// Index of the controller to send to; the caller takes it modulo the number of controllers.
     pub controller: usize,
     /// HTTP method.
     pub method: &'static str,
     /// Path and query of the URL.
     pub path: String,
-    /// JSON, or empty.
+    /// JSON body, or empty.
     pub body: Vec<u8>,
-    /// Time of the run after which the request is repeated.
+    /// Time of the run at which the request times out and is retried.
     pub deadline_ms: u64,
 }
 
-/// What was measured of a series.
+/// Measurements of one series of changes.
 #[derive(Default)]
 struct SeriesMeasurements {
     requested: u64,
@@ -62,11 +64,11 @@
     in_force_times: LatencyHistogram,
 }
 
-/// All changes of a run.
+/// All configuration changes of a run.
 pub struct ConfigChanges {
     plans: IndexMap<String, ChangesPlan>,
     teams: Vec<TeamSettings>,
-    /// When each series comes next, from the begin of the load.
+    /// Time of the next burst of each series, in milliseconds from the beginning of the load.
     next_ms: Vec<f64>,
     changes: Vec<ConfigChange>,
     series: BTreeMap<String, SeriesMeasurements>,
@@ -74,7 +76,7 @@
 }
 
 impl ConfigChanges {
-    /// No changes yet.
+    /// Creates the series of the plan, without changes yet.
     pub fn new(plans: &IndexMap<String, ChangesPlan>, teams: Vec<TeamSettings>, seed: u64) -> ConfigChanges {
         ConfigChanges {
             next_ms: plans.values().map(|plan| plan.from_s * 1000.0).collect(),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Requests that are due; `load_ms`: the time since the begin of the load.
+    /// Returns the requests that are due. `load_ms` is the time since the beginning of the load.
     pub fn due_requests(&mut self, now: u64, load_ms: u64) -> Vec<ChangeRequestToSend> {
         for index in 0..self.plans.len() {
             let Some((name, plan)) =
@@ -129,7 +131,8 @@
         });
     }
 
-    /// The change itself, or, once that is accepted, a poll of whether it is in force.
+    /// Returns the request of the change itself, or, once the change is accepted, a poll whether it is in
+    /// force.
     fn next_request(&mut self, index: usize, now: u64) -> ChangeRequestToSend {
         let change = &mut self.changes[index];
         change.next_attempt = None;
@@ -178,12 +181,12 @@
         series.past_objective += u64::from(elapsed_ms > OBJECTIVE_MS);
     }
 
-    /// Changes that are not in force yet.
+    /// Returns the number of changes that are neither in force nor refused.
     pub fn unfinished(&self) -> usize {
         self.changes.iter().filter(|change| !change.finished).count()
     }
 
-    /// What was measured, by series of the plan.
+    /// Returns the measurements by the name of the series in the plan.
     pub fn measurements(&self) -> BTreeMap<String, ConfigChangeLatency> {
         let summarize = |(name, series): (&String, &SeriesMeasurements)| {
             let latency = ConfigChangeLatency {
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud of a run: the simulated cloud of a local region, whose machines are simulated workers.
+//! The cloud of a run: the simulated cloud of `olivelatch-local-cluster`, whose machines run simulated
+//! workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,25 +9,26 @@
 use crate::control::{SimulatedMachine, ZoneCommand};
 use crate::plan::Plan;
 
-/// Machines that share the first three octets of their addresses, and such blocks that share the first two.
-const MACHINES_PER_OCTET: usize = 250;
-/// The second octet of the first machine's loopback address.
-const FIRST_OCTET: usize = 64;
+/// Number of values used in each of the last two octets of the machines' addresses: machines in a block of
+/// addresses that share three octets, and such blocks that share two octets.
+const VALUES_PER_OCTET: usize = 250;
+/// Second octet of the loopback addresses of the first machines.
+const BASE_SECOND_OCTET: usize = 64;
 
-/// The cloud, and the machines of it that the zones' processes know.
+/// The simulated cloud, and the machines that the zones' processes have been told to boot.
 pub struct TestCloud {
     cloud: Cloud,
     zones: Vec<String>,
-    /// The port of every worker; each has an address of its own.
+    /// Port of all workers; each worker has its own IP address.
     port: u16,
-    /// The zones of the machines that are up, by the machines' names.
+    /// Index of the zone of each machine that was booted and not removed since, by the machine's name.
     machine_zones: BTreeMap<String, usize>,
-    /// Requests of controllers.
+    /// Number of requests received from controllers.
     pub requests: u64,
 }
 
 impl TestCloud {
-    /// The cloud of a plan, with the machines that are up from the start.
+    /// Creates the cloud of a plan, with the machines that are up from the start.
     pub fn new(plan: &Plan, port: u16) -> TestCloud {
         let mut cloud = Cloud::default();
         cloud.machine_types = plan.machine_types();
@@ -40,13 +42,14 @@
         TestCloud { cloud, zones: plan.zones.clone(), port, machine_zones: BTreeMap::new(), requests: 0 }
     }
 
-    /// Carries out a controller's request.
+    /// Carries out a controller's request; returns the status and the body of the response.
     pub fn handle_request(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> (u16, Value) {
         self.requests += 1;
         self.cloud.handle_request(method, path, body, now)
     }
 
-    /// Commands for machines that have booted or were removed since the last call, with the position of their zone.
+    /// Returns the commands for machines that have booted or were removed since the last call, with the index
+    /// of the zone for each.
     pub fn machine_changes(&mut self, now: u64) -> Vec<(usize, ZoneCommand)> {
         let mut commands = Vec::new();
         for index in 0..self.cloud.machines.len() {
@@ -62,7 +65,7 @@
                 commands.push((zone, ZoneCommand::Boot(simulated)));
             }
         }
-        for name in self.vanished_machines() {
+        for name in self.removed_machines() {
             if let Some(zone) = self.machine_zones.remove(&name) {
                 commands.push((zone, ZoneCommand::Remove(name)));
             }
@@ -71,7 +74,7 @@
         commands
     }
 
-    fn vanished_machines(&self) -> Vec<String> {
+    fn removed_machines(&self) -> Vec<String> {
         let machines = self.cloud.machines.iter().filter(|machine| !machine.failed);
         let existing: BTreeSet<&str> = machines.map(|machine| machine.name.as_str()).collect();
         self.machine_zones.keys().filter(|name| !existing.contains(name.as_str())).cloned().collect()
@@ -91,7 +94,7 @@
         })
     }
 
-    /// A share of the machines fails, spread evenly, and the cloud's capacity shrinks by the same share.
+    /// Fails a share of the machines, spread evenly, and reduces the cloud's capacity by the same share.
     pub fn fail_machines(&mut self, share: f64) {
         let mut to_fail = 0.0;
         for machine in self.cloud.machines.iter_mut().filter(|machine| !machine.failed) {
@@ -107,24 +110,25 @@
         }
     }
 
-    /// The cloud has the capacity of the plan again.
+    /// Restores the capacity of the plan.
     pub fn restore_capacity(&mut self, plan: &Plan) {
         self.cloud.machine_types = plan.machine_types();
     }
 
-    /// The zone's process was started again and knows no machine.
+    /// Forgets the machines of a zone whose process lost its commands, so that they are booted again.
     pub fn clear_zone(&mut self, zone: usize) {
         self.machine_zones.retain(|_, other| *other != zone);
     }
 }
 
-/// The loopback address of a machine, by the number in its name.
+/// Returns the loopback address and port of a machine's worker, derived from the number in the machine's
+/// name.
 fn machine_address(name: &str, port: u16) -> String {
     let number: usize = name.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0);
-    let (block, last_octet) = (number / MACHINES_PER_OCTET, number % MACHINES_PER_OCTET + 1);
+    let (block, last_octet) = (number / VALUES_PER_OCTET, number % VALUES_PER_OCTET + 1);
     format!(
         "127.{}.{}.{last_octet}:{port}",
-        FIRST_OCTET + block / MACHINES_PER_OCTET,
-        block % MACHINES_PER_OCTET
+        BASE_SECOND_OCTET + block / VALUES_PER_OCTET,
+        block % VALUES_PER_OCTET
     )
 }
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -1,4 +1,4 @@
-//! How a scale run fails.
+//! The errors of a scale run.
 
 use std::io;
 
@@ -7,40 +7,40 @@
 
 use crate::plan::PlanError;
 
-/// Why a run could not be started or continued.
+/// The reason why a run could not be started or continued.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// A file, a socket or a process.
+    /// An operation on a file, a socket or a process failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was being done.
+        /// The operation or the file that failed.
         what: String,
-        /// Why it failed.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The plan is wrong.
+    /// The plan cannot be read or is invalid.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// The kv store's file.
+    /// The kv store's file cannot be opened or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The machine is too small for the plan.
+    /// The machine is too small for the plan, or the processes use more memory than the limit.
     #[error("refused: {0}")]
     Refused(String),
-    /// A process of the run does not respond, or ended by itself.
+    /// A process of the run does not respond, exited unexpectedly, or received an invalid address.
     #[error("{0}")]
     Process(String),
-    /// A message between processes of the run, or a file, is not as expected.
+    /// A message between processes of the run, or the report, cannot be converted to or from JSON.
     #[error("{what}: {error}")]
     Json {
-        /// Which one.
+        /// The message or the file.
         what: String,
-        /// Why not.
+        /// Error of the JSON conversion.
         error: serde_json::Error,
     },
 }
 
-/// An error with what was being done when an operation failed.
+/// Returns a function that wraps an I/O error; `what` names the operation or the file that failed.
 pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> ScaleError {
     let what = what.into();
     move |error| ScaleError::Io { what, error }
--- a/crates/scale-test/src/html_report.rs
+++ b/crates/scale-test/src/html_report.rs
@@ -1,4 +1,4 @@
-//! The report as an HTML page with plots over time. Does no I/O.
+//! Renders the report as an HTML page with plots over time. Does no I/O.
 
 use std::fmt::Write as _;
 
@@ -6,12 +6,12 @@
 
 use crate::measurements::{RunReport, SecondSample};
 
-/// Width and height of a plot, in pixels as the sizes below.
+/// Width and height of a plot. All sizes are in pixels.
 const SIZE: (u32, u32) = (900, 260);
 const MARGIN: u32 = 10;
 const LABELS_WIDTH: u32 = 70;
 const LABELS_HEIGHT: u32 = 30;
-/// Least value at the top of a plot, and the room above the highest value.
+/// Minimum of the top value of a plot's y axis, and the factor by which the axis exceeds the highest value.
 const MIN_HEIGHT: f64 = 1e-3;
 const HEADROOM: f64 = 1.05;
 const FONT: (&str, u32) = ("sans-serif", 16);
@@ -32,29 +32,29 @@
 
 fn plots() -> [Plot; 4] {
     [
-        ("Task starts a second", vec![plot_line("starts", BLUE, |second| second.starts as f64)]),
+        ("Task starts per second", vec![plot_line("starts", BLUE, |second| second.starts as f64)]),
         (
             "Tasks",
             vec![
-                plot_line("on workers", BLUE, |second| second.running as f64),
+                plot_line("on machines", BLUE, |second| second.running as f64),
                 plot_line("waiting", RED, |second| second.waiting.max(0) as f64),
             ],
         ),
         ("Workers", vec![plot_line("workers", BLUE, |second| second.workers as f64)]),
         (
-            "Processor time, shares of a core",
+            "Processor time, fractions of a core",
             vec![
                 plot_line("leader", RED, |second| second.leader_cpu),
                 plot_line("all controllers", BLUE, |second| second.controllers_cpu),
-                plot_line("state service", GREEN, |second| second.state_cpu),
-                plot_line("hollow workers", BLACK, |second| second.workers_cpu),
+                plot_line("kv store", GREEN, |second| second.state_cpu),
+                plot_line("simulated workers", BLACK, |second| second.workers_cpu),
                 plot_line("load", MAGENTA, |second| second.load_cpu),
             ],
         ),
     ]
 }
 
-/// The page: the table, and a plot of each kind of measurement.
+/// Returns the page: the text table of the report and the plots.
 pub fn render_page(report: &RunReport) -> String {
     let mut html = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Scale run</title>\n\
@@ -73,12 +73,12 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The plot as SVG, or the reason why there is none.
+/// Returns the plot as SVG, or a paragraph with the error if it cannot be drawn.
 fn render_plot(seconds: &[SecondSample], lines: &[PlotLine]) -> String {
     let mut svg = String::new();
     match draw_plot(&mut svg, seconds, lines) {
         Ok(()) => svg,
-        Err(error) => format!("<p>no plot: {}</p>", escape_html(&error.to_string())),
+        Err(error) => format!("<p>the plot could not be drawn: {}</p>", escape_html(&error.to_string())),
     }
 }
 
--- a/crates/scale-test/src/invariants.rs
+++ b/crates/scale-test/src/invariants.rs
@@ -241,7 +241,6 @@
     }
 
     /// Returns the number of events that were checked.
-
     pub fn events_checked(&self) -> u64 {
         self.events_checked
     }
--- a/crates/scale-test/src/kv_store.rs
+++ b/crates/scale-test/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The kv store of a run as a process of its own, with the real engine and the real file.
+//! The process that runs the kv store of a run, with the real engine and the real file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,22 +20,22 @@
 /// The arguments of the kv store's process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KvStoreArguments {
-    /// Where it serves controllers.
+    /// Address at which the store serves controllers.
     pub address: SocketAddr,
-    /// Where the run requests measurements.
+    /// Address at which the run requests measurements.
     pub control: SocketAddr,
-    /// The state file.
+    /// Path of the store's file.
     pub file: PathBuf,
-    /// The start of the run, as Unix time in ms.
+    /// Start of the run, in Unix time in milliseconds.
     pub epoch_ms: u64,
-    /// Requests per second.
+    /// Rate limit of requests per second.
     pub requests_per_s: f64,
-    /// Changes per second.
+    /// Rate limit of mutations per second.
     #[serde(rename = "changes_per_s")]
     pub mutations_per_s: f64,
-    /// The largest value.
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
-    /// Changes of one transaction.
+    /// Maximum number of mutations in a transaction.
     #[serde(rename = "txn_changes")]
     pub txn_mutations: usize,
 }
@@ -43,7 +43,8 @@
 const KV_LISTENER: ListenerId = ListenerId(0);
 const CONTROL_LISTENER: ListenerId = ListenerId(1);
 const POLL_MS: u64 = 20;
-/// Without a request of the run for so long, the process ends.
+/// The process exits if it has received no request from the run for this long, because the run has then
+/// ended.
 const CONTROL_TIMEOUT_MS: u64 = 15_000;
 const LEADER_KEY: &str = "olivelatch/leader";
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -53,18 +54,19 @@
     engine: KvEngine,
     file: StoreFile,
     measurements: KvMeasurements,
-    /// Responses that wait for the next commit.
+    /// Responses that are sent after the next commit.
     pending_responses: Vec<(ConnectionId, u16, Value)>,
-    /// When the run last requested measurements.
+    /// Time at which the run last requested measurements.
     last_control_request_at: u64,
 }
 
-/// Serves the kv store until the run ends. A response goes out only after its changes are on disk.
+/// Serves the kv store until the run ends. A response is sent only after its mutations are on disk.
 ///
 /// # Errors
-/// An address is taken, or the file or the poller fails.
+///
+/// An address is already in use, or an operation on the store's file or on the sockets fails.
 pub fn serve_kv_store(arguments: KvStoreArguments) -> Result<(), ScaleError> {
-    let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
+    let poller = Arc::new(EventPoller::new().map_err(io_error("creating the socket poller"))?);
     let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
     for (address, listener) in [(arguments.address, KV_LISTENER), (arguments.control, CONTROL_LISTENER)] {
         server.listen(&mut keys, address, listener).map_err(io_error(format!("listening on {address}")))?;
@@ -89,7 +91,7 @@
     let mut events = Events::new();
     while process.clock.now() < process.last_control_request_at + CONTROL_TIMEOUT_MS {
         events.clear();
-        poller.wait(&mut events, Duration::from_millis(POLL_MS)).map_err(io_error("the poller"))?;
+        poller.wait(&mut events, Duration::from_millis(POLL_MS)).map_err(io_error("polling sockets"))?;
         let now = process.clock.now();
         let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
         for key in ready {
@@ -104,7 +106,7 @@
 }
 
 impl KvStoreProcess {
-    /// Carries out a request and those that follow it on its connection.
+    /// Carries out a request and the requests that have already arrived after it on the same connection.
     fn handle_requests(
         &mut self,
         server: &mut HttpServer,
@@ -138,7 +140,7 @@
         measurements
     }
 
-    /// Writes all changes to disk, then sends the responses that report them.
+    /// Writes all mutations to disk, then sends the responses that acknowledge them.
     fn commit(&mut self, server: &mut HttpServer, poller: &EventPoller) -> Result<(), ScaleError> {
         while !self.pending_responses.is_empty() {
             let deltas = self.engine.take_deltas();
@@ -151,7 +153,7 @@
                 self.handle_requests(server, next, poller);
             }
         }
-        // Expired leases have changes without a request.
+        // Lease expiry causes mutations without a request.
         let deltas = self.engine.take_deltas();
         self.file.commit(&deltas, &[])?;
         Ok(())
--- a/crates/scale-test/src/measurements/latency.rs
+++ b/crates/scale-test/src/measurements/latency.rs
@@ -1,4 +1,4 @@
-//! Distributions of times: histograms while the run goes on, summaries for the report.
+//! Latency distributions: histograms that are filled during the run, and summaries for the report.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -6,41 +6,41 @@
 use serde::Serialize;
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longer times are recorded as this one.
+/// Longer times are recorded as this value.
 const MAX_RECORDED_MS: u64 = 24 * 3_600_000;
 
-/// A distribution of times, in seconds.
+/// Summary of a latency distribution, in seconds.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LatencySummary {
-    /// How many times were recorded.
+    /// Number of recorded latencies.
     pub count: u64,
-    /// Median.
+    /// Median in seconds.
     pub p50_s: f64,
-    /// 99th percentile.
+    /// 99th percentile in seconds.
     pub p99_s: f64,
-    /// Longest.
+    /// Maximum in seconds.
     pub max_s: f64,
 }
 
-/// Histogram of times in milliseconds.
+/// Histogram of latencies in milliseconds.
 pub struct LatencyHistogram(Histogram<u64>);
 
 impl Default for LatencyHistogram {
     fn default() -> LatencyHistogram {
         LatencyHistogram(
             Histogram::new_with_max(MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
-                .expect("bounds that histograms allow"),
+                .expect("the histogram bounds are valid constants"),
         )
     }
 }
 
 impl LatencyHistogram {
-    /// Adds a time in milliseconds.
+    /// Records a latency in milliseconds.
     pub fn record(&mut self, ms: u64) {
         self.0.saturating_record(ms);
     }
 
-    /// The distribution so far.
+    /// Returns the summary of the latencies recorded so far.
     pub fn summary(&self) -> LatencySummary {
         let quantile_s = |quantile: f64| self.0.value_at_quantile(quantile) as f64 / 1000.0;
         LatencySummary {
@@ -52,10 +52,11 @@
     }
 }
 
-/// Name of the row with a class's latencies over the whole load.
+/// Name of the row with the latencies of a class over the whole load.
 const WHOLE_LOAD: &str = "all";
 
-/// Times from submission to the first start of each task, by class and phase of arrival.
+/// Latencies from a job's planned submission to the first start of each of its tasks, by class and by the
+/// phase of arrival.
 #[derive(Default)]
 pub struct StartLatencies {
     histograms: BTreeMap<(String, String), LatencyHistogram>,
@@ -63,7 +64,8 @@
 }
 
 impl StartLatencies {
-    /// Records a start `ms` after the submission; returns false, and records nothing, if the task has run before.
+    /// Records a start `ms` after the submission. Returns false, without recording, if the task has started
+    /// before.
     pub fn record_first_start(&mut self, task: &str, class: &str, phase: &str, ms: u64) -> bool {
         if !self.started_tasks.insert(task.into()) {
             return false;
@@ -74,7 +76,7 @@
         true
     }
 
-    /// Summaries by class and phase.
+    /// Returns the summaries by class and phase.
     pub fn table(&self) -> BTreeMap<String, BTreeMap<String, LatencySummary>> {
         let mut table: BTreeMap<String, BTreeMap<String, LatencySummary>> = BTreeMap::new();
         for ((class, phase), latencies) in &self.histograms {
--- a/crates/scale-test/src/measurements/mod.rs
+++ b/crates/scale-test/src/measurements/mod.rs
@@ -1,6 +1,7 @@
-//! What a run measured, as its report shows it. Does no I/O and reads no clock.
+//! The measurements of a run, in the structure of the report. Does no I/O and reads no clock.
 //!
-//! `latency` holds distributions of times, `usage` the resources that processes took, `table` writes the report as text.
+//! `latency` holds latency distributions, `usage` the resource usage of processes, and `table` renders the
+//! report as text.
 
 mod latency;
 mod table;
@@ -14,77 +15,78 @@
 pub use self::usage::{KvUsage, ProcessUsage, WorkerUsage};
 use crate::invariants::Violation;
 
-/// The rate at the peak is the best mean over so many seconds.
+/// The peak rate of task starts is the highest mean over this many seconds.
 const PEAK_SECONDS: usize = 10;
 
-/// The operators' objective for urgent jobs: within this their tasks start.
+/// The operators' objective for urgent jobs: their tasks start within this time.
 pub const URGENT_OBJECTIVE_MS: u64 = 8_900;
 
-/// One second of the run.
+/// The measurements of one second of the run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SecondSample {
-    /// Seconds since the begin of the load.
+    /// Seconds since the beginning of the load.
     pub at_s: u64,
-    /// Tasks that started in this second.
+    /// Number of task starts in this second.
     pub starts: u64,
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     pub running: usize,
-    /// Workers that are up.
+    /// Number of workers that are up.
     pub workers: usize,
-    /// Tasks of accepted jobs that have not run yet.
+    /// Number of tasks of accepted jobs that have not started yet.
     pub waiting: i64,
-    /// Heartbeats since the start of the run.
+    /// Number of heartbeats since the start of the run.
     #[serde(rename = "reports")]
     pub heartbeats: u64,
-    /// Requests to the kv store since the start of the run.
+    /// Number of requests to the kv store since the start of the run.
     pub state_requests: u64,
-    /// Mutations of the kv store since the start of the run.
+    /// Number of mutations of the kv store since the start of the run.
     pub state_changes: u64,
-    /// Processor time of the leader; this and the next ones as shares of one core.
+    /// Processor time of the leader. This field and those below are fractions of one core.
     pub leader_cpu: f64,
-    /// Of all controllers together.
+    /// Processor time of all controllers together.
     pub controllers_cpu: f64,
-    /// Of the kv store.
+    /// Processor time of the kv store.
     pub state_cpu: f64,
-    /// Of all simulated workers.
+    /// Processor time of all processes of simulated workers together.
     pub workers_cpu: f64,
-    /// Of the run itself: load, cloud and checker.
+    /// Processor time of the run's own process: load, cloud and checker.
     pub load_cpu: f64,
 }
 
 /// A change of leader.
 #[derive(Debug, Clone, Serialize)]
 pub struct LeaderChange {
-    /// When its record was seen, in seconds since the begin of the load.
+    /// Time at which the run saw the new leader record, in seconds since the beginning of the load.
     pub at_s: f64,
-    /// The new leader.
+    /// Name of the new leader.
     #[serde(rename = "node")]
     pub controller: String,
-    /// Seconds since a leader was last killed in this run.
+    /// Seconds since the last time that the run killed a leader; `None` if it has killed none.
     pub after_kill_s: Option<f64>,
-    /// From the kill, or else the record, to the first task that the new leader started.
+    /// Seconds from that kill, or from `at_s` if there was none, until the new leader's first task was
+    /// placed.
     pub first_start_s: Option<f64>,
 }
 
-/// One phase of the load.
+/// Planned and measured task starts in one phase of the load.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct PhaseThroughput {
-    /// Its name in the plan.
+    /// Name of the phase in the plan.
     pub name: String,
-    /// Task starts a second that the plan wants.
+    /// Task starts per second according to the plan.
     pub planned_starts_per_s: f64,
-    /// Mean of task starts a second.
+    /// Mean number of task starts per second that was measured.
     pub starts_per_s: f64,
 }
 
 /// The report of a run.
 #[derive(Debug, Default, Serialize)]
 pub struct RunReport {
-    /// File of the plan.
+    /// Path of the plan.
     pub plan: String,
     /// Seed of the plan.
     pub seed: u64,
-    /// Whole, or why it ended early.
+    /// `played whole` if the run completed its plan, otherwise the reason why it ended early.
     #[serde(rename = "ended")]
     pub end_reason: String,
     /// Number of controllers.
@@ -93,91 +95,92 @@
     pub teams: usize,
     /// Planned length of the load, in seconds.
     pub load_s: f64,
-    /// In the order of the plan.
+    /// Task starts in each phase, in the order of the plan.
     pub phases: Vec<PhaseThroughput>,
-    /// Best mean over ten seconds.
+    /// Highest mean number of task starts per second over ten consecutive seconds.
     pub starts_per_s_peak: f64,
-    /// Most tasks on machines at once.
+    /// Maximum number of tasks on machines at the same time.
     pub running_peak: usize,
-    /// Times from submission to the first start of each task, by class and phase of arrival; `all` is the whole load.
+    /// Latencies from a job's planned submission to the first start of each of its tasks, by class and by the
+    /// phase of arrival; `all` is the whole load.
     #[serde(rename = "waits")]
     pub start_latencies: BTreeMap<String, BTreeMap<String, LatencySummary>>,
-    /// Jobs that users submitted.
+    /// Number of jobs for which a user was created to submit them.
     pub submitted: u64,
-    /// Jobs that a controller accepted.
+    /// Number of jobs that a controller accepted.
     pub accepted: u64,
-    /// Jobs that were refused, or not accepted within the users' deadline.
+    /// Number of jobs that were refused, or not accepted within the users' deadline.
     #[serde(rename = "given_up")]
     pub abandoned: u64,
-    /// Requests that users repeated.
+    /// Number of requests that users retried.
     pub user_retries: u64,
-    /// From the first request to acceptance.
+    /// Latency from a job's first submission request to its acceptance.
     #[serde(rename = "acceptance")]
     pub acceptance_latency: LatencySummary,
-    /// Jobs that completed.
+    /// Number of jobs that completed.
     pub done: u64,
-    /// Jobs that their users cancelled.
+    /// Number of jobs that their users cancelled.
     pub cancelled: u64,
-    /// Accepted jobs that were not over when the run ended.
+    /// Number of accepted jobs that were neither done nor cancelled when the run ended.
     #[serde(rename = "open_at_end")]
     pub unfinished_at_end: usize,
-    /// Jobs of the final poll for which no response came.
+    /// Number of jobs whose final poll got no response.
     pub unanswered_at_end: usize,
-    /// Jobs that were submitted late because the load side was behind.
+    /// Number of jobs that were submitted late because the load generator fell behind its schedule.
     #[serde(rename = "load_late")]
     pub late_submissions: u64,
-    /// The longest such delay, in seconds.
+    /// Maximum delay of such a submission, in seconds.
     pub load_late_max_s: f64,
-    /// Traffic and resources of a worker.
+    /// Traffic and resource usage of the workers.
     pub workers: WorkerUsage,
-    /// What the kv store served.
+    /// Load of the kv store.
     pub state: KvUsage,
-    /// In the order in which they were seen.
+    /// Leader changes, in the order in which the run saw them.
     #[serde(rename = "leads")]
     pub leader_changes: Vec<LeaderChange>,
-    /// By series of the plan.
+    /// Latencies of configuration changes, by the name of the series in the plan.
     pub changes: BTreeMap<String, ConfigChangeLatency>,
-    /// Tasks of urgent classes that waited longer than `URGENT_OBJECTIVE_MS`.
+    /// Number of tasks of urgent classes that waited longer than `URGENT_OBJECTIVE_MS`.
     #[serde(rename = "urgent_late")]
     pub urgent_past_objective: u64,
-    /// Of these, the tasks of jobs for which their team had no room under its limit when they were accepted.
+    /// The part of these tasks whose jobs did not fit under their team's limit when they were accepted.
     pub urgent_late_at_limit: u64,
-    /// All processes of the run.
+    /// Resource usage of all processes of the run.
     pub processes: Vec<ProcessUsage>,
-    /// Events that the checker judged.
+    /// Number of events that the checker processed.
     #[serde(rename = "events_judged")]
     pub events_checked: u64,
-    /// What the checker found.
+    /// Violations that the checker found.
     pub violations: Vec<Violation>,
-    /// One for each second since the begin of the load.
+    /// One sample per second since the beginning of the load.
     #[serde(rename = "seconds")]
     pub samples: Vec<SecondSample>,
 }
 
-/// Changes of configuration: from the request to the response that it is in force.
+/// Latencies and failures of the configuration changes in one series of the plan.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ConfigChangeLatency {
-    /// Changes that were requested.
+    /// Number of changes that were requested.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// Changes that were refused.
+    /// Number of changes that were refused.
     pub failed: u64,
-    /// Text of the first refusal.
+    /// Response body of the first refusal.
     pub first_failure: Option<String>,
-    /// Until the change was accepted.
+    /// Latency from the first request to the response that the change was accepted.
     #[serde(rename = "set")]
     pub acceptance_latency: LatencySummary,
-    /// Until the change was in force.
+    /// Latency from the first request to the response that the change was in force.
     #[serde(rename = "in_force")]
     pub in_force_latency: LatencySummary,
-    /// Longer than three seconds.
+    /// Number of changes that took longer than three seconds to be in force.
     #[serde(rename = "late")]
     pub past_objective: u64,
 }
 
 impl RunReport {
-    /// Sets the peaks from the samples.
-    pub fn compute_peak(&mut self) {
+    /// Sets the peak values from the samples.
+    pub fn compute_peaks(&mut self) {
         let best = self
             .samples
             .windows(PEAK_SECONDS)
--- a/crates/scale-test/src/measurements/table.rs
+++ b/crates/scale-test/src/measurements/table.rs
@@ -1,11 +1,11 @@
-//! The report as a text table for people.
+//! Renders the report as a text table.
 
 use std::fmt::{Result, Write};
 
 use super::{RunReport, URGENT_OBJECTIVE_MS};
 
 impl RunReport {
-    /// The report as text, one line for each figure or group of figures.
+    /// Returns the report as text, with one line for each value or group of values.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
@@ -26,16 +26,21 @@
         self.write_processes(text)?;
         writeln!(
             text,
-            "load side late with {} jobs, at most {:.1} s",
+            "late submissions: {} jobs, at most {:.1} s late",
             self.late_submissions, self.load_late_max_s
         )?;
-        writeln!(text, "check: {} events judged, {} violations", self.events_checked, self.violations.len())
+        writeln!(
+            text,
+            "checker: {} events checked, {} violations",
+            self.events_checked,
+            self.violations.len()
+        )
     }
 
     fn write_throughput(&self, text: &mut String) -> Result {
         writeln!(
             text,
-            "starts a second: {:.0} at the peak (10 s); running at most {}",
+            "task starts per second: {:.0} at the peak (10 s mean); tasks on machines: at most {}",
             self.starts_per_s_peak, self.running_peak
         )?;
         for phase in &self.phases {
@@ -51,7 +56,7 @@
     fn write_jobs(&self, text: &mut String) -> Result {
         writeln!(
             text,
-            "jobs: {} submitted, {} accepted (p50 {:.3} p99 {:.3} max {:.2} s), {} given up, {} done, {} cancelled, {} open at the end, {} not answered for",
+            "jobs: {} submitted, {} accepted (p50 {:.3} p99 {:.3} max {:.2} s), {} abandoned, {} done, {} cancelled, {} unfinished at the end, {} without a response to the final poll",
             self.submitted,
             self.accepted,
             self.acceptance_latency.p50_s,
@@ -66,7 +71,7 @@
     }
 
     fn write_start_latencies(&self, text: &mut String) -> Result {
-        writeln!(text, "waits from submission to start, s:")?;
+        writeln!(text, "latency from planned submission to first start, s:")?;
         for (class, phases) in &self.start_latencies {
             for (phase, latency) in phases {
                 writeln!(
@@ -83,7 +88,7 @@
         let workers = &self.workers;
         writeln!(
             text,
-            "a worker of {}: {:.2}% of a core, {:.2} MB (its process over its workers), {:.0} B/s in, {:.0} B/s out; all: {:.0} reports, {:.0} commands a second",
+            "workers: at most {}; each {:.2}% of a core, {:.2} MB (processes divided by workers), {:.0} B/s in, {:.0} B/s out; all: {:.0} heartbeats, {:.0} commands per second",
             workers.workers_peak,
             workers.cpu_share * 100.0,
             workers.memory_mb,
@@ -98,7 +103,7 @@
         let kv_store = &self.state;
         writeln!(
             text,
-            "state service: {:.0} requests, {:.0} changes a second, {} refused, {} keys",
+            "kv store: {:.0} requests, {:.0} mutations per second; {} requests refused, {} keys",
             kv_store.requests_per_s, kv_store.mutations_per_s, kv_store.refused, kv_store.keys
         )
     }
@@ -108,7 +113,7 @@
         for change in &self.leader_changes {
             writeln!(
                 text,
-                "lead: {} at {:.1} s, after the kill {}, to its first start {}",
+                "leader change: {} at {:.1} s, after the kill {}, until its first task start {}",
                 change.controller,
                 change.at_s,
                 seconds(change.after_kill_s),
@@ -121,7 +126,7 @@
     fn write_urgent_tasks(&self, text: &mut String) -> Result {
         writeln!(
             text,
-            "urgent tasks later than {:.1} s: {}, of these {} of jobs that their team's limit had no room for",
+            "urgent tasks that waited longer than {:.1} s: {}, of these {} of jobs that did not fit under their team's limit",
             URGENT_OBJECTIVE_MS as f64 / 1000.0,
             self.urgent_past_objective,
             self.urgent_late_at_limit
@@ -132,7 +137,7 @@
         for (name, changes) in &self.changes {
             writeln!(
                 text,
-                "configuration, {name}: {} changes, {} failed; set p50 {:.3} p99 {:.3} max {:.2} s; in force p50 {:.3} p99 {:.3} max {:.2} s, {} later than 3 s",
+                "configuration changes, {name}: {} requested, {} failed; accepted p50 {:.3} p99 {:.3} max {:.2} s; in force p50 {:.3} p99 {:.3} max {:.2} s, {} later than 3 s",
                 changes.requested,
                 changes.failed,
                 changes.acceptance_latency.p50_s,
--- a/crates/scale-test/src/measurements/usage.rs
+++ b/crates/scale-test/src/measurements/usage.rs
@@ -1,23 +1,23 @@
-//! What processes, workers and the kv store used over the run.
+//! Resource usage of processes and workers, and the load of the kv store.
 
 use serde::Serialize;
 
 use crate::processes::{ResourceSample, Role};
 
-/// A process over the whole run.
+/// Resource usage of a process over the whole run.
 #[derive(Debug, Clone, Serialize)]
 pub struct ProcessUsage {
-    /// Its name in the report.
+    /// Name of the process in the report.
     pub name: String,
-    /// What it serves.
+    /// Role of the process in the run.
     pub role: Role,
-    /// Mean share of one core.
+    /// Mean processor time, as a fraction of one core.
     pub cpu_mean: f64,
-    /// Highest share of one core between two samples.
+    /// Highest processor time between two samples, as a fraction of one core.
     pub cpu_peak: f64,
-    /// Most resident memory, in MB.
+    /// Maximum resident memory in MB.
     pub memory_peak_mb: f64,
-    /// Most open files.
+    /// Maximum number of open files.
     pub files_peak: usize,
     #[serde(skip)]
     cpu_time_s: f64,
@@ -28,7 +28,7 @@
 }
 
 impl ProcessUsage {
-    /// A process without samples.
+    /// Creates the usage of a process that has not been sampled yet.
     pub fn new(name: &str, role: Role) -> ProcessUsage {
         ProcessUsage {
             name: name.into(),
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Adds a sample taken at `now_ms`; returns the share of a core since the one before, 0 after a restart.
+    /// Adds a sample taken at `now_ms`. Returns the processor time since the previous sample as a fraction of
+    /// one core; 0 for the first sample and after a restart.
     pub fn add_sample(&mut self, now_ms: u64, sample: Option<ResourceSample>) -> f64 {
         let previous = std::mem::replace(&mut self.last_sample, sample.map(|sample| (now_ms, sample)));
         let (Some(sample), Some((previous_ms, previous))) = (sample, previous) else { return 0.0 };
@@ -63,27 +64,28 @@
     }
 }
 
-/// A worker's control traffic and processor time, from its process over the workers in it.
+/// Traffic and resource usage of the simulated workers. Values per worker are the sums over all their
+/// processes divided by the maximum number of workers.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct WorkerUsage {
-    /// Most workers at once.
+    /// Maximum number of workers at the same time.
     pub workers_peak: usize,
     /// Heartbeats of all workers, per second.
     #[serde(rename = "reports_per_s")]
     pub heartbeats_per_s: f64,
-    /// Direct commands to all workers, per second.
+    /// Requests with direct commands to all workers, per second.
     pub commands_per_s: f64,
     /// Bytes that one worker received, per second.
     pub bytes_in_per_s: f64,
     /// Bytes that one worker sent, per second.
     pub bytes_out_per_s: f64,
-    /// Share of one core of a process of simulated workers, over its workers.
+    /// Processor time per worker, as a fraction of one core.
     pub cpu_share: f64,
-    /// Memory of a process of simulated workers in MB, over its workers.
+    /// Memory per worker in MB, from the peak memory of the processes.
     pub memory_mb: f64,
 }
 
-/// What the kv store served over the load.
+/// Load of the kv store over the load phases.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct KvUsage {
     /// Requests of controllers, per second.
@@ -91,9 +93,9 @@
     /// Mutations that were applied, per second.
     #[serde(rename = "changes_per_s")]
     pub mutations_per_s: f64,
-    /// Requests above a rate limit.
+    /// Number of requests that were refused because they exceeded a rate limit, since the start of the run.
     pub refused: u64,
-    /// Keys stored at the end.
+    /// Number of keys stored at the end.
     pub keys: usize,
     /// Bytes received, per second.
     pub bytes_in_per_s: f64,
--- a/crates/scale-test/src/processes.rs
+++ b/crates/scale-test/src/processes.rs
@@ -1,4 +1,5 @@
-//! The run's processes: started, sampled from the kernel's accounting, paused, killed, and all ended with the run.
+//! Starts, samples, pauses and kills the processes of a run. Resource usage is read from procfs. Dropping a
+//! process kills it, so none outlives the run.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -12,7 +13,7 @@
 
 use crate::error::{ScaleError, io_error};
 
-/// What a process does in a run.
+/// The role of a process in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -24,27 +25,27 @@
     /// The simulated workers of a zone.
     #[serde(rename = "hollow_workers")]
     SimulatedWorkers,
-    /// The run itself: users, cloud, checker.
+    /// The run's own process: users, cloud and checker.
     #[serde(rename = "load")]
     LoadGenerator,
 }
 
-/// A process in the kernel's accounting.
+/// The resource usage of a process at one time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ResourceSample {
-    /// Seconds of processor time, user and system, since its start.
+    /// User and system processor time since the start of the process, in seconds.
     pub cpu_time_s: f64,
-    /// Resident memory.
+    /// Resident memory in bytes.
     pub memory_bytes: u64,
-    /// Open files, sockets above all.
+    /// Number of open files, most of which are sockets.
     pub open_files: usize,
 }
 
 /// One process of the run.
 pub struct ManagedProcess {
-    /// Its name in the report and in errors.
+    /// Name of the process in the report and in errors.
     pub name: String,
-    /// What it serves.
+    /// Role of the process in the run.
     pub role: Role,
     command: ProcessCommand,
     child: Option<Child>,
@@ -53,13 +54,13 @@
 /// How a process is started and restarted.
 #[derive(Clone)]
 pub struct ProcessCommand {
-    /// The program's file.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments of the program.
     pub arguments: Vec<String>,
-    /// File to which its output is appended.
+    /// File to which the output of the process is appended.
     pub log: PathBuf,
-    /// Its log level.
+    /// Log level that the process gets in its environment.
     pub log_level: String,
 }
 
@@ -81,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// The program or its log cannot be opened.
+    /// The program cannot be started, or its log file cannot be opened.
     pub fn start(name: String, role: Role, command: ProcessCommand) -> Result<ManagedProcess, ScaleError> {
         let child = command.start().map_err(io_error(format!("starting {name}")))?;
         Ok(ManagedProcess { name, role, command, child: Some(child) })
@@ -91,13 +92,13 @@
         self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32))
     }
 
-    /// What it uses; none if it does not run.
+    /// Returns the present resource usage; `None` if the process is not running.
     pub fn sample(&self) -> Option<ResourceSample> {
         let child = self.child.as_ref()?;
         sample(&Process::new(child.id() as i32).ok()?)
     }
 
-    /// Whether it has ended by itself.
+    /// Returns whether the process exited without having been killed by the run.
     pub fn has_exited(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(Some(_))),
@@ -105,10 +106,10 @@
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // One that has ended already needs no signal.
+            // The signal fails only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -118,10 +119,10 @@
     ///
     /// # Errors
     ///
-    /// The program or its log cannot be opened.
+    /// The program cannot be started, or its log file cannot be opened.
     pub fn restart(&mut self) -> Result<(), ScaleError> {
         self.kill();
-        let child = self.command.start().map_err(io_error(format!("starting {} again", self.name)))?;
+        let child = self.command.start().map_err(io_error(format!("restarting {}", self.name)))?;
         self.child = Some(child);
         Ok(())
     }
@@ -130,7 +131,7 @@
     pub fn set_paused(&self, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         if let Some(pid) = self.pid() {
-            // It fails only for a process that has ended, which needs neither.
+            // The signal fails only if the process has already exited, and then it is not needed.
             let _ = kill_process(pid, signal);
         }
     }
@@ -151,56 +152,58 @@
     })
 }
 
-/// What the run's own process uses.
+/// Returns the resource usage of the run's own process.
 pub fn sample_self() -> ResourceSample {
     Process::myself().ok().as_ref().and_then(sample).unwrap_or_default()
 }
 
-/// The machine's memory.
+/// The memory of the machine.
 pub struct MachineMemory {
-    /// All of it.
+    /// Total memory in bytes.
     pub total_bytes: u64,
-    /// What processes can still allocate.
+    /// Memory in bytes that processes can still allocate.
     pub free_bytes: u64,
 }
 
-/// Reads the machine's memory.
+/// Reads the total and the available memory of the machine.
 ///
 /// # Errors
 ///
-/// The kernel's accounting cannot be read.
+/// `/proc/meminfo` cannot be read.
 pub fn memory_totals() -> Result<MachineMemory, ScaleError> {
     let info = procfs::Meminfo::current()
-        .map_err(|error| ScaleError::Process(format!("the machine's memory is not known: {error}")))?;
+        .map_err(|error| ScaleError::Process(format!("cannot read the memory of the machine: {error}")))?;
     let free_bytes = info.mem_available.unwrap_or(info.mem_free);
     Ok(MachineMemory { total_bytes: info.mem_total, free_bytes })
 }
 
-/// Raises the limit of open files for this process and those it starts, if it is below `wanted`.
+/// Raises the limit of open files for this process and the processes that it starts to `wanted`, if it is
+/// lower.
 ///
 /// # Errors
 ///
-/// The machine does not allow so many.
+/// The hard limit is below `wanted`, or the limit cannot be set.
 pub fn raise_open_file_limit(wanted: u64) -> Result<(), ScaleError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     if current.is_none_or(|current| current >= wanted) {
         return Ok(());
     }
     if maximum.is_some_and(|maximum| maximum < wanted) {
-        let most = maximum.unwrap_or(0);
+        let hard_limit = maximum.unwrap_or(0);
         return Err(ScaleError::Refused(format!(
-            "a process needs {wanted} open files, the machine allows {most} (ulimit -n)"
+            "a process needs {wanted} open files, but the hard limit is {hard_limit}; raise it (ulimit -Hn)"
         )));
     }
-    setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum })
-        .map_err(|error| ScaleError::Refused(format!("{wanted} open files are not allowed: {error}")))
+    setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum }).map_err(|error| {
+        ScaleError::Refused(format!("cannot raise the limit of open files to {wanted}: {error}"))
+    })
 }
 
-/// Creates the folder for logs, settings, the store's file and the report.
+/// Creates the output directory for logs, settings, the store's file and the report.
 ///
 /// # Errors
 ///
-/// It cannot be created.
-pub fn create_folder(path: &Path) -> Result<(), ScaleError> {
+/// The directory cannot be created.
+pub fn create_directory(path: &Path) -> Result<(), ScaleError> {
     std::fs::create_dir_all(path).map_err(io_error(path.display().to_string()))
 }
--- a/crates/scale-test/src/run/faults.rs
+++ b/crates/scale-test/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a run: each begins at its planned time and schedules its own end.
+//! Injects the faults of a run: each begins at its planned time and schedules the action that ends it.
 
 use olivelatch_local_cluster::{controller_index, controller_name};
 
@@ -7,7 +7,7 @@
 use crate::error::ScaleError;
 use crate::plan::FaultKind;
 
-/// A fault, or its end. Processes are indices into the run's.
+/// The beginning or the end of a fault. A process is given by its index in the run's process group.
 enum FaultAction {
     Begin(FaultKind),
     RestoreCapacity,
@@ -16,14 +16,14 @@
     ReconnectZones(Vec<String>),
 }
 
-/// What happens at a time of the run.
+/// A fault action and the time of the run at which it is due.
 pub(super) struct ScheduledFault {
     at_ms: u64,
     action: FaultAction,
 }
 
 impl ScheduledFault {
-    /// A fault of the plan, whose times count from the begin of the load.
+    /// Schedules the beginning of a fault of the plan, whose times count from the beginning of the load.
     pub(super) fn planned(fault: &FaultKind, load_start_ms: u64) -> ScheduledFault {
         let at_ms = load_start_ms + (fault.at_s() * 1000.0) as u64;
         ScheduledFault { at_ms, action: FaultAction::Begin(fault.clone()) }
@@ -31,12 +31,12 @@
 }
 
 impl ScaleRun {
-    /// The leader among the controllers, by the kv store's records.
+    /// Returns the index of the controller that leads according to the kv store's leader record.
     pub(super) fn leader_index(&self) -> Option<usize> {
         controller_index(self.kv.measurements.leader.as_deref()?, self.controllers.len())
     }
 
-    /// The process of a controller: those of all controllers come last.
+    /// Returns the index of a controller's process; the controllers come last in the process group.
     pub(super) fn controller_process_index(&self, controller: usize) -> usize {
         self.processes.processes.len() - self.controllers.len() + controller
     }
@@ -74,7 +74,7 @@
             }
             FaultKind::KillWorkers { share, back_s, .. } => {
                 self.cloud.fail_machines(share);
-                println!("lost {:.0}% of the workers", share * 100.0);
+                println!("failed {:.0}% of the machines", share * 100.0);
                 self.schedule_end(now, back_s, FaultAction::RestoreCapacity);
             }
             FaultKind::PauseController { leader: pause_leader, for_s, .. } => {
@@ -82,11 +82,11 @@
                 let controller = if pause_leader { leader } else { (leader + 1) % self.controllers.len() };
                 let process = self.controller_process_index(controller);
                 self.processes.processes[process].set_paused(true);
-                println!("{} stands still", controller_name(controller));
+                println!("paused {}", controller_name(controller));
                 self.schedule_end(now, for_s, FaultAction::Resume(process));
             }
             FaultKind::PartitionZones { zones, for_s, .. } => {
-                println!("cut off: {}", zones.join(", "));
+                println!("partitioned zones: {}", zones.join(", "));
                 self.set_zones_partitioned(&zones, true);
                 self.schedule_end(now, for_s, FaultAction::ReconnectZones(zones));
             }
--- a/crates/scale-test/src/run/kv_poll.rs
+++ b/crates/scale-test/src/run/kv_poll.rs
@@ -1,4 +1,4 @@
-//! Polls of the kv store's process: what it has served, and which leader its records name.
+//! Polls the kv store's process for its counters and for the leader that its records name.
 
 use std::net::SocketAddr;
 
@@ -11,14 +11,14 @@
 use crate::error::ScaleError;
 use crate::measurements::LeaderChange;
 
-/// Slot of the polls among the run's calls.
+/// Call slot of the kv store polls; smaller slots belong to zones.
 pub(super) const KV_SLOT: usize = 1_000;
 
 pub(super) struct KvPoller {
     control: SocketAddr,
-    /// From the last response.
+    /// Measurements in the last response.
     pub(super) measurements: KvMeasurements,
-    /// As they were when the load began.
+    /// Measurements when the load began.
     pub(super) at_load_start: KvMeasurements,
     next_poll: u64,
     in_flight: bool,
@@ -46,7 +46,7 @@
         network.send(CallSlot(KV_SLOT), self.control, request, now + CONTROL_TIMEOUT_MS);
     }
 
-    /// Takes in a response; returns the leader if it has changed.
+    /// Stores the measurements of a response; returns the leader if it has changed.
     fn handle_response(
         &mut self,
         response: Option<&Response>,
@@ -57,10 +57,10 @@
             if now < START_TIMEOUT_MS {
                 return Ok(None);
             }
-            return Err(ScaleError::Process("the state service does not answer".into()));
+            return Err(ScaleError::Process("the kv store process did not respond".into()));
         };
         let measurements: KvMeasurements = serde_json::from_slice(&response.body)
-            .map_err(|error| ScaleError::Json { what: "the state service's figures".into(), error })?;
+            .map_err(|error| ScaleError::Json { what: "measurements of the kv store".into(), error })?;
         let previous = std::mem::replace(&mut self.measurements, measurements);
         let leader = self.measurements.leader.clone();
         Ok(leader.filter(|leader| previous.leader.as_ref() != Some(leader)))
--- a/crates/scale-test/src/run/load.rs
+++ b/crates/scale-test/src/run/load.rs
@@ -1,4 +1,5 @@
-//! The load of a run: jobs arrive, users submit, poll and cancel them, operators change the configuration.
+//! Drives the load of a run: jobs arrive, users submit, poll and cancel them, and operators change the
+//! configuration.
 
 use std::collections::HashMap;
 
@@ -14,22 +15,23 @@
 use crate::plan::Plan;
 use crate::users::{UserOutcome, UserRequestToSend, Users};
 
-/// Jobs are described to the workers so long before they are submitted.
+/// Jobs are described to the workers this long before they are submitted.
 const DESCRIBE_AHEAD_MS: u64 = 2_000;
-/// A submission that goes out later than planned by more than this counts as a delay of the load side.
+/// A submission counts as late if it is sent later than planned by more than this.
 const LATE_SUBMISSION_MS: u64 = 250;
-/// First slots of configuration changes and of users among the run's calls; each change and each user has its own.
+/// First call slots of configuration changes and of users; each change and each user has a slot of its own.
 pub(super) const FIRST_CHANGE_SLOT: usize = 10_000;
 pub(super) const FIRST_USER_SLOT: usize = 1_000_000;
-/// Begin of a load that has not begun: later than any time.
+/// Value of `start_ms` while the load has not begun; it is later than any time of the run.
 const NOT_STARTED: u64 = u64::MAX;
 
-/// Who sends requests to the controllers, and since when.
+/// The senders of requests to the controllers, and the time at which the load began.
 pub(super) struct Load {
-    /// When the load began; all its times count from there.
+    /// Time at which the load began, from which all its times count.
     pub(super) start_ms: u64,
     arrivals: Arrivals,
     pub(super) users: Users,
+    /// Index of the user of each job.
     pub(super) user_by_job: HashMap<String, usize>,
     pub(super) config_changes: ConfigChanges,
 }
@@ -63,7 +65,7 @@
         self.fault_schedule = faults.map(|fault| ScheduledFault::planned(fault, start_ms)).collect();
     }
 
-    /// Describes to the workers the jobs that arrive soon, and adds a user for each.
+    /// Describes the jobs that arrive within `DESCRIBE_AHEAD_MS` to the workers, and adds a user for each.
     pub(super) fn submit_arrivals(&mut self, now: u64) {
         if !self.load.has_started() {
             return;
@@ -71,13 +73,13 @@
         let until = (now + DESCRIBE_AHEAD_MS).saturating_sub(self.load.start_ms);
         while let Some(arrival) = self.load.arrivals.pop_due(until) {
             let describe = ZoneCommand::Describe(arrival.description.clone());
-            let described_by =
+            let required_commands =
                 self.zones.iter_mut().map(|zone| zone.queue_command(describe.clone())).collect();
             let facts = JobFacts { team: arrival.team, cpus: arrival.cpus };
             self.checker.record_submission(&arrival.job, facts);
             self.load.user_by_job.insert(arrival.job.clone(), self.load.users.users.len());
             let at_ms = self.load.start_ms + arrival.at_ms;
-            self.load.users.add_user(arrival, at_ms, described_by);
+            self.load.users.add_user(arrival, at_ms, required_commands);
             self.report.submitted += 1;
         }
     }
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Sends changes of configuration, each to the next controller in turn.
+    /// Sends the configuration requests that are due, to the controllers in turn.
     pub(super) fn send_config_changes(&mut self, now: u64) {
         if !self.load.has_started() {
             return;
--- a/crates/scale-test/src/run/mod.rs
+++ b/crates/scale-test/src/run/mod.rs
@@ -1,7 +1,10 @@
-//! One run: all processes are started, loaded and hit by faults; at the end every job is polled once more, and all is ended.
+//! One scale run: starts all processes, applies the load and the faults, polls every accepted job once more
+//! at the end, and then kills all processes.
 //!
-//! This module owns the run's state and its event loop; its submodules each have one part of the work: `start`, `zones`,
-//! `kv_poll`, `load`, `faults`, `task_events`, `sampling`.
+//! This module owns the state of the run and its event loop. `start` starts the processes, `process_group`
+//! holds them, `network` owns the sockets, `zones` and `kv_poll` exchange messages with the processes, `load`
+//! sends the requests of users and operators, `faults` injects the faults, `task_events` passes the workers'
+//! events to the checker, and `sampling` measures the resource usage.
 
 mod faults;
 mod kv_poll;
@@ -38,33 +41,34 @@
 use crate::invariants::InvariantChecker;
 use crate::measurements::RunReport;
 use crate::plan::Plan;
-use crate::processes::create_folder;
+use crate::processes::create_directory;
 use crate::simulated_workers::RunClock;
 
-/// What a run is started with on the command line.
+/// The command-line arguments of a run.
 #[derive(Debug, Clone)]
 pub struct RunArguments {
-    /// File of the plan.
+    /// Path of the plan.
     pub plan: PathBuf,
-    /// Folder for logs, settings, the store's file and the report.
+    /// Directory for logs, settings, the kv store's file and the report.
     pub out: PathBuf,
-    /// The program whose hidden commands serve controllers, workers and the kv store: `olivelatchctl` itself.
+    /// Path of `olivelatchctl` itself, whose hidden commands run controllers, simulated workers and the kv
+    /// store.
     pub program: PathBuf,
-    /// The controllers' log level.
+    /// Log level of the processes of the run.
     pub log_level: String,
 }
 
-/// Time between two polls of a zone, and of the kv store.
+/// Interval at which each zone and the kv store are polled.
 const STATUS_INTERVAL_MS: u64 = 200;
-/// Machines are booted and removed within this after they are due.
+/// Interval at which machines that have become ready are booted and removed machines are stopped.
 const CLOUD_INTERVAL_MS: u64 = 100;
 /// Deadline of a message to a process of the run.
 const CONTROL_TIMEOUT_MS: u64 = 10_000;
-/// Processes must respond, and a controller must lead, within this.
+/// Time within which the processes must respond and a controller must become leader.
 const START_TIMEOUT_MS: u64 = 30_000;
-/// Longest time for the poll of all jobs at the end.
+/// Time-out of the final poll of all jobs.
 const FINAL_POLL_MS: u64 = 60_000;
-/// Violations that are printed; the report has them all.
+/// Maximum number of violations that are printed; the report lists all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 struct ScaleRun {
@@ -73,34 +77,36 @@
     network: Network,
     cloud: TestCloud,
     next_cloud_step: u64,
-    /// By the index of the zone in the plan.
+    /// Links to the zones' processes, in the order of the plan's zones.
     zones: Vec<ZoneLink>,
+    /// Addresses of the controllers.
     controllers: Vec<SocketAddr>,
     processes: ProcessGroup,
     kv: KvPoller,
     load: Load,
     checker: InvariantChecker,
-    /// Events that wait until those of all zones up to their time are there.
+    /// Events that have not been checked because another zone has not yet delivered its events up to their
+    /// time.
     pending_events: Vec<TaskEvent>,
     measurements: RunMeasurements,
     fault_schedule: Vec<ScheduledFault>,
     leader_killed_at: Option<u64>,
-    /// Highest fencing token seen on a worker.
+    /// Highest fencing token seen in an attempt on a worker.
     highest_token: u64,
     report: RunReport,
-    /// Set by a signal.
+    /// Set by a signal that stops the run.
     stop: Arc<AtomicBool>,
 }
 
-/// Plays a plan. Exit code 1: a rule was broken.
+/// Runs a plan. The exit code is 1 if an invariant was violated or a signal stopped the run.
 ///
 /// # Errors
 ///
-/// The plan is invalid, the machine too small for it, or a process or file of the run failed.
+/// The plan is invalid, the machine is too small for it, or a process or a file of the run failed.
 pub fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
     let plan = Plan::load(&arguments.plan)?;
     let memory_limit = start::check_machine_resources(&plan)?;
-    create_folder(&arguments.out)?;
+    create_directory(&arguments.out)?;
     let mut run = ScaleRun::start(plan, arguments, memory_limit)?;
     let result = run.run_phases();
     run.report.end_reason = match &result {
@@ -134,7 +140,7 @@
         self.load.users.poll_all(self.clock.now());
         let polled = self.clock.now() + FINAL_POLL_MS;
         self.run_until(polled, |run| run.load.users.unanswered_final_polls() == 0)?;
-        // The zones' last events are still on their way.
+        // Wait for the next polls of the zones, which deliver their last events.
         let delivered = self.clock.now() + 2 * STATUS_INTERVAL_MS;
         self.run_until(delivered, |_| false)
     }
@@ -144,14 +150,14 @@
         self.run_until(deadline, |run| run.kv.measurements.leader.is_some())?;
         if self.kv.measurements.leader.is_none() && !self.is_stopped() {
             return Err(ScaleError::Process(format!(
-                "no controller leads after {} s",
+                "no controller became leader within {} s",
                 START_TIMEOUT_MS / 1000
             )));
         }
         Ok(())
     }
 
-    /// Runs until a time, until `done` holds, or until a signal stops the run.
+    /// Runs the event loop until the time `end`, until `done` returns true, or until a signal stops the run.
     fn run_until(&mut self, end: u64, done: impl Fn(&ScaleRun) -> bool) -> Result<(), ScaleError> {
         let mut events = Events::new();
         while self.clock.now() < end && !done(self) && !self.is_stopped() {
@@ -229,7 +235,7 @@
         }
     }
 
-    /// Ends all processes and writes what was measured.
+    /// Kills all processes and writes the report files.
     fn finish(&mut self, out: &Path) -> Result<(), ScaleError> {
         self.processes.kill_all();
         self.complete_report();
@@ -241,14 +247,14 @@
         write_file(&out.join("report.txt"), &table)?;
         print!("{table}");
         for violation in self.report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
-            println!("broken: {violation:?}");
+            println!("violation: {violation:?}");
         }
         Ok(())
     }
 
     fn complete_report(&mut self) {
         self.report.phases = self.phase_throughput();
-        self.report.compute_peak();
+        self.report.compute_peaks();
         self.report.start_latencies = self.measurements.start_latencies.table();
         self.report.acceptance_latency = self.measurements.acceptance_latency.summary();
         self.report.changes = self.load.config_changes.measurements();
--- a/crates/scale-test/src/run/network.rs
+++ b/crates/scale-test/src/run/network.rs
@@ -1,4 +1,5 @@
-//! The run's own sockets: the cloud's server, and the client for zones, the kv store and controllers.
+//! The sockets of the run's own process: the server of the simulated cloud, and the HTTP client for zones,
+//! the kv store and controllers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +12,10 @@
 
 use crate::error::{ScaleError, io_error};
 
-/// Longest wait for events between two steps.
+/// Maximum time that the event loop waits for socket events between two steps.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A request as method, path and body.
+/// Method, path and body of a request.
 pub(super) type OutboundRequest<'a> = (&'a str, &'a str, &'a [u8]);
 
 pub(super) struct Network {
@@ -25,27 +26,27 @@
 }
 
 impl Network {
-    /// Listens at the cloud's address.
+    /// Starts to listen at the address of the simulated cloud.
     pub(super) fn listen(cloud: SocketAddr) -> Result<Network, ScaleError> {
-        let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
+        let poller = Arc::new(EventPoller::new().map_err(io_error("creating the socket poller"))?);
         let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
-        server.listen(&mut keys, cloud, ListenerId(0)).map_err(io_error("the cloud's address"))?;
+        server.listen(&mut keys, cloud, ListenerId(0)).map_err(io_error(format!("listening on {cloud}")))?;
         Ok(Network { http_client: HttpClient::new(&poller), poller, keys, server })
     }
 
-    /// Waits for events, at most for `POLL_INTERVAL`; returns the keys of the sockets that are ready.
+    /// Waits for socket events, at most for `POLL_INTERVAL`; returns the keys of the sockets that are ready.
     pub(super) fn wait(&self, events: &mut Events) -> Result<Vec<usize>, ScaleError> {
         events.clear();
         match self.poller.wait(events, POLL_INTERVAL) {
             Ok(_) => {}
-            // A signal: the caller checks whether the run is to stop.
+            // A signal interrupted the wait; the caller checks whether the run must stop.
             Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
-            Err(error) => return Err(io_error("the poller")(error)),
+            Err(error) => return Err(io_error("polling sockets")(error)),
         }
         Ok(events.iter().map(|event| event.key).collect())
     }
 
-    /// Sends a request; false if no connection could be opened.
+    /// Sends a request; returns false if no connection could be opened.
     pub(super) fn send(
         &mut self,
         slot: CallSlot,
--- a/crates/scale-test/src/run/process_group.rs
+++ b/crates/scale-test/src/run/process_group.rs
@@ -1,4 +1,5 @@
-//! The processes of a run and what they use. They end with the group, before the ports they listen on are given back.
+//! The processes of a run and their resource usage. Dropping the group kills the processes and then releases
+//! their ports.
 
 use super::start::ReservedPorts;
 use crate::error::ScaleError;
@@ -8,11 +9,12 @@
 pub(super) struct ProcessGroup {
     /// The controllers come last.
     pub(super) processes: Vec<ManagedProcess>,
-    /// At the same indices as `processes`.
+    /// Resource usage of each process, at the same indices as `processes`.
     usage: Vec<ProcessUsage>,
     own_usage: ProcessUsage,
-    /// Memory that all processes together may take, in bytes.
+    /// Maximum memory of all processes together, in bytes.
     memory_limit: u64,
+    /// Declared after `processes`, so that the ports are released after the processes have ended.
     _ports: ReservedPorts,
 }
 
@@ -31,11 +33,12 @@
         }
     }
 
-    /// Samples all processes and enters their processor time into `second`; `leader` is the index of the leader's process.
+    /// Samples all processes and writes their processor time to `second`. `leader` is the index of the
+    /// leader's process.
     ///
     /// # Errors
     ///
-    /// A process has ended by itself, or all together take too much memory.
+    /// A process exited unexpectedly, or the processes together use more memory than the limit.
     pub(super) fn sample(
         &mut self,
         now: u64,
@@ -58,11 +61,15 @@
                 second.leader_cpu = share;
             }
             if process.has_exited() {
-                return Err(ScaleError::Process(format!("{} has ended by itself", process.name)));
+                return Err(ScaleError::Process(format!("process {} exited unexpectedly", process.name)));
             }
         }
         if bytes > self.memory_limit {
-            return Err(ScaleError::Refused(format!("the processes take {} MB", bytes / 1_000_000)));
+            return Err(ScaleError::Refused(format!(
+                "the processes use {} MB of memory, the limit is {} MB",
+                bytes / 1_000_000,
+                self.memory_limit / 1_000_000
+            )));
         }
         Ok(())
     }
@@ -71,12 +78,12 @@
         self.processes.iter_mut().for_each(ManagedProcess::kill);
     }
 
-    /// Usage of all processes, the run's own last.
+    /// Returns the usage of all processes; the run's own process comes last.
     pub(super) fn usage(&self) -> Vec<ProcessUsage> {
         self.usage.iter().chain([&self.own_usage]).cloned().collect()
     }
 
-    /// Usage of the processes with a role.
+    /// Returns the usage of the processes with this role.
     pub(super) fn usage_of(&self, role: Role) -> impl Iterator<Item = &ProcessUsage> {
         self.usage.iter().filter(move |usage| usage.role == role)
     }
--- a/crates/scale-test/src/run/sampling.rs
+++ b/crates/scale-test/src/run/sampling.rs
@@ -1,4 +1,5 @@
-//! What a run measures while it goes on: a sample of every process each second, progress, and the sums at the end of the load.
+//! Measurements during a run: samples every process once per second, prints progress, and computes the totals
+//! at the end of the load.
 
 use super::ScaleRun;
 use crate::control::ZoneStatus;
@@ -7,19 +8,19 @@
 use crate::processes::Role;
 
 const SAMPLE_INTERVAL_MS: u64 = 1_000;
-/// Between two lines of progress.
+/// Interval between two progress lines.
 const PROGRESS_INTERVAL_MS: u64 = 5_000;
-/// The rate of starts in a line of progress is the mean over so many samples.
+/// Number of samples over which the start rate in a progress line is averaged.
 const PROGRESS_SAMPLES: usize = 5;
 
-/// Measurements that are still being taken.
+/// Measurements that are collected until the report is written.
 #[derive(Default)]
 pub(super) struct RunMeasurements {
     pub(super) start_latencies: StartLatencies,
     pub(super) acceptance_latency: LatencyHistogram,
-    /// Starts since the last sample.
+    /// Task starts since the last sample.
     pub(super) starts: u64,
-    /// Tasks of accepted jobs that have not run yet.
+    /// Number of tasks of accepted jobs that have not started yet.
     pub(super) waiting_tasks: i64,
     last_sample_at: u64,
     last_progress_at: u64,
@@ -30,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// A process has ended by itself, or all together take too much memory.
+    /// A process exited unexpectedly, or the processes together use more memory than the limit.
     pub(super) fn sample_processes(&mut self, now: u64) -> Result<(), ScaleError> {
         if now < self.measurements.last_sample_at + SAMPLE_INTERVAL_MS {
             return Ok(());
@@ -80,7 +81,7 @@
         );
     }
 
-    /// Computes rates over the load from the counters at its begin and now.
+    /// Computes the rates over the load from the counters at its beginning and at its end.
     pub(super) fn record_load_end(&mut self, load_end: u64) {
         let seconds = load_end.saturating_sub(self.load.start_ms) as f64 / 1000.0;
         if seconds <= 0.0 {
--- a/crates/scale-test/src/run/start.rs
+++ b/crates/scale-test/src/run/start.rs
@@ -1,4 +1,4 @@
-//! The begin of a run: is the machine large enough, which ports are the run's own, and which processes there are.
+//! Starts a run: checks the resources of the machine, reserves ports and starts the processes.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
@@ -24,23 +24,26 @@
 use crate::processes::{ManagedProcess, ProcessCommand, Role, memory_totals, raise_open_file_limit};
 use crate::simulated_workers::{RunClock, ZoneProcessArguments, unix_ms};
 
-/// Expected memory of a simulated worker, of a controller, and of the rest.
+/// Expected memory of one simulated worker, of one controller, and of everything else together.
 const WORKER_BYTES: u64 = 200_000;
 const CONTROLLER_BYTES: u64 = 120_000_000;
 const BASE_BYTES: u64 = 500_000_000;
-/// The address at which the run's processes listen; each worker has its own.
+/// Address at which the run's processes listen, except the workers, each of which has its own address.
 const SERVICE_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
-/// Ports that the run needs once: the kv store's and its control's, the cloud's, the workers'.
-const SINGLE_PORTS: usize = 4;
-/// The file with the controllers' tunables, in the run's folder.
-const TUNABLES: &str = "tunables.hcl";
-/// Files a process needs beside its connections, and the most connections a process has to each worker.
+/// Number of ports that a run needs whatever its size: for the kv store, its control interface, the cloud,
+/// and the workers, which share one port number.
+const FIXED_PORTS: usize = 4;
+/// Name of the file with the controllers' tunables, in the run's output directory.
+const TUNABLES_FILE: &str = "tunables.hcl";
+/// Number of open files that a process needs in addition to its connections, and the maximum number of
+/// connections that a process has for each worker.
 const OPEN_FILE_MARGIN: u64 = 500;
 const CONNECTIONS_PER_WORKER: u64 = 3;
-/// Part of the machine's memory that a run may take.
+/// The processes of a run may use the memory of the machine divided by this.
 const MEMORY_LIMIT_DIVISOR: u64 = 2;
 
-/// The memory in bytes that all processes together may take.
+/// Checks that the machine is large enough for the plan; returns the maximum memory of all processes
+/// together, in bytes.
 ///
 /// # Errors
 ///
@@ -53,7 +56,7 @@
     let limit = memory.total_bytes / MEMORY_LIMIT_DIVISOR;
     if wanted > limit.min(memory.free_bytes) {
         return Err(ScaleError::Refused(format!(
-            "about {} MB are needed; {} MB are free, and half of the machine's memory is {} MB",
+            "the plan needs about {} MB of memory; {} MB are available, and a run may use at most {} MB, half of the machine's memory",
             wanted / 1_000_000,
             memory.free_bytes / 1_000_000,
             limit / 1_000_000
@@ -62,8 +65,8 @@
     Ok(limit)
 }
 
-/// Ports that are this run's own while it lasts: each is bound on one loopback address, so that no other run is given it,
-/// and used on others.
+/// Ports reserved for this run. Each port is bound on 127.0.0.1, so that no other run gets the same one, and
+/// the run's processes use the port number on other loopback addresses.
 pub(super) struct ReservedPorts {
     listeners: Vec<TcpListener>,
 }
@@ -71,14 +74,15 @@
 impl ReservedPorts {
     fn reserve(count: usize) -> Result<ReservedPorts, ScaleError> {
         let bind = |_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let listeners = (0..count).map(bind).collect::<Result<_, _>>().map_err(io_error("free ports"))?;
+        let listeners =
+            (0..count).map(bind).collect::<Result<_, _>>().map_err(io_error("reserving free ports"))?;
         Ok(ReservedPorts { listeners })
     }
 
-    /// Where the run's processes listen.
+    /// Returns the addresses at which the run's processes can listen.
     fn addresses(&self) -> Result<Vec<SocketAddr>, ScaleError> {
         let address = |listener: &TcpListener| {
-            let port = listener.local_addr().map_err(io_error("free ports"))?.port();
+            let port = listener.local_addr().map_err(io_error("reserving free ports"))?.port();
             Ok(SocketAddr::from((SERVICE_ADDRESS, port)))
         };
         self.listeners.iter().map(address).collect()
@@ -93,7 +97,7 @@
     std::fs::write(path, text).map_err(io_error(path.display().to_string()))
 }
 
-/// Where all processes of a run listen.
+/// The addresses at which the processes of a run listen.
 struct RunAddresses {
     cluster: ClusterAddresses,
     kv_control: SocketAddr,
@@ -103,7 +107,7 @@
 
 impl RunAddresses {
     fn reserve(plan: &Plan) -> Result<(RunAddresses, ReservedPorts), ScaleError> {
-        let ports = ReservedPorts::reserve(2 * plan.controllers + plan.zones.len() + SINGLE_PORTS)?;
+        let ports = ReservedPorts::reserve(2 * plan.controllers + plan.zones.len() + FIXED_PORTS)?;
         let free = ports.addresses()?;
         let (controllers, rest) = free.split_at(plan.controllers);
         let (meshes, rest) = rest.split_at(plan.controllers);
@@ -133,15 +137,15 @@
 }
 
 impl ProcessStarter<'_> {
-    /// The kv store, a process of simulated workers for each zone, and the controllers, which come last.
+    /// Starts the kv store, one process of simulated workers per zone, and the controllers, in this order.
     fn start_all(&self, addresses: &RunAddresses) -> Result<Vec<ManagedProcess>, ScaleError> {
         let cluster = &addresses.cluster;
         let mut processes = vec![self.start_kv_store(cluster.kv_store, addresses.kv_control)?];
         for (zone, control) in addresses.zone_controls.iter().enumerate() {
             processes.push(self.start_zone(zone, *control, &cluster.controllers)?);
         }
-        // Written once, before any controller reads it.
-        write_file(&self.arguments.out.join(TUNABLES), &self.plan.tunables)?;
+        // All controllers read the same tunables file, so it is written before the first of them starts.
+        write_file(&self.arguments.out.join(TUNABLES_FILE), &self.plan.tunables)?;
         for index in 0..self.plan.controllers {
             processes.push(self.start_controller(index, cluster)?);
         }
@@ -159,7 +163,7 @@
 
     fn start_kv_store(&self, address: SocketAddr, control: SocketAddr) -> Result<ManagedProcess, ScaleError> {
         let file = self.arguments.out.join("state.redb");
-        // A run begins with an empty store; usually there is no file to remove.
+        // A run begins with an empty store. The removal fails if there is no file, which is the usual case.
         let _ = std::fs::remove_file(&file);
         let state = &self.plan.state;
         let process_arguments = KvStoreArguments {
@@ -172,7 +176,8 @@
             value_bytes: (state.value_kb * 1024.0) as usize,
             txn_mutations: state.txn_mutations,
         };
-        let arguments = vec!["scale".into(), "state".into(), to_json(&process_arguments, "arguments")?];
+        let arguments =
+            vec!["scale".into(), "state".into(), to_json(&process_arguments, "arguments of a process")?];
         ManagedProcess::start("state".into(), Role::KvStore, self.process_command("state", arguments))
     }
 
@@ -196,7 +201,8 @@
             defect: self.plan.defect,
         };
         let name = format!("workers {}", self.plan.zones[zone]);
-        let arguments = vec!["scale".into(), "zone".into(), to_json(&process_arguments, "arguments")?];
+        let arguments =
+            vec!["scale".into(), "zone".into(), to_json(&process_arguments, "arguments of a process")?];
         ManagedProcess::start(
             name.clone(),
             Role::SimulatedWorkers,
@@ -211,7 +217,7 @@
     ) -> Result<ManagedProcess, ScaleError> {
         let name = controller_name(index);
         let out = &self.arguments.out;
-        let (settings, tunables) = (out.join(format!("{name}.json")), out.join(TUNABLES));
+        let (settings, tunables) = (out.join(format!("{name}.json")), out.join(TUNABLES_FILE));
         write_file(&settings, &controller_settings(addresses, index, &self.plan.platform()).to_string())?;
         let (settings, tunables) = (settings.display().to_string(), tunables.display().to_string());
         let arguments = vec![
@@ -226,16 +232,16 @@
     }
 }
 
-/// Set by the signals that end a run.
+/// Returns a flag that is set when the process receives SIGINT or SIGTERM.
 fn register_stop_signals() -> Result<Arc<AtomicBool>, ScaleError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        signal_hook::flag::register(signal, stop.clone()).map_err(io_error("signals"))?;
+        signal_hook::flag::register(signal, stop.clone()).map_err(io_error("registering signal handlers"))?;
     }
     Ok(stop)
 }
 
-/// A report with what is known before the run.
+/// Creates the report with the values that are known before the run.
 fn initial_report(plan: &Plan, arguments: &RunArguments) -> RunReport {
     RunReport {
         plan: arguments.plan.display().to_string(),
@@ -248,7 +254,8 @@
 }
 
 impl ScaleRun {
-    /// Starts all processes of the run. `memory_limit` is what they may take together, in bytes.
+    /// Starts all processes of the run. `memory_limit` is the maximum memory of all of them together, in
+    /// bytes.
     pub(super) fn start(
         plan: Plan,
         arguments: &RunArguments,
--- a/crates/scale-test/src/run/task_events.rs
+++ b/crates/scale-test/src/run/task_events.rs
@@ -1,4 +1,4 @@
-//! What the simulated workers saw: events go to the checker in the order of their times, and starts are measured.
+//! Passes the events of the simulated workers to the checker in time order, and measures the start latencies.
 
 use olivelatch::protocol::users::PriorityClass;
 
@@ -6,17 +6,19 @@
 use crate::control::{TaskEvent, TaskEventKind};
 use crate::measurements::URGENT_OBJECTIVE_MS;
 
-/// An attempt's upper bits are the fencing token of the leader that started it.
+/// The bits of an attempt number above this position are the fencing token of the leader that started the
+/// attempt.
 const TOKEN_SHIFT_BITS: u32 = 24;
 
 impl ScaleRun {
-    /// Checks the pending events up to the time for which all zones have delivered theirs.
+    /// Checks the pending events up to the time until which all zones have delivered their events.
     pub(super) fn check_events(&mut self) {
         let until = self.zones.iter().map(|zone| zone.status.until_ms).min().unwrap_or(0);
         let (mut complete, pending): (Vec<TaskEvent>, Vec<TaskEvent>) =
             std::mem::take(&mut self.pending_events).into_iter().partition(|event| event.at_ms < until);
         self.pending_events = pending;
-        // Clocks of processes agree to a millisecond: within one, removals are taken to come before placements.
+        // The clocks of the processes agree to within a millisecond, so the order of events in the same
+        // millisecond is unknown: removals are assumed to come before placements.
         let adds_task =
             |event: &TaskEvent| matches!(event.kind, TaskEventKind::Placed | TaskEventKind::Started);
         complete.sort_by_key(|event| (event.at_ms, adds_task(event)));
@@ -31,7 +33,8 @@
         self.checker.advance_to(until);
     }
 
-    /// The first placement with a new token is the new leader's first start.
+    /// Records the time of the new leader's first task start, which is the first placement with a higher
+    /// fencing token.
     fn record_placement(&mut self, event: &TaskEvent) {
         let token = event.attempt >> TOKEN_SHIFT_BITS;
         if token <= self.highest_token {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// The phase at a time of the load.
+    /// Returns the name of the phase at a time of the load; `None` after the last phase.
     pub(super) fn phase_at(&self, at_ms: u64) -> Option<&str> {
         let mut end_s = 0.0;
         let mut phases = self.plan.phases.iter();
--- a/crates/scale-test/src/run/zones.rs
+++ b/crates/scale-test/src/run/zones.rs
@@ -1,4 +1,5 @@
-//! Links to the zones' processes: commands queue up, go out in batches, and bring back the zone's status.
+//! Links to the zones' processes: commands are queued and sent in batches, and each response carries the
+//! zone's status.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,20 +13,23 @@
 use crate::control::{TaskEvent, ZoneCommand, ZoneStatus};
 use crate::error::ScaleError;
 
-/// Commands in one message to a zone, in bytes.
-const MAX_COMMAND_BYTES: usize = 48 * 1024;
+/// No further command is added to a message to a zone once its commands have reached this size in bytes.
+const COMMAND_BATCH_BYTES: usize = 48 * 1024;
 
-/// The link to one process of simulated workers. Counts of commands are since the start of the run.
+/// The link to one process of simulated workers.
 pub(super) struct ZoneLink {
     address: SocketAddr,
     queue: VecDeque<ZoneCommand>,
+    /// Number of commands queued since the start of the run or the last reset.
     queued: u64,
-    /// Commands in the message that has no response yet.
+    /// Number of commands in the message in flight; `None` if no message is in flight.
     sent_in_flight: Option<u64>,
+    /// Number of commands acknowledged by the zone's process.
     pub(super) acknowledged: u64,
     next_poll: u64,
+    /// Status in the last response.
     pub(super) status: ZoneStatus,
-    /// As it was when the load began.
+    /// Status when the load began.
     pub(super) status_at_load_start: ZoneStatus,
 }
 
@@ -43,24 +47,25 @@
         }
     }
 
-    /// Queues a command; returns the count of acknowledged commands at which it has been carried out.
+    /// Queues a command; the command has been carried out once `acknowledged` reaches the returned count.
     pub(super) fn queue_command(&mut self, command: ZoneCommand) -> u64 {
         self.queue.push_back(command);
         self.queued += 1;
         self.queued
     }
 
-    /// Sends queued commands, or an empty batch when the status is due. One message is in flight at a time.
+    /// Sends queued commands, or an empty batch if a status poll is due. At most one message is in flight at
+    /// a time.
     pub(super) fn poll(&mut self, slot: CallSlot, network: &mut Network, now: u64) -> Result<(), ScaleError> {
         if self.sent_in_flight.is_some() || (self.queue.is_empty() && now < self.next_poll) {
             return Ok(());
         }
         self.next_poll = now + STATUS_INTERVAL_MS;
         let (mut commands, mut bytes) = (Vec::new(), 0);
-        while bytes < MAX_COMMAND_BYTES
+        while bytes < COMMAND_BATCH_BYTES
             && let Some(command) = self.queue.pop_front()
         {
-            let text = to_json(&command, "a command")?;
+            let text = to_json(&command, "a command to a zone")?;
             bytes += text.len() + 1;
             commands.push(text);
         }
@@ -71,7 +76,7 @@
         Ok(())
     }
 
-    /// Takes in the status from a response; returns its events.
+    /// Stores the status of a response and counts the commands as acknowledged; returns the events.
     fn handle_status(&mut self, mut status: ZoneStatus) -> Vec<TaskEvent> {
         self.acknowledged += self.sent_in_flight.take().unwrap_or(0);
         let events = std::mem::take(&mut status.events);
@@ -83,7 +88,7 @@
         self.acknowledged == 0 && self.status.until_ms == 0
     }
 
-    /// Forgets all commands, before they are queued anew.
+    /// Discards all commands, so that the caller can queue them again.
     fn reset(&mut self, now: u64) {
         self.sent_in_flight = None;
         self.queue.clear();
@@ -101,16 +106,17 @@
         let name = &self.plan.zones[zone];
         let link = &mut self.zones[zone];
         let Some(response) = response else {
-            // The process may not listen yet; commands sent to it so far are lost, and the cloud boots its machines again.
+            // The process may not listen yet. The commands sent to it so far are lost; clearing the zone
+            // makes the cloud send the boot commands of its machines again.
             if link.has_never_responded() && self.clock.now() < START_TIMEOUT_MS {
                 link.reset(self.clock.now());
                 self.cloud.clear_zone(zone);
                 return Ok(());
             }
-            return Err(ScaleError::Process(format!("the hollow workers of {name} do not answer")));
+            return Err(ScaleError::Process(format!("the simulated workers of zone {name} did not respond")));
         };
         let status: ZoneStatus = serde_json::from_slice(&response.body)
-            .map_err(|error| ScaleError::Json { what: format!("news of {name}"), error })?;
+            .map_err(|error| ScaleError::Json { what: format!("status of zone {name}"), error })?;
         self.pending_events.extend(link.handle_status(status));
         Ok(())
     }
--- a/crates/scale-test/src/simulated_workers/control_protocol.rs
+++ b/crates/scale-test/src/simulated_workers/control_protocol.rs
@@ -1,4 +1,5 @@
-//! Commands of the run to a zone: machines come and go, jobs are described, the network is cut, the status is read.
+//! Carries out the run's commands to a zone: boots and removes machines, stores job descriptions, partitions
+//! the network and reports the status.
 
 use std::sync::atomic::Ordering;
 
@@ -13,9 +14,10 @@
 use crate::error::{ScaleError, io_error};
 
 impl Zone {
-    /// Carries out the commands in `body`; returns the zone's status, whose events are delivered once.
+    /// Carries out the commands in `body`; returns the zone's status. Each event is delivered in one status
+    /// only.
     pub(super) fn handle_control_message(&mut self, body: &[u8], now: u64) -> Result<Vec<u8>, ScaleError> {
-        let json_error = |error| ScaleError::Json { what: "a command of the run".into(), error };
+        let json_error = |error| ScaleError::Json { what: "commands from the run".into(), error };
         self.last_command_at = now;
         let commands: Vec<ZoneCommand> = serde_json::from_slice(body).map_err(json_error)?;
         for command in commands {
@@ -55,11 +57,14 @@
         let listener = ListenerId(self.next_listener);
         self.next_listener += 1;
         let endpoint = machine.endpoint.clone();
-        let address = endpoint.parse().map_err(|_| ScaleError::Process(format!("no address: {endpoint}")))?;
+        let address = endpoint
+            .parse()
+            .map_err(|_| ScaleError::Process(format!("invalid address of a worker: {endpoint}")))?;
         self.server
             .listen(&mut self.keys, address, listener)
             .map_err(io_error(format!("listening on {endpoint}")))?;
-        // Spread over an interval, or workers that boot together would send their heartbeats together.
+        // A random delay within the heartbeat interval, so that workers that boot together do not send their
+        // heartbeats at the same time.
         let first_heartbeat = now + self.rng.random_range(0..self.heartbeat_times.interval_ms.max(1));
         let controller = self.rng.random_range(0..self.arguments.controllers.len());
         self.worker_by_listener.insert(listener, self.workers.len());
@@ -85,7 +90,7 @@
 
     fn partition(&mut self) {
         self.partitioned = true;
-        // Heartbeats in flight are lost.
+        // The partition loses the heartbeats in flight.
         let slots: Vec<CallSlot> =
             self.simulated_workers.iter().map(|worker| CallSlot(worker.listener.0)).collect();
         let now = self.clock.now();
@@ -98,7 +103,7 @@
     fn heal_partition(&mut self) {
         self.partitioned = false;
         for connection in std::mem::take(&mut self.unanswered_connections) {
-            // The callers have timed out; their requests are not carried out.
+            // The senders have timed out by now; their requests are not carried out.
             self.server.respond(connection, 503, b"{}");
         }
     }
--- a/crates/scale-test/src/simulated_workers/controller_traffic.rs
+++ b/crates/scale-test/src/simulated_workers/controller_traffic.rs
@@ -1,4 +1,5 @@
-//! Traffic between simulated workers and controllers: heartbeats out, direct commands in, and the plan's defects in both.
+//! Traffic between simulated workers and controllers: sends heartbeats, receives direct commands, and applies
+//! the plan's defect to both.
 
 use olivelatch_local_cluster::controller_index;
 use olivelatch_net::client::CallSlot;
@@ -11,11 +12,11 @@
 use super::{HEARTBEAT_TIMEOUT_MS, Zone};
 use crate::plan::Defect;
 
-/// Heartbeats come at their interval plus or minus this part of it.
+/// The time between heartbeats varies by plus or minus the interval divided by this.
 const JITTER_DIVISOR: u64 = 4;
 
 impl Zone {
-    /// A command straight from a controller, or a query of the worker's status.
+    /// Handles a request that a controller sends to a worker: direct commands or a status query.
     pub(super) fn handle_worker_request(
         &mut self,
         listener: ListenerId,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Commands as a worker with the plan's defect takes them.
+    /// Removes the commands that a worker with the plan's defect ignores.
     fn apply_defect(&self, mut body: Value) -> Value {
         if self.arguments.defect == Some(Defect::IgnoreStops)
             && let Some(commands) = body["orders"].as_array_mut()
@@ -47,7 +48,7 @@
         body
     }
 
-    /// The response to a heartbeat; `None` when it failed or timed out.
+    /// Handles the response to a heartbeat; `None` if the heartbeat failed or timed out.
     pub(super) fn handle_heartbeat_response(
         &mut self,
         slot: CallSlot,
--- a/crates/scale-test/src/simulated_workers/mod.rs
+++ b/crates/scale-test/src/simulated_workers/mod.rs
@@ -1,7 +1,9 @@
-//! A zone's simulated workers in one process: the worker's own code and real HTTP, with simulated tasks and image fetches.
+//! The process that runs all simulated workers of a zone: the worker's own code and real HTTP, with simulated
+//! tasks and image fetches.
 //!
-//! `control_protocol` carries out the run's commands, `controller_traffic` speaks with the controllers, `observation`
-//! derives the events for the checker. This module owns the zone's state and its event loop.
+//! `control_protocol` carries out the run's commands, `controller_traffic` exchanges messages with the
+//! controllers, and `observation` derives the events for the checker. This module owns the zone's state and
+//! its event loop.
 
 mod clock;
 mod control_protocol;
@@ -28,46 +30,48 @@
 use crate::error::{ScaleError, io_error};
 use crate::plan::Defect;
 
-/// What a process of simulated workers is started with.
+/// The arguments of a process of simulated workers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ZoneProcessArguments {
-    /// Where the process takes the run's commands.
+    /// Address at which the process receives the run's commands.
     pub control: SocketAddr,
-    /// Where the controllers listen, by index.
+    /// Addresses of the controllers, by controller index.
     pub controllers: Vec<SocketAddr>,
-    /// The begin of the run, in milliseconds since 1970: times of all processes count from there.
+    /// Start of the run, in Unix time in milliseconds. The times of all processes count from it.
     pub epoch_ms: u64,
     /// Mean time between a worker's heartbeats, in milliseconds.
     pub report_ms: u64,
-    /// How long a worker's lease lasts without renewal, in milliseconds.
+    /// Time after which a worker's lease expires if it is not renewed, in milliseconds.
     pub lease_ms: u64,
-    /// How long a gang waits for all its members, in milliseconds.
+    /// Time that a gang waits for all its members, in milliseconds.
     pub gang_wait_ms: u64,
-    /// How long a gang runs on after it lost a member, in milliseconds.
+    /// Time after which the members of a gang detect that one of them is lost, in milliseconds.
     pub gang_peer_ms: u64,
-    /// Seed of the zone's random generator.
+    /// Seed of the zone's random number generator.
     pub seed: u64,
-    /// The fault that the workers are built with, to test the checker.
+    /// Defect that the workers have on purpose, to test the checker.
     pub defect: Option<Defect>,
 }
 
-/// Listener of the control protocol; those of the workers come after it.
+/// Listener of the control protocol; the listeners of the workers have higher ids.
 const CONTROL_LISTENER: ListenerId = ListenerId(0);
-/// Longest wait for events between two steps.
+/// Maximum time that the event loop waits for socket events between two steps.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two checks of the gangs.
 const GANG_CHECK_MS: u64 = 100;
-/// Least time between a heartbeat and one that a change triggers.
+/// Minimum time between a heartbeat and the next one that a change triggers.
 const MIN_HEARTBEAT_GAP_MS: u64 = 500;
-/// Time before the next controller is tried.
+/// Time after a failed heartbeat before the next controller is tried.
 const RETRY_MS: u64 = 1_000;
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
-/// Without a command for so long, the run is taken to be over and the process ends.
+/// The process exits if it has received no message from the run for this long, because the run has then
+/// ended.
 const CONTROL_TIMEOUT_MS: u64 = 15_000;
-/// Estimated head of a control message, which is not counted as traffic of workers.
+/// Estimated size of the HTTP head of a control message. Control messages are not counted as traffic of
+/// workers.
 const MESSAGE_HEAD_BYTES: u64 = 200;
 
-/// Bytes of the run's own messages.
+/// Bytes of the control messages, which are subtracted from the traffic of the process.
 #[derive(Default)]
 struct ControlTraffic {
     bytes_in: u64,
@@ -84,16 +88,18 @@
     http_client: HttpClient,
     rng: StdRng,
     workers: Vec<Worker>,
-    /// At the same indices as `workers`.
+    /// State that the zone keeps for each worker, at the same indices as `workers`.
     simulated_workers: Vec<SimulatedWorker>,
     /// Indices into `workers`.
     worker_by_listener: HashMap<ListenerId, usize>,
     next_listener: usize,
     jobs: JobDescriptions,
+    /// Gangs that ran and miss a member, with the time since when; maintained by `coordinate_gangs`.
     broken_gangs: BTreeMap<(String, u64), u64>,
     next_gang_check: u64,
     partitioned: bool,
-    /// Requests that arrived during a partition; they get no response while it lasts.
+    /// Connections with a request that arrived during the partition; the response is delayed until the
+    /// partition ends.
     unanswered_connections: Vec<ConnectionId>,
     status: ZoneStatus,
     control_traffic: ControlTraffic,
@@ -110,7 +116,7 @@
     let mut events = Events::new();
     while zone.clock.now() < zone.last_command_at + CONTROL_TIMEOUT_MS {
         events.clear();
-        zone.poller.wait(&mut events, POLL_INTERVAL).map_err(io_error("the poller"))?;
+        zone.poller.wait(&mut events, POLL_INTERVAL).map_err(io_error("polling sockets"))?;
         let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
         for key in ready {
             zone.handle_event(key)?;
@@ -122,7 +128,7 @@
 
 impl Zone {
     fn new(arguments: ZoneProcessArguments) -> Result<Zone, ScaleError> {
-        let poller = Arc::new(EventPoller::new().map_err(io_error("the poller"))?);
+        let poller = Arc::new(EventPoller::new().map_err(io_error("creating the socket poller"))?);
         let (mut keys, mut server) = (KeyAllocator::default(), HttpServer::new(&poller));
         server
             .listen(&mut keys, arguments.control, CONTROL_LISTENER)
@@ -172,7 +178,7 @@
         Ok(())
     }
 
-    /// Responds to a request; returns the connection's next one, if it has arrived already.
+    /// Responds to a request; returns the next request on the same connection, if it has already arrived.
     fn handle_request(
         &mut self,
         incoming: IncomingRequest,
@@ -194,7 +200,7 @@
         Ok(self.server.respond(connection, status, body.to_string().as_bytes()))
     }
 
-    /// Advances all workers to the present, records what changed and sends the heartbeats that are due.
+    /// Advances all workers to the present time, records the events and sends the heartbeats that are due.
     fn step(&mut self) {
         let now = self.clock.now();
         for (slot, response) in self.http_client.expire_calls(now) {
@@ -224,7 +230,7 @@
         coordinate_gangs(&mut self.workers, now, times, &self.jobs, &mut self.broken_gangs);
     }
 
-    /// Records what became of the tasks since the last call.
+    /// Records an event for each task whose state has changed since the last call.
     fn observe_workers(&mut self, now: u64) {
         for (worker, simulated) in self.workers.iter().zip(&mut self.simulated_workers) {
             simulated.observe(worker, now, &mut self.status.events);
--- a/crates/scale-test/src/simulated_workers/observation.rs
+++ b/crates/scale-test/src/simulated_workers/observation.rs
@@ -1,6 +1,6 @@
-//! What a simulated worker shows of its tasks: the events that the checker judges.
+//! Derives the events for the checker from the attempts on a simulated worker.
 //!
-//! State: the last phase seen of each attempt. Does no I/O and reads no clock.
+//! Keeps the last observed phase of each attempt. Does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 /// A task's name and the number of its attempt.
 type AttemptKey = (String, u64);
 
-/// How far an attempt has come, as last seen on its worker.
+/// The phase of an attempt, as last observed on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ObservedPhase {
     Placed,
@@ -30,7 +30,8 @@
     }
 }
 
-/// What the zone keeps beside a worker: its listener, its heartbeats, and the phases seen of its attempts.
+/// The state that the zone keeps for each worker: its listener, its heartbeat sender and the observed phases
+/// of its attempts.
 pub(super) struct SimulatedWorker {
     pub(super) listener: ListenerId,
     pub(super) heartbeat_sender: HeartbeatSender,
@@ -42,7 +43,7 @@
         SimulatedWorker { listener, heartbeat_sender, observed: BTreeMap::new() }
     }
 
-    /// Attempts that hold resources of the machine.
+    /// Returns the number of attempts that hold resources of the machine.
     pub(super) fn tasks_on_machine(&self) -> usize {
         self.observed.values().filter(|phase| **phase != ObservedPhase::Removed).count()
     }
@@ -53,7 +54,7 @@
         for attempt in worker.attempts.iter().filter(|attempt| attempt.has_image) {
             self.observe_attempt(name, attempt, now, events);
         }
-        // Attempts killed with their agent epoch, or forgotten, are no longer listed.
+        // The worker no longer lists attempts that were killed with their agent epoch or deleted.
         self.observed.retain(|key, phase| {
             let listed =
                 worker.attempts.iter().any(|attempt| attempt.attempt == key.1 && attempt.task == key.0);
@@ -64,7 +65,7 @@
         });
     }
 
-    /// Appends the removal of all attempts of a worker that is taken away.
+    /// Appends a removal event for each attempt on a worker whose machine is removed.
     pub(super) fn observe_removal(&self, worker: &str, now: u64, events: &mut Vec<TaskEvent>) {
         for (key, phase) in &self.observed {
             if *phase != ObservedPhase::Removed {
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -1,4 +1,5 @@
-//! Users of a run: they submit, poll, cancel and retry by the protocol's rules. Decides; does no I/O and reads no clock.
+//! The simulated users of a run, who submit, poll, cancel and retry according to the user protocol. Decides
+//! which requests to send; does no I/O and reads no clock.
 
 use olivelatch_net::http::Response;
 use rand::rngs::StdRng;
@@ -7,107 +8,111 @@
 
 use crate::arrivals::Arrival;
 
-/// Times of the protocol, in milliseconds.
+/// Time-outs, deadlines and intervals of the user protocol, in milliseconds.
 const SUBMIT_TIMEOUT_MS: u64 = 5_000;
 const POLL_TIMEOUT_MS: u64 = 2_000;
 const RETRY_MS: u64 = 1_000;
 const SUBMIT_DEADLINE_MS: u64 = 60_000;
 const POLL_INTERVAL_MS: u64 = 5_000;
 
-/// How far a user has come with the job.
+/// The stage that a user has reached with the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UserStage {
-    /// Workers do not know the job yet: the load is behind.
+    /// The job has not been submitted yet; the workers must first acknowledge its description.
     Describing,
     Submitting,
     Polling,
     Cancelling,
-    /// The job is over, or was given up.
+    /// The job is done or cancelled, was abandoned, or is unknown to a controller.
     Finished,
     /// The job is polled once more at the end of the run.
     FinalPoll,
-    /// The final poll had a response.
+    /// The final poll got a response.
     Confirmed,
 }
 
 /// A user with one job.
 pub struct User {
-    /// The job.
+    /// The user's job.
     pub arrival: Arrival,
     stage: UserStage,
-    /// When the next request is due; none while one is in flight.
+    /// Time at which the next request is due; `None` while one is in flight and when no further one is
+    /// needed.
     next_request: Option<u64>,
+    /// Time at which the first submission was sent; before that, the planned time.
     first_attempt: u64,
-    /// The last request was the first one.
+    /// Whether the most recent request is the user's first one.
     pub first_request: bool,
-    /// When the job was accepted.
+    /// Time at which the job was accepted.
     pub accepted_at: Option<u64>,
-    /// The team had no room for the job under its limit when it was accepted.
+    /// Whether the job did not fit under its team's limit when it was accepted.
     pub team_at_limit: bool,
-    /// A controller has confirmed the cancellation.
+    /// Whether a controller has confirmed the cancellation.
     pub cancelled: bool,
-    /// A controller has said that the job is done.
+    /// Whether a controller has reported the job as done.
     pub done: bool,
-    /// For each zone, how many commands it must have acknowledged before the job may be submitted.
+    /// For each zone, the number of commands that it must have acknowledged before the job may be submitted.
     pub required_commands: Vec<u64>,
 }
 
-/// A request that goes out now.
+/// A request of a user that is due.
 pub struct UserRequestToSend {
     /// Index of the user.
     pub user: usize,
-    /// Index of the controller that gets it.
+    /// Index of the controller to send to.
     pub controller: usize,
     /// HTTP method.
     pub method: &'static str,
     /// Path of the URL.
     pub path: String,
-    /// JSON, or empty.
+    /// JSON body, or empty.
     pub body: Vec<u8>,
-    /// Time of the run at which the user gives up waiting for a response.
+    /// Time of the run at which the request times out.
     pub deadline_ms: u64,
 }
 
-/// What a response meant.
+/// The meaning of a response for the user's job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserOutcome {
     /// Nothing new.
     Nothing,
     /// The job was accepted.
     Accepted {
-        /// Time since the first attempt.
+        /// Time since the first submission request, in milliseconds.
         after_ms: u64,
     },
-    /// The job is cancelled, as its user wanted.
+    /// A controller confirmed the cancellation that the user requested.
     Cancelled,
     /// The job is done.
     Done,
-    /// Refused for good, or not accepted within `SUBMIT_DEADLINE_MS`.
+    /// The job was refused permanently, or was not accepted within `SUBMIT_DEADLINE_MS`.
     Abandoned,
-    /// No controller knows the accepted job.
+    /// A controller does not know the accepted job.
     JobLost,
-    /// A terminal state was followed by another one, or a job is reported cancelled that nobody cancelled.
+    /// The job changed from a terminal state to another state, or was reported as cancelled although its
+    /// user's cancellation was never confirmed.
     TerminalStateChanged,
 }
 
 /// All users of a run.
 pub struct Users {
-    /// By the order of arrival.
+    /// The users, in the order in which their jobs arrive.
     pub users: Vec<User>,
     controllers: usize,
     rng: StdRng,
-    /// Requests that were repeated.
+    /// Number of requests that were retried.
     pub retries: u64,
 }
 
 impl Users {
-    /// No users yet; each request goes to a controller drawn at random.
+    /// Creates an empty set of users. Each request goes to a random controller.
     pub fn new(controllers: usize, seed: u64) -> Users {
         Users { users: Vec::new(), controllers, rng: StdRng::seed_from_u64(seed), retries: 0 }
     }
 
-    /// Adds the user of a job, which is submitted at `at_ms`, or later when its description is acknowledged by the workers.
-    pub fn add_user(&mut self, arrival: Arrival, at_ms: u64, described_by: Vec<u64>) {
+    /// Adds the user of a job. The job is submitted at `at_ms`, or later if the zones have not acknowledged
+    /// its description by then: each zone must first have acknowledged its number of `required_commands`.
+    pub fn add_user(&mut self, arrival: Arrival, at_ms: u64, required_commands: Vec<u64>) {
         self.users.push(User {
             arrival,
             stage: UserStage::Describing,
@@ -118,19 +123,31 @@
             team_at_limit: false,
             cancelled: false,
             done: false,
-            required_commands: described_by,
+            required_commands,
         });
     }
 
-    /// Requests that are due. `described`: how many commands each zone has acknowledged; `load_from`: the begin of the load.
-    pub fn due_requests(&mut self, now: u64, load_from: u64, described: &[u64]) -> Vec<UserRequestToSend> {
+    /// Returns the requests that are due. `load_start_ms` is the beginning of the load;
+    /// `acknowledged_commands` is the number of commands that each zone has acknowledged.
+    pub fn due_requests(
+        &mut self,
+        now: u64,
+        load_start_ms: u64,
+        acknowledged_commands: &[u64],
+    ) -> Vec<UserRequestToSend> {
         let mut requests = Vec::new();
         for index in 0..self.users.len() {
             if self.users[index].next_request.is_none_or(|next| next > now) {
                 continue;
             }
             let controller = self.rng.random_range(0..self.controllers);
-            requests.extend(self.users[index].next_request(index, controller, now, load_from, described));
+            requests.extend(self.users[index].next_request(
+                index,
+                controller,
+                now,
+                load_start_ms,
+                acknowledged_commands,
+            ));
         }
         requests
     }
@@ -166,12 +183,12 @@
         }
     }
 
-    /// Accepted jobs whose final poll has had no response yet.
+    /// Returns the number of accepted jobs whose final poll has not been answered yet.
     pub fn unanswered_final_polls(&self) -> usize {
         self.users.iter().filter(|user| user.stage == UserStage::FinalPoll).count()
     }
 
-    /// Accepted jobs that are neither done nor cancelled.
+    /// Returns the number of accepted jobs that are neither done nor cancelled.
     pub fn unfinished(&self) -> usize {
         let unfinished = |user: &&User| user.accepted_at.is_some() && !user.done && !user.cancelled;
         self.users.iter().filter(unfinished).count()
@@ -179,24 +196,25 @@
 }
 
 impl User {
-    /// The request that is due; none if the user needs none, or if the workers do not know the job yet.
+    /// Returns the request that is due; `None` if the user needs none, or if the workers have not yet
+    /// acknowledged the job's description.
     fn next_request(
         &mut self,
         index: usize,
         controller: usize,
         now: u64,
-        load_from: u64,
-        described: &[u64],
+        load_start_ms: u64,
+        acknowledged_commands: &[u64],
     ) -> Option<UserRequestToSend> {
         self.first_request = self.stage == UserStage::Describing;
         if self.first_request {
-            if !self.is_described(described) {
+            if !self.is_described(acknowledged_commands) {
                 return None;
             }
             self.stage = UserStage::Submitting;
             self.first_attempt = now;
         }
-        let wants_cancellation = self.arrival.cancel_at_ms.is_some_and(|at_ms| now >= load_from + at_ms);
+        let wants_cancellation = self.arrival.cancel_at_ms.is_some_and(|at_ms| now >= load_start_ms + at_ms);
         if self.stage == UserStage::Polling && wants_cancellation && !self.done {
             self.stage = UserStage::Cancelling;
         }
@@ -205,12 +223,13 @@
         Some(UserRequestToSend { user: index, controller, method, path, body, deadline_ms: now + timeout_ms })
     }
 
+    /// Returns whether all zones have acknowledged the job's description.
     fn is_described(&self, acknowledged_commands: &[u64]) -> bool {
         let mut zones = self.required_commands.iter().zip(acknowledged_commands);
         zones.all(|(required, acknowledged)| acknowledged >= required)
     }
 
-    /// Method, path, body and timeout in milliseconds.
+    /// Returns the method, path, body and time-out in milliseconds of the request for the present stage.
     fn request_of_stage(&self) -> Option<(&'static str, String, Vec<u8>, u64)> {
         let job = &self.arrival.job;
         match self.stage {
