--- a/crates/scale-test/tests/golden.rs
+++ b/crates/scale-test/tests/golden.rs
@@ -11,7 +11,7 @@
 
 fn example(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale").join(name);
-    std::fs::read_to_string(path).expect("an example")
+    std::fs::read_to_string(path).expect("the example plan is readable")
 }
 
 fn fault(fault: &FaultKind) -> Value {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Named blocks, in the order of the file.
+/// Renders named blocks in the order of the file.
 fn blocks<'a, T: 'a>(
     blocks: impl Iterator<Item = (&'a String, &'a T)>,
     render: impl Fn(&T) -> Value,
@@ -116,7 +116,7 @@
 fn plans() {
     let mut golden = Golden::new(env!("CARGO_MANIFEST_DIR"), "plans");
     for name in ["small.hcl", "half.hcl", "planned.hcl"] {
-        let plan = Plan::parse(name, &example(name)).expect("a plan");
+        let plan = Plan::parse(name, &example(name)).expect("the plan is valid");
         golden.case(name, plan_fields(&plan));
         let mut arrivals = Arrivals::new(&plan);
         let first: Vec<Value> =
@@ -125,7 +125,7 @@
     }
     for defect in ["hide_tasks", "ignore_halts"] {
         let text = format!("defect = \"{defect}\"\n{}", example("small.hcl"));
-        golden.case(defect, json!(Plan::parse("plan.hcl", &text).expect("a plan").defect));
+        golden.case(defect, json!(Plan::parse("plan.hcl", &text).expect("the plan is valid").defect));
     }
     let other_faults = [
         ("kill_workers", "kind = \"kill_workers\"\n  at_s = 1\n  share = 0.5\n  back_s = 2"),
@@ -134,7 +134,7 @@
     ];
     for (name, fields) in other_faults {
         let text = format!("{}\nfault \"other\" {{\n  {fields}\n}}\n", example("small.hcl"));
-        let plan = Plan::parse("plan.hcl", &text).expect("a plan");
+        let plan = Plan::parse("plan.hcl", &text).expect("the plan is valid");
         golden.case(name, blocks(plan.faults.iter(), fault));
     }
     golden.check();
--- a/crates/scale-test/tests/plans.rs
+++ b/crates/scale-test/tests/plans.rs
@@ -1,61 +1,74 @@
-//! Plans: the examples are good, what is wrong is named, arrivals follow the plan and its seed.
+//! Plans: the examples are valid, errors name the invalid field, and arrivals follow the plan and its seed.
 
 use std::path::Path;
 
 use olivelatch_scale_test::{Arrival, Arrivals, Plan};
 
-fn examples() -> Vec<std::path::PathBuf> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale");
-    std::fs::read_dir(folder).expect("the examples").flatten().map(|entry| entry.path()).collect()
+fn example_paths() -> Vec<std::path::PathBuf> {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale");
+    std::fs::read_dir(directory)
+        .expect("the directory of examples is readable")
+        .flatten()
+        .map(|entry| entry.path())
+        .collect()
 }
 
-fn small() -> String {
+fn small_plan() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scale/small.hcl");
-    std::fs::read_to_string(path).expect("the small plan")
+    std::fs::read_to_string(path).expect("the small plan is readable")
 }
 
-fn arrivals(text: &str) -> Vec<Arrival> {
-    let plan = Plan::parse("small", text).expect("a plan");
+fn all_arrivals(text: &str) -> Vec<Arrival> {
+    let plan = Plan::parse("small", text).expect("the plan is valid");
     let mut arrivals = Arrivals::new(&plan);
     std::iter::from_fn(|| arrivals.pop_due(u64::MAX)).collect()
 }
 
 #[test]
-fn the_examples_are_good() {
-    let plans = examples();
+fn example_plans_are_valid() {
+    let plans = example_paths();
     assert!(plans.len() >= 3, "{plans:?}");
     for path in plans {
-        Plan::load(&path).expect("a good plan");
+        Plan::load(&path).expect("the example plan is valid");
     }
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    let wrong = |from: &str, to: &str| {
-        let text = small().replacen(from, to, 1);
-        assert_ne!(text, small(), "{from}");
-        Plan::parse("p.hcl", &text).expect_err("wrong").to_string()
+fn errors_name_the_invalid_field() {
+    let error_after_replacing = |from: &str, to: &str| {
+        let text = small_plan().replacen(from, to, 1);
+        assert_ne!(text, small_plan(), "{from}");
+        Plan::parse("p.hcl", &text).expect_err("the plan is invalid").to_string()
     };
-    assert!(wrong("controllers = 3", "controllers = 0").contains("controllers: expected 1 to 100, not 0"));
-    assert!(wrong("controllers = 3", "controllers = 300").contains("controllers: expected"));
-    assert!(wrong("up_at_start    = 30", "up_at_start    = 90").contains("machine small: up_at_start"));
-    assert!(wrong("seed        = 1", "seeds       = 1").contains("line "));
-    let cut = wrong(
+    assert!(
+        error_after_replacing("controllers = 3", "controllers = 0")
+            .contains("controllers: expected 1 to 100, not 0")
+    );
+    assert!(error_after_replacing("controllers = 3", "controllers = 300").contains("controllers: expected"));
+    assert!(
+        error_after_replacing("up_at_start    = 30", "up_at_start    = 90")
+            .contains("machine small: up_at_start")
+    );
+    assert!(error_after_replacing("seed        = 1", "seeds       = 1").contains("line "));
+    let unknown_zone = error_after_replacing(
         "kind   = \"kill_leader\"\n  at_s   = 15\n  back_s = 3",
         "kind = \"cut_zones\"\n  at_s = 1\n  for_s = 2\n  zones = [\"west\"]",
     );
-    assert!(cut.contains("fault a leader ends: zones: expected one of north-a, north-b, not west"), "{cut}");
+    assert!(
+        unknown_zone.contains("fault a leader ends: zones: expected one of north-a, north-b, not west"),
+        "{unknown_zone}"
+    );
 }
 
 #[test]
-fn a_seed_gives_the_same_jobs_at_the_planned_rate() {
-    let jobs = arrivals(&small());
-    assert_eq!(jobs, arrivals(&small()));
-    assert_ne!(jobs, arrivals(&small().replacen("seed        = 1", "seed        = 2", 1)));
-    assert!(jobs.windows(2).all(|pair| pair[0].at_ms <= pair[1].at_ms), "in the order of their times");
-    // A longer load, so that chance matters little: 40 starts a second were planned.
-    let long = small().replacen("seconds      = 30", "seconds      = 3000", 1);
-    let starts: u32 = arrivals(&long).iter().map(|job| job.tasks).sum();
+fn same_seed_gives_the_same_jobs_at_the_planned_rate() {
+    let jobs = all_arrivals(&small_plan());
+    assert_eq!(jobs, all_arrivals(&small_plan()));
+    assert_ne!(jobs, all_arrivals(&small_plan().replacen("seed        = 1", "seed        = 2", 1)));
+    assert!(jobs.windows(2).all(|pair| pair[0].at_ms <= pair[1].at_ms), "arrivals come in time order");
+    // A longer load, so that the measured rate is close to the planned 40 starts per second.
+    let long = small_plan().replacen("seconds      = 30", "seconds      = 3000", 1);
+    let starts: u32 = all_arrivals(&long).iter().map(|job| job.tasks).sum();
     let per_s = f64::from(starts) / 3000.0;
     assert!((36.0..44.0).contains(&per_s), "{per_s}");
 }
