--- a/examples/billing.hcl
+++ b/examples/billing.hcl
@@ -1,12 +1,12 @@
-# The nightly chain: raw readings, balances, billing files.
+# A nightly graph of jobs that turns raw meter readings into balances and billing files.
 #
 #   olivelatchctl up                                       (in another terminal, or in the background)
 #   olivelatchctl graph submit examples/billing.hcl --wait
 #   olivelatchctl graph show billing-2026-12-01
 #
-# It ends badly while the file `trouble` names a town: `echo east > /tmp/trouble` before, with
-# `--var trouble=/tmp/trouble`. Then remove the file and `olivelatchctl graph retry billing-2026-12-01 --wait`.
-# Output is in .latch/published/billing-2026-12-01, whole or not at all.
+# To make a town fail, run `echo east > /tmp/trouble` and submit with `--var trouble=/tmp/trouble`.
+# Then remove the file and run `olivelatchctl graph retry billing-2026-12-01 --wait`.
+# The output appears in .latch/published/billing-2026-12-01, either complete or not at all.
 
 graph = "billing"
 run   = "billing-{{ day }}"
@@ -23,7 +23,7 @@
   guess_s = 1
 }
 
-# Gives the list that the next nodes run over: one task for each town.
+# Writes the list of towns over which the next nodes are mapped: they run one task per town.
 node "raw" {
   command = ["sh", "-c", <<-EOT
     for town in {{ towns | join(" ") }}; do
@@ -50,7 +50,7 @@
   ]
 }
 
-# Written in two halves on purpose: nobody ever sees one without the other.
+# Writes its output in two steps to show that readers never see a partial file.
 node "bill" {
   map   = "raw"
   after = ["balance"]
@@ -70,7 +70,7 @@
   ]
 }
 
-# Runs once something before it has failed, and is skipped on a good night.
+# Runs if a node before it has failed, and is skipped if none has.
 node "alarm" {
   after   = ["balance", "bill"]
   rule    = "one_failed"
--- a/examples/scale/half.hcl
+++ b/examples/scale/half.hcl
@@ -1,4 +1,4 @@
-# Half of the planned workers and load, with as many controllers and teams: slopes are read between the two.
+# Half of the planned workers and load, with as many controllers and teams: shows how costs grow with size.
 
 seed        = 11
 controllers = 15
@@ -134,7 +134,8 @@
   back_s = 6
 }
 
-# Changes of configuration: the year's rate, one a second, and bursts of twenty; the last ones while the leader ends.
+# Configuration changes: one every 33 s (the mean rate over a year), one per second, bursts of twenty, and one
+# per second around the time at which the leader is killed.
 
 change "one every 33 s" {
   from_s  = 5
--- a/examples/scale/planned.hcl
+++ b/examples/scale/planned.hcl
@@ -1,5 +1,5 @@
-# The planned size: 2,202 workers, 650 task starts a second, 28,000 tasks running, gangs of up to 128, 590 teams,
-# 15 controllers over six zones; the leader is killed at the peak. docs/CAPACITY.md has its figures.
+# The planned size: 2,202 workers, 650 task starts per second, 28,000 running tasks, gangs of up to 128 tasks,
+# 590 teams, 15 controllers over six zones. The leader is killed at the peak. docs/CAPACITY.md has the results.
 
 seed        = 11
 controllers = 15
@@ -135,7 +135,8 @@
   back_s = 6
 }
 
-# Changes of configuration: the year's rate, one a second, and bursts of twenty; the last ones while the leader ends.
+# Configuration changes: one every 33 s (the mean rate over a year), one per second, bursts of twenty, and one
+# per second around the time at which the leader is killed.
 
 change "one every 33 s" {
   from_s  = 5
--- a/examples/scale/small.hcl
+++ b/examples/scale/small.hcl
@@ -1,4 +1,4 @@
-# A hundred workers for half a minute: every part of a scale run once. CI plays it.
+# A hundred workers for half a minute, which covers every part of a scale run. CI runs this plan.
 
 seed        = 1
 controllers = 3
