--- a/src/bookkeeping/dag_runs/assembly.rs
+++ b/src/bookkeeping/dag_runs/assembly.rs
@@ -12,8 +12,8 @@
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::ids::{DagRunIx, JobId, Revision};
 
-/// Returns the numbers of the parts that describe reruns; None unless all records needed to assemble the run have been
-/// read.
+/// Returns the numbers of the parts that describe reruns; None if the run is being deleted or a record needed to
+/// assemble it has not been read.
 fn complete_rerun_parts(run: &DagRun) -> Option<Vec<u32>> {
     let (_, header, _) = run.accepted.as_ref()?;
     let has_part = |part: &u32| run.part_contents.contains_key(part);
@@ -56,8 +56,8 @@
             }
         }
     }
-    // All reruns are replayed from the first one. A node that was rerun several times is therefore given earlier jobs
-    // again before its current one, which must not count as replaced.
+    // All reruns are replayed from the first one, so a node that was rerun several times passes through its earlier
+    // jobs again. Its current job is among the replaced ones then, but must not count as replaced.
     let current: BTreeSet<JobId> = nodes.iter().map(|node| node.job).collect();
     replaced.old.retain(|(_, job)| !current.contains(job));
     replaced
--- a/src/bookkeeping/records/key.rs
+++ b/src/bookkeeping/records/key.rs
@@ -7,7 +7,8 @@
 pub const KEY_PREFIX: &str = "olivelatch/";
 /// Key of the leader record. The controller that holds it is the leader.
 pub const LEADER_KEY: &str = "olivelatch/leader";
-/// Key that every acceptance of graph nodes rewrites, so that acceptances are serialized.
+/// Key that commits and reruns of graphs, and replacements of uploaded parts, rewrite on the condition that it has not
+/// changed, so that they are serialized. Users' writes are conditional on it too if graphs are or were enabled.
 pub const GRAPH_ACCEPTANCE_KEY: &str = "olivelatch/graphs";
 
 /// A parsed key.
@@ -30,7 +31,7 @@
     ProvisioningRequest(String),
     /// The description of a machine type.
     MachineType(String),
-    /// The key that every acceptance of graph nodes rewrites, so that acceptances are serialized.
+    /// The key that serializes acceptances of graph nodes; see [`GRAPH_ACCEPTANCE_KEY`].
     GraphAcceptance,
     /// An uploaded part of a run's graph.
     GraphPart(DagRunName, u32),
--- a/src/coordination/config_requests/mod.rs
+++ b/src/coordination/config_requests/mod.rs
@@ -81,8 +81,7 @@
         self.pending.len() + self.watchers.len() + usize::from(self.write_in_flight.is_some())
     }
 
-    /// Returns whether a change waits to be written, so that polls must leave a request of the rate limit for
-    /// it.
+    /// Returns whether a change waits to be written. Polls then leave one request of the rate limit for it.
     pub fn has_writes_to_send(&self) -> bool {
         self.pending.iter().any(|pending| is_change(&pending.request))
     }
@@ -229,7 +228,7 @@
         }
     }
 
-    /// Sends the leader a notice if a watcher waits for a version that the leader has not announced to have
+    /// Sends the leader a notice if a watcher waits for a version that the leader has not yet announced as
     /// read.
     fn notify_lagging_leader(&mut self, clock: Clock, state: &ControllerState, out: &mut Vec<Action>) {
         let Some(newest) = self.watchers.iter().map(|watcher| watcher.version).max() else { return };
--- a/src/coordination/config_requests/rollout.rs
+++ b/src/coordination/config_requests/rollout.rs
@@ -16,7 +16,8 @@
 #[derive(Debug, Default)]
 pub(super) struct ObservedVersions {
     seen_at: BTreeMap<Revision, Millis>,
-    /// When all records were last loaded, if that is recent: the age of their versions is unknown.
+    /// When all records were last loaded, if that is recent. It is used for versions without an entry in
+    /// `seen_at`, because the age of the loaded versions is unknown.
     full_read_at: Option<Millis>,
 }
 
--- a/src/coordination/controller/config_requests.rs
+++ b/src/coordination/controller/config_requests.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Applies a change of an entry at this revision: the leader uses the new value from now on, and
-    /// announces so once it has read up to the revision.
+    /// Applies a change of an entry at this revision: a leader uses the new value from now on, and announces
+    /// to the other controllers when it has read up to the revision.
     pub(super) fn apply_config_change(&mut self, clock: Clock, revision: Revision) {
         if !self.serves_config() {
             return;
--- a/src/coordination/controller/kv_replies.rs
+++ b/src/coordination/controller/kv_replies.rs
@@ -117,8 +117,8 @@
         self.step_down_if_superseded();
     }
 
-    /// Passes jobs that this controller accepted or cancelled itself to the leader. They reach the cache
-    /// without a poll, so no change event reports them.
+    /// Updates the leader's jobs with those that this controller itself accepted or cancelled. They reach the
+    /// cache without a poll, so no change event reports them.
     fn reconcile_leader_jobs(&mut self, clock: Clock) {
         let cache = &self.state.cache;
         let Some(leader) = &mut self.state.leader else {
--- a/src/coordination/graph_requests/decision.rs
+++ b/src/coordination/graph_requests/decision.rs
@@ -40,8 +40,8 @@
         unchanged(&self.state.cache, key)
     }
 
-    /// Returns a change of the key that users' writes, commits and reruns are conditional on: those that were
-    /// decided without having read this change fail.
+    /// Returns a mutation of the graph acceptance key. Users' writes, commits and reruns are conditional on
+    /// this key, so those that were decided before the mutation was read fail.
     pub fn touch_graph_acceptance(&self) -> KvMutation {
         put_record(&RecordKey::GraphAcceptance, &serde_json::json!({"at": self.clock.wall_ms}))
     }
--- a/src/coordination/leader/dag_runs/mod.rs
+++ b/src/coordination/leader/dag_runs/mod.rs
@@ -22,7 +22,7 @@
 /// Additional state of a job that is a DAG node.
 #[derive(Debug, Default)]
 pub struct DagNodeState {
-    /// Retry states of the tasks that have failed, by task number. The whole gang has one, under number 0.
+    /// Retry states of the tasks that have failed, by task number. A gang has a single one, under number 0.
     pub retries: BTreeMap<u32, RetryState>,
     /// The result that is published for a node with one task or for a gang.
     result: Option<NodeResult>,
--- a/src/coordination/leader/explain/limits.rs
+++ b/src/coordination/leader/explain/limits.rs
@@ -7,7 +7,7 @@
 use crate::ids::from_milli;
 use crate::protocol::operators::{JobUsage, StateReason};
 
-/// A job that is ahead of the explained one in the order of service.
+/// A job that is ahead of the explained one in the queue.
 struct EarlierJob<'a> {
     order: QueueOrder,
     job: &'a JobState,
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -26,8 +26,8 @@
 const MIN_LEADER_LEASE_MS: u64 = (MIN_LEADER_LEASE_S * 1000.0) as u64;
 /// The lease is renewed this many times within its duration.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// How long a controller waits before it campaigns, so that one that the last leader preferred can campaign
-/// first.
+/// How long a controller waits before it campaigns, so that a controller that the last leader asked to take
+/// over can campaign first.
 const PREFERRED_HEAD_START_MS: u64 = 200;
 /// How long a restarted process waits before it campaigns, so that others can campaign first: whatever ended
 /// the previous process may end this one too.
@@ -69,9 +69,10 @@
     renewal_sent_at: Millis,
     request_in_flight: bool,
     last_request_at: Millis,
-    /// Until then this controller delays its campaign so that others can lead.
+    /// Time until which this controller delays its campaign, so that others can lead.
     cooldown_until: Millis,
-    /// Since when the cache has shown no leader.
+    /// When the cache began to show no leader; `None` while it shows one or no poll has been
+    /// answered.
     leaderless_since: Option<Millis>,
     /// When this process revoked the lease of an earlier process of the same controller.
     former_lease_revoked_at: Option<Millis>,
@@ -156,9 +157,10 @@
     ///
     /// This controller knows every cancellation that preceded that poll. A task that was cancelled later
     /// keeps running for at most one worker lease after the last answer, and so still stops within the cancel
-    /// deadline. A lease renewal says nothing about cancellations. It only bounds how long no other
-    /// controller leads, which the next leader relies on when it waits for silent machines. Where the
-    /// settings leave less than [`MAX_CACHE_AGE_MS`], a cache that is fresh enough to start tasks suffices.
+    /// deadline. A lease renewal says nothing about cancellations. It only guarantees that no other
+    /// controller leads before the lease expires; the next leader relies on this bound when it waits for
+    /// silent machines. Where the settings leave less than [`MAX_CACHE_AGE_MS`], a cache that is fresh enough
+    /// to start tasks suffices.
     pub fn serves_workers_until(&self, workers: &WorkerTimings, last_poll_sent_at: Option<Millis>) -> Millis {
         let max_staleness_ms = Self::max_staleness_ms(workers).max(MAX_CACHE_AGE_MS);
         let fresh_until =
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -44,7 +44,8 @@
     peers: HashMap<String, Peer>,
     misdirected_workers: HashMap<String, Millis>,
     next_beacon_at: Millis,
-    /// Until then this controller campaigns ahead of the others, because the leader asked it to take over.
+    /// Time until which this controller campaigns ahead of the others, because the leader asked it to take
+    /// over.
     pub(super) preferred_until: Millis,
 }
 
--- a/src/coordination/user_requests/writes.rs
+++ b/src/coordination/user_requests/writes.rs
@@ -46,7 +46,8 @@
         matches!(self.write, JobWrite::Accept { .. }) && cache.dag_runs.is_node_job(self.job)
     }
 
-    /// Returns the request that resulted in the write, to be decided again by a new read.
+    /// Returns the request that resulted in the write, with its original deadline. It counts as received at
+    /// `now`, so that it is decided again only after a new read.
     fn into_request(self, now: Millis) -> Pending {
         let id = self.job;
         let request = match self.write {
@@ -229,8 +230,8 @@
     ) {
         let PendingWrite { inbound, job: id, .. } = write;
         match write.write {
-            // Another controller may already have reported the job as finished: "pending" would be a state
-            // older than that.
+            // Another controller may already have reported the job as finished, and "pending" would then be
+            // an older state.
             JobWrite::Accept { .. } if clock.now.saturating_since(txn_sent_at) >= MAX_READ_AGE_MS => {
                 out.push(Action::respond(inbound, Unavailable::WriteAcknowledgedLate));
             }
