--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -46,7 +46,7 @@
 /// The state of one controller's process.
 pub struct Controller {
     state: ControllerState,
-    /// Seeds the random generator of each term as leader, and the numbers of forwarded queries.
+    /// Seeds the random generator of each term as leader; forwarded queries are numbered after it.
     seed: u64,
     kv_client: KvClient,
     leadership: Leadership,
--- a/src/coordination/operator_queries.rs
+++ b/src/coordination/operator_queries.rs
@@ -82,15 +82,15 @@
 }
 
 impl OperatorQueryHandler {
-    /// Creates a handler that numbers forwarded queries from `first_query_id` on. That number differs from
-    /// process to process, so that the response to a query of an earlier process of this controller is not
-    /// mistaken for the response to a new query.
-    pub fn new(tunables: &OperatorTunables, first_query_id: u64, now: Millis) -> OperatorQueryHandler {
+    /// Creates a handler that numbers forwarded queries consecutively, starting after `query_id_base`. That
+    /// number differs from process to process, so that the response to a query of an earlier process of this
+    /// controller is not mistaken for the response to a new query.
+    pub fn new(tunables: &OperatorTunables, query_id_base: u64, now: Millis) -> OperatorQueryHandler {
         OperatorQueryHandler {
             enabled: tunables.enabled,
             awaiting_barrier: Vec::new(),
             forwarded: BTreeMap::new(),
-            last_query_id: first_query_id,
+            last_query_id: query_id_base,
             budget: TokenBucket::new(tunables.queries_per_s, now),
         }
     }
