--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -14,7 +14,7 @@
 #[path = "golden/wire.rs"]
 mod wire;
 
-/// A golden file of this crate.
+/// Opens the golden file `tests/golden/NAME.json` of this crate.
 fn golden(name: &'static str) -> support::Golden {
     support::Golden::new(env!("CARGO_MANIFEST_DIR"), name)
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,5 @@
-//! A controller process on loopback under abusive clients. Whole clusters are tested in `crates/cli/tests/`.
+//! Tests of one controller process on loopback with misbehaving clients. Whole clusters are tested in
+//! `crates/cli/tests/`.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -50,7 +51,7 @@
 
 type Handler = dyn Fn(&str, &str, &[u8]) -> (u16, Value) + Send + Sync;
 
-/// Serves until the test ends, with a thread per connection.
+/// Serves HTTP requests until the test ends, with one thread per connection.
 fn serve(listener: TcpListener, handler: Arc<Handler>) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -91,7 +92,7 @@
         self.children[index] = Some(child);
     }
 
-    /// The response of the first controller that does not return 503, as clients behind a load balancer see it.
+    /// Returns the response of the first controller that does not return 503, as clients behind a load balancer see it.
     fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let body = if body.is_null() { String::new() } else { body.to_string() };
         let up = (0..self.client_addresses.len()).filter(|index| self.children[*index].is_some());
@@ -101,17 +102,17 @@
         })
     }
 
-    fn wait_until(&self, seconds: u64, path: &str, holds: impl Fn(u16, &Value) -> bool) {
+    fn wait_until(&self, seconds: u64, path: &str, is_expected: impl Fn(u16, &Value) -> bool) {
         let end = Instant::now() + Duration::from_secs(seconds);
         let mut last = None;
         while Instant::now() < end {
             last = self.request("GET", path, &Value::Null);
-            if last.as_ref().is_some_and(|(status, body)| holds(*status, body)) {
+            if last.as_ref().is_some_and(|(status, body)| is_expected(*status, body)) {
                 return;
             }
             std::thread::sleep(Duration::from_millis(200));
         }
-        panic!("{path}: not within {seconds} s, last {last:?}");
+        panic!("{path}: no expected response within {seconds} s; the last one was {last:?}");
     }
 }
 
@@ -168,10 +169,10 @@
         "guess_s": 1.0, "snapshot_s": 0.0, "flush_s": 0.0, "due_s": null})
 }
 
-/// Resident anonymous memory of a process in MB; its mapped program file is not counted.
+/// Returns the resident anonymous memory of a process in MB. Its mapped program file is not counted.
 fn resident_mb(child: &Child) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("our own process");
-    let line = status.lines().find(|line| line.starts_with("RssAnon:")).expect("its memory");
+    let line = status.lines().find(|line| line.starts_with("RssAnon:")).expect("an RssAnon line");
     line.split_whitespace().nth(1).expect("a number").parse::<u64>().expect("a number") / 1024
 }
 
@@ -202,10 +203,11 @@
     (controllers, client_address)
 }
 
-/// A peer that restarts quickly connects while its former connections are still open: the newest one is kept, the others
-/// are closed, and so are those of unknown peers. Otherwise stale connections would use up the limit.
+/// A peer that restarts quickly connects again while its previous connections are still open. The controller keeps the
+/// newest connection and closes the others, as well as those of unknown peers; otherwise stale connections would use up
+/// the connection limit.
 #[test]
-fn a_controller_has_one_connection_to_another() {
+fn only_the_newest_connection_of_a_peer_is_kept() {
     let peer_address = free_address();
     let (_controllers, _) = start_one_controller(
         "mesh",
@@ -215,11 +217,13 @@
     let connect = |controller: &str| {
         let mut stream = TcpStream::connect(&peer_address).expect("a connection");
         stream.set_read_timeout(Some(Duration::from_millis(1_500))).expect("a time-out");
-        stream.write_all(&encode(&PeerMessage::Hello { controller: controller.into() })).expect("a greeting");
+        stream
+            .write_all(&encode(&PeerMessage::Hello { controller: controller.into() }))
+            .expect("the hello message is sent");
         std::thread::sleep(Duration::from_millis(30));
         stream
     };
-    // Reading from a closed connection returns its end; reading from an open one times out.
+    // A read from a closed connection returns end of file or a reset; a read from an open one times out.
     let closed = |stream: &mut TcpStream| match stream.read(&mut [0; 16]) {
         Ok(read) => read == 0,
         Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
@@ -229,14 +233,16 @@
     assert!(stale.iter_mut().all(closed));
     assert!(!closed(&mut newest));
     assert!(closed(&mut connect("stranger")));
-    newest.write_all(&encode(&PeerMessage::Hello { controller: "n1".into() })).expect("said twice");
+    newest
+        .write_all(&encode(&PeerMessage::Hello { controller: "n1".into() }))
+        .expect("the hello message is sent again");
     assert!(!closed(&mut newest));
 }
 
-/// 400 incomplete requests (24 MB), responses that are never read, and idle connections: the buffers stay within their
-/// share of the configured memory, and heartbeats and submissions are still served.
+/// With 400 incomplete requests (24 MB), responses that are never read, and idle connections, the buffers stay within
+/// their share of the configured memory, and heartbeats and submissions are still served.
 #[test]
-fn half_sent_requests_stay_within_the_memory() {
+fn incomplete_requests_stay_within_the_memory_limit() {
     let (controllers, client_address) = start_one_controller("memory", &free_address(), &json!([]));
 
     let connect = || TcpStream::connect(&client_address).expect("a connection");
@@ -258,24 +264,24 @@
         open.push(stream);
     }
     std::thread::sleep(Duration::from_millis(300));
-    let resident = resident_mb(controllers.children[0].as_ref().expect("it runs"));
-    assert!(resident < 9, "{resident} MB held");
+    let resident = resident_mb(controllers.children[0].as_ref().expect("a running controller"));
+    assert!(resident < 9, "the controller uses {resident} MB of memory, expected less than 9 MB");
 
-    let (status, _) = controllers.request("POST", "/work", &submission("job-000001", 1)).expect("an answer");
+    let (status, _) = controllers.request("POST", "/work", &submission("job-000001", 1)).expect("a response");
     assert_eq!(status, 201);
     let heartbeat = json!({"box": "m", "endpoint": "127.0.0.1:9", "boxkind": "small", "hall": "a", "loaners": false,
         "shift": 1, "tick": 1, "baton": 0, "warning_s": null, "pieces": [], "padding": "x".repeat(40_000)});
     let response = send_request(&client_address, "POST", "/v1/report", heartbeat.to_string().as_bytes())
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(response.0, 200);
-    // A large submission is to be retried later; malformed requests are rejected as without load.
+    // Under this load a large submission gets 503, while malformed requests still get 400.
     let large = json!({"uid": "job-000002", "padding": "x".repeat(40_000)});
     assert_eq!(
-        send_request(&client_address, "POST", "/work", large.to_string().as_bytes()).expect("an answer").0,
+        send_request(&client_address, "POST", "/work", large.to_string().as_bytes()).expect("a response").0,
         503
     );
-    assert_eq!(send_request(&client_address, "POST", "/work", b"{").expect("an answer").0, 400);
-    assert_eq!(send_request(&client_address, "get", "/work", b"").expect("an answer").0, 400);
+    assert_eq!(send_request(&client_address, "POST", "/work", b"{").expect("a response").0, 400);
+    assert_eq!(send_request(&client_address, "get", "/work", b"").expect("a response").0, 400);
 }
 
 fn small_machine_type() -> MachineTypeSpec {
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random and corrupted input to every parser: it is parsed or rejected, never panics, and never yields more data than
-//! came in. The random generator is deterministic, so that all runs have the same cases.
+//! Random and corrupted input for every parser. Input is parsed or rejected; a parser never panics and never returns
+//! more data than it was given. The random generator is deterministic, so that all runs have the same cases.
 
 use olivelatch::protocol::operators::parse_operator_request;
 use olivelatch::protocol::peer::{LeaderQuery, PeerMessage, decode, encode};
@@ -22,7 +22,7 @@
     proptest::collection::vec(any::<u8>(), 0..400)
 }
 
-/// `text` with some of its bytes replaced, truncated at a random length.
+/// Returns `text` with some of its bytes replaced, truncated to a random length.
 fn corrupted_bytes(text: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
     let changes = proptest::collection::vec((0..text.len(), any::<u8>()), 0..6);
     (changes, 0..=text.len()).prop_map(move |(changes, length)| {
@@ -44,7 +44,7 @@
         }
         Ok(())
     });
-    checked.expect("every request is answered");
+    checked.expect("every request is parsed or rejected");
 }
 
 const SUBMISSION: &[u8] = br#"{"uid":"job-000412","jobclass":"c","owner":"o","shape":"gang","urgency":"high","pieces":16,
@@ -62,7 +62,7 @@
         }
         Ok(())
     });
-    checked.expect("every body is answered");
+    checked.expect("every body is parsed or rejected");
 }
 
 const REQUEST: &[u8] =
@@ -77,17 +77,17 @@
         &(corrupted_bytes(REQUEST), corrupted_bytes(RESPONSE), bytes()),
         |(request, response, noise)| {
             for bytes in [&request, &response, &noise] {
-                if let Parsed::Complete(request, taken) = parse_request(bytes) {
-                    prop_assert!(taken <= bytes.len() && request.body.len() <= bytes.len());
+                if let Parsed::Complete(request, consumed) = parse_request(bytes) {
+                    prop_assert!(consumed <= bytes.len() && request.body.len() <= bytes.len());
                 }
-                if let Parsed::Complete(response, taken) = parse_response(bytes, 1000) {
-                    prop_assert!(taken <= bytes.len() && response.body.len() <= bytes.len());
+                if let Parsed::Complete(response, consumed) = parse_response(bytes, 1000) {
+                    prop_assert!(consumed <= bytes.len() && response.body.len() <= bytes.len());
                 }
             }
             Ok(())
         },
     );
-    checked.expect("every message is parsed or refused");
+    checked.expect("every message is parsed or rejected");
 }
 
 /// A corrupted frame from a peer is rejected or decodes to another valid message.
@@ -124,7 +124,7 @@
         }
         Ok(())
     });
-    checked.expect("every frame is refused or read");
+    checked.expect("every frame is decoded or rejected");
 }
 
 const TUNABLES: &[u8] = b"t = 0.5\nidle_s = 45\noperators {\n  enabled = true\n  explains_per_s = 20\n}\nlog {\n  format = \"json\"\n}\n";
@@ -142,5 +142,5 @@
         }
         Ok(())
     });
-    checked.expect("every file is read or refused");
+    checked.expect("every file is parsed or rejected");
 }
--- a/tests/plans.rs
+++ b/tests/random_faults.rs
@@ -1,7 +1,9 @@
-//! Random plans from seeds: several controllers, faults that overlap in all orders, jobs of every shape, users that poll and
-//! cancel meanwhile. The rules of the users' protocol hold at every moment, every accepted job is known within 75 s of the
-//! last fault and finishes, and there is one leader in the end. A plan that fails is shrunk by leaving faults out and printed
-//! as a scenario. `SEED=17 cargo test --test plans` plays one plan of each kind, `SEEDS=1000 ...` more of them.
+//! Random fault plans, generated from seeds: several controllers, faults that overlap in all orders, jobs of every
+//! shape, and users that poll and cancel while the faults last. The tests check that the rules of the users' protocol
+//! hold at every moment, that polls of accepted jobs are answered within 75 s of the last fault, that these jobs
+//! finish, and that there is one leader at the end. A plan that fails is reduced by leaving faults out and printed as
+//! a scenario. `SEED=17 cargo test --test random_faults` runs one plan of each kind, `SEEDS=1000 ...` runs more of
+//! them.
 
 mod simulation;
 
@@ -9,23 +11,24 @@
 use rand::{RngExt, SeedableRng};
 use simulation::SimulatedCluster;
 
-/// Plans of each kind that CI plays; the result of a seed is always the same.
+/// Plans of each kind that CI runs. The result of a seed is always the same.
 const SEEDS: u64 = 24;
 
-/// Lines of a scenario, with the time since the fault began, in ms.
+/// Lines of a scenario, each with its time since the start of the fault in ms.
 type FaultScript = Vec<(u64, String)>;
 
-/// Faults with their times, between a setup and final checks that they all share.
+/// Faults with their start times in ms, the setup that precedes them and the checks that follow them.
 struct FaultPlan {
     setup: Vec<String>,
     faults: Vec<(u64, FaultScript)>,
-    /// What users do meanwhile. It cannot be left out, as the final checks expect its jobs.
+    /// What users do while the faults last, with times in ms. Shrinking must keep it, because the final checks expect
+    /// its jobs.
     user_actions: FaultScript,
     final_checks: Vec<String>,
 }
 
 impl FaultPlan {
-    /// As the lines of a scenario.
+    /// Returns the plan as the lines of a scenario.
     fn scenario_lines(&self) -> Vec<String> {
         let mut timed: Vec<(u64, &String)> = self
             .faults
@@ -59,10 +62,11 @@
     }
 
     fn run(&self) -> Result<u64, String> {
-        self.play_in(SimulatedCluster::new())
+        self.run_in(SimulatedCluster::new())
     }
 
-    fn play_in(&self, mut cluster: SimulatedCluster) -> Result<u64, String> {
+    /// Returns the longest time, in ms, that a task ran after its user knew of the cancellation.
+    fn run_in(&self, mut cluster: SimulatedCluster) -> Result<u64, String> {
         for line in self.scenario_lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
             cluster.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
@@ -71,7 +75,7 @@
     }
 }
 
-/// Leaves faults out as long as the plan still fails.
+/// Leaves out each fault without which the plan still fails.
 fn shrink(mut plan: FaultPlan, mut problem: String) -> (FaultPlan, String) {
     let mut index = 0;
     while index < plan.faults.len() {
@@ -88,64 +92,67 @@
     texts.iter().map(|text| (*text).to_string()).collect()
 }
 
-/// A fault that begins with some lines, and is over with others `for_ms` later.
-fn lasting_fault(first: &[&str], for_ms: u64, then: &[&str]) -> FaultScript {
+/// Returns a fault that starts with the lines `first` and ends with the lines `last` after `duration_ms`.
+fn lasting_fault(first: &[&str], duration_ms: u64, last: &[&str]) -> FaultScript {
     let begin = first.iter().map(|line| (0, (*line).to_string()));
-    begin.chain(then.iter().map(|line| (for_ms, (*line).to_string()))).collect()
+    begin.chain(last.iter().map(|line| (duration_ms, (*line).to_string()))).collect()
 }
 
 fn pick_one<'a>(rng: &mut SmallRng, choices: &[&'a str]) -> &'a str {
     choices[rng.random_range(0..choices.len())]
 }
 
-/// A controller is killed, and started again without memory after so many ms.
-fn restart_at_once(node: &str, back_ms: u64) -> FaultScript {
-    vec![(0, format!("kill {node}")), (back_ms, "start-all".into())]
+/// Kills a controller and starts it again, without its in-memory state, after `downtime_ms`.
+fn kill_and_restart(node: &str, downtime_ms: u64) -> FaultScript {
+    vec![(0, format!("kill {node}")), (downtime_ms, "start-all".into())]
 }
 
-fn delayed(script: FaultScript, by_ms: u64) -> FaultScript {
-    script.into_iter().map(|(offset, line)| (offset + by_ms, line)).collect()
+fn delayed(script: FaultScript, delay_ms: u64) -> FaultScript {
+    script.into_iter().map(|(offset, line)| (offset + delay_ms, line)).collect()
 }
 
 const FAULT_DURATIONS_MS: [u64; 7] = [300, 1_000, 3_000, 6_000, 15_000, 30_000, 60_000];
 
-/// Processes that end and are back at once, in the middle of something.
+/// Controllers that are killed and started again within a second, alone or during another fault.
 fn random_quick_restart(rng: &mut SmallRng, nodes: usize) -> FaultScript {
     let node = format!("n{}", rng.random_range(0..nodes));
-    let back = [20, 40, 100, 200, 500, 1000][rng.random_range(0..6)];
-    let soon = rng.random_range(100..6_000);
-    let then = |first: &[&str], last: &[&str]| {
-        let mut over = lasting_fault(first, soon + back + 20, last);
-        over.extend(delayed(restart_at_once(&node, back), soon));
-        over.sort_by_key(|(at, _)| *at);
-        over
+    let downtime_ms = [20, 40, 100, 200, 500, 1000][rng.random_range(0..6)];
+    let kill_at_ms = rng.random_range(100..6_000);
+    let restart_during = |first: &[&str], last: &[&str]| {
+        let mut script = lasting_fault(first, kill_at_ms + downtime_ms + 20, last);
+        script.extend(delayed(kill_and_restart(&node, downtime_ms), kill_at_ms));
+        script.sort_by_key(|(at, _)| *at);
+        script
     };
     match rng.random_range(0..12) {
-        0..=3 => restart_at_once(&node, back),
-        4 => lasting_fault(&["kill n0", "kill n1"], back, &["start-all"]),
+        0..=3 => kill_and_restart(&node, downtime_ms),
+        4 => lasting_fault(&["kill n0", "kill n1"], downtime_ms, &["start-all"]),
         5 => (0..nodes as u64)
-            .flat_map(|at| delayed(restart_at_once(&format!("n{at}"), back), at * (back + 20)))
+            .flat_map(|at| delayed(kill_and_restart(&format!("n{at}"), downtime_ms), at * (downtime_ms + 20)))
             .collect(),
-        6 => then(&["txns lost"], &["txns fine"]),
-        7 => then(&["txns late"], &[if rng.random_bool(0.5) { "deliver" } else { "lose" }, "txns fine"]),
-        8 => then(&["mesh held"], &["mesh fine", "deliver"]),
-        9 => then(&["direct lost"], &["direct fine", "deliver"]),
-        10 => then(&["outage on"], &["outage off"]),
+        6 => restart_during(&["txns lost"], &["txns fine"]),
+        7 => restart_during(
+            &["txns late"],
+            &[if rng.random_bool(0.5) { "deliver" } else { "lose" }, "txns fine"],
+        ),
+        8 => restart_during(&["mesh held"], &["mesh fine", "deliver"]),
+        9 => restart_during(&["direct lost"], &["direct fine", "deliver"]),
+        10 => restart_during(&["outage on"], &["outage off"]),
         _ => {
-            let from = pick_one(rng, &["state", "workers", "mesh", "all"]);
-            then(&[&format!("cut {node} {from}")], &[&format!("uncut {from}")])
+            let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
+            restart_during(&[&format!("cut {node} {link}")], &[&format!("uncut {link}")])
         }
     }
 }
 
-/// One of the other faults, alone.
+/// One fault of any other kind.
 fn random_fault(rng: &mut SmallRng, nodes: usize) -> FaultScript {
     let for_ms = FAULT_DURATIONS_MS[rng.random_range(0..FAULT_DURATIONS_MS.len())];
     let host = format!("host-{:06}", rng.random_range(0..6));
     let other = format!("host-{:06}", rng.random_range(0..6));
     let node = pick_one(rng, &["leader?", "n0", "n1", "n2"]);
     match rng.random_range(0..22) {
-        0 => restart_at_once("leader?", [40, 200, 1_000, 6_000][rng.random_range(0..4)]),
+        0 => kill_and_restart("leader?", [40, 200, 1_000, 6_000][rng.random_range(0..4)]),
         1 => {
             let mut all: FaultScript = (0..nodes).map(|at| (0, format!("kill n{at}"))).collect();
             all.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
@@ -197,7 +204,7 @@
     }
 }
 
-/// Ends every fault that may still last.
+/// Ends every fault that may still be in effect.
 const RECOVERY_LINES: [&str; 18] = [
     "heal",
     "outage off",
@@ -223,7 +230,7 @@
     ["a", "b", "c", "a", "b"][..nodes].join(" ")
 }
 
-/// Controllers that are killed and started again at once, one fault after the other.
+/// Controllers that are killed and quickly started again, one fault after the other.
 fn restart_plan(seed: u64) -> FaultPlan {
     const FAULT_COUNT: usize = 14;
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -242,16 +249,16 @@
     let mut begin = 0;
     for at in 0..FAULT_COUNT {
         let mut script = random_quick_restart(&mut rng, nodes);
-        let over = script.iter().map(|(at, _)| *at).max().unwrap_or(0);
-        // In the middle of it, so that some acceptances are lost on their way.
+        let duration_ms = script.iter().map(|(at, _)| *at).max().unwrap_or(0);
+        // Submits during the fault, so that some responses that accept a job are lost in flight.
         script.insert(script.len().min(1), (0, format!("submit {} tasks=2 run=2", 10 + at)));
         match at {
-            4 => script.push((over, "submit 5 tasks=6 run=3 team=guest".into())),
-            8 => script.push((over, "abort 4".into())),
+            4 => script.push((duration_ms, "submit 5 tasks=6 run=3 team=guest".into())),
+            8 => script.push((duration_ms, "abort 4".into())),
             _ => {}
         }
         faults.push((begin, script));
-        begin += over + rng.random_range(20..4_000);
+        begin += duration_ms + rng.random_range(20..4_000);
     }
     let mut final_checks = lines(&RECOVERY_LINES);
     final_checks.extend(lines(&["until 60 withdrawn 4", "until 90 tasks <= 30"]));
@@ -261,20 +268,21 @@
     FaultPlan { setup, faults, user_actions: FaultScript::new(), final_checks }
 }
 
-/// Two or three faults, each beginning at most `max_gap_ms` after the one before, and when a next one would begin.
+/// Returns two or three faults with their start times, each less than `max_gap_ms` after the previous one, and the
+/// time at which another fault would start.
 fn overlapping_faults(rng: &mut SmallRng, nodes: usize, max_gap_ms: u64) -> (Vec<(u64, FaultScript)>, u64) {
     let mut faults = Vec::new();
     let mut begin = 0;
     for _ in 0..rng.random_range(2..4) {
-        let from_both = rng.random_range(0..5) > 0;
-        let script = if from_both { random_fault(rng, nodes) } else { random_quick_restart(rng, nodes) };
+        let is_lasting = rng.random_range(0..5) > 0;
+        let script = if is_lasting { random_fault(rng, nodes) } else { random_quick_restart(rng, nodes) };
         faults.push((begin, script));
         begin += rng.random_range(0..max_gap_ms);
     }
     (faults, begin)
 }
 
-/// Two or three faults that overlap, with jobs of every shape, long tasks, cancellations and polls.
+/// Two or three overlapping faults, with jobs of every shape, long tasks, cancellations and polls.
 fn overlapping_faults_plan(seed: u64) -> FaultPlan {
     const LONG: std::ops::Range<usize> = 30..36;
     const AT_END: [usize; 3] = [20, 40, 60];
@@ -296,7 +304,7 @@
     ]));
     setup.extend(LONG.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
     setup.push("advance 16".into());
-    // Two polls of one user may be in flight at once, at different controllers.
+    // Two polls of a job may be in flight at the same time, at different controllers.
     setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("asks {job} 1")));
     setup.extend(lines(&["close-looks on", "cancels-at-end 20"]));
     if seed % 4 == 1 {
@@ -307,7 +315,7 @@
     for job in LONG {
         users.push((rng.random_range(0..begin + 20_000), format!("abort {job}")));
     }
-    // The last ones are cancelled as they end.
+    // The last three are cancelled as their last task ends.
     for job in (10..16).chain(AT_END) {
         users.push((rng.random_range(0..begin + 20_000), format!("submit {job} tasks=2 run=2")));
     }
@@ -327,18 +335,20 @@
     FaultPlan { setup, faults, user_actions: users, final_checks }
 }
 
-/// Times of the workers: how often they report, their lease, what a cancellation has.
-const SITES: [[&str; 3]; 3] = [["2", "12", "32"], ["5", "26.5", "46.5"], ["5", "36", "61"]];
-/// How long after the refusal the state service is down for all: before and after another node leads.
-const GAPS_MS: [u64; 6] = [100, 1_000, 3_700, 4_300, 5_500, 10_000];
+/// Worker timings, in seconds: heartbeat interval, lease duration, and deadline of a cancellation.
+const WORKER_TIMINGS: [[&str; 3]; 3] = [["2", "12", "32"], ["5", "26.5", "46.5"], ["5", "36", "61"]];
+/// Times from the leader's loss of the state service to the outage for all controllers, in ms: before and after another
+/// controller becomes leader.
+const OUTAGE_DELAYS_MS: [u64; 6] = [100, 1_000, 3_700, 4_300, 5_500, 10_000];
 
-/// The state service refuses the leader alone, other controllers confirm cancellations, then it is down for all for longer
-/// than a cancellation has, while workers go on reporting to the former leader.
-fn blind_leader_plan(site: usize, gap_ms: u64, rng: &mut SmallRng) -> FaultPlan {
-    let [report, lease, cancel] = SITES[site];
+/// The state service refuses the leader alone, and other controllers confirm cancellations. Then it is down for all
+/// controllers for longer than the cancellation deadline, while workers keep reporting to the former leader.
+fn disconnected_leader_plan(timings: usize, outage_delay_ms: u64, rng: &mut SmallRng) -> FaultPlan {
+    let [report, lease, cancel] = WORKER_TIMINGS[timings];
     let mut setup = vec![format!("settings workers report_s={report} lease_s={lease} cancel_s={cancel}")];
     setup.extend(lines(&["team long", "kind small cpus=4 boot=4 count=5", "nodes a a a"]));
-    // The leader's clocks are the furthest off that the settings allow.
+    // Every monotonic clock is off by 500 ppm, the most that the lease timings allow for, and the wall clock of n0 is
+    // 20 ms ahead of the others.
     let sign = if rng.random_bool(0.5) { "" } else { "-" };
     for node in 0..3 {
         setup.push(format!("clock n{node} {sign}500 {}", if node == 0 { "10" } else { "-10" }));
@@ -355,19 +365,19 @@
         // The successor's commands do not reach the machines.
         script.push((0, "cut all orders".into()));
     }
-    // The first and the last moment, and some between, through each of the others.
-    let last = gap_ms.saturating_sub(60);
+    // Cancellations at the first and the last moment and two in between, through each of the two other controllers.
+    let last = outage_delay_ms.saturating_sub(60);
     let times = [0, last, rng.random_range(0..last + 1), rng.random_range(0..last + 1)];
     for (job, at) in (1..).zip(times) {
         script.push((at, format!("abort {job} {}", if job % 2 == 0 { "first" } else { "second" })));
     }
     script.sort_by_key(|(at, _)| *at);
-    script.push((gap_ms, "outage on".into()));
-    // Not before a leader that may not have seen the first of them starts nothing any more.
-    script.push((gap_ms.max(2_700), "expect confirmed >= 1".into()));
+    script.push((outage_delay_ms, "outage on".into()));
+    // A cancellation is confirmed only once a leader that may not have read it can no longer start tasks.
+    script.push((outage_delay_ms.max(2_700), "expect confirmed >= 1".into()));
     let cancel_ms = cancel.parse::<f64>().expect("seconds") * 1000.0;
-    let over = gap_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
-    script.push((over, "outage off".into()));
+    let outage_end_ms = outage_delay_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
+    script.push((outage_end_ms, "outage off".into()));
     let mut final_checks = lines(&RECOVERY_LINES);
     final_checks.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
     final_checks.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
@@ -376,7 +386,8 @@
     FaultPlan { setup, faults: vec![(0, script)], user_actions: FaultScript::new(), final_checks }
 }
 
-/// Limits that change while faults meet: the cluster judges each start against what was in force at that moment.
+/// Limits that change while faults overlap. The simulated cluster checks each start against the limit in force at that
+/// moment.
 fn limit_changes_plan(seed: u64) -> FaultPlan {
     const CHANGES: usize = 12;
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11317);
@@ -423,20 +434,20 @@
     let mut longest = 0;
     let mut failed = Vec::new();
     for (name, plan) in plans {
-        match plan.play_in(SimulatedCluster::traced(&name)) {
-            Ok(stay) => longest = longest.max(stay),
+        match plan.run_in(SimulatedCluster::traced(&name)) {
+            Ok(longest_stay_ms) => longest = longest.max(longest_stay_ms),
             Err(problem) => {
                 let (plan, problem) = shrink(plan, problem);
                 failed.push(format!("{name}: {problem}\n{}", plan.scenario_lines().join("\n")));
             }
         }
     }
-    println!("a withdrawn job's task was there for {longest} ms at most");
-    assert!(failed.is_empty(), "{} plans:\n{}", failed.len(), failed.join("\n\n"));
+    println!("the longest time that a task ran after its cancellation was reported: {longest} ms");
+    assert!(failed.is_empty(), "{} plans failed:\n{}", failed.len(), failed.join("\n\n"));
 }
 
 #[test]
-fn the_invariants_hold_when_controllers_restart_at_once() {
+fn the_invariants_hold_when_controllers_restart_quickly() {
     check_plans(seeds().map(|seed| (format!("flashes, seed {seed}"), restart_plan(seed))));
 }
 
@@ -450,18 +461,21 @@
     check_plans(seeds().map(|seed| (format!("limits, seed {seed}"), limit_changes_plan(seed))));
 }
 
-/// Each site and gap, and random ones beyond these.
+/// Uses each set of worker timings with each outage delay; seeds beyond these have a random delay.
 #[test]
-fn cancelled_tasks_are_gone_in_time_when_the_leader_is_blind() {
-    for (site, [_, lease, cancel]) in SITES.iter().enumerate() {
+fn cancelled_tasks_stop_in_time_when_the_leader_cannot_reach_the_store() {
+    for (timings, [_, lease, cancel]) in WORKER_TIMINGS.iter().enumerate() {
         println!("lease {lease} s, cancellation {cancel} s:");
         check_plans(seeds().map(|seed| {
             let mut rng = SmallRng::seed_from_u64(seed ^ 0xb11d);
-            let gap = match GAPS_MS.get(seed as usize) {
-                Some(gap) => *gap,
+            let delay_ms = match OUTAGE_DELAYS_MS.get(seed as usize) {
+                Some(delay_ms) => *delay_ms,
                 None => rng.random_range(80..15_000),
             };
-            (format!("blind, seed {seed}, site {site}, gap {gap} ms"), blind_leader_plan(site, gap, &mut rng))
+            (
+                format!("blind, seed {seed}, site {timings}, gap {delay_ms} ms"),
+                disconnected_leader_plan(timings, delay_ms, &mut rng),
+            )
         }));
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Measurements in virtual time, for docs/measurements.md; not part of CI:
+//! Measurements in virtual time for docs/measurements.md. They are not part of CI:
 //!     cargo test --release --test scale -- --ignored --nocapture --test-threads 1
 
 mod simulation;
@@ -13,7 +13,7 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn lists_and_explanations_at_size() {
+fn measure_lists_and_explanations() {
     let mut cluster = SimulatedCluster::new();
     let lines = [
         "operators explains_per_s=100000",
@@ -42,20 +42,20 @@
     }
     let leader = cluster.controller_index("leader");
     let follower = (leader + 1) % 3;
-    for (what, index, path) in [
-        ("explain, a job behind its team's limit", leader, "jobs/job-900002/explain"),
+    for (label, index, path) in [
+        ("explain, a job blocked by its team's limit", leader, "jobs/job-900002/explain"),
         ("explain, a job of 5,200 running tasks", leader, "jobs/job-900001/explain"),
-        ("list, 500 of 100,000 ended", leader, "jobs?limit=500"),
-        ("list, live ones behind 100,000 ended", leader, "jobs?state=live&limit=500"),
-        ("list, 500 of 100,000 ended, a follower", follower, "jobs?limit=500"),
+        ("list, 500 of 100,000 finished jobs", leader, "jobs?limit=500"),
+        ("list, live jobs after 100,000 finished ones", leader, "jobs?state=live&limit=500"),
+        ("list, 500 of 100,000 finished jobs, a follower", follower, "jobs?limit=500"),
         ("inspect, 500 tasks of 5,200", leader, "jobs/job-900001?limit=500"),
-        ("explain once more, behind the team's limit", leader, "jobs/job-900002/explain"),
+        ("explain again, a job blocked by its team's limit", leader, "jobs/job-900002/explain"),
     ] {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
-        let mut took = Vec::new();
+        let mut durations_us = Vec::new();
         let mut bytes = 0;
         for _ in 0..50 {
-            let request = parse_operator_request(path, query).expect("a path").expect("a question");
+            let request = parse_operator_request(path, query).expect("a path").expect("a query");
             cluster.next_request += 1;
             let inbound = InboundId(cluster.next_request);
             let clock = cluster.controller_clock(0);
@@ -85,7 +85,7 @@
                             if let Action::Respond { inbound: answered_inbound, response } = action
                                 && answered_inbound == inbound
                             {
-                                took.push(started.elapsed().as_micros() as u64);
+                                durations_us.push(started.elapsed().as_micros() as u64);
                                 bytes = response.body.len();
                                 answered = true;
                             }
@@ -99,11 +99,11 @@
             // Lets workers and the other controllers proceed between requests.
             (0..25).for_each(|_| cluster.step());
         }
-        took.sort_unstable();
+        durations_us.sort_unstable();
         println!(
-            "{what}: {} us in the median, {} at most, {bytes} bytes",
-            took[took.len() / 2],
-            took[took.len() - 1]
+            "{label}: median {} us, maximum {} us, {bytes} bytes",
+            durations_us[durations_us.len() / 2],
+            durations_us[durations_us.len() - 1]
         );
     }
 }
@@ -114,7 +114,7 @@
     cluster
 }
 
-/// Jobs with a terminal record.
+/// Returns the number of jobs with a terminal record.
 fn finished_jobs(cluster: &SimulatedCluster) -> usize {
     cluster.kv_store.keys().filter(|key| key.starts_with("olivelatch/end/")).count()
 }
@@ -140,7 +140,7 @@
 
 const NODE: &str = "run=1 guess=1 cpus=1 memory=0.1 size=0";
 
-/// The upstream nodes of each node, for a graph of a kind.
+/// Returns the upstream nodes of each node, for a graph of the given kind.
 fn shape(kind: &str, nodes: u64) -> Vec<Vec<u64>> {
     let mut rng = SmallRng::seed_from_u64(16);
     (0..nodes)
@@ -148,7 +148,7 @@
             "fan-out" if at > 0 => vec![0],
             "fan-in" if at + 1 == nodes => (0..at).collect(),
             "pipeline" if at > 0 => vec![at - 1],
-            // A few of the hundred before it.
+            // Up to three of the hundred nodes before it.
             "random" if at > 0 => {
                 let mut before: Vec<u64> = (0..rng.random_range(0..4u64))
                     .map(|_| rng.random_range(at.saturating_sub(100)..at))
@@ -171,13 +171,13 @@
             (_, true) => String::new(),
             _ => format!(" after={}", names.join(",")),
         };
-        // The last of a fan-in has a name that `n*` does not take in.
+        // The last node of a fan-in has a name that `n*` does not match.
         let name = if all { "last".to_string() } else { format!("n{at}") };
         run_lines(cluster, &[&format!("node {run} {name} {}{after} {NODE}", first + at as u64)]);
     }
 }
 
-/// Nodes on the longest path through a graph.
+/// Returns the number of nodes on the longest path through a graph.
 fn critical_path_length(shape: &[Vec<u64>]) -> u64 {
     let mut layers = vec![1; shape.len()];
     for (at, after) in shape.iter().enumerate() {
@@ -186,7 +186,8 @@
     layers.into_iter().max().unwrap_or(0)
 }
 
-/// Milliseconds from the terminal record of a node's last upstream node to the start of its first task's image fetch.
+/// Returns for each node the time, in ms, from the terminal record of its last upstream node to the moment its first
+/// task has its image. The result is sorted.
 fn start_delays(cluster: &SimulatedCluster, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
     let name = |at: u64| format!("job-{:06}", first + at);
     let ended = |at: u64| {
@@ -204,14 +205,14 @@
 
 fn print_result(
     cluster: &SimulatedCluster,
-    what: &str,
+    label: &str,
     nodes: u64,
     began: u64,
     before: (u64, std::time::Duration),
 ) {
     let seconds = (cluster.now - began) as f64 / 1000.0;
     println!(
-        "{what}: {nodes} in {seconds:.1} s, {:.1} a second; {:.2} changes each; {:.0} us of processor time each, {:.1} ms over one event at most ({})",
+        "{label}: {nodes} nodes in {seconds:.1} s, {:.1} per second; {:.2} store changes per node; {:.0} us of CPU time per node, at most {:.1} ms for one event ({})",
         nodes as f64 / seconds,
         (cluster.kv_mutations - before.0) as f64 / nodes as f64,
         (cluster.event_cpu_time.total - before.1).as_micros() as f64 / nodes as f64,
@@ -220,16 +221,16 @@
     );
 }
 
-/// 10,000 plain jobs, then 10,000 nodes of graphs of four kinds, on the same 40 machines.
+/// Measures 10,000 plain jobs, then up to 10,000 nodes of graphs of four kinds, each on the same 40 machines.
 #[test]
 #[ignore = "a measurement"]
-fn nodes_and_plain_jobs_at_size() {
+fn measure_dag_nodes_and_plain_jobs() {
     const NODES: u64 = 10_000;
     let mut plain = start_cluster(&CLUSTER);
     let (began, before) = (plain.now, (plain.kv_mutations, plain.event_cpu_time.total));
     for at in 0..NODES {
         run_lines(&mut plain, &[&format!("submit {} {NODE}", 1 + at)]);
-        // As fast as users can come through: submissions are held and refused beyond that.
+        // The highest rate that is accepted: faster submissions are delayed and then rejected.
         if at % 50 == 49 {
             run_lines(&mut plain, &["advance 0.2"]);
         }
@@ -238,7 +239,8 @@
         plain.step();
     }
     print_result(&plain, "plain jobs", NODES, began, before);
-    // A pipeline is as slow as its one way; with 2,000 nodes there is room for all that are ready at once.
+    // A pipeline is limited by its only path. With 2,000 nodes the machines have room for all nodes that are ready at
+    // once.
     for (kind, nodes) in
         [("fan-out", NODES), ("fan-in", NODES), ("random", NODES), ("random", 2_000), ("pipeline", 1_000)]
     {
@@ -256,15 +258,16 @@
         if let (Some(middle), Some(late)) =
             (delays.get(delays.len() / 2), delays.get(delays.len() * 99 / 100))
         {
-            println!("  start after the last upstream end: {middle} ms in the median, {late} ms at p99");
+            println!("  delay from the last upstream end to the start: median {middle} ms, p99 {late} ms");
         }
     }
 }
 
-/// 50 runs of 1,000 nodes under way; all controllers die, and the next leader reads everything anew.
+/// Measures a failover with 50 runs of 1,000 nodes in progress: all controllers are killed, and the next leader reads
+/// all records again.
 #[test]
 #[ignore = "a measurement"]
-fn takeover_with_fifty_graphs() {
+fn measure_failover_with_fifty_dag_runs() {
     let mut cluster = start_cluster(&CLUSTER);
     let shape = shape("random", 1_000);
     for run in 0..50u64 {
@@ -274,14 +277,14 @@
     run_lines(&mut cluster, &["until 60 sent", "advance 5"]);
     let ends = finished_jobs(&cluster);
     println!(
-        "before: {ends} of 50,000 nodes have ended, {:.1} ms over one event at most",
+        "before: {ends} of 50,000 nodes finished, at most {:.1} ms for one event",
         cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0
     );
     cluster.event_cpu_time = Default::default();
     let began = cluster.now;
     run_lines(&mut cluster, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
     println!(
-        "takeover: a leader after {:.1} s; {:.0} ms of processor time of three controllers, {:.1} ms over one event at most ({})",
+        "failover: a leader after {:.1} s; {:.0} ms of CPU time of three controllers, at most {:.1} ms for one event ({})",
         (cluster.now - began) as f64 / 1000.0,
         cluster.event_cpu_time.total.as_micros() as f64 / 1000.0,
         cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0,
@@ -292,5 +295,5 @@
     while finished_jobs(&cluster) < before + 500 {
         cluster.step();
     }
-    println!("500 further ends after {:.1} s", (cluster.now - began) as f64 / 1000.0);
+    println!("500 more nodes finished after {:.1} s", (cluster.now - began) as f64 / 1000.0);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Runs every file of `tests/scenarios/` in virtual time, each as a test of its own name. A failure names file and line.
+//! Runs every file of `tests/scenarios/` in virtual time, each as a separate test with the name of the file. A failure
+//! names file and line.
 
 mod simulation;
 
@@ -7,7 +8,7 @@
 use libtest_mimic::{Arguments, Failed, Trial};
 use simulation::SimulatedCluster;
 
-/// Plays one file; the error names the line.
+/// Runs one scenario file. The error names the line.
 fn run_scenario(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
     let mut cluster = SimulatedCluster::traced(&name(path));
@@ -22,7 +23,7 @@
         let place = || format!("{}:{}: {line}", path.display(), at + 1);
         cluster.run_action(&words).map_err(|problem| format!("{}: {problem}", place()))?;
     }
-    if lines == 0 { Err(format!("{}: empty", path.display())) } else { Ok(()) }
+    if lines == 0 { Err(format!("{}: no actions in the file", path.display())) } else { Ok(()) }
 }
 
 fn name(path: &Path) -> String {
@@ -38,8 +39,8 @@
     files
 }
 
-/// The runner itself must be able to fail, and must say where.
-fn a_wrong_scenario_fails_and_names_its_line() -> Result<(), Failed> {
+/// The scenario runner itself must be able to fail, and must name the line that failed.
+fn a_failing_scenario_names_its_line() -> Result<(), Failed> {
     let path = std::env::temp_dir().join(format!("olivelatch-wrong-{}.txt", std::process::id()));
     std::fs::write(&path, "team core\nkind k\nnodes a\nuntil 5 done 1\n")?;
     let result = run_scenario(&path);
@@ -47,17 +48,17 @@
     match result {
         Err(problem) if problem.contains(":4: until 5 done 1") => Ok(()),
         Err(problem) => Err(problem.into()),
-        Ok(()) => Err("it cannot hold".into()),
+        Ok(()) => Err("the scenario passed, but its condition cannot hold".into()),
     }
 }
 
 fn main() {
-    // LOG_LEVEL=info SCENARIO=steal: what the controllers say of it.
+    // `LOG_LEVEL=info SCENARIO=steal` prints the controllers' logs of the scenarios whose name contains `steal`.
     if std::env::var("LOG_LEVEL").is_ok() {
         olivelatch::logging::init("scenario", olivelatch::tunables::LogFormat::Text);
     }
     let mut arguments = Arguments::from_args();
-    // Part of a name, where the command line names none.
+    // `SCENARIO` holds part of a test name. It replaces the filter of the command line.
     if let Ok(only) = std::env::var("SCENARIO") {
         arguments.filter = Some(only);
     }
@@ -68,9 +69,6 @@
         })
     };
     let mut trials: Vec<Trial> = scenario_files().into_iter().map(scenario).collect();
-    trials.push(Trial::test(
-        "a_wrong_scenario_fails_and_names_its_line",
-        a_wrong_scenario_fails_and_names_its_line,
-    ));
+    trials.push(Trial::test("a_failing_scenario_names_its_line", a_failing_scenario_names_its_line));
     libtest_mimic::run(&arguments, trials).exit();
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and tunables files: valid ones are accepted, errors name the file and the place in it.
+//! Settings and tunables files: valid files are accepted, and errors name the file and the place in it.
 
 use olivelatch::ids::Resources;
 use olivelatch::settings::Settings;
@@ -22,7 +22,7 @@
 fn error_after(change: impl Fn(&mut Value)) -> String {
     let mut value = platform();
     change(&mut value);
-    Settings::parse("f.json", &value.to_string()).expect_err("a problem").to_string()
+    Settings::parse("f.json", &value.to_string()).expect_err("invalid settings").to_string()
 }
 
 #[test]
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn invalid_settings_are_named() {
+fn errors_in_settings_name_the_field() {
     assert!(error_after(|v| v["cluster"]["workers"]["lease_s"] = json!(1.0)).contains("workers.lease_s"));
     assert!(error_after(|v| v["cluster"]["state"]["value_kb"] = json!(0.5)).contains("state.value_kb"));
     assert!(error_after(|v| v["cluster"]["state"]["txn_ops"] = json!(1)).contains("state.txn_ops"));
@@ -60,11 +60,11 @@
     assert!(Tunables::parse("f.hcl", "t = = 1").is_err());
 }
 
-/// The files of `deploy/`, with which operators start.
+/// The files in `deploy/`, which operators start from, can be loaded.
 #[test]
 fn the_deployed_tunables_are_valid() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
-    let load = |file: &str| Tunables::load(&folder.join(file)).expect("a good file");
+    let load = |file: &str| Tunables::load(&folder.join(file)).expect("a valid file");
     assert!(load("operators.hcl").operators.enabled && !load("operators.hcl").graphs.enabled);
     assert!(load("config.hcl").config.enabled && !load("operators.hcl").config.enabled);
     let graphs = load("graphs.hcl");
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,5 +1,5 @@
-//! Validation of submissions, field by field: 400 for a malformed one, 422 for one that can never run, and 503 from a
-//! controller that cannot decide yet.
+//! Validation of submissions, field by field: status 400 for a malformed submission, 422 for one that can never run,
+//! and 503 from a controller that cannot decide yet.
 
 use olivelatch::bookkeeping::store_cache::StoreCache;
 use olivelatch::coordination::user_requests::check_feasibility;
@@ -40,7 +40,7 @@
     cache
 }
 
-/// The status with which a controller whose cache is `cache` rejects a submission; `None` when it accepts it.
+/// Returns the status with which a controller whose cache is `cache` rejects a submission, or `None` if it accepts it.
 fn rejection_status(submission: &Value, cache: &StoreCache) -> Option<u16> {
     match parse_submission(submission.to_string().as_bytes()) {
         Err(response) => Some(response.status),
@@ -48,7 +48,7 @@
         Ok(UserRequest::Submit { manifest: Ok(manifest), .. }) => {
             check_feasibility(&manifest, cache, &settings()).err().map(|response| response.status)
         }
-        Ok(other) => panic!("read as {other:?}"),
+        Ok(other) => panic!("parsed as {other:?} instead of a submission"),
     }
 }
 
@@ -71,7 +71,7 @@
         let expected = if optional { None } else { Some(400) };
         assert_eq!(rejection_status(&without, &cache), expected, "without {name}");
         assert_eq!(rejection_status(&submission_with(name, Value::Null), &cache), expected, "{name}: null");
-        // Not a value of any field, whatever its type.
+        // These are not valid values of any field.
         for wrong in [json!({}), json!([[1]]), json!([null])] {
             assert_eq!(
                 rejection_status(&submission_with(name, wrong.clone()), &cache),
--- a/tests/watermarks.rs
+++ b/tests/watermarks.rs
@@ -1,4 +1,5 @@
-//! When a terminal state may be reported: the read watermarks of docs/design.md, "Terminal states are reported".
+//! Tests of when a terminal state may be reported, by the read watermarks of
+//! docs/design.md, "Terminal states are reported".
 
 use olivelatch::bookkeeping::store_cache::{NewTerminal, ObservedLeader};
 use olivelatch::coordination::read_watermarks::ReadWatermarks;
@@ -25,10 +26,10 @@
 }
 
 proptest! {
-    /// While a peer may still respond from an older read, a terminal state is stable only once every peer has announced a
-    /// read that includes it.
+    /// While a peer may still respond from an older read, a terminal state is stable only once every peer has
+    /// announced a read that includes it.
     #[test]
-    fn a_terminal_state_is_reported_when_nobody_can_respond_older(
+    fn a_terminal_state_is_reported_once_no_peer_can_respond_from_an_older_read(
         revision in 1_u64..100, reads in prop::collection::vec(0_u64..120, 2..5), after in 0_u64..4_000,
     ) {
         let names: Vec<String> = (0..reads.len()).map(|index| format!("n{index}")).collect();
@@ -45,9 +46,9 @@
         prop_assert!(all_read || after > 1_200 || !stable);
     }
 
-    /// A leader that has not read the cancellation may start tasks for as long as its cache counts as fresh.
+    /// A leader that has not read the cancellation may start tasks of the job for as long as its cache counts as fresh.
     #[test]
-    fn a_cancellation_is_reported_when_the_leader_starts_nothing(
+    fn a_cancellation_is_reported_once_the_leader_cannot_start_its_tasks(
         read in 0_u64..100, token in 1_u64..100, others in 0_u64..100, after in 0_u64..4_000,
     ) {
         let mut watermarks = watermarks_with_terminal(&["leads", "other"], 50, true);
@@ -55,16 +56,17 @@
         watermarks.record_peer_read("other", Revision(others));
         let stable = watermarks.is_stable(JOB, Millis(10_000 + after), Revision(50), Some(&leader("leads", token)));
         let may_start_tasks = read < 50 && token < 50 && after <= 2_500;
-        prop_assert!(!(stable && may_start_tasks), "told while the leader may start tasks");
+        prop_assert!(!(stable && may_start_tasks), "reported while the leader may start tasks of the job");
         let may_respond_older = (read < 50 || others < 50) && after <= 1_200;
-        prop_assert!(!(stable && may_respond_older), "told while another node may answer older");
-        prop_assert!(stable || after < 2_600, "held for good");
+        prop_assert!(!(stable && may_respond_older), "reported while another controller may respond from an older read");
+        prop_assert!(stable || after < 2_600, "not reported after {after} ms");
     }
 }
 
-/// Who led when the terminal state was recorded is known only once this controller has read up to that revision.
+/// A controller knows which leader was in office when the terminal state was recorded only once it has read up to that
+/// revision.
 #[test]
-fn the_leader_is_not_concluded_from_an_older_read() {
+fn the_leader_is_not_inferred_from_an_older_read() {
     let mut watermarks = watermarks_with_terminal(&["a", "b"], 50, true);
     watermarks.record_peer_read("a", Revision(60));
     watermarks.record_peer_read("b", Revision(60));
@@ -72,7 +74,8 @@
     assert!(watermarks.is_stable(JOB, Millis(10_100), Revision(50), None));
 }
 
-/// A full load does not show which terminal states are recent, so all of them wait; a single controller waits for none.
+/// A full load of the store does not show which terminal states are recent, so the reports of all of them are
+/// delayed. A controller without peers delays none.
 #[test]
 fn a_full_load_delays_all_reports() {
     let mut watermarks = watermarks_with_terminal(&["a"], 50, false);
@@ -87,7 +90,8 @@
     ));
 }
 
-/// A controller announces a read that includes a terminal state, and no further read until there is another one.
+/// A controller announces the first read that includes a terminal state, and no later read until there is another
+/// terminal state.
 #[test]
 fn a_read_is_announced_once() {
     let mut watermarks = watermarks_with_terminal(&["a"], 50, false);
