--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use simulation::SimulatedCluster;
 
-/// The cluster, the same when the file is written and when it is read.
+/// Scenario lines that set up the cluster, the same when the file is written and when it is read.
 const CLUSTER: [&str; 6] = [
     "settings state write_rps=60",
     "graphs pool:billing=2",
@@ -30,7 +30,7 @@
     "5 tasks=2 run=1 team=works",
     "9 tasks=3 run=5 team=works",
 ];
-/// Index of the job that runs by an earlier version's records, which the test writes itself.
+/// Index of the job whose tasks are recorded in an earlier version's format; the test writes these records itself.
 const LEGACY_JOB: usize = 5;
 
 /// The nodes of a DAG run whose fan-out is in progress when the file is written.
@@ -57,8 +57,8 @@
     cluster
 }
 
-/// Records as a version before the assignment log left them: an accepted job, two of whose tasks are assigned by the
-/// machine's own record.
+/// Writes records in the format that was used before the assignment log existed: an accepted job, two of whose tasks
+/// are assigned in the record of their machine.
 fn put_legacy_records(cluster: &mut SimulatedCluster) {
     let manifest = json!({"uid": "job-000009", "jobclass": "work", "owner": "works", "shape": "array",
         "urgency": "normal", "pieces": 3, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "img-1",
@@ -80,11 +80,11 @@
 /// Runs a cluster until every kind of work is in progress, and writes the golden files.
 fn rewrite_golden_files() {
     let mut cluster = start_cluster();
-    cluster.durable();
+    cluster.track_store_changes();
     run_line(&mut cluster, "nodes a b c");
     run_line(&mut cluster, "until 10 leader = any");
     run_line(&mut cluster, &format!("submit {}", JOBS[0]));
-    // Blocks of finished tasks are written only once there are many.
+    // Blocks of finished tasks are written only once many tasks have finished.
     run_line(&mut cluster, "until 90 keys olivelatch/fin/ >= 1");
     JOBS[1..LEGACY_JOB].iter().for_each(|job| run_line(&mut cluster, &format!("submit {job}")));
     DAG_NODES.iter().for_each(|line| run_line(&mut cluster, line));
@@ -101,32 +101,32 @@
     ] {
         run_line(&mut cluster, line);
     }
-    let mut running = cluster.attempts();
+    let mut running = cluster.live_attempts();
     put_legacy_records(&mut cluster);
     let name = cluster.machine_names().pop().expect("a machine");
     running.extend([(name.clone(), "job-000009/0".into(), 7), (name, "job-000009/1".into(), 8)]);
     let path = temporary_path("written");
-    cluster.write_file(&path);
+    cluster.write_store_file(&path);
     let whole = std::fs::read(&path).expect("the state file");
-    std::fs::remove_file(path).expect("the file goes");
-    std::fs::write(golden_path("inherited.pages"), pack(&whole)).expect("its pages");
+    std::fs::remove_file(path).expect("the temporary state file is removed");
+    std::fs::write(golden_path("inherited.pages"), pack(&whole)).expect("the packed state file is written");
     let text = serde_json::to_string_pretty(&json!({"running": running, "keys": record_keys(&cluster)}))
         .expect("JSON");
-    std::fs::write(golden_path("inherited.json"), text + "\n").expect("the file's contents");
+    std::fs::write(golden_path("inherited.json"), text + "\n").expect("the list of its contents is written");
 }
 
 fn record_keys(cluster: &SimulatedCluster) -> Vec<String> {
     cluster.all_records().into_iter().map(|(key, _)| key).collect()
 }
 
-/// A temporary path of this process.
+/// Returns a temporary path that is unique to this process.
 fn temporary_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("olivelatch-inherited-{name}-{}", std::process::id()))
 }
 
-/// Bytes of a page of the store file.
+/// Size of a page of the store file, in bytes.
 const PAGE: usize = 4096;
-/// Marks the number of a page that repeats one byte.
+/// Flag in the number of a page that repeats one byte.
 const UNIFORM: usize = 1 << 63;
 
 /// Compresses a store file, most pages of which repeat one byte: the file's length, then number and bytes of each
@@ -152,7 +152,7 @@
     u64::from_le_bytes(bytes.try_into().expect("8 bytes")) as usize
 }
 
-/// The inverse of `pack`.
+/// Reverses `pack`.
 fn unpack(packed: &[u8]) -> Vec<u8> {
     let (length, mut rest) = packed.split_at(8);
     let mut whole = vec![0; number(length).next_multiple_of(PAGE)];
@@ -182,30 +182,37 @@
     path
 }
 
-/// Machine, task and attempt of all that ran when the file was written.
+/// Returns machine, task and attempt of each task that was running when the file was written.
 fn running_attempts(contents: &Value) -> Vec<(String, String, u64)> {
     serde_json::from_value(contents["running"].clone()).expect("machines, tasks and attempts")
 }
 
-/// A cluster whose store is the golden file, before its controllers start.
+/// Returns a cluster whose store is the golden file and whose controllers have not been started.
 fn cluster_from_golden_file(contents: &Value) -> SimulatedCluster {
     let mut cluster = start_cluster();
     JOBS.iter().for_each(|job| run_line(&mut cluster, &format!("known {job}")));
     DAG_NODES.iter().for_each(|line| run_line(&mut cluster, line));
     let path = unpack_golden_file();
-    cluster.read_file(&path);
-    std::fs::remove_file(path).expect("the copy goes");
-    assert_eq!(json!(record_keys(&cluster)), contents["keys"], "the file has the records that were written");
+    cluster.read_store_file(&path);
+    std::fs::remove_file(path).expect("the temporary copy is removed");
+    assert_eq!(
+        json!(record_keys(&cluster)),
+        contents["keys"],
+        "the file does not have the records that were written"
+    );
     cluster
 }
 
-/// Every kind of record is in the file, and the assignment log has every running task.
+/// Checks that the file has every kind of record and that the assignment log has every running task.
 fn check_records(cluster: &SimulatedCluster, contents: &Value) {
     let records = cluster.all_records();
     for kind in ["job", "end", "fin", "machine", "log", "booking", "kind", "part", "graph", "turn", "config"]
     {
         let prefix = format!("olivelatch/{kind}/");
-        assert!(records.iter().any(|(key, _)| key.starts_with(&prefix)), "no {kind} in the file");
+        assert!(
+            records.iter().any(|(key, _)| key.starts_with(&prefix)),
+            "the file has no record of kind {kind}"
+        );
     }
     let mut logged = BTreeSet::new();
     for (key, value) in &records {
@@ -220,7 +227,11 @@
     let unlogged = |(_, task, attempt): &&(String, String, u64)| {
         !task.starts_with("job-000009/") && !logged.contains(&(task.clone(), *attempt))
     };
-    assert_eq!(running_attempts(contents).iter().find(unlogged), None, "the log has every task that runs");
+    assert_eq!(
+        running_attempts(contents).iter().find(unlogged),
+        None,
+        "a running task is not in the assignment log"
+    );
 }
 
 #[test]
@@ -228,13 +239,14 @@
     if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
         rewrite_golden_files();
     }
-    let text = std::fs::read_to_string(golden_path("inherited.json")).expect("what the file holds");
+    let text =
+        std::fs::read_to_string(golden_path("inherited.json")).expect("the list of the file's contents");
     let contents: Value = serde_json::from_str(&text).expect("JSON");
     let mut cluster = cluster_from_golden_file(&contents);
     check_records(&cluster, &contents);
     let before: BTreeSet<(String, String, u64)> = running_attempts(&contents).into_iter().collect();
     run_line(&mut cluster, "nodes a b c");
-    cluster.resume(&running_attempts(&contents));
+    cluster.resume_tasks(&running_attempts(&contents));
     run_line(&mut cluster, "until 20 leader = any");
     for (job, state) in [(1, "running"), (2, "running"), (3, "running"), (4, "running"), (5, "done")] {
         run_line(&mut cluster, &format!("until 10 inspected {job} /row/state = {state}"));
@@ -243,9 +255,9 @@
     run_line(&mut cluster, &format!("until 10 inspected 2 /tasks/0/attempt = {}", gang_task.2));
     // No running task is started again: the attempts are the same, on the same machines.
     let tasks: BTreeSet<&String> = before.iter().map(|(_, task, _)| task).collect();
-    let after = cluster.attempts();
+    let after = cluster.live_attempts();
     let restarted = after.iter().find(|attempt| tasks.contains(&attempt.1) && !before.contains(attempt));
-    assert_eq!(restarted, None, "started again");
+    assert_eq!(restarted, None, "a running task was started again");
     assert!(after.iter().filter(|attempt| before.contains(attempt)).count() >= before.len() / 2, "{after:?}");
     for line in [
         "until 10 run r running",
--- a/tests/simulation/actions/controllers.rs
+++ b/tests/simulation/actions/controllers.rs
@@ -1,4 +1,4 @@
-//! Ending and starting controllers, and cutting their links.
+//! Actions that kill and start controllers and that cut and restore their links.
 
 use super::super::{ControllerSlot, SimulatedCluster};
 use super::{ActionResult, usage_error};
@@ -11,7 +11,7 @@
         self.controllers.iter().position(|slot| slot.name == name).expect("a node")
     }
 
-    /// `leader?` is the leader if there is one. Every other name must be that of a controller.
+    /// Returns the index of a controller. `leader?` names the leader, if there is one; any other name must exist.
     pub fn find_controller(&self, name: &str) -> Option<usize> {
         match name {
             "leader?" => self.controllers.iter().position(ControllerSlot::is_leader),
@@ -44,8 +44,8 @@
         Ok(())
     }
 
-    /// Kills a controller, and starts it again with no memory after so many seconds.
-    pub(super) fn restart_at_once(&mut self, words: &[&str]) -> ActionResult {
+    /// Kills a controller, and starts it again without its in-memory state after the given number of seconds.
+    pub(super) fn kill_and_restart(&mut self, words: &[&str]) -> ActionResult {
         let [node, seconds] = words else { return usage_error("NODE SECONDS") };
         let name = self.controllers[self.controller_index(node)].name.clone();
         self.kill_controller(&[&name])?;
@@ -54,30 +54,30 @@
     }
 
     pub(super) fn set_controller_capacity(&mut self, words: &[&str]) -> ActionResult {
-        let [units] = words else { return usage_error("UNITS A SECOND") };
+        let [units] = words else { return usage_error("UNITS-PER-SECOND") };
         self.controller_capacity = Some(units.parse().map_err(|_| "a number")?);
         Ok(())
     }
 
     pub(super) fn cut_link(&mut self, words: &[&str]) -> ActionResult {
-        let [node, what] = words else { return usage_error("NODE WHAT") };
+        let [node, link] = words else { return usage_error("NODE LINK") };
         if *node == "all" {
             self.controllers.iter_mut().for_each(|slot| {
-                slot.cut_links.insert((*what).into());
+                slot.cut_links.insert((*link).into());
             });
             return Ok(());
         }
-        // There may be no leader to cut off.
+        // There may be no leader, so `leader?` may name no controller.
         let Some(index) = self.find_controller(node) else { return Ok(()) };
-        self.controllers[index].cut_links.insert((*what).into());
+        self.controllers[index].cut_links.insert((*link).into());
         Ok(())
     }
 
     /// Restores links of this kind at every controller.
     pub(super) fn restore_links(&mut self, words: &[&str]) -> ActionResult {
-        let [what] = words else { return usage_error("WHAT") };
+        let [link] = words else { return usage_error("LINK") };
         self.controllers.iter_mut().for_each(|slot| {
-            slot.cut_links.remove(*what);
+            slot.cut_links.remove(*link);
         });
         Ok(())
     }
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the kv store, the cloud, machines, and messages.
+//! Actions that start and end faults of the kv store, the cloud, machines and messages.
 
 use olivelatch::coordination::Event;
 use olivelatch_worker::{TaskWork, Worker};
@@ -37,26 +37,26 @@
         self.workers.iter_mut().find(|worker| worker.machine.name == host).ok_or(format!("no worker {host}"))
     }
 
-    pub(super) fn make_sick(&mut self, words: &[&str]) -> ActionResult {
+    pub(super) fn fail_tasks_on_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.worker(host)?.fails_tasks = true;
         Ok(())
     }
 
-    /// The job's tasks do not fail any more.
+    /// Makes the job's tasks succeed from now on.
     pub(super) fn stop_task_failures(&mut self, words: &[&str]) -> ActionResult {
         let [id] = words else { return usage_error("JOB") };
         let (id, _) = parse_job(id)?;
         match self.jobs.get_mut(&id).map(|job| &mut job.work) {
             Some(TaskWork::Simulated { fails, .. }) => *fails = false,
-            _ => return Err("an unknown job".into()),
+            _ => return Err(format!("unknown job {id}")),
         }
         Ok(())
     }
 
     pub(super) fn slow_machine(&mut self, words: &[&str]) -> ActionResult {
-        let [host, times] = words else { return usage_error("HOST TIMES") };
-        self.worker(host)?.slowdown_factor = times.parse().map_err(|_| "a number")?;
+        let [host, factor] = words else { return usage_error("HOST FACTOR") };
+        self.worker(host)?.slowdown_factor = factor.parse().map_err(|_| "a number")?;
         Ok(())
     }
 
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Messages that are held back arrive.
+    /// Delivers the messages that were held back.
     pub(super) fn deliver_held(&mut self, _: &[&str]) -> ActionResult {
         for body in std::mem::take(&mut self.held_txns) {
             self.kv_store.handle_request("POST", "/txn", &body, self.now);
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    /// Messages that are held back are lost.
+    /// Drops the messages that were held back.
     pub(super) fn drop_held(&mut self, _: &[&str]) -> ActionResult {
         self.held_txns.clear();
         self.held_commands.clear();
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -1,4 +1,4 @@
-//! The actions of scenarios: a line begins with the name of one, and its other words are the arguments.
+//! The actions of scenarios. The first word of a line names the action, and the other words are its arguments.
 
 mod controllers;
 mod faults;
@@ -9,19 +9,19 @@
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
-    /// Carries out one line. Fails if it cannot be done, or if a rule was broken meanwhile.
+    /// Runs the action of one line. Fails if the action fails or if an invariant has been violated.
     pub fn run_action(&mut self, words: &[&str]) -> Result<(), String> {
         let (name, arguments) = words.split_first().ok_or("an empty line")?;
-        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown command")?;
+        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown action")?;
         action(self, arguments)?;
         match self.violations.first() {
-            Some(violation) => Err(format!("rule broken: {violation}")),
+            Some(violation) => Err(format!("violated rule: {violation}")),
             None => Ok(()),
         }
     }
 }
 
-/// What was expected or does not hold, for the author of the scenario.
+/// The result of an action. The error tells the author of the scenario what was expected or does not hold.
 pub type ActionResult = Result<(), String>;
 type Action = fn(&mut SimulatedCluster, &[&str]) -> ActionResult;
 
@@ -44,7 +44,7 @@
     ("objective", SimulatedCluster::add_objective),
     ("kind", SimulatedCluster::add_machine_type),
     ("nodes", SimulatedCluster::start_controllers),
-    ("machine", SimulatedCluster::add_machine_of),
+    ("machine", SimulatedCluster::add_machine),
     ("machines", SimulatedCluster::add_machines),
     ("record", SimulatedCluster::put_record),
     ("known", SimulatedCluster::mark_accepted),
@@ -71,7 +71,7 @@
     ("cloud", SimulatedCluster::set_cloud_outage),
     ("hang", SimulatedCluster::hang_machines),
     ("unhang", SimulatedCluster::resume_machines),
-    ("sick", SimulatedCluster::make_sick),
+    ("sick", SimulatedCluster::fail_tasks_on_machine),
     ("slow", SimulatedCluster::slow_machine),
     ("mend", SimulatedCluster::stop_task_failures),
     ("notice", SimulatedCluster::announce_spot_reclaim),
@@ -82,7 +82,7 @@
     ("deliver", SimulatedCluster::deliver_held),
     ("lose", SimulatedCluster::drop_held),
     ("mesh", SimulatedCluster::set_mesh_mode),
-    ("flash", SimulatedCluster::restart_at_once),
+    ("flash", SimulatedCluster::kill_and_restart),
     ("asks", SimulatedCluster::poll_repeatedly),
     ("deaf", SimulatedCluster::set_receive_path_down),
     ("mute", SimulatedCluster::set_send_path_down),
@@ -107,5 +107,5 @@
 }
 
 pub fn parse_status(text: &str) -> Result<u16, String> {
-    text.parse().map_err(|_| format!("expected a status, not {text}"))
+    text.parse().map_err(|_| format!("expected a status code, not {text}"))
 }
--- a/tests/simulation/actions/requests.rs
+++ b/tests/simulation/actions/requests.rs
@@ -1,4 +1,4 @@
-//! What users and operators do: submit, poll, cancel, and list.
+//! Actions of users and operators: submitting, polling and cancelling jobs, and listing them.
 
 use olivelatch::coordination::Event;
 use olivelatch::ids::JobId;
@@ -25,10 +25,10 @@
     }
 
     pub(super) fn submit_raw(&mut self, words: &[&str]) -> ActionResult {
-        let (code, text) = words.split_first().ok_or("a status")?;
+        let (code, text) = words.split_first().ok_or("expected STATUS TEXT")?;
         match parse_submission(text.join(" ").as_bytes()) {
-            Err(refusal) if refusal.status.to_string() == *code => {}
-            Err(refusal) => return Err(format!("answered {}", refusal.status)),
+            Err(rejection) if rejection.status.to_string() == *code => {}
+            Err(rejection) => return Err(format!("got status {} instead of {code}", rejection.status)),
             Ok(request) => {
                 self.send_user_request(request, "raw", ResponseCheck::StatusOnly(parse_status(code)?));
             }
@@ -45,19 +45,23 @@
     }
 
     pub(super) fn cancel(&mut self, words: &[&str]) -> ActionResult {
-        let (id, by) = match words {
+        let (id, choice) = match words {
             [id] => (id, None),
-            [id, by] => (id, Some(*by)),
-            _ => return usage_error("JOB [first|second: of those that the state service serves]"),
+            [id, choice] => (id, Some(*choice)),
+            _ => {
+                return usage_error(
+                    "JOB [first|second: the controller, among those that can reach the state service]",
+                );
+            }
         };
         let (id, job) = parse_job(id)?;
         self.pending_cancels.insert(id.clone(), self.now);
-        let is_served =
+        let can_reach_kv =
             |index: &usize| !self.is_cut(*index, "state") && self.controllers[*index].controller.is_some();
-        let mut served = (0..self.controllers.len()).filter(is_served);
-        let controller = match by {
-            Some("first") => served.next(),
-            Some(_) => served.nth(1),
+        let mut candidates = (0..self.controllers.len()).filter(can_reach_kv);
+        let controller = match choice {
+            Some("first") => candidates.next(),
+            Some(_) => candidates.nth(1),
             None => None,
         };
         let Some(controller) = controller else {
@@ -72,7 +76,7 @@
     }
 
     pub(super) fn poll_repeatedly(&mut self, words: &[&str]) -> ActionResult {
-        let [id, times] = words else { return usage_error("JOB TIMES A SECOND") };
+        let [id, times] = words else { return usage_error("JOB POLLS-PER-SECOND") };
         let times: u64 = times.parse().map_err(|_| "a count")?;
         self.repeating_polls.push(RepeatingPoll {
             id: parse_job(id)?.0,
@@ -83,7 +87,7 @@
     }
 }
 
-/// A job by its number, as the wire and as the controllers name it.
+/// Parses the number of a job, and returns its name on the wire and its ID.
 pub(super) fn parse_job(number: &str) -> Result<(String, JobId), String> {
     let number: u64 = number.parse().map_err(|_| format!("expected a job's number, not {number}"))?;
     let job = JobId(number);
--- a/tests/simulation/actions/setup.rs
+++ b/tests/simulation/actions/setup.rs
@@ -1,4 +1,4 @@
-//! Setting a region up: settings, teams, machines, controllers, and records that it starts with.
+//! Actions that set up a cluster: settings, teams, machines, controllers, and initial records.
 
 use olivelatch_local_cluster::MachineTypeSpec;
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    /// Enables the operators' interface.
+    /// Enables the operators' interface. The words are settings of the `operators` block.
     pub(super) fn set_operators(&mut self, words: &[&str]) -> ActionResult {
         let settings = words.iter().map(|pair| format!("  {}\n", pair.replace('=', " = ")));
         let block: String = settings.collect();
@@ -71,7 +71,7 @@
         Ok(())
     }
 
-    pub(super) fn add_machine_of(&mut self, words: &[&str]) -> ActionResult {
+    pub(super) fn add_machine(&mut self, words: &[&str]) -> ActionResult {
         let [kind, zone, rest @ ..] = words else { return usage_error("KIND ZONE [spot]") };
         self.cloud.add_machine(kind, zone, rest.contains(&"spot"), self.now, 0);
         Ok(())
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Stores a record as an earlier version would have left it.
+    /// Stores a record, for example one in the format of an earlier version.
     pub(super) fn put_record(&mut self, words: &[&str]) -> ActionResult {
         let (key, text) = words.split_first().ok_or("a key")?;
         let value: Value = serde_json::from_str(&text.join(" ")).map_err(|error| error.to_string())?;
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Declares a job that an earlier version has accepted.
+    /// Declares a job whose submission has already been accepted, for example by an earlier version.
     pub(super) fn mark_accepted(&mut self, words: &[&str]) -> ActionResult {
         let JobArguments { id, .. } = self.describe_job(words);
         self.accepted_jobs.insert(id);
--- a/tests/simulation/actions/timing.rs
+++ b/tests/simulation/actions/timing.rs
@@ -1,4 +1,4 @@
-//! Letting time pass, until or while a condition holds.
+//! Actions that let time pass and check conditions.
 
 use super::super::SimulatedCluster;
 use super::{ActionResult, parse_seconds, usage_error};
@@ -18,7 +18,10 @@
         let until = self.deadline_in(seconds)?;
         while !self.condition_holds(condition) {
             if self.now >= until {
-                return Err(format!("not within {seconds} s{}", self.dag_runs.responses_text()));
+                return Err(format!(
+                    "the condition did not hold within {seconds} s{}",
+                    self.dag_runs.responses_text()
+                ));
             }
             self.step();
         }
@@ -29,7 +32,7 @@
         if self.condition_holds(condition) {
             Ok(())
         } else {
-            Err(format!("does not hold {:?}", self.counters))
+            Err(format!("the condition does not hold; counters: {:?}", self.counters))
         }
     }
 
@@ -39,7 +42,7 @@
         while self.now < until {
             self.step();
             if self.condition_holds(condition) {
-                return Err("it did".into());
+                return Err("the condition held".into());
             }
         }
         Ok(())
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -1,5 +1,5 @@
-//! The conditions that scenarios wait for and expect, one function for each subject. A condition on a job or a run starts
-//! the requests that show whether it holds.
+//! The conditions that scenarios wait for and expect, grouped by subject. Evaluating a condition on a job or a run also
+//! starts the polls and queries whose responses show whether it holds.
 
 use olivelatch::coordination::controller::Controller;
 use olivelatch_worker::Worker;
@@ -10,8 +10,8 @@
 use super::{ControllerSlot, PendingRequest, SimulatedCluster};
 
 const POLL_INTERVAL_MS: u64 = 500;
-/// An answer about a job counts as recent for so long.
-const RECENT_MS: u64 = 5_000;
+/// How long after a response about a job the condition `known` holds.
+const RECENT_RESPONSE_MS: u64 = 5_000;
 
 fn compare(value: u64, operator: &str, right: &str) -> bool {
     let right: u64 = right.parse().expect("a number");
@@ -23,7 +23,7 @@
     }
 }
 
-/// Tasks that the worker runs, without those that wait for their image.
+/// Returns the number of tasks that the worker runs, without those that wait for their image.
 fn running_tasks(worker: &Worker) -> u64 {
     worker.attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended()).count() as u64
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What users know of jobs, and what became of cancelled ones.
+    /// Conditions on what users know about jobs, and on the tasks of cancelled jobs.
     fn job_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
             [status @ ("done" | "withdrawn"), id] => {
@@ -60,28 +60,30 @@
             }
             // The users know the final state of every job of the stream.
             ["streamed"] => self.job_stream.as_ref().is_some_and(JobStream::is_finished),
-            // The longest time, in ms, from the end of a job's last task until its user knew of it.
+            // The longest time, in ms, from the end of a job's last task until its user knew the final state.
             ["told_late", op, right] => self
                 .job_stream
                 .as_ref()
                 .is_some_and(|stream| compare(stream.max_notification_delay_ms, op, right)),
+            // The users have had a recent response about each of these jobs.
             ["known", ids @ ..] => {
                 let ids: Vec<String> = ids.iter().map(|id| job_name(id)).collect();
                 if self.now % POLL_INTERVAL_MS == 0 {
                     ids.iter().for_each(|id| self.poll_job(id));
                 }
                 let known = |id: &String| {
-                    self.faults.last_answered_at.get(id).is_some_and(|at| self.now <= at + RECENT_MS)
+                    self.faults.last_answered_at.get(id).is_some_and(|at| self.now <= at + RECENT_RESPONSE_MS)
                 };
                 ids.iter().all(known)
             }
+            // How many jobs' users know that their jobs are cancelled.
             ["confirmed", op, right] => compare(self.cancelled.len() as u64, op, right),
             // The longest time, in ms, that a task ran after its user knew of the cancellation.
             ["stayed", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
             ["accepted", id] => self.accepted_jobs.contains(&job_name(id)),
-            // Tasks that started after their user knew of the cancellation.
+            // How many tasks started after their user knew of the cancellation.
             ["started_cancelled", op, right] => compare(self.faults.started_cancelled, op, right),
-            // Tasks that ended with the lease of their worker.
+            // How many tasks were killed because the lease of their worker had expired.
             ["lost_with_lease", op, right] => compare(self.faults.lost_with_lease, op, right),
             ["running", id, op, right] => {
                 let id = job_name(id);
@@ -93,7 +95,7 @@
         })
     }
 
-    /// What operators are shown.
+    /// Conditions on the responses to operators' queries.
     fn operator_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["explained", id, word] => {
@@ -134,7 +136,7 @@
         })
     }
 
-    /// Runs of graphs.
+    /// Conditions on DAG runs and their nodes.
     fn graph_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["node", run, node, state] => {
@@ -160,7 +162,7 @@
         })
     }
 
-    /// Records in the kv store.
+    /// Conditions on the records in the kv store.
     fn record_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["record", key, op @ ("has" | "lacks"), word] => {
@@ -177,7 +179,7 @@
         })
     }
 
-    /// Machines and what runs on them.
+    /// Conditions on machines and their tasks.
     fn machine_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["on", host, op, right] => {
@@ -192,7 +194,7 @@
         })
     }
 
-    /// Controllers and the counters of their leaders.
+    /// Conditions on controllers and the counters of leaders.
     fn controller_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["counter", name, op, right] => {
--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration: operators that send, repeat and watch them, and the limits that must hold at every moment.
+//! Changes of the configuration: operators send them, repeat them and watch them take effect. Limits in force are
+//! checked at every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,11 +15,11 @@
 
 const RETRY_MS: u64 = 300;
 
-/// A change that an operator wants.
+/// A change that an operator has requested.
 struct ConfigChange {
     entry: ConfigKey,
     change: ConfigChangeRequest,
-    /// Sent to this controller only.
+    /// The only controller that the requests are sent to; `None` for any.
     only_controller: Option<String>,
     requested_at: u64,
     next_attempt: Option<u64>,
@@ -26,7 +27,7 @@
     status: Option<u16>,
     version: Option<u64>,
     in_force_at: Option<u64>,
-    /// The entry as it was last shown.
+    /// The entry as the last response showed it.
     view: Option<ConfigEntryView>,
 }
 
@@ -40,17 +41,17 @@
 #[derive(Default)]
 pub struct ConfigChanges {
     pub enabled: bool,
-    /// Controllers whose configuration is off, as if of an earlier version.
+    /// Controllers with the configuration disabled, as in an earlier version.
     pub disabled_controllers: BTreeSet<String>,
     changes: BTreeMap<String, ConfigChange>,
     active_limits: BTreeMap<String, ActiveLimit>,
-    /// CPUs of each team at each leader at the last check, by the leader's position and incarnation.
+    /// CPUs that each team used at each leader at the last check, by the leader's index and incarnation and the team.
     last_usage: BTreeMap<(usize, u32, String), f64>,
 }
 
 impl ConfigChanges {
-    /// The highest limit that a team may start tasks under: the one in force, or that of a later change which a leader may
-    /// already follow.
+    /// Returns the highest limit that may apply to a team's task starts: the one in force, or that of a later change
+    /// that a leader may already apply.
     fn highest_allowed(&self, team: &str) -> Option<f64> {
         let active = self.active_limits.get(team)?;
         let later = self.changes.values().filter(|change| {
@@ -64,14 +65,14 @@
 }
 
 impl SimulatedCluster {
-    /// Enables the configuration, but not at the named controllers.
+    /// Enables the configuration, except at the named controllers.
     pub fn enable_config(&mut self, words: &[&str]) -> ActionResult {
         self.config_changes.enabled = true;
         self.config_changes.disabled_controllers = words.iter().map(|word| (*word).to_string()).collect();
         Ok(())
     }
 
-    /// NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]: without values the entry is unset.
+    /// Requests a change: NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]. Without values the entry is unset.
     pub fn set_config(&mut self, words: &[&str]) -> ActionResult {
         let [name, team, rest @ ..] = words else {
             return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=]");
@@ -85,7 +86,7 @@
             reason: String::new(),
             change_id: (*name).into(),
         };
-        let wanted = ConfigChange {
+        let requested = ConfigChange {
             entry,
             change,
             only_controller: named_argument(rest, "via").map(String::from),
@@ -96,7 +97,7 @@
             in_force_at: None,
             view: None,
         };
-        self.config_changes.changes.insert((*name).into(), wanted);
+        self.config_changes.changes.insert((*name).into(), requested);
         Ok(())
     }
 
@@ -127,9 +128,9 @@
         };
         let controller = self.pick_controller(|cluster, index| {
             let slot = &cluster.controllers[index];
-            let wanted = only_controller.as_ref().is_none_or(|name| *name == slot.name);
+            let is_allowed = only_controller.as_ref().is_none_or(|name| *name == slot.name);
             let serves = slot.controller.as_ref().is_some_and(Controller::serves_config);
-            wanted && serves && !cluster.is_cut(index, "users") && !slot.clock_fault.frozen
+            is_allowed && serves && !cluster.is_cut(index, "users") && !slot.clock_fault.frozen
         });
         let now = self.now;
         if let Some(change) = self.config_changes.changes.get_mut(name) {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// A response, or none as the controller has ended.
+    /// Handles the response to a request; `None` if the controller was killed before it responded.
     pub fn handle_config_response(&mut self, name: &str, response: Option<&HttpResponse>) {
         let now = self.now;
         let Some(change) = self.config_changes.changes.get_mut(name) else { return };
@@ -157,7 +158,8 @@
             return;
         };
         let version = *change.version.get_or_insert(view.version);
-        // The view may be of a later change, which is in force only if this one is.
+        // The view may show a later change. That change takes effect only after this one, so this one counts as in
+        // force.
         if view.is_effective && change.in_force_at.is_none() {
             change.in_force_at = Some(now);
             change.next_attempt = None;
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Where the configuration is enabled, no task starts above a limit in force. Tasks that run above it may stay.
+    /// Checks that controllers with the configuration enabled start no task above a limit in force. Tasks that
+    /// already run above it may continue.
     fn check_limits(&mut self) {
         let mut usage = BTreeMap::new();
         for index in 0..self.controllers.len() {
@@ -191,7 +194,7 @@
                 let has_grown = before.is_some_and(|before| team.used_cpus > before + 1e-6);
                 if has_grown && allowed.is_some_and(|allowed| team.used_cpus > allowed + 1e-6) {
                     let problem = format!(
-                        "limit: {} starts up to {} CPUs at {}, {:?} in force",
+                        "limit: {} started tasks up to {} CPUs at {}, the highest limit that may apply is {:?} CPUs",
                         team.team, team.used_cpus, slot.name, allowed
                     );
                     self.violations.push(problem);
@@ -210,19 +213,19 @@
                 change(name).status.is_some_and(|found| found.to_string() == *status)
             }
             ["pending", name] => change(name).in_force_at.is_none(),
-            // How many changes have a final response of this status.
+            // How many changes have a final response with this status.
             ["count", status, "=", count] => {
                 let has_status =
                     |change: &&ConfigChange| change.status.is_some_and(|found| found.to_string() == *status);
                 self.config_changes.changes.values().filter(has_status).count().to_string() == *count
             }
-            // In force, or refused.
+            // The change is in force or was rejected.
             ["over", name] => {
                 let change = change(name);
                 change.in_force_at.is_some() || change.status.is_some_and(|status| status != 200)
             }
             ["in-force", name] => change(name).in_force_at.is_some(),
-            // Milliseconds from the request until the operator knew that it is in force.
+            // The time, in ms, from the request until the operator knew that the change is in force.
             ["took", name, "<=", most] => {
                 let change = change(name);
                 let most: u64 = most.parse().expect("milliseconds");
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers of the simulated region: starting them, their links, handing them events, and their counters.
+//! The controllers of the simulated cluster: starting them, their links, delivering events to them, and their counters.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -13,24 +13,24 @@
 use super::event_queue::EventQueue;
 use super::fault_injection::ClockFault;
 
-/// Ports of the controllers' mesh addresses begin here; nothing listens there.
+/// First port of the controllers' mesh addresses. Nothing listens on these ports.
 const FIRST_MESH_PORT: usize = 10;
 
-/// A controller, or the place of one that is down.
+/// A controller, which may be down.
 pub struct ControllerSlot {
     pub controller: Option<Controller>,
     pub(super) name: String,
     pub(super) zone: String,
-    /// Kinds of links that are down, as scenarios name them; `all` for every one.
+    /// Kinds of links that are down, by their names in scenarios; `all` means every kind.
     pub(super) cut_links: HashSet<String>,
-    /// How often it has been started.
+    /// How many times the controller has been started.
     pub(super) incarnation: u64,
     pub(super) event_queue: EventQueue,
     pub(super) clock_fault: ClockFault,
 }
 
 impl ControllerSlot {
-    /// A controller that has not been started yet.
+    /// Returns a controller that has not been started yet.
     pub(super) fn new(name: String, zone: &str) -> ControllerSlot {
         ControllerSlot {
             controller: None,
@@ -52,26 +52,26 @@
     }
 }
 
-/// Time that controllers took for their events: in total, and the longest.
+/// Time that controllers took to handle events: in total, and for the slowest event.
 #[derive(Default, Clone, Copy)]
 pub struct EventCpuTime {
     pub total: Duration,
     pub longest: Duration,
-    /// The kind of the event that took longest.
+    /// Kind of the slowest event.
     pub longest_event: &'static str,
 }
 
 impl EventCpuTime {
-    fn add(&mut self, took: Duration, kind: &'static str) {
-        self.total += took;
-        if took > self.longest {
-            (self.longest, self.longest_event) = (took, kind);
+    fn add(&mut self, duration: Duration, kind: &'static str) {
+        self.total += duration;
+        if duration > self.longest {
+            (self.longest, self.longest_event) = (duration, kind);
         }
     }
 }
 
 impl SimulatedCluster {
-    /// Starts a controller that knows nothing but its settings.
+    /// Starts a controller whose only input is its settings, without state from an earlier incarnation.
     pub(super) fn boot_controller(&mut self, index: usize) {
         let settings = self.controller_settings(index);
         let mut tunables = Tunables::parse("scenario", &self.tunables).expect("tunables");
@@ -102,7 +102,7 @@
         Settings::parse("scenario", &config.to_string()).expect("settings")
     }
 
-    /// Whether a kind of links of a controller is down.
+    /// Returns whether a controller's links of this kind are down.
     pub(super) fn is_cut(&self, controller: usize, link: &str) -> bool {
         let cut_links = &self.controllers[controller].cut_links;
         cut_links.contains(link) || (cut_links.contains("all") && link != "none")
@@ -112,7 +112,7 @@
         self.zone_cuts.contains(&(a.into(), b.into())) || self.zone_cuts.contains(&(b.into(), a.into()))
     }
 
-    /// Whether messages between a controller and a worker arrive.
+    /// Returns whether messages between a controller and a worker can arrive.
     pub(super) fn can_reach(&self, controller: usize, worker: usize) -> bool {
         let machine = &self.workers[worker].machine;
         self.machine_exists(worker)
@@ -121,7 +121,8 @@
             && !self.are_zones_cut(&self.controllers[controller].zone, &machine.zone)
     }
 
-    /// Hands an event to a controller, which may be frozen or have others to handle first.
+    /// Delivers an event to a controller. A frozen controller handles it when it is thawed, and one with limited
+    /// processor time may queue it.
     pub(super) fn send_event(&mut self, controller: usize, event: Event) {
         let now = self.now;
         let slot = &mut self.controllers[controller];
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Lets a controller handle an event, and carries out its actions.
+    /// Passes an event to a controller and carries out the resulting actions.
     pub(super) fn handle_event_now(&mut self, index: usize, event: Event) {
         let clock = self.controller_clock(index);
         let ControllerSlot { controller: Some(controller), name, .. } = &mut self.controllers[index] else {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The controllers handle what is queued, then a tick.
+    /// Lets each controller handle its queued events and then a tick.
     pub(super) fn step_controllers(&mut self) {
         for index in 0..self.controllers.len() {
             if !self.controllers[index].clock_fault.frozen {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Keeps the highest value of each of the leaders' counters, as a new leader counts from 0.
+    /// Keeps the highest value of each of the leaders' counters, because a new leader starts counting from 0.
     pub(super) fn record_counters(&mut self) {
         let leaders = self.controllers.iter().filter_map(|slot| slot.controller.as_ref()?.leader());
         for leader in leaders {
--- a/tests/simulation/dag_runs.rs
+++ b/tests/simulation/dag_runs.rs
@@ -1,5 +1,5 @@
-//! Clients of graphs: drafts that are uploaded in parts, runs that are polled, and the rule that a node starts only after
-//! its trigger rule holds.
+//! Clients of the graphs' interface: they upload drafts in parts and poll runs. A node must not start before its
+//! trigger rule is satisfied, which is checked here.
 
 use std::collections::BTreeMap;
 
@@ -15,25 +15,25 @@
 const PARTS_PER_REQUEST: usize = 7;
 const MAX_RERUN_PART_BYTES: usize = 3_000;
 
-/// A graph as a scenario describes it.
+/// A graph that a scenario describes.
 #[derive(Default)]
 pub struct GraphDraft {
     templates: Vec<NodeTemplate>,
     pub nodes: Vec<DagNodeRecord>,
     edges: Vec<(u32, u32, u32)>,
-    /// The parts that rerun nodes, so far.
+    /// Parts that request reruns of nodes.
     rerun_parts: Vec<GraphPart>,
     next_part: u32,
 }
 
-/// A request on a run. Without an expected status it is repeated until it is accepted.
+/// A request about a run. If no status is expected, it is repeated until it is accepted.
 #[derive(Clone)]
 pub struct GraphRequest {
     pub run: String,
     pub path: String,
     pub body: Value,
     pub expect: Option<u16>,
-    /// A commit: with its response the jobs of the run are accepted.
+    /// Whether this is a commit, whose response accepts the jobs of the run.
     pub is_commit: bool,
 }
 
@@ -41,16 +41,16 @@
 #[derive(Default)]
 pub struct DagRuns {
     drafts: BTreeMap<String, GraphDraft>,
-    /// Requests that are to be sent, and when.
+    /// Requests that are still to be sent, with the time at which each is due.
     queue: Vec<(u64, GraphRequest)>,
     /// Runs with a request in flight.
     in_flight: Vec<String>,
-    /// The last responses, by path.
+    /// The last successful response for each path.
     responses: BTreeMap<String, Value>,
     next_poll: BTreeMap<String, u64>,
-    /// Final states of nodes that were shown, by job.
+    /// Final states of nodes that responses have shown, by job.
     final_states: BTreeMap<String, String>,
-    /// Jobs that were accepted since this was last taken.
+    /// Jobs that were accepted since the caller last emptied the list.
     pub accepted: Vec<String>,
 }
 
@@ -72,7 +72,7 @@
             as u32
     }
 
-    /// Adds a node. `after`: names, or `prefix*` for all nodes whose names begin so.
+    /// Adds a node. `after` holds names of upstream nodes, or `prefix*` for all nodes whose names start with `prefix`.
     pub fn add(&mut self, name: &str, job: u64, template: NodeTemplate, after: &[&str], map: Option<&str>) {
         let known = self.templates.iter().position(|other| *other == template);
         let template = known.unwrap_or_else(|| {
@@ -129,7 +129,7 @@
         self.queue.push((now, GraphRequest { run: run.into(), path, body, expect, is_commit: false }));
     }
 
-    /// Uploads at most `max_parts` of the parts, several in a request. Returns how many parts the run has.
+    /// Uploads at most `max_parts` of the run's parts, several per request. Returns the number of parts of the run.
     pub fn upload(&mut self, now: u64, run: &str, max_part_bytes: usize, max_parts: usize) -> u32 {
         let parts = self.draft(run).parts(max_part_bytes);
         let uploaded: Vec<_> = parts.iter().take(max_parts).collect();
@@ -140,7 +140,7 @@
         parts.len() as u32
     }
 
-    /// Commits the parts that were uploaded. `expect`: the status that the response must have.
+    /// Commits the uploaded parts. `expect` is the status that the response must have.
     pub fn commit(
         &mut self,
         now: u64,
@@ -168,7 +168,8 @@
         self.push(now, run, format!("graphs/{run}/cancel"), json!({}), None);
     }
 
-    /// Reruns a node and all downstream of it, with jobs from `job` on. Returns the old and the new job of each node.
+    /// Reruns a node and all nodes downstream of it; their new jobs are numbered from `job`. Returns the old and the
+    /// new job of each node.
     pub fn rerun(&mut self, now: u64, run: &str, node: &str, job: u64) -> Vec<(String, String)> {
         let draft = self.draft(run);
         let nodes = draft.downstream(draft.position(node));
@@ -188,7 +189,7 @@
         jobs
     }
 
-    /// The requests that are due: of each run one at a time, in order.
+    /// Returns the requests that are due, in order and at most one per run.
     pub fn due_requests(&mut self, now: u64) -> Vec<GraphRequest> {
         let mut due: Vec<GraphRequest> = Vec::new();
         let mut later = Vec::new();
@@ -207,7 +208,7 @@
         due
     }
 
-    /// Takes the response to a request, or `None` if there is none. An error names the rule that it breaks.
+    /// Handles the response to a request; `None` if there was none. An error names the violated rule.
     pub fn handle_response(
         &mut self,
         request: GraphRequest,
@@ -223,7 +224,7 @@
                     Ok(())
                 }
                 _ if status == expect => Ok(()),
-                _ => Err(format!("{}: answered {status} instead of {expect}", request.path)),
+                _ => Err(format!("{}: got status {status} instead of {expect}", request.path)),
             };
         }
         if status < 300 {
@@ -237,13 +238,13 @@
         if status != 503 {
             let text = response
                 .map_or(String::new(), |response| String::from_utf8_lossy(&response.body).into_owned());
-            return Err(format!("{}: answered {status}: {text}", request.path));
+            return Err(format!("{}: got status {status}: {text}", request.path));
         }
         self.queue.insert(0, (now + RETRY_MS, request));
         Ok(())
     }
 
-    /// What was last shown of runs, for messages of failures.
+    /// Returns the last responses about runs, for failure messages.
     pub fn responses_text(&self) -> String {
         self.responses.values().map(|body| format!("\n  {} {}", body["row"], body["nodes"])).collect()
     }
@@ -262,7 +263,7 @@
         self.next_poll.entry(path.into()).or_insert(0);
     }
 
-    /// The paths of pages that are due to be polled.
+    /// Returns the paths of pages that are due to be polled.
     pub fn due_polls(&mut self, now: u64) -> Vec<String> {
         let due = self.next_poll.iter_mut().filter(|(_, due_at)| **due_at <= now);
         due.map(|(path, due_at)| {
@@ -272,7 +273,7 @@
         .collect()
     }
 
-    /// Takes a page. An error says that it contradicts an earlier one.
+    /// Handles a page. The error says how it contradicts an earlier page.
     pub fn handle_poll_response(&mut self, path: &str, response: &HttpResponse) -> Result<(), String> {
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         if response.status != 200 {
@@ -305,7 +306,8 @@
         Some(&self.responses.get(&path)?["row"])
     }
 
-    /// A task of a job has started: names the violation if its node's trigger rule does not hold by the terminal records.
+    /// Called when a task of a job has started. Returns a violation if the terminal records of the upstream nodes do
+    /// not satisfy the trigger rule of the job's node.
     pub fn find_early_start(&self, job: &str, kv_store: &KvEngine) -> Option<String> {
         let find = |draft: &GraphDraft| draft.nodes.iter().position(|node| job_name(node.job) == job);
         let (draft, index) = self.drafts.values().find_map(|draft| Some((draft, find(draft)?)))?;
@@ -315,12 +317,13 @@
             Some(kv_store.get(&format!("olivelatch/end/{job}"))?["end"] == "done")
         };
         let outcomes: Vec<Option<bool>> = draft.upstream(index as u32).into_iter().map(succeeded).collect();
-        let holds = match rule {
+        let is_satisfied = match rule {
             "all_success" => outcomes.iter().all(|outcome| *outcome == Some(true)),
             "one_success" => outcomes.contains(&Some(true)),
             "one_failed" => outcomes.contains(&Some(false)),
             _ => outcomes.iter().all(Option::is_some),
         };
-        (!holds && !outcomes.is_empty()).then(|| format!("{job} started before {rule} held"))
+        (!is_satisfied && !outcomes.is_empty())
+            .then(|| format!("{job} started before its trigger rule {rule} was satisfied"))
     }
 }
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -1,5 +1,5 @@
-//! Carries out the controllers' actions: requests to the kv store, the cloud and the workers, and messages to each other,
-//! unless a fault of the scenario is in the way.
+//! Carries out the controllers' actions: requests to the kv store, the cloud and the workers, and messages to other
+//! controllers. Faults of the scenario may delay or drop them.
 
 use olivelatch::coordination::{Action, Event, OutboundId};
 use olivelatch::protocol::cloud::CloudRequest;
@@ -10,23 +10,23 @@
 
 use super::SimulatedCluster;
 
-/// What happens to transactions.
+/// How transactions on the kv store are handled.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum TxnMode {
     Normal,
-    /// Carried out, but the response is lost.
+    /// Transactions are carried out, but the response is lost.
     ResponseLost,
-    /// Without a response, and carried out only when they are delivered.
+    /// Transactions get no response and are carried out only when they are delivered later.
     Delayed,
 }
 
-/// What happens to messages between controllers.
+/// How messages between controllers are handled.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum MeshMode {
     Normal,
-    /// Delivered later, perhaps after the sender has ended.
+    /// Messages are delivered later, possibly after the sender was killed.
     Delayed,
-    /// Delivered, and once more later.
+    /// Messages are delivered at once and a second time later.
     Duplicated,
 }
 
@@ -104,7 +104,7 @@
         response(status, &body)
     }
 
-    /// The worker at the endpoint carries out a command, if it can be reached.
+    /// Lets the worker at the endpoint carry out commands if it is reachable, and returns the outcome.
     fn worker_outcome(&mut self, from: usize, endpoint: &str, request: &HttpRequest) -> HttpOutcome {
         let worker = self.workers.iter().position(|worker| worker.machine.endpoint == endpoint);
         let reachable = |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "orders");
--- a/tests/simulation/event_queue.rs
+++ b/tests/simulation/event_queue.rs
@@ -1,4 +1,5 @@
-//! Controllers with limited processor time: heartbeats and the outcomes of commands are queued, as in the program's loop.
+//! Controllers with limited processor time: heartbeats and the outcomes of direct commands are queued, as in the event
+//! loop of the real program.
 
 use std::collections::VecDeque;
 
@@ -7,19 +8,19 @@
 
 use super::{STEP_MS, SimulatedCluster};
 
-/// What a heartbeat or the outcome of a command costs a controller, in units.
+/// Cost of handling a heartbeat or the outcome of a direct command, in units.
 const EVENT_COST: f64 = 1.0;
-/// What a direct command to a worker costs, as it takes a connection.
+/// Cost of sending direct commands to a worker, in units. It is higher because it takes a connection.
 const COMMAND_COST: f64 = 3.0;
 
-/// The events that wait for a controller, and how many of them it can handle.
+/// The events that wait for a controller, and the processor time that it has left for them.
 #[derive(Default)]
 pub struct EventQueue {
-    /// Units per step; none: every event is handled at once.
+    /// Units per step; `None` if every event is handled at once.
     units_per_step: Option<f64>,
-    /// Units that are left; below 0 it is a debt.
+    /// Units that are left. A negative value is a debt that later steps pay off.
     budget: f64,
-    /// Events, and since when they wait.
+    /// Waiting events, each with the time at which it was queued.
     waiting: VecDeque<(u64, Event)>,
 }
 
@@ -28,11 +29,11 @@
         EventQueue { units_per_step: Some(units_per_s * STEP_MS as f64 / 1000.0), ..EventQueue::default() }
     }
 
-    /// Returns the event if it need not wait.
+    /// Returns the event if it need not wait; otherwise queues it.
     pub fn take_or_queue(&mut self, now: u64, event: Event) -> Option<Event> {
-        let waits = self.units_per_step.is_some()
+        let must_wait = self.units_per_step.is_some()
             && matches!(event, Event::Heartbeat { .. } | Event::WorkerCommands { .. });
-        if !waits {
+        if !must_wait {
             return Some(event);
         }
         self.waiting.push_back((now, event));
@@ -54,7 +55,7 @@
 }
 
 impl SimulatedCluster {
-    /// Handles as many waiting events as a step's time allows; a debt is paid off first.
+    /// Handles as many waiting events as the units of one step allow, after a debt has been paid off.
     pub fn drain_event_queue(&mut self, controller: usize) {
         let Some(units) = self.controllers[controller].event_queue.units_per_step else { return };
         let queue = &mut self.controllers[controller].event_queue;
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Faults other than cut links and killed controllers: machines whose messages are lost in one direction, heartbeats that
-//! arrive again, delayed transactions and responses, frozen controllers, and clocks that drift.
+//! Faults other than cut links and killed controllers: machines whose messages are lost in one direction, duplicated
+//! heartbeats, delayed transactions and responses, frozen controllers, and clocks that drift.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -12,71 +12,72 @@
 use super::actions::{ActionResult, parse_seconds, usage_error};
 use super::{START_MS, STEP_MS, SimulatedCluster};
 
-/// Heartbeats that are kept for the next leader at most.
+/// Maximum number of heartbeats that are kept for the next leader.
 const MAX_KEPT_HEARTBEATS: usize = 40;
-/// After how long each kept heartbeat arrives.
+/// Delays after which each kept heartbeat arrives; it arrives once for each of them.
 const KEPT_DELAYS_MS: [u64; 3] = [0, 100, 3_000];
 /// The wall clock when simulated time was 0, as Unix time in ms.
 const WALL_CLOCK_BASE_MS: u64 = 1_700_000_000_000;
 
-/// The faults that are set, what is delayed by them, and figures on their effects.
+/// The active faults, the messages that they delay, and measurements of their effects.
 #[derive(Default)]
 pub struct Faults {
-    /// Machines whose heartbeats arrive, but which receive nothing.
+    /// Machines whose heartbeats arrive, but which receive neither responses nor direct commands.
     pub receive_path_down: HashSet<String>,
-    /// Machines whose heartbeats are lost, while direct commands reach them.
+    /// Machines whose heartbeats are lost, but which receive direct commands.
     pub send_path_down: HashSet<String>,
-    /// After how long copies of heartbeats arrive, in turn; none: there are no copies.
+    /// Delays after which copies of heartbeats arrive, used in turn; empty if heartbeats are not copied.
     copy_delays_ms: Vec<u64>,
-    /// When they arrive, at which controller, and the heartbeats.
+    /// Copies of heartbeats in flight: time of arrival, controller, and body.
     heartbeat_copies: Vec<(u64, usize, Vec<u8>)>,
-    /// Set while heartbeats are kept for the next leader: who led when that began.
+    /// Set while heartbeats are kept for the next leader: the leader, if any, when the fault started or when the
+    /// leader last changed.
     kept_for_next_leader: Option<Option<(usize, u64)>>,
     kept_heartbeats: VecDeque<Vec<u8>>,
-    /// How long the cloud takes to respond.
+    /// Response time of the cloud.
     cloud_delay_ms: u64,
-    /// Starts of tasks whose users knew that their jobs are cancelled.
+    /// Number of task starts after the user knew that the job is cancelled.
     pub started_cancelled: u64,
-    /// How long the kv store takes to respond.
+    /// Response time of the kv store.
     pub kv_delay_ms: u64,
-    /// It takes different times, so that responses may come out of order.
+    /// Whether the response time of the kv store varies, so that responses may arrive out of order.
     pub kv_delay_varies: bool,
-    /// Delayed responses: when they arrive, at which controller, in which incarnation of it.
+    /// Delayed responses: time of arrival, controller, its incarnation when it sent the request, and the response.
     delayed_responses: Vec<(u64, usize, u64, Event)>,
-    /// Transactions without a response are carried out so much later.
+    /// Delay after which a transaction without a response is carried out.
     pub txn_delay_ms: Option<u64>,
     delayed_txns: Vec<(u64, Vec<u8>)>,
-    /// The longest time that a task ran after its user knew of the cancellation.
+    /// The longest time, in ms, that a task ran after its user knew of the cancellation.
     pub longest_cancelled_stay_ms: u64,
-    /// Tasks that were killed when their worker's lease expired.
+    /// Number of tasks that were killed when their worker's lease had expired.
     pub lost_with_lease: u64,
-    /// When a request about a job was last answered.
+    /// Time of the last response about each job.
     pub last_answered_at: BTreeMap<String, u64>,
 }
 
-/// What is wrong with a controller's clocks, or that it is frozen.
+/// Errors of a controller's clocks, and whether the controller is frozen.
 #[derive(Default)]
 pub struct ClockFault {
-    /// Its monotonic clock runs fast by this share.
+    /// Relative error of the monotonic clock: positive if it runs fast.
     drift: f64,
     wall_offset_ms: i64,
     pub frozen: bool,
-    /// Events that came while it was frozen.
+    /// Events that arrived while the controller was frozen.
     pub missed_events: Vec<Event>,
 }
 
-/// Adds machines to a selection: by name, `all`, or `none` to clear it.
-fn select_machines(named: &mut HashSet<String>, workers: &[Worker], words: &[&str]) {
+/// Adds machines to a selection: by name or `all`; `none` clears it.
+fn select_machines(selected: &mut HashSet<String>, workers: &[Worker], words: &[&str]) {
     for host in words {
         match *host {
-            "none" => named.clear(),
-            "all" => named.extend(workers.iter().map(|worker| worker.machine.name.clone())),
-            host => drop(named.insert(host.into())),
+            "none" => selected.clear(),
+            "all" => selected.extend(workers.iter().map(|worker| worker.machine.name.clone())),
+            host => drop(selected.insert(host.into())),
         }
     }
 }
 
-/// Removes and returns the items that are due, in their order.
+/// Removes and returns the items that are due, and keeps their order.
 fn take_due<T>(items: &mut Vec<T>, is_due: impl Fn(&T) -> bool) -> Vec<T> {
     let (due, later) = std::mem::take(items).into_iter().partition(is_due);
     *items = later;
@@ -88,7 +89,7 @@
         self.faults.longest_cancelled_stay_ms
     }
 
-    /// The clocks as a controller reads them.
+    /// Returns the clocks as a controller reads them.
     pub fn controller_clock(&self, controller: usize) -> Clock {
         let fault = &self.controllers[controller].clock_fault;
         let elapsed_ms = (self.now - START_MS) as f64 * (1.0 + fault.drift);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// A response of the kv store, at once or after its delay.
+    /// Delivers a response of the kv store, at once or after the delay that is set.
     pub fn deliver_kv_response(
         &mut self,
         controller: usize,
@@ -107,7 +108,7 @@
         outcome: HttpOutcome,
         timeout_ms: u64,
     ) {
-        // Now and then a few hundred milliseconds, otherwise one step.
+        // Some responses take a few hundred milliseconds, the others one step.
         let varying_ms = match (outbound.0 * 7 + controller as u64 * 3) % 11 {
             0 => 300,
             4 => 900,
@@ -124,7 +125,8 @@
         self.faults.delayed_responses.push((due, controller, incarnation, Event::Kv { outbound, outcome }));
     }
 
-    /// A response of the cloud, at once or after its delay; the request was carried out.
+    /// Delivers a response of the cloud, at once or after the delay that is set. The request has been carried out
+    /// already.
     pub fn deliver_cloud_response(
         &mut self,
         controller: usize,
@@ -146,12 +148,12 @@
         ));
     }
 
-    /// A transaction that is carried out later, without a response.
+    /// Schedules a transaction that is carried out after a delay and gets no response.
     pub fn delay_txn(&mut self, delay_ms: u64, body: Vec<u8>) {
         self.faults.delayed_txns.push((self.now + delay_ms, body));
     }
 
-    /// Keeps a heartbeat for the next leader, or delivers a copy later, if that is set.
+    /// Keeps a heartbeat for the next leader and schedules a copy of it, as far as these faults are set.
     pub fn copy_heartbeat(&mut self, controller: usize, body: &[u8]) {
         if self.faults.kept_for_next_leader.is_some() {
             if self.faults.kept_heartbeats.len() >= MAX_KEPT_HEARTBEATS {
@@ -165,7 +167,7 @@
         }
     }
 
-    /// When there is another leader, the kept heartbeats arrive at every controller: at once, and twice more later.
+    /// When the leader has changed, delivers the kept heartbeats to every controller: at once, and twice more later.
     pub fn deliver_kept_heartbeats(&mut self) {
         let Some(before) = self.faults.kept_for_next_leader else { return };
         let leader = self.current_leader();
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Delivers what has been delayed for long enough.
+    /// Delivers the delayed transactions, responses and heartbeats that are due.
     pub fn deliver_delayed(&mut self) {
         let now = self.now;
         for (_, body) in take_due(&mut self.faults.delayed_txns, |(due, _)| *due <= now) {
@@ -202,8 +204,8 @@
             }
         }
         for (_, controller, body) in take_due(&mut self.faults.heartbeat_copies, |(due, ..)| *due <= now) {
-            let heartbeat = parse_heartbeat(&body).expect("a heartbeat of the protocol's form");
-            // Nobody waits for the response.
+            let heartbeat = parse_heartbeat(&body).expect("a valid heartbeat");
+            // No worker waits for the response.
             self.next_request += 1;
             let inbound = InboundId(self.next_request);
             self.send_event(controller, Event::Heartbeat { inbound, heartbeat });
@@ -254,7 +256,7 @@
         Ok(())
     }
 
-    /// The controller is frozen while its clocks run on.
+    /// Freezes a controller: it handles no events, while its clocks keep running.
     pub fn freeze_controller(&mut self, words: &[&str]) -> ActionResult {
         let [node] = words else { return usage_error("NODE") };
         let Some(controller) =
@@ -266,7 +268,8 @@
         Ok(())
     }
 
-    /// Frozen controllers go on with all events that came meanwhile, though their senders may have given up.
+    /// Thaws all controllers. They handle the events that arrived while they were frozen, although the senders may have
+    /// timed out.
     pub fn thaw_controllers(&mut self, _: &[&str]) -> ActionResult {
         for controller in 0..self.controllers.len() {
             self.controllers[controller].clock_fault.frozen = false;
@@ -277,7 +280,8 @@
         Ok(())
     }
 
-    /// Sets a controller's clocks off: the drift of its monotonic clock in ppm, the offset of its wall clock in ms.
+    /// Sets the errors of a controller's clocks: the drift of its monotonic clock in ppm and the offset of its wall
+    /// clock in ms.
     pub fn set_clock(&mut self, words: &[&str]) -> ActionResult {
         let [node, ppm, wall] = words else { return usage_error("NODE PPM MILLISECONDS") };
         let controller = self.controller_index(node);
--- a/tests/simulation/graph_actions.rs
+++ b/tests/simulation/graph_actions.rs
@@ -1,4 +1,4 @@
-//! Actions on graphs: drafting nodes, uploading, committing, cancelling and rerunning.
+//! Actions on graphs: describing nodes, uploading and committing a graph, cancelling a run and rerunning nodes.
 
 use olivelatch_worker::TaskWork;
 use serde_json::json;
@@ -9,7 +9,8 @@
 const DEFAULT_PART_BYTES: f64 = 3_900.0;
 
 impl SimulatedCluster {
-    /// Enables the interface of graphs, and that of operators: pool:NAME=SLOTS, other settings as they are.
+    /// Enables the interfaces for graphs and for operators: pool:NAME=SLOTS adds a pool, and other NAME=VALUE words are
+    /// settings of the `graphs` block.
     pub fn set_graphs(&mut self, words: &[&str]) -> ActionResult {
         let (pools, settings): (Vec<&str>, Vec<&str>) =
             words.iter().partition(|word| word.starts_with("pool:"));
@@ -22,8 +23,8 @@
         Ok(())
     }
 
-    /// A node of a run that is being drafted: RUN NAME JOB [after=A,B*] [map=A] [rule= tries= wait= limit= pool=
-    /// output=], and the words of a job.
+    /// Adds a node to the draft of a run: RUN NAME JOB [after=A,B*] [map=A] [rule= tries= wait= most_wait= limit= pool=
+    /// output=], followed by the arguments of a job.
     pub fn add_node(&mut self, words: &[&str]) -> ActionResult {
         let [run, name, rest @ ..] = words else { return usage_error("RUN NAME JOB ...") };
         let job: u64 = rest.first().and_then(|job| job.parse().ok()).ok_or("a job's number")?;
@@ -40,7 +41,7 @@
         Ok(())
     }
 
-    /// Many nodes alike: RUN PREFIX FIRST-JOB COUNT, and the words of a node.
+    /// Adds many identical nodes: RUN PREFIX FIRST-JOB COUNT, followed by the arguments of a node.
     pub fn add_fan_out(&mut self, words: &[&str]) -> ActionResult {
         let [run, prefix, job, count, rest @ ..] = words else {
             return usage_error("RUN PREFIX JOB COUNT ...");
@@ -55,7 +56,7 @@
         Ok(())
     }
 
-    /// Uploads the first parts of a run and no more: RUN COUNT [bytes=].
+    /// Uploads only the first parts of a run: RUN COUNT [bytes=].
     pub fn upload_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, count, rest @ ..] = words else { return usage_error("RUN COUNT [bytes=]") };
         let max_parts = count.parse().map_err(|_| "a count")?;
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Uploads and commits: RUN GRAPH [most=] [bytes=] [expect=]; `alone`: without the upload.
+    /// Uploads and commits a run: RUN GRAPH [most=] [bytes=] [expect=] [alone]. With `alone` nothing is uploaded.
     pub fn commit_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, graph, rest @ ..] = words else { return usage_error("RUN GRAPH ...") };
         let bytes = numeric_argument(rest, "bytes", DEFAULT_PART_BYTES) as usize;
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    /// Reruns a node and all downstream of it: RUN NODE FIRST-JOB; the new jobs do not fail.
+    /// Reruns a node and all nodes downstream of it: RUN NODE FIRST-JOB. The new jobs do not fail.
     pub fn rerun(&mut self, words: &[&str]) -> ActionResult {
         let [run, node, job] = words else { return usage_error("RUN NODE JOB") };
         let job = job.parse().map_err(|_| "a job's number")?;
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,12 +1,11 @@
-//! The rules that must hold at every start of a task and at every moment. A broken rule is a violation, which fails the
-//! scenario.
+//! The invariants that are checked whenever a task starts and at every step. A violation fails the scenario.
 
 use serde_json::{Value, json};
 
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
-    /// Checks the tasks of a worker, and those that it has just started.
+    /// Checks the tasks of a worker, and especially those that it has just started.
     pub fn check_tasks(&mut self, at: usize) {
         let started = std::mem::take(&mut self.workers[at].started_tasks);
         for task in started {
@@ -30,7 +29,8 @@
         self.check_cancelled(at);
     }
 
-    /// Checks that cancelled tasks stop in time, also on machines that hang, where they may go on at any moment.
+    /// Checks that cancelled tasks stop before the deadline. This includes tasks on hung machines, since these may
+    /// resume at any moment.
     pub fn check_cancelled(&mut self, at: usize) {
         let limit_ms = self.worker_setting_ms("cancel_s", 0.0);
         for attempt in
@@ -49,7 +49,7 @@
         let Some(spec) = self.submissions.get(job).cloned() else { return };
         let worker = &self.workers[at];
         let kinds = spec["boxkinds"].as_array();
-        let wrong = kinds.is_some_and(|kinds| !kinds.contains(&json!(worker.machine.machine_type)))
+        let is_disallowed = kinds.is_some_and(|kinds| !kinds.contains(&json!(worker.machine.machine_type)))
             || spec["hall"].as_str().is_some_and(|zone| zone != worker.machine.zone)
             || (worker.machine.spot && spec["loaners"] != json!(true));
         let zones: Vec<&str> = self
@@ -59,17 +59,17 @@
             .filter(|(_, attempt)| attempt.job_name() == job && attempt.has_image && !attempt.is_ended())
             .map(|(worker, _)| worker.machine.zone.as_str())
             .collect();
-        let here = zones.iter().filter(|zone| **zone == worker.machine.zone).count();
-        let apart = spec["together"] == json!(true) && here < zones.len();
-        let most = (spec["pieces"].as_u64().unwrap_or(1) as usize).div_ceil(2);
-        let crowded = spec["scatter"] == json!(true) && here > most;
-        if wrong || apart || crowded {
+        let in_this_zone = zones.iter().filter(|zone| **zone == worker.machine.zone).count();
+        let is_split = spec["together"] == json!(true) && in_this_zone < zones.len();
+        let max_per_zone = (spec["pieces"].as_u64().unwrap_or(1) as usize).div_ceil(2);
+        let is_crowded = spec["scatter"] == json!(true) && in_this_zone > max_per_zone;
+        if is_disallowed || is_split || is_crowded {
             self.violations.push(format!("wrong_place: {task} on {}", worker.machine.name));
         }
         self.check_team_limit(&spec);
     }
 
-    /// A task of the team has started: its running tasks must be within its limit.
+    /// Called when a task of a team has started. Checks that the team's running tasks are within its limit.
     fn check_team_limit(&mut self, spec: &Value) {
         let team = spec["owner"].as_str().unwrap_or("");
         let limit = self.config["cluster"]["teams"]
@@ -87,7 +87,7 @@
             .filter_map(|attempt| self.jobs.get(attempt.job_name()).map(|job| job.cpus))
             .sum();
         if limit > 0.0 && used > limit + 1e-6 {
-            self.violations.push(format!("quota: {team} uses {used}"));
+            self.violations.push(format!("quota: {team} uses {used} CPUs, its limit is {limit}"));
         }
     }
 }
--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -1,4 +1,4 @@
-//! Jobs as lines of a scenario describe them: `NUMBER name=value flag ...`.
+//! Parses the description of a job in a scenario line: `NUMBER name=value flag ...`.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use super::SimulatedCluster;
 use super::users::ResponseCheck;
 
-/// The run time of a service's tasks, which do not end by themselves.
+/// Run time of a service's tasks, which do not finish by themselves.
 const ENDLESS_MS: u64 = u64::MAX / 4;
 
-/// The value of `name=value` among the words.
+/// Returns the value of `name=value` among the words.
 pub(super) fn named_argument<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
@@ -24,13 +24,13 @@
 /// A job that a scenario describes.
 pub(super) struct JobArguments {
     pub(super) id: String,
-    /// As it is submitted.
+    /// The submission, as on the wire.
     pub(super) spec: Value,
-    /// What the response to the submission is held against.
+    /// How the response to the submission is checked.
     pub(super) check: ResponseCheck,
 }
 
-/// The job's shape, as it is on the wire.
+/// Returns the job's shape, as on the wire.
 fn shape(words: &[&str]) -> &'static str {
     if words.contains(&"gang") {
         "gang"
@@ -56,7 +56,7 @@
         "due_s": named_argument(words, "due").map(|due| due.parse::<f64>().expect("due"))})
 }
 
-/// What the workers know of the job, and how its simulated tasks behave.
+/// Returns what the workers know about the job, and how its simulated tasks behave.
 fn job_description(words: &[&str]) -> JobDescription {
     let number = |name, default| numeric_argument(words, name, default);
     let shape = shape(words);
@@ -81,7 +81,8 @@
 }
 
 impl SimulatedCluster {
-    /// Reads a job. Unless its submission is expected to be refused, the workers and the rules know it from now on.
+    /// Parses a job. Unless its submission is expected to be rejected, registers the job with the workers and the
+    /// invariant checks.
     pub(super) fn describe_job(&mut self, words: &[&str]) -> JobArguments {
         let id = format!("job-{:06}", words[0].parse::<u64>().expect("a job number"));
         let spec = submission(&id, words);
--- a/tests/simulation/job_stream.rs
+++ b/tests/simulation/job_stream.rs
@@ -1,5 +1,5 @@
-//! A stream of jobs for minutes: each is submitted, polled once a second until its final state is known, and some are
-//! cancelled.
+//! A stream of jobs that lasts for minutes. Each job is submitted and then polled once a second until its final state
+//! is known; some jobs are cancelled.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +13,20 @@
 const POLL_INTERVAL_MS: u64 = 1_000;
 const CANCEL_AFTER_MS: u64 = 2_000;
 
-/// The jobs that are left to submit, and those whose users still wait.
+/// The jobs that are still to be submitted, and those whose users wait for the final state.
 pub struct JobStream {
     next_job: u64,
     last_job: u64,
     interval_ms: u64,
     next_submission: u64,
-    /// One of so many jobs is cancelled; 0: none.
+    /// Every job whose number is a multiple of this is cancelled; 0 for none.
     cancel_every: u64,
     job_arguments: Vec<String>,
-    /// Jobs whose final state is not known yet, and when they are polled next.
+    /// Jobs whose final state is not known yet, with the time of their next poll.
     unfinished_jobs: BTreeMap<String, u64>,
-    /// When the last task of each of them ended.
+    /// Time at which the first finished attempt of each of these jobs was seen.
     last_task_finished: BTreeMap<String, u64>,
-    /// The longest time from there until a user knew of it.
+    /// The longest time, in ms, from `last_task_finished` until the user knew the final state.
     pub max_notification_delay_ms: u64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl JobStream {
-    /// Remembers when the first done attempt of each job was seen.
+    /// Records when the first finished attempt of each job was seen.
     fn record_last_tasks(&mut self, workers: &[Worker], now: u64) {
         for attempt in done_attempts(workers) {
             let job = attempt.job_name();
@@ -60,7 +60,7 @@
 impl SimulatedCluster {
     pub fn set_stream(&mut self, words: &[&str]) -> ActionResult {
         let [first, count, every, cancel, rest @ ..] = words else {
-            return usage_error("FIRST COUNT SECONDS CANCEL-EVERY and what each job is");
+            return usage_error("FIRST COUNT SECONDS CANCEL-EVERY, followed by the arguments of each job");
         };
         let number = |text: &str| text.parse::<u64>().map_err(|_| format!("expected a number, not {text}"));
         let first = number(first)?;
@@ -82,7 +82,7 @@
     pub fn step_stream(&mut self) {
         let Some(mut stream) = self.job_stream.take() else { return };
         while stream.next_submission <= self.now && stream.next_job <= stream.last_job {
-            self.submit_next_of(&mut stream);
+            self.submit_next_job(&mut stream);
         }
         stream.record_last_tasks(&self.workers, self.now);
         let (known, unknown): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut stream.unfinished_jobs)
@@ -101,7 +101,7 @@
         self.job_stream = Some(stream);
     }
 
-    fn submit_next_of(&mut self, stream: &mut JobStream) {
+    fn submit_next_job(&mut self, stream: &mut JobStream) {
         let number = stream.next_job.to_string();
         let words: Vec<&str> =
             std::iter::once(number.as_str()).chain(stream.job_arguments.iter().map(String::as_str)).collect();
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -1,4 +1,5 @@
-//! Machines and their workers: booting, running tasks, and heartbeats to a controller that responds.
+//! Machines and their workers: workers boot, run tasks and send heartbeats, and switch to another controller if one
+//! does not respond.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +12,24 @@
 use super::SimulatedCluster;
 use super::requests::PendingRequest;
 
-/// A worker gives up waiting for a response after this, and goes to the next controller.
+/// Time after which a worker stops waiting for the response to a heartbeat and switches to the next controller.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
-/// How long a worker waits before it sends to the next controller.
+/// Delay before a worker sends a heartbeat to the next controller.
 const NEXT_CONTROLLER_DELAY_MS: u64 = 1_000;
-/// Changes are reported before the interval is over, but not sooner than this after the last heartbeat.
+/// Minimum time between two heartbeats. Changes of tasks are reported before the regular interval ends, but not sooner.
 const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Where a worker sends its heartbeats.
+/// Where and when a worker sends its next heartbeat.
 #[derive(Clone, Copy)]
 pub(super) struct HeartbeatTarget {
     controller: usize,
     next_at: u64,
-    /// When the heartbeat was sent that has no response yet.
+    /// Time at which the heartbeat in flight was sent; `None` if every heartbeat has a response.
     in_flight_since: Option<u64>,
 }
 
 impl SimulatedCluster {
-    /// The cloud has not taken the machine away.
+    /// Returns whether the cloud still has the machine.
     pub(super) fn machine_exists(&self, worker: usize) -> bool {
         let name = &self.workers[worker].machine.name;
         self.cloud.machines.iter().any(|machine| machine.name == *name)
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Every worker goes on with its tasks, and sends a heartbeat if one is due.
+    /// Advances the tasks of every worker, and sends heartbeats that are due.
     pub(super) fn step_workers(&mut self) {
         let lease_ms = self.worker_setting_ms("lease_s", 12.0);
         for index in 0..self.workers.len() {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// A machine that was taken away or hangs. Once it has hung beyond its lease, its tasks are over when it goes on.
+    /// Handles a machine that was removed or hangs. If it hangs beyond its lease, its tasks have been killed when it
+    /// resumes.
     fn step_stopped_worker(&mut self, index: usize, exists: bool, lease_ms: u64) {
         let worker = &mut self.workers[index];
         let lease_expired = self.now > worker.last_answered_heartbeat_sent_at + lease_ms;
@@ -77,14 +79,14 @@
         self.check_cancelled(index);
     }
 
-    /// Gangs gather and miss their members.
+    /// Lets gangs wait for their members and time out on lost ones.
     pub(super) fn coordinate_gangs(&mut self) {
         let times = GangTimes {
             gather_timeout_ms: self.worker_setting_ms("gang_wait_s", 0.0),
             peer_loss_timeout_ms: self.worker_setting_ms("gang_peer_s", 0.0),
         };
         coordinate_gangs(&mut self.workers, self.now, times, &self.jobs, &mut self.broken_gangs);
-        // There are no processes here: those that would be killed are only counted.
+        // The simulation has no processes, so kills are only counted.
         let actions = self.workers.iter_mut().flat_map(|worker| worker.take_process_actions());
         let killed = actions.filter(|action| matches!(action, ProcessAction::Kill { .. })).count();
         self.faults.lost_with_lease += killed as u64;
@@ -120,7 +122,7 @@
         if !self.can_reach(target.controller, index) || send_path_down {
             return;
         }
-        let heartbeat = parse_heartbeat(body.as_bytes()).expect("a heartbeat of the protocol's form");
+        let heartbeat = parse_heartbeat(body.as_bytes()).expect("a valid heartbeat");
         self.copy_heartbeat(target.controller, body.as_bytes());
         let request = PendingRequest::Heartbeat { worker: index, sent_at: self.now, epoch };
         let inbound = self.track_request(target.controller, request);
@@ -157,7 +159,7 @@
         }
     }
 
-    /// The worker goes to the controller after this one, a little later.
+    /// Makes the worker send its next heartbeat to the controller after this one, after a delay.
     pub(super) fn retarget_heartbeats(&mut self, worker: usize, controller: usize) {
         self.heartbeat_targets[worker] = HeartbeatTarget {
             controller: (controller + 1) % self.controllers.len(),
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,10 +1,10 @@
-//! A region in virtual time: real controllers (coordination and bookkeeping) with simulated surroundings, and the rules of
-//! the users' protocol checked at every start of a task.
+//! A simulated cluster in virtual time: real controllers (coordination and bookkeeping) with a simulated key-value
+//! store, cloud, workers and clients. The rules of the users' protocol are checked whenever a task starts.
 //!
-//! Nothing here opens a connection, starts a process or waits: time passes in steps of [`STEP_MS`], and everything that
-//! happens is decided by the scenario and the seeds of the controllers.
+//! Nothing here opens a connection, starts a process or sleeps: time passes in steps of [`STEP_MS`], and the scenario
+//! and the seeds of the controllers determine everything that happens.
 
-// Each test program uses a part of it.
+// Each test binary uses only some of these functions.
 #![allow(dead_code)]
 
 mod actions;
@@ -50,13 +50,13 @@
 use users::{RepeatingPoll, ResponseCheck, Resubmission};
 use waiting::WaitingCheck;
 
-/// How far time passes in a step, in ms.
+/// Virtual time that passes in one step, in ms.
 pub const STEP_MS: u64 = 20;
 const START_MS: u64 = 100_000;
 
-/// A region: its controllers, what is around them, and what its users know.
+/// A simulated cluster: its controllers, the services and machines that they use, and what its users know.
 pub struct SimulatedCluster {
-    /// The present time, in ms.
+    /// Current virtual time, in ms.
     pub now: u64,
     config: Value,
     tunables: String,
@@ -67,27 +67,27 @@
     cloud_down: bool,
     workers: Vec<Worker>,
     hung_machines: HashSet<String>,
-    /// Where each worker sends its heartbeats.
+    /// Where each worker sends its heartbeats, in the order of `workers`.
     heartbeat_targets: Vec<HeartbeatTarget>,
     jobs: JobDescriptions,
-    /// Attempts of gangs that lack a member, and since when.
+    /// Attempts of gangs that lack a member, with the time since which they do.
     broken_gangs: BTreeMap<(String, u64), u64>,
     submissions: BTreeMap<String, Value>,
     accepted_jobs: HashSet<String>,
     resubmissions: Vec<Resubmission>,
-    /// Cancellations that no controller has accepted yet, and when they are repeated.
+    /// Jobs that users cancel and whose final state is not known yet, with the time of the next cancel request.
     pending_cancels: BTreeMap<String, u64>,
-    /// Jobs whose users know that they are cancelled, and since when.
+    /// Jobs whose users know that they are cancelled, with the time since which they know.
     cancelled: BTreeMap<String, u64>,
     final_states: BTreeMap<String, String>,
     requests_in_flight: BTreeMap<(usize, u64), PendingRequest>,
     pub next_request: u64,
     violations: Vec<String>,
     zone_cuts: HashSet<(String, String)>,
-    /// Events that a controller can handle per second, in units of a heartbeat; none: no limit.
+    /// Events that a controller can handle per second, in units of one heartbeat; `None` for no limit.
     controller_capacity: Option<f64>,
     direct_commands_lost: bool,
-    /// Responses with changes are longer than a controller accepts.
+    /// Whether responses to polls for changes are longer than a controller accepts.
     changes_too_long: bool,
     held_commands: Vec<(usize, Vec<u8>)>,
     txn_mode: TxnMode,
@@ -97,7 +97,7 @@
     waiting_check: WaitingCheck,
     job_stream: Option<JobStream>,
     mesh_mode: MeshMode,
-    /// Messages between controllers that were held back: receiver, sender, message.
+    /// Delayed messages between controllers: receiver, sender, message.
     held_mesh: Vec<(usize, String, PeerMessage)>,
     repeating_polls: Vec<RepeatingPoll>,
     /// The highest value of each of the leaders' counters.
@@ -105,20 +105,20 @@
     operator_queries: OperatorQueries,
     pub dag_runs: DagRuns,
     config_changes: ConfigChanges,
-    /// Processor time of the controllers' code.
+    /// CPU time that the controllers take to handle events.
     pub event_cpu_time: EventCpuTime,
-    /// Changes that the kv store has carried out.
+    /// Mutations that the kv store has applied.
     pub kv_mutations: u64,
     /// When the first task of each job got its image.
     pub first_start: BTreeMap<String, u64>,
-    /// When its latest task got its image.
+    /// When the latest task of each job got its image.
     last_start: BTreeMap<String, u64>,
-    /// The final states that were known when an operator's query was sent: the response must not be older.
+    /// Final states that users knew when an operator's query was sent. The response must not contradict them.
     known_at_request: BTreeMap<(usize, u64), BTreeMap<String, String>>,
     trace: Trace,
 }
 
-/// The settings of a region with three zones, before a scenario changes them.
+/// The settings of a cluster with three zones, before a scenario changes them.
 fn default_config() -> Value {
     json!({"node": "n0", "zone": "a", "front": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
             "endpoints": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
@@ -132,7 +132,7 @@
 }
 
 impl SimulatedCluster {
-    /// A region without controllers, machines and jobs.
+    /// Returns a cluster without controllers, machines and jobs.
     pub fn new() -> SimulatedCluster {
         SimulatedCluster {
             now: START_MS,
@@ -184,12 +184,12 @@
         }
     }
 
-    /// A region whose messages are written to a file of this name, if the environment names a folder for them.
+    /// Returns an empty cluster that writes its messages to a trace file of this name if `TRACE_DIR` is set.
     pub fn traced(name: &str) -> SimulatedCluster {
         SimulatedCluster { trace: Trace::to(name), ..SimulatedCluster::new() }
     }
 
-    /// Lets one step of time pass.
+    /// Advances virtual time by one step.
     pub fn step(&mut self) {
         self.now += STEP_MS;
         self.deliver_delayed();
@@ -210,7 +210,7 @@
         self.record_counters();
     }
 
-    /// A setting of the workers' protocol that is in seconds, as ms.
+    /// Returns a setting of the workers' protocol, which is in seconds, in ms.
     fn worker_setting_ms(&self, name: &str, default_s: f64) -> u64 {
         (self.config["cluster"]["workers"][name].as_f64().unwrap_or(default_s) * 1000.0) as u64
     }
--- a/tests/simulation/operator_queries.rs
+++ b/tests/simulation/operator_queries.rs
@@ -1,4 +1,4 @@
-//! Operators: queries that are repeated at an interval, and lists that are read page by page.
+//! Operators' requests: queries that are repeated at an interval, and lists that are read page by page.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 const QUERY_INTERVAL_MS: u64 = 500;
-/// A page without a response is requested again after this.
+/// Time after which a page without a response is requested again.
 const PAGE_TIMEOUT_MS: u64 = 3_000;
 
 /// What a query in flight is about.
@@ -19,7 +19,7 @@
 
 #[derive(Default)]
 pub struct OperatorQueries {
-    /// The last responses, by `explain/job-000001` and the like.
+    /// The last successful response for each path, such as `jobs/job-000001/explain`.
     responses: BTreeMap<String, Value>,
     next_query: BTreeMap<String, u64>,
     pagination: Option<ListPagination>,
@@ -48,7 +48,7 @@
 }
 
 impl OperatorQueries {
-    /// Repeats a query about a job from now on.
+    /// Starts to repeat a query about a job.
     pub fn start_query(&mut self, what: &str, id: &str) {
         self.next_query.entry(path_of(what, id)).or_insert(0);
     }
@@ -57,7 +57,7 @@
         self.responses.get(&path_of(what, id))
     }
 
-    /// Whether this name is among the reasons, or the events.
+    /// Returns whether the last response contains a reason, or an event, of this name.
     pub fn response_contains(&self, what: &str, id: &str, word: &str) -> bool {
         let Some(response) = self.response(what, id) else { return false };
         let (list, name) = if what == "events" { ("events", "event") } else { ("reasons", "reason") };
@@ -76,7 +76,7 @@
         });
     }
 
-    /// The length of the list; `None` until its last page was read.
+    /// Returns the length of the list, or `None` until its last page has been read.
     pub fn pagination_length(&self) -> Option<usize> {
         self.pagination
             .as_ref()
@@ -84,7 +84,7 @@
             .map(|pagination| pagination.seen.len())
     }
 
-    /// Queries that are due.
+    /// Returns the queries that are due.
     pub fn due_queries(&mut self, now: u64) -> Vec<(QuerySubject, OperatorRequest)> {
         let mut due = Vec::new();
         for (path, due_at) in self.next_query.iter_mut().filter(|(_, due_at)| **due_at <= now) {
@@ -101,7 +101,7 @@
         due
     }
 
-    /// Takes a response. An error names the rule that it breaks.
+    /// Handles a response. An error names the violated rule.
     pub fn handle_response(
         &mut self,
         subject: &QuerySubject,
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// What an operator is shown must not contradict what users knew when the query was sent.
+    /// Returns a violation if the response contradicts what users knew when the query was sent.
     pub fn find_contradiction(
         &self,
         subject: &QuerySubject,
@@ -155,12 +155,12 @@
         rows.into_iter().find_map(|row| {
             let id = row["id"].as_str()?;
             let known = final_states.get(id).filter(|known| row["state"].as_str() != Some(known.as_str()))?;
-            Some(format!("went_back: {id} was {known}, an operator was told {}", row["state"]))
+            Some(format!("went_back: {id} was {known}, the response to an operator says {}", row["state"]))
         })
     }
 }
 
-/// A job by the number that scenarios use.
+/// Returns the name of a job from its number in scenarios.
 pub fn job_name(number: &str) -> String {
     JobId(number.parse().expect("a job number")).to_string()
 }
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to controllers that have no response yet, and what is checked when the response comes.
+//! Requests to controllers that are in flight, and the checks of their responses.
 
 use olivelatch::coordination::{Event, InboundId};
 use olivelatch::protocol::HttpResponse;
@@ -10,7 +10,7 @@
 use super::users::ResponseCheck;
 use super::{ControllerSlot, SimulatedCluster};
 
-/// Who waits for a response.
+/// The request that a response belongs to.
 pub(super) enum PendingRequest {
     User {
         id: String,
@@ -23,14 +23,14 @@
     },
     Operator(QuerySubject),
     Graph(GraphRequest),
-    /// A view of a run, by its path.
+    /// A poll of a run, by its path.
     DagRunView(String),
-    /// A change of the configuration, by its name.
+    /// A request about a change of the configuration, by the name of the change.
     Config(String),
 }
 
 impl SimulatedCluster {
-    /// One of the controllers that meet a condition, in turn.
+    /// Returns one of the controllers that meet a condition; successive requests use them in turn.
     pub(super) fn pick_controller(
         &self,
         is_candidate: impl Fn(&SimulatedCluster, usize) -> bool,
@@ -40,14 +40,14 @@
         candidates.get(self.next_request as usize % candidates.len().max(1)).copied()
     }
 
-    /// A controller that is ready and reachable for users, as the load balancer would pick it.
+    /// Returns a controller that is ready and that users can reach, as a load balancer would pick it.
     pub(super) fn pick_ready_controller(&self) -> Option<usize> {
         self.pick_controller(|cluster, index| {
             !cluster.is_cut(index, "users") && cluster.controllers[index].is_ready()
         })
     }
 
-    /// A controller that runs, ready or not.
+    /// Returns a running controller, whether ready or not.
     fn pick_running_controller(&self) -> Option<usize> {
         self.pick_controller(|cluster, index| cluster.controllers[index].controller.is_some())
     }
@@ -58,7 +58,7 @@
         InboundId(self.next_request)
     }
 
-    /// Operators query any controller that runs.
+    /// Sends the operators' queries that are due to any running controller.
     pub(super) fn send_operator_queries(&mut self) {
         for (subject, request) in self.operator_queries.due_queries(self.now) {
             let Some(controller) = self.pick_running_controller() else { return };
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Clients of graphs: changes go to a ready controller, queries to any that runs.
+    /// Sends the graph requests that are due: changes to a ready controller, queries to any running one.
     pub(super) fn send_graph_requests(&mut self) {
         for graph_request in self.dag_runs.due_requests(self.now) {
             let route = parse_route("POST", &graph_request.path, &graph_request.body);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A controller has answered; a response to a request that was given up is ignored.
+    /// Handles a controller's response. A response to a request that is no longer tracked is ignored.
     pub(super) fn handle_response(&mut self, from: usize, inbound: InboundId, response: &HttpResponse) {
         let Some(request) = self.requests_in_flight.remove(&(from, inbound.0)) else { return };
         match request {
@@ -117,11 +117,11 @@
         }
     }
 
-    /// The controller has ended: nobody answers its requests any more.
+    /// Called when a controller was killed: the requests that it had not answered get no response.
     pub(super) fn abandon_requests(&mut self, controller: usize) {
-        let open: Vec<(usize, u64)> =
+        let unanswered: Vec<(usize, u64)> =
             self.requests_in_flight.keys().filter(|(to, _)| *to == controller).copied().collect();
-        for key in open {
+        for key in unanswered {
             match self.requests_in_flight.remove(&key) {
                 Some(PendingRequest::Heartbeat { worker, .. }) => {
                     self.retarget_heartbeats(worker, controller);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The leader, by its position and incarnation.
+    /// Returns the index and incarnation of the leader.
     pub(super) fn current_leader(&self) -> Option<(usize, u64)> {
         let index = self.controllers.iter().position(ControllerSlot::is_leader)?;
         Some((index, self.controllers[index].incarnation))
--- a/tests/simulation/status_polls.rs
+++ b/tests/simulation/status_polls.rs
@@ -1,5 +1,6 @@
-//! Users that poll closely: right after a job was accepted, ended or reported as cancelled they poll all controllers, again
-//! and again within milliseconds, and repeat the submission. These responses are checked like any other.
+//! Users that poll in quick succession: right after a job was accepted, finished or reported as cancelled, they poll
+//! all controllers several times within seconds and also repeat the submission. The responses are checked like any
+//! other.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -11,20 +12,20 @@
 use super::actions::{ActionResult, usage_error};
 use super::{PendingRequest, ResponseCheck, SimulatedCluster};
 
-/// When the polls come, in ms after the event.
+/// Delays of the polls after the event, in ms.
 const POLL_DELAYS_MS: [u64; 12] = [0, 20, 40, 60, 100, 160, 260, 400, 700, 1_100, 1_600, 2_400];
 
 #[derive(Default)]
 pub struct StatusPolls {
     enabled: bool,
-    /// Every so many of the jobs are cancelled as their last task ends; 0: none.
+    /// Jobs whose number is a multiple of this are cancelled when their last task ends; 0 for none.
     cancel_every: u64,
     due: BTreeSet<(u64, String)>,
-    /// Tasks of each job that are done.
+    /// Finished tasks of each job.
     done_tasks: BTreeMap<String, HashSet<String>>,
 }
 
-/// Attempts that ended in success and are still reported.
+/// Returns the attempts that succeeded and are still in the workers' heartbeats.
 pub fn done_attempts(workers: &[Worker]) -> impl Iterator<Item = &TaskAttempt> {
     let attempts = workers.iter().flat_map(|worker| &worker.attempts);
     attempts.filter(|attempt| matches!(attempt.phase, AttemptPhase::Ended { cause: "done", .. }))
@@ -41,7 +42,9 @@
     }
 
     pub fn set_cancels_at_end(&mut self, words: &[&str]) -> ActionResult {
-        let [every] = words else { return usage_error("EVERY SO MANY JOBS") };
+        let [every] = words else {
+            return usage_error("N (jobs whose number is a multiple of N are cancelled)");
+        };
         self.status_polls.cancel_every = every.parse().map_err(|_| "a count")?;
         Ok(())
     }
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Jobs whose last task has just ended, and polls that are due.
+    /// Detects jobs whose last task has just ended, and sends the polls that are due.
     pub fn step_status_polls(&mut self) {
         if self.status_polls.enabled || self.status_polls.cancel_every > 0 {
             self.observe_terminal_states();
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Sends a request to this controller, if it runs and users can reach it.
+    /// Sends a request to this controller if it is running and users can reach it.
     fn send_request_to(&mut self, controller: usize, request: UserRequest, id: &str) {
         if self.controllers[controller].controller.is_none() || self.is_cut(controller, "users") {
             return;
--- a/tests/simulation/stored.rs
+++ b/tests/simulation/stored.rs
@@ -1,4 +1,4 @@
-//! A region whose kv store has a file, which is written while jobs run and recovered by another region.
+//! Writes the kv store of a simulated cluster to a file while jobs run, and recovers another cluster from it.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use super::SimulatedCluster;
 
-/// Auxiliary records in the file: the simulated cloud, and the time.
+/// Names of auxiliary records in the file: the simulated cloud, and the virtual time.
 const CLOUD: &str = "cloud";
 const TIME: &str = "time";
 
@@ -21,13 +21,13 @@
 }
 
 impl SimulatedCluster {
-    /// From now on the kv store records the changes that a file must keep.
-    pub fn durable(&mut self) {
+    /// Makes the kv store track the changes that have to be written to a file.
+    pub fn track_store_changes(&mut self) {
         self.kv_store = KvEngine::restore(&[], self.now);
     }
 
-    /// Writes the file as the kv store and the region write it.
-    pub fn write_file(&mut self, path: &Path) {
+    /// Writes the kv store, the cloud and the time to a new store file, in the format that real clusters use.
+    pub fn write_store_file(&mut self, path: &Path) {
         let (file, _, _) = StoreFile::open(path).expect("a new state file");
         let auxiliary = [
             saved(CLOUD, serde_json::to_vec(&self.cloud).expect("JSON")),
@@ -36,16 +36,16 @@
         file.commit(&self.kv_store.take_deltas(), &auxiliary).expect("a commit");
     }
 
-    /// Recovers records, machines and time from a file, before any controller starts.
-    pub fn read_file(&mut self, path: &Path) {
+    /// Recovers records, machines and time from a store file, before any controller starts.
+    pub fn read_store_file(&mut self, path: &Path) {
         let (_, deltas, auxiliary) = StoreFile::open(path).expect("the state file");
         self.now = serde_json::from_slice(bytes(&auxiliary, TIME)).expect("a time");
         self.kv_store = KvEngine::restore(&deltas, self.now);
         self.cloud = serde_json::from_slice(bytes(&auxiliary, CLOUD)).expect("the cloud");
     }
 
-    /// The machines run these tasks again, once there are controllers: machine, task, attempt.
-    pub fn resume(&mut self, tasks: &[(String, String, u64)]) {
+    /// Makes the machines run these tasks again, once controllers have been started: machine, task, attempt.
+    pub fn resume_tasks(&mut self, tasks: &[(String, String, u64)]) {
         self.boot_machines();
         for (machine, task, attempt) in tasks {
             let worker = self.workers.iter_mut().find(|worker| worker.machine.name == *machine);
@@ -57,22 +57,22 @@
         }
     }
 
-    /// Attempts on machines that have not ended: machine, task, attempt.
-    pub fn attempts(&self) -> Vec<(String, String, u64)> {
-        let live_attempts = |worker: &olivelatch_worker::Worker| {
+    /// Returns the attempts that have not ended: machine, task, attempt.
+    pub fn live_attempts(&self) -> Vec<(String, String, u64)> {
+        let live_attempts_of = |worker: &olivelatch_worker::Worker| {
             let live = worker.attempts.iter().filter(|attempt| !attempt.is_ended());
             let name = worker.machine.name.clone();
             live.map(|live| (name.clone(), live.task.clone(), live.attempt)).collect::<Vec<_>>()
         };
-        self.workers.iter().flat_map(live_attempts).collect()
+        self.workers.iter().flat_map(live_attempts_of).collect()
     }
 
-    /// Machines that the cloud has.
+    /// Returns the names of the cloud's machines.
     pub fn machine_names(&self) -> Vec<String> {
         self.cloud.machines.iter().map(|machine| machine.name.clone()).collect()
     }
 
-    /// All records by key.
+    /// Returns all records of the kv store with their keys.
     pub fn all_records(&self) -> Vec<(String, Value)> {
         let value = |key: &str| self.kv_store.get(key).cloned().unwrap_or_default();
         self.kv_store.keys().map(|key| (key.to_string(), value(key))).collect()
--- a/tests/simulation/trace.rs
+++ b/tests/simulation/trace.rs
@@ -1,5 +1,5 @@
-//! A trace of every message between a controller and the rest, in the form that it has on the wire. Traces of two versions
-//! of the sources that behave alike are identical.
+//! Writes a trace of every message that a controller receives or sends, in its wire format. If two versions of the
+//! sources behave identically, so are their traces.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -9,15 +9,15 @@
 use olivelatch::protocol::peer::{self, PeerMessage};
 use olivelatch::protocol::{HttpOutcome, HttpRequest};
 
-/// Names the folder of the traces; without it none are written.
+/// Environment variable that names the folder for traces. If it is not set, no traces are written.
 const FOLDER: &str = "TRACE_DIR";
 
-/// Where a simulated cluster writes its messages; nowhere by default.
+/// The file that a simulated cluster writes its messages to; none by default.
 #[derive(Default)]
 pub struct Trace(Option<BufWriter<File>>);
 
 impl Trace {
-    /// A file of this name in the folder that the environment names.
+    /// Creates a trace file of this name in the folder for traces, if one is set.
     pub fn to(name: &str) -> Trace {
         let Some(folder) = std::env::var_os(FOLDER) else { return Trace::default() };
         let path = Path::new(&folder).join(format!("{}.trace", name.replace([' ', ','], "-")));
@@ -25,7 +25,7 @@
         Trace(Some(BufWriter::new(file)))
     }
 
-    /// An event that a controller handles.
+    /// Writes an event that a controller handles. Ticks are left out.
     pub fn event(&mut self, now: u64, controller: &str, event: &Event) {
         let Some(file) = &mut self.0 else { return };
         let text = match event {
@@ -45,7 +45,7 @@
         writeln!(file, "{now} {controller} < {text}").expect("a trace");
     }
 
-    /// An action of a controller.
+    /// Writes an action of a controller.
     pub fn action(&mut self, now: u64, controller: &str, action: &Action) {
         let Some(file) = &mut self.0 else { return };
         let text = match action {
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,5 +1,5 @@
-//! Users: they submit, poll and cancel jobs, try again until they are answered, and remember what they were told, which later
-//! responses must not contradict.
+//! Users: they submit, poll and cancel jobs and retry requests. They remember the responses, which later responses
+//! must not contradict.
 
 use olivelatch::coordination::Event;
 use olivelatch::ids::JobId;
@@ -10,17 +10,17 @@
 use super::requests::PendingRequest;
 use super::{JobArguments, SimulatedCluster};
 
-/// After how long users send a request again.
+/// Delay after which users retry a request.
 pub(super) const RETRY_MS: u64 = 1_000;
 
-/// What a response to a user is held against.
+/// How a response to a user is checked.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseCheck {
-    /// The rules of the protocol; the user tries again while the service is unavailable.
+    /// Checks the rules of the protocol. The user retries while the service is unavailable.
     Rules,
-    /// The rules, and this status.
+    /// Checks the rules and that the response has this status.
     RulesAndStatus(u16),
-    /// This status alone: the request is of no job that the rules know.
+    /// Checks only this status, because the request is not about a job that the rules apply to.
     StatusOnly(u16),
 }
 
@@ -37,13 +37,13 @@
     }
 }
 
-/// A submission that is to be sent again.
+/// A submission that is to be retried.
 pub(super) struct Resubmission {
     due_at: u64,
     id: String,
 }
 
-/// A user that polls a job in a fixed interval, whatever the response.
+/// A user that polls a job at a fixed interval, regardless of the responses.
 pub(super) struct RepeatingPoll {
     pub(super) id: String,
     pub(super) interval_ms: u64,
@@ -51,7 +51,7 @@
 }
 
 impl SimulatedCluster {
-    /// Sends a request to a controller that is ready; without one, a submission is sent again later.
+    /// Sends a request to a ready controller. If there is none, a submission is retried later.
     pub(super) fn send_user_request(&mut self, request: UserRequest, id: &str, check: ResponseCheck) {
         let Some(controller) = self.pick_ready_controller() else {
             if self.is_unacknowledged(id) && check.follows_rules() {
@@ -68,21 +68,22 @@
         if let Some(expected) = check.expected_status()
             && status != expected
         {
-            self.violations.push(format!("{id}: answered {status} instead of {expected}"));
+            self.violations.push(format!("{id}: got status {status} instead of {expected}"));
         }
         if check.follows_rules() {
             if status < 300 {
                 self.record_acceptance(id, response);
             }
             if matches!(status, 400 | 422) && self.accepted_jobs.contains(id) {
-                self.violations.push(format!("forgotten: {id} got {status}"));
+                self.violations
+                    .push(format!("forgotten: {id} was accepted, a later request got status {status}"));
             }
         }
         if status == 503 && check == ResponseCheck::Rules && self.is_unacknowledged(id) {
             self.resubmit_later(id);
         }
         if status == 404 && self.accepted_jobs.contains(id) {
-            self.violations.push(format!("forgotten: {id}"));
+            self.violations.push(format!("forgotten: {id} was accepted, a later request got status 404"));
         }
     }
 
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Remembers a final state, which must never change.
+    /// Records a status. A final state must never change.
     fn record_status(&mut self, id: &str, status: &str) {
         if let Some(known) = self.final_states.get(id)
             && known != status
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Submitted, and no controller has accepted it yet.
+    /// Returns whether the job was submitted but no controller has accepted it yet.
     pub(super) fn is_unacknowledged(&self, id: &str) -> bool {
         self.submissions.contains_key(id) && !self.accepted_jobs.contains(id)
     }
@@ -124,8 +125,9 @@
 
     pub(super) fn repeat_submissions(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.resubmissions).into_iter().partition(|again| again.due_at <= now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.resubmissions)
+            .into_iter()
+            .partition(|resubmission| resubmission.due_at <= now);
         self.resubmissions = later;
         for Resubmission { id, .. } in due {
             let submission = self.submissions[&id].to_string();
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Users repeat a cancellation until the job's final state is known.
+    /// Repeats cancellations until the job's final state is known.
     pub(super) fn repeat_cancels(&mut self) {
         let final_states = &self.final_states;
         self.pending_cancels.retain(|id, _| !final_states.contains_key(id));
--- a/tests/simulation/waiting.rs
+++ b/tests/simulation/waiting.rs
@@ -1,5 +1,5 @@
-//! No job waits without a reason: once the faults are over, no job has a task waiting for 90 s while its team is under its
-//! limit and machines that it may use have free capacity for it.
+//! Checks that no job waits without a reason: once the faults have ended, no job may have a task waiting for more
+//! than 90 s while its team is under its limit and machines that it may use have free capacity for it.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 
 #[derive(Default)]
 pub struct WaitingCheck {
-    /// The faults are over.
+    /// Whether the check is on, which means that the faults have ended.
     enabled: bool,
-    /// Since when each job waits although it could start.
+    /// Time since which each job has been waiting although it could start.
     waiting_since: BTreeMap<String, u64>,
 }
 
@@ -49,7 +49,7 @@
         let mut could_start = Vec::new();
         for job in leader.workload.jobs.values().filter(|job| job.waiting_tasks() > 0 && !job.finishing) {
             let id = job.spec.id.to_string();
-            // A job that fails wherever it is tried backs off for longer and longer.
+            // A job that fails on every machine is retried with an increasing backoff.
             let fails = job.probation.is_some() || job.retried_exclusions > 0;
             let Some(spec) = self.submissions.get(&id).filter(|_| !fails) else { continue };
             let gang = spec["shape"] == json!("gang");
@@ -61,11 +61,11 @@
         let now = self.now;
         let before = std::mem::take(&mut self.waiting_check.waiting_since);
         for id in could_start {
-            // A job that started a task since then makes progress.
+            // A job that has started a task since then makes progress.
             let started = self.last_start.get(&id).copied().unwrap_or(0);
             let since = before.get(&id).copied().filter(|since| *since > started).unwrap_or(now);
             if now - since > MAX_WAIT_MS {
-                self.violations.push(format!("waits: {id} since {since} ms with room for it"));
+                self.violations.push(format!("waits: {id} has been waiting since {since} ms although machines have free capacity for it"));
             }
             self.waiting_check.waiting_since.insert(id, since);
         }
@@ -89,7 +89,7 @@
         } else {
             fitting_by_zone.values().sum()
         };
-        // Jobs that must be spread over zones are not checked.
+        // Jobs whose tasks must be spread over zones are not checked.
         spec["scatter"] != json!(true) && fitting >= tasks as i64
     }
 
