--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -129,7 +129,7 @@
     HttpOutcome::Response { status, body: body.as_bytes().to_vec() }
 }
 
-/// Failures that any outbound request may end with.
+/// Failures that any outbound request may result in.
 fn failures() -> Vec<(&'static str, HttpOutcome)> {
     vec![
         ("not sent", HttpOutcome::NotSent),
@@ -385,7 +385,7 @@
 
 /// `JobPhase` is serialized as the same word that `as_str` returns.
 #[test]
-fn states_have_one_word_each() {
+fn job_phases_serialize_as_the_word_of_as_str() {
     for state in [JobPhase::Pending, JobPhase::Running, JobPhase::Done, JobPhase::Cancelled] {
         assert_eq!(json!(state), json!(state.as_str()));
     }
@@ -401,7 +401,7 @@
     pairs.map(pair).collect()
 }
 
-/// Frames must stay the same bytes, since controllers of different versions exchange them.
+/// The bytes of frames must not change, because controllers of different versions exchange them.
 #[test]
 fn mesh() {
     let mut golden = golden("mesh");
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// Part of the log, as the leader builds it.
+/// A part of the assignment log, as the leader builds it.
 fn log() -> AssignmentLogRecord {
     let mut log = AssignmentLogRecord::new(Attempt(1_000));
     log.add_machine(&machine_descriptor("m-1", "north-a", true));
@@ -179,7 +179,7 @@
     golden.check();
 }
 
-/// Blocks of finished tasks are stored in hex, four tasks per digit.
+/// Blocks of finished tasks are stored in hexadecimal, four tasks per digit.
 #[test]
 fn blocks_of_finished_tasks() {
     let mut golden = golden("blocks");
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Files that are parsed and never written: the platform's settings, and tunables.
+//! Files that controllers read but never write: the platform's settings and the tunables.
 
 use olivelatch::settings::{PeerController, ServiceLevelObjective, Settings, TeamSettings};
 use olivelatch::tunables::{LogFormat, Tunables};
@@ -9,7 +9,7 @@
 /// A settings file with every field.
 const PLATFORM: &str = include_str!("platform.json");
 /// Tunables with every field set.
-const EVERYTHING: &str = include_str!("tunables.hcl");
+const ALL_TUNABLES: &str = include_str!("tunables.hcl");
 
 fn peer(peer: &PeerController) -> Value {
     json!({"node": peer.controller, "zone": peer.zone, "addr": peer.addr})
@@ -26,7 +26,7 @@
         "share": objective.share})
 }
 
-/// Parsed settings rendered with the file's field names; times in milliseconds.
+/// Renders parsed settings with the file's field names and with times in milliseconds.
 fn platform(settings: &Settings) -> Value {
     let (workers, kv, quota) = (&settings.worker_timings, &settings.kv_limits, &settings.limits);
     json!({"node": settings.controller, "zone": settings.zone, "front": settings.http_addr, "mesh_addr": settings.peer_addr,
@@ -46,7 +46,7 @@
             "time_bound_ms": settings.time_bound_ms}})
 }
 
-/// The file without the fields that have a default.
+/// Returns the settings file without the fields that have a default.
 fn required_fields(text: &str) -> String {
     let mut value: Value = serde_json::from_str(text).expect("JSON");
     let remove = |value: &mut Value, names: &[&str]| {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Parsed tunables rendered with the file's field names.
+/// Renders parsed tunables with the file's field names.
 fn tunables(tunables: &Tunables) -> Value {
     let (overload, operators, graphs) = (&tunables.overload, &tunables.operators, &tunables.graphs);
     json!({"t": tunables.fetch_ratio_threshold, "tt_s": tunables.spill_threshold_s, "fetch_gb_per_s": tunables.fetch_gb_per_s,
@@ -107,7 +107,7 @@
 
 fn deployed(name: &str) -> (String, String) {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy").join(name);
-    (name.into(), std::fs::read_to_string(path).expect("a file of tunables"))
+    (name.into(), std::fs::read_to_string(path).expect("a tunables file in deploy/"))
 }
 
 #[test]
@@ -116,7 +116,7 @@
     let mut files: Vec<(String, String)> =
         ["config.hcl", "graphs.hcl", "operators.hcl", "overload.hcl"].into_iter().map(deployed).collect();
     files.push(("nothing set".into(), String::new()));
-    files.push(("everything set".into(), EVERYTHING.into()));
+    files.push(("everything set".into(), ALL_TUNABLES.into()));
     files.push(("lines as json".into(), "log {\n  format = \"json\"\n}\n".into()));
     for (name, text) in files {
         golden.case(&name, tunables(&Tunables::parse(&name, &text).expect("tunables")));
--- a/tests/golden/support.rs
+++ b/tests/golden/support.rs
@@ -25,7 +25,7 @@
 
     /// Adds a case. Panics when the name is already taken.
     pub fn case(&mut self, name: &str, value: impl Into<Value>) {
-        assert!(self.cases.insert(name.into(), value.into()).is_none(), "{name} is there twice");
+        assert!(self.cases.insert(name.into(), value.into()).is_none(), "duplicate case {name}");
     }
 
     /// Adds a case for a type that is both serialized and deserialized: no field of the sample is lost, and both its
@@ -37,7 +37,7 @@
         assert_eq!(serde_json::from_str::<Value>(&text).expect("JSON"), *sample, "{name}");
         assert_eq!(encode(&decode::<T>(&text)), text, "{name}");
         if let Some(recorded) = self.recorded().and_then(|cases| cases[name].as_str().map(String::from)) {
-            assert_eq!(encode(&decode::<T>(&recorded)), recorded, "{name}: as kept");
+            assert_eq!(encode(&decode::<T>(&recorded)), recorded, "{name}: the recorded encoding");
         }
         self.case(name, text);
     }
@@ -52,7 +52,7 @@
         if is_rewriting() { None } else { Some(decode(&text.expect("the golden file"))) }
     }
 
-    /// Compares all cases with the recorded ones, or rewrites the file.
+    /// Compares all cases with the recorded ones, or rewrites the file if `GOLDEN_WRITE=1` is set.
     pub fn check(self) {
         let path = self.path();
         match self.recorded() {
@@ -83,7 +83,7 @@
     serde_json::to_string(message).expect("JSON")
 }
 
-/// Deserializes, and panics with the text when it does not parse.
+/// Deserializes JSON. Panics with the text if it cannot be parsed.
 pub fn decode<T: DeserializeOwned>(text: &str) -> T {
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"))
 }
--- a/tests/golden/views.rs
+++ b/tests/golden/views.rs
@@ -1,4 +1,4 @@
-//! Response types that controllers serialize and the client parses: a sample of each, with every field and variant.
+//! Response types that controllers serialize and the client parses: one sample of each, with every field and variant.
 
 use olivelatch::protocol::config::{
     ConfigChangeRequest, ConfigEntryList, ConfigEntryView, PendingOn, PropagationBlocker, TeamQuota,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -71,7 +71,7 @@
         Ok(UserRequest::Submit { id, manifest: Err(error) }) => {
             json!({"uid": id.to_string(), "error": error})
         }
-        Ok(other) => panic!("{} is no submission", other.id()),
+        Ok(other) => panic!("the request about {} is not a submission", other.id()),
         Err(rejection) => response(&rejection),
     }
 }
