--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -133,11 +133,11 @@
         6 => restart_during(&["txns lost"], &["txns fine"]),
         7 => restart_during(
             &["txns late"],
-            &[if rng.random_bool(0.5) { "deliver" } else { "lose" }, "txns fine"],
+            &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns fine"],
         ),
-        8 => restart_during(&["mesh held"], &["mesh fine", "deliver"]),
-        9 => restart_during(&["direct lost"], &["direct fine", "deliver"]),
-        10 => restart_during(&["outage on"], &["outage off"]),
+        8 => restart_during(&["mesh held"], &["mesh fine", "deliver-held"]),
+        9 => restart_during(&["direct-commands lost"], &["direct-commands fine", "deliver-held"]),
+        10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
             let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
             restart_during(&[&format!("cut {node} {link}")], &[&format!("uncut {link}")])
@@ -167,14 +167,14 @@
         4 => lasting_fault(&[&format!("cut {node} all")], for_ms, &["uncut all"]),
         5 => lasting_fault(&[&format!("cut {node} workers")], for_ms, &["uncut workers"]),
         6 => lasting_fault(&[&format!("cut {node} polls")], for_ms, &["uncut polls"]),
-        7 => lasting_fault(&["outage on"], for_ms, &["outage off"]),
+        7 => lasting_fault(&["kv-outage on"], for_ms, &["kv-outage off"]),
         8 => lasting_fault(
             &[&format!(
-                "state {}",
+                "kv-delay {}",
                 pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
             )],
             for_ms,
-            &["state fine"],
+            &["kv-delay fine"],
         ),
         9 => lasting_fault(
             &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
@@ -182,23 +182,31 @@
             &["txns fine"],
         ),
         10 => lasting_fault(&["txns lost"], for_ms.min(6_000), &["txns fine"]),
-        11 => lasting_fault(&["copies 2 7 15 31 50"], for_ms, &["copies none"]),
-        12 => lasting_fault(&[&format!("deaf {host} {other}")], for_ms, &["deaf none"]),
-        13 => lasting_fault(&["deaf all"], for_ms.min(15_000), &["deaf none"]),
+        11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], for_ms, &["copy-heartbeats none"]),
+        12 => lasting_fault(
+            &[&format!("receive-path-down {host} {other}")],
+            for_ms,
+            &["receive-path-down none"],
+        ),
+        13 => lasting_fault(&["receive-path-down all"], for_ms.min(15_000), &["receive-path-down none"]),
         14 => lasting_fault(
             &[&format!("hang {host}"), &format!("hang {other}")],
             for_ms,
-            &[&format!("unhang {host}"), &format!("unhang {other}")],
+            &[&format!("resume {host}"), &format!("resume {other}")],
+        ),
+        15 => lasting_fault(
+            &["direct-commands lost"],
+            for_ms.min(15_000),
+            &["direct-commands fine", "deliver-held"],
         ),
-        15 => lasting_fault(&["direct lost"], for_ms.min(15_000), &["direct fine", "deliver"]),
-        16 => lasting_fault(&["mesh held"], for_ms, &["mesh fine", "deliver"]),
-        17 => lasting_fault(&[&format!("mute {host} {other}")], for_ms, &["mute none"]),
-        18 => lasting_fault(&["mute all"], for_ms.min(15_000), &["mute none"]),
-        19 => lasting_fault(&["copies next"], for_ms, &["copies none"]),
+        16 => lasting_fault(&["mesh held"], for_ms, &["mesh fine", "deliver-held"]),
+        17 => lasting_fault(&[&format!("send-path-down {host} {other}")], for_ms, &["send-path-down none"]),
+        18 => lasting_fault(&["send-path-down all"], for_ms.min(15_000), &["send-path-down none"]),
+        19 => lasting_fault(&["copy-heartbeats next"], for_ms, &["copy-heartbeats none"]),
         20 => lasting_fault(
-            &[&format!("cloud-answers late {}", pick_one(rng, &["1", "2.5", "9"]))],
+            &[&format!("cloud-delay late {}", pick_one(rng, &["1", "2.5", "9"]))],
             for_ms,
-            &["cloud-answers fine"],
+            &["cloud-delay fine"],
         ),
         _ => lasting_fault(&[&format!("freeze {node}")], for_ms, &["thaw"]),
     }
@@ -207,19 +215,19 @@
 /// Ends every fault that may still be in effect.
 const RECOVERY_LINES: [&str; 18] = [
     "heal",
-    "outage off",
-    "state fine",
+    "kv-outage off",
+    "kv-delay fine",
     "txns fine",
     "mesh fine",
-    "direct fine",
-    "copies none",
-    "deaf none",
-    "mute none",
-    "cloud-answers fine",
-    "unhang host-000000",
-    "unhang host-000001",
-    "unhang host-000002",
-    "unhang host-000003",
+    "direct-commands fine",
+    "copy-heartbeats none",
+    "receive-path-down none",
+    "send-path-down none",
+    "cloud-delay fine",
+    "resume host-000000",
+    "resume host-000001",
+    "resume host-000002",
+    "resume host-000003",
     "thaw",
     "start-all",
     "until 30 leader = any",
@@ -308,7 +316,7 @@
     setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("asks {job} 1")));
     setup.extend(lines(&["close-looks on", "cancels-at-end 20"]));
     if seed % 4 == 1 {
-        setup.push("state uneven".into());
+        setup.push("kv-delay uneven".into());
     }
     let (faults, begin) = overlapping_faults(&mut rng, nodes, 8_000);
     let mut users = FaultScript::new();
@@ -372,12 +380,12 @@
         script.push((at, format!("abort {job} {}", if job % 2 == 0 { "first" } else { "second" })));
     }
     script.sort_by_key(|(at, _)| *at);
-    script.push((outage_delay_ms, "outage on".into()));
+    script.push((outage_delay_ms, "kv-outage on".into()));
     // A cancellation is confirmed only once a leader that may not have read it can no longer start tasks.
     script.push((outage_delay_ms.max(2_700), "expect confirmed >= 1".into()));
     let cancel_ms = cancel.parse::<f64>().expect("seconds") * 1000.0;
     let outage_end_ms = outage_delay_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
-    script.push((outage_end_ms, "outage off".into()));
+    script.push((outage_end_ms, "kv-outage off".into()));
     let mut final_checks = lines(&RECOVERY_LINES);
     final_checks.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
     final_checks.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
