--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -18,10 +18,10 @@
     "team core max=24",
     "team works max=24",
     "team field max=8",
-    "kind small cpus=4 boot=3 zones=a,b count=6",
+    "machine-type small cpus=4 boot=3 zones=a,b count=6",
 ];
 
-/// Jobs in progress when the file is written: arguments of the actions `submit` and `known`.
+/// Jobs in progress when the file is written: arguments of the actions `submit` and `mark-accepted`.
 const JOBS: [&str; 6] = [
     "1 tasks=500 run=4",
     "2 gang tasks=3 run=40 team=works",
@@ -36,7 +36,7 @@
 /// The nodes of a DAG run whose fan-out is in progress when the file is written.
 const DAG_NODES: [&str; 4] = [
     "node r first 100 run=1 team=works",
-    "fan r f 110 3 after=first run=20 pool=billing team=works",
+    "fan-out r f 110 3 after=first run=20 pool=billing team=works",
     "node r map 120 after=first run=1 tries=2 team=works",
     "node r last 130 after=f*,map rule=all_success run=1 team=works",
 ];
@@ -81,7 +81,7 @@
 fn rewrite_golden_files() {
     let mut cluster = start_cluster();
     cluster.track_store_changes();
-    run_line(&mut cluster, "nodes a b c");
+    run_line(&mut cluster, "controllers a b c");
     run_line(&mut cluster, "until 10 leader = any");
     run_line(&mut cluster, &format!("submit {}", JOBS[0]));
     // Blocks of finished tasks are written only once many tasks have finished.
@@ -90,7 +90,7 @@
     DAG_NODES.iter().for_each(|line| run_line(&mut cluster, line));
     for line in [
         "commit r nightly bytes=900",
-        "set lower field limit=3",
+        "set-config lower field limit=3",
         "until 20 config in-force lower",
         "until 60 done 5",
         "until 60 node r first success",
@@ -190,7 +190,7 @@
 /// Returns a cluster whose store is the golden file and whose controllers have not been started.
 fn cluster_from_golden_file(contents: &Value) -> SimulatedCluster {
     let mut cluster = start_cluster();
-    JOBS.iter().for_each(|job| run_line(&mut cluster, &format!("known {job}")));
+    JOBS.iter().for_each(|job| run_line(&mut cluster, &format!("mark-accepted {job}")));
     DAG_NODES.iter().for_each(|line| run_line(&mut cluster, line));
     let path = unpack_golden_file();
     cluster.read_store_file(&path);
@@ -245,7 +245,7 @@
     let mut cluster = cluster_from_golden_file(&contents);
     check_records(&cluster, &contents);
     let before: BTreeSet<(String, String, u64)> = running_attempts(&contents).into_iter().collect();
-    run_line(&mut cluster, "nodes a b c");
+    run_line(&mut cluster, "controllers a b c");
     cluster.resume_tasks(&running_attempts(&contents));
     run_line(&mut cluster, "until 20 leader = any");
     for (job, state) in [(1, "running"), (2, "running"), (3, "running"), (4, "running"), (5, "done")] {
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -231,7 +231,7 @@
     "thaw",
     "start-all",
     "until 30 leader = any",
-    "calm",
+    "check-waiting",
 ];
 
 fn zones(nodes: usize) -> String {
@@ -243,8 +243,9 @@
     const FAULT_COUNT: usize = 14;
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = if seed % 2 == 0 { 3 } else { 5 };
-    let mut setup = lines(&["team core max=14", "team guest", "kind small cpus=4 boot=4 count=4 zones=a,b"]);
-    setup.push(format!("nodes {}", zones(nodes)));
+    let mut setup =
+        lines(&["team core max=14", "team guest", "machine-type small cpus=4 boot=4 count=4 zones=a,b"]);
+    setup.push(format!("controllers {}", zones(nodes)));
     setup.extend(lines(&[
         "until 6 leader = any",
         "submit 1 tasks=30 run=9",
@@ -262,7 +263,7 @@
         script.insert(script.len().min(1), (0, format!("submit {} tasks=2 run=2", 10 + at)));
         match at {
             4 => script.push((duration_ms, "submit 5 tasks=6 run=3 team=guest".into())),
-            8 => script.push((duration_ms, "abort 4".into())),
+            8 => script.push((duration_ms, "cancel 4".into())),
             _ => {}
         }
         faults.push((begin, script));
@@ -298,8 +299,8 @@
     let nodes = if seed % 3 == 0 { 5 } else { 3 };
     let mut setup = lines(&["team core max=16", "team guest max=14", "team single max=1", "team long max=4"]);
     let boot = ["0.5", "1", "4"][rng.random_range(0..3)];
-    setup.push(format!("kind small cpus=4 boot={boot} count=7 zones=a,b"));
-    setup.push(format!("nodes {}", zones(nodes)));
+    setup.push(format!("machine-type small cpus=4 boot={boot} count=7 zones=a,b"));
+    setup.push(format!("controllers {}", zones(nodes)));
     setup.extend(lines(&[
         "until 6 leader = any",
         "submit 1 tasks=30 run=9",
@@ -313,15 +314,15 @@
     setup.extend(LONG.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
     setup.push("advance 16".into());
     // Two polls of a job may be in flight at the same time, at different controllers.
-    setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("asks {job} 1")));
-    setup.extend(lines(&["close-looks on", "cancels-at-end 20"]));
+    setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("poll-rate {job} 1")));
+    setup.extend(lines(&["close-polls on", "cancel-at-end 20"]));
     if seed % 4 == 1 {
         setup.push("kv-delay uneven".into());
     }
     let (faults, begin) = overlapping_faults(&mut rng, nodes, 8_000);
     let mut users = FaultScript::new();
     for job in LONG {
-        users.push((rng.random_range(0..begin + 20_000), format!("abort {job}")));
+        users.push((rng.random_range(0..begin + 20_000), format!("cancel {job}")));
     }
     // The last three are cancelled as their last task ends.
     for job in (10..16).chain(AT_END) {
@@ -334,7 +335,7 @@
     final_checks.extend(ends.map(|job| format!("until 400 done {job}")));
     final_checks.extend(AT_END.map(|job| format!("until 60 ended {job}")));
     final_checks.extend(lines(&[
-        "abort 7",
+        "cancel 7",
         "until 60 withdrawn 7",
         "advance 40",
         "expect leaders = 1",
@@ -354,7 +355,7 @@
 fn disconnected_leader_plan(timings: usize, outage_delay_ms: u64, rng: &mut SmallRng) -> FaultPlan {
     let [report, lease, cancel] = WORKER_TIMINGS[timings];
     let mut setup = vec![format!("settings workers report_s={report} lease_s={lease} cancel_s={cancel}")];
-    setup.extend(lines(&["team long", "kind small cpus=4 boot=4 count=5", "nodes a a a"]));
+    setup.extend(lines(&["team long", "machine-type small cpus=4 boot=4 count=5", "controllers a a a"]));
     // Every monotonic clock is off by 500 ppm, the most that the lease timings allow for, and the wall clock of n0 is
     // 20 ms ahead of the others.
     let sign = if rng.random_bool(0.5) { "" } else { "-" };
@@ -377,7 +378,7 @@
     let last = outage_delay_ms.saturating_sub(60);
     let times = [0, last, rng.random_range(0..last + 1), rng.random_range(0..last + 1)];
     for (job, at) in (1..).zip(times) {
-        script.push((at, format!("abort {job} {}", if job % 2 == 0 { "first" } else { "second" })));
+        script.push((at, format!("cancel {job} {}", if job % 2 == 0 { "first" } else { "second" })));
     }
     script.sort_by_key(|(at, _)| *at);
     script.push((outage_delay_ms, "kv-outage on".into()));
@@ -389,7 +390,7 @@
     let mut final_checks = lines(&RECOVERY_LINES);
     final_checks.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
     final_checks.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
-    final_checks.extend((5..=8).map(|job| format!("abort {job}")));
+    final_checks.extend((5..=8).map(|job| format!("cancel {job}")));
     final_checks.extend(lines(&["until 60 tasks <= 0", "expect leaders = 1"]));
     FaultPlan { setup, faults: vec![(0, script)], user_actions: FaultScript::new(), final_checks }
 }
@@ -400,10 +401,13 @@
     const CHANGES: usize = 12;
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11317);
     let nodes = if seed % 3 == 0 { 5 } else { 3 };
-    let mut setup =
-        lines(&["team core max=16", "team guest max=14", "kind small cpus=4 boot=3 count=8 zones=a,b"]);
+    let mut setup = lines(&[
+        "team core max=16",
+        "team guest max=14",
+        "machine-type small cpus=4 boot=3 count=8 zones=a,b",
+    ]);
     setup.push("config".into());
-    setup.push(format!("nodes {}", zones(nodes)));
+    setup.push(format!("controllers {}", zones(nodes)));
     setup.extend(lines(&[
         "until 6 leader = any",
         "submit 1 tasks=150 run=4",
@@ -416,13 +420,17 @@
     for change in 0..CHANGES {
         let team = pick_one(&mut rng, &["core", "guest"]);
         let at = rng.random_range(0..begin + 20_000);
-        users.push((at, format!("set c{change} {team} limit={}", rng.random_range(1..14))));
+        users.push((at, format!("set-config c{change} {team} limit={}", rng.random_range(1..14))));
     }
-    users.push((rng.random_range(0..begin + 20_000), "abort 2".into()));
+    users.push((rng.random_range(0..begin + 20_000), "cancel 2".into()));
     users.sort();
     let mut final_checks = lines(&RECOVERY_LINES);
     final_checks.extend((0..CHANGES).map(|change| format!("until 60 config over c{change}")));
-    final_checks.extend(lines(&["set last core", "until 10 config in-force last", "until 60 withdrawn 2"]));
+    final_checks.extend(lines(&[
+        "set-config last core",
+        "until 10 config in-force last",
+        "until 60 withdrawn 2",
+    ]));
     final_checks.extend(lines(&["until 900 done 1", "until 300 done 3", "advance 40", "expect tasks <= 0"]));
     FaultPlan { setup, faults, user_actions: users, final_checks }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -42,7 +42,7 @@
 /// The scenario runner itself must be able to fail, and must name the line that failed.
 fn a_failing_scenario_names_its_line() -> Result<(), Failed> {
     let path = std::env::temp_dir().join(format!("olivelatch-wrong-{}.txt", std::process::id()));
-    std::fs::write(&path, "team core\nkind k\nnodes a\nuntil 5 done 1\n")?;
+    std::fs::write(&path, "team core\nmachine-type k\ncontrollers a\nuntil 5 done 1\n")?;
     let result = run_scenario(&path);
     let _ = std::fs::remove_file(&path);
     match result {
--- a/tests/simulation/waiting.rs
+++ b/tests/simulation/waiting.rs
@@ -30,7 +30,7 @@
 impl SimulatedCluster {
     pub fn expect_prompt_starts(&mut self, words: &[&str]) -> ActionResult {
         if !words.is_empty() {
-            return usage_error("nothing after calm");
+            return usage_error("no arguments");
         }
         self.waiting_check.enabled = true;
         Ok(())
