--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -330,7 +330,7 @@
     }
     let mut final_checks = lines(&RECOVERY_LINES);
     let ends = [1, 2, 3, 5, 6, 8, 10, 11, 12, 13, 14, 15];
-    final_checks.push(format!("until 75 known 7 {}", ends.map(|job| job.to_string()).join(" ")));
+    final_checks.push(format!("until 75 recently-answered 7 {}", ends.map(|job| job.to_string()).join(" ")));
     final_checks.extend(LONG.map(|job| format!("until 60 withdrawn {job}")));
     final_checks.extend(ends.map(|job| format!("until 400 done {job}")));
     final_checks.extend(AT_END.map(|job| format!("until 60 ended {job}")));
@@ -383,13 +383,13 @@
     script.sort_by_key(|(at, _)| *at);
     script.push((outage_delay_ms, "kv-outage on".into()));
     // A cancellation is confirmed only once a leader that may not have read it can no longer start tasks.
-    script.push((outage_delay_ms.max(2_700), "expect confirmed >= 1".into()));
+    script.push((outage_delay_ms.max(2_700), "expect reported-cancelled >= 1".into()));
     let cancel_ms = cancel.parse::<f64>().expect("seconds") * 1000.0;
     let outage_end_ms = outage_delay_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
     script.push((outage_end_ms, "kv-outage off".into()));
     let mut final_checks = lines(&RECOVERY_LINES);
     final_checks.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
-    final_checks.extend(lines(&["until 75 known 5 6 7 8", "until 240 running 8 >= 2"]));
+    final_checks.extend(lines(&["until 75 recently-answered 5 6 7 8", "until 240 running 8 >= 2"]));
     final_checks.extend((5..=8).map(|job| format!("cancel {job}")));
     final_checks.extend(lines(&["until 60 tasks <= 0", "expect leaders = 1"]));
     FaultPlan { setup, faults: vec![(0, script)], user_actions: FaultScript::new(), final_checks }
@@ -425,7 +425,7 @@
     users.push((rng.random_range(0..begin + 20_000), "cancel 2".into()));
     users.sort();
     let mut final_checks = lines(&RECOVERY_LINES);
-    final_checks.extend((0..CHANGES).map(|change| format!("until 60 config over c{change}")));
+    final_checks.extend((0..CHANGES).map(|change| format!("until 60 config settled c{change}")));
     final_checks.extend(lines(&[
         "set-config last core",
         "until 10 config in-force last",
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -10,7 +10,7 @@
 use super::{ControllerSlot, PendingRequest, SimulatedCluster};
 
 const POLL_INTERVAL_MS: u64 = 500;
-/// How long after a response about a job the condition `known` holds.
+/// How long after a response about a job the condition `recently-answered` holds.
 const RECENT_RESPONSE_MS: u64 = 5_000;
 
 fn compare(value: u64, operator: &str, right: &str) -> bool {
@@ -59,14 +59,14 @@
                 self.final_states.contains_key(&id)
             }
             // The users know the final state of every job of the stream.
-            ["streamed"] => self.job_stream.as_ref().is_some_and(JobStream::is_finished),
+            ["stream-finished"] => self.job_stream.as_ref().is_some_and(JobStream::is_finished),
             // The longest time, in ms, from the end of a job's last task until its user knew the final state.
-            ["told_late", op, right] => self
+            ["notification-delay", op, right] => self
                 .job_stream
                 .as_ref()
                 .is_some_and(|stream| compare(stream.max_notification_delay_ms, op, right)),
             // The users have had a recent response about each of these jobs.
-            ["known", ids @ ..] => {
+            ["recently-answered", ids @ ..] => {
                 let ids: Vec<String> = ids.iter().map(|id| job_name(id)).collect();
                 if self.now % POLL_INTERVAL_MS == 0 {
                     ids.iter().for_each(|id| self.poll_job(id));
@@ -77,14 +77,14 @@
                 ids.iter().all(known)
             }
             // How many jobs' users know that their jobs are cancelled.
-            ["confirmed", op, right] => compare(self.cancelled.len() as u64, op, right),
+            ["reported-cancelled", op, right] => compare(self.cancelled.len() as u64, op, right),
             // The longest time, in ms, that a task ran after its user knew of the cancellation.
-            ["stayed", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
+            ["longest-cancelled-run", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
             ["accepted", id] => self.accepted_jobs.contains(&job_name(id)),
             // How many tasks started after their user knew of the cancellation.
-            ["started_cancelled", op, right] => compare(self.faults.started_cancelled, op, right),
+            ["started-after-cancel", op, right] => compare(self.faults.started_cancelled, op, right),
             // How many tasks were killed because the lease of their worker had expired.
-            ["lost_with_lease", op, right] => compare(self.faults.lost_with_lease, op, right),
+            ["killed-on-lease-expiry", op, right] => compare(self.faults.lost_with_lease, op, right),
             ["running", id, op, right] => {
                 let id = job_name(id);
                 let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
@@ -98,17 +98,17 @@
     /// Conditions on the responses to operators' queries.
     fn operator_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
-            ["explained", id, word] => {
+            ["reason", id, word] => {
                 self.operator_queries.start_query("explain", &job_name(id));
                 self.operator_queries.response_contains("explain", &job_name(id), word)
             }
-            ["unexplained", id, word] => {
+            ["no-reason", id, word] => {
                 let id = job_name(id);
                 self.operator_queries.start_query("explain", &id);
                 self.operator_queries.response("explain", &id).is_some()
                     && !self.operator_queries.response_contains("explain", &id, word)
             }
-            ["noted", id, word] => {
+            ["event", id, word] => {
                 self.operator_queries.start_query("events", &job_name(id));
                 self.operator_queries.response_contains("events", &job_name(id), word)
             }
@@ -120,7 +120,7 @@
                     .and_then(|body| body.pointer(pointer));
                 found.is_some_and(|found| found.to_string().trim_matches('"') == *value)
             }
-            ["figure", id, pointer, op, right] => {
+            ["explain-value", id, pointer, op, right] => {
                 self.operator_queries.start_query("explain", &job_name(id));
                 let found = self
                     .operator_queries
@@ -151,7 +151,7 @@
                 let found = self.dag_runs.run_row(run).map(|row| row["states"][*state].as_u64().unwrap_or(0));
                 found.is_some_and(|found| compare(found, op, right))
             }
-            ["sent"] => {
+            ["graph-requests-sent"] => {
                 self.dag_runs.is_idle()
                     && !self
                         .requests_in_flight
@@ -173,7 +173,7 @@
                 let count = self.kv_store.keys().filter(|key| key.starts_with(prefix)).count();
                 compare(count as u64, op, right)
             }
-            ["grants", op, right] => compare(self.kv_store.granted_lease_count(), op, right),
+            ["granted-leases", op, right] => compare(self.kv_store.granted_lease_count(), op, right),
             ["records", op, right] => compare(self.kv_store.len() as u64, op, right),
             _ => return None,
         })
@@ -182,7 +182,7 @@
     /// Conditions on machines and their tasks.
     fn machine_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
-            ["on", host, op, right] => {
+            ["tasks-on", host, op, right] => {
                 let worker = self.workers.iter().find(|worker| worker.machine.name == *host);
                 worker.is_some_and(|worker| compare(running_tasks(worker), op, right))
             }
@@ -210,7 +210,7 @@
             ["leaders", op, right] => {
                 compare(self.controllers.iter().filter(|slot| slot.is_leader()).count() as u64, op, right)
             }
-            ["quiet", op, right] => {
+            ["idle-controllers", op, right] => {
                 let is_idle =
                     |slot: &&ControllerSlot| slot.controller.as_ref().is_some_and(Controller::is_idle);
                 compare(self.controllers.iter().filter(is_idle).count() as u64, op, right)
--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -220,24 +220,24 @@
                 self.config_changes.changes.values().filter(has_status).count().to_string() == *count
             }
             // The change is in force or was rejected.
-            ["over", name] => {
+            ["settled", name] => {
                 let change = change(name);
                 change.in_force_at.is_some() || change.status.is_some_and(|status| status != 200)
             }
             ["in-force", name] => change(name).in_force_at.is_some(),
             // The time, in ms, from the request until the operator knew that the change is in force.
-            ["took", name, "<=", most] => {
+            ["delay", name, "<=", most] => {
                 let change = change(name);
                 let most: u64 = most.parse().expect("milliseconds");
                 change.in_force_at.is_some_and(|in_force_at| in_force_at - change.requested_at <= most)
             }
-            ["waits", name, reason] => {
+            ["blocked-by", name, reason] => {
                 let pending = change(name).view.as_ref().and_then(|view| view.pending_on.as_ref());
                 pending.is_some_and(|pending| {
                     serde_json::to_value(pending.cause).is_ok_and(|word| word == *reason)
                 })
             }
-            ["above", name, "=", cpus] => {
+            ["usage-above-limit", name, "=", cpus] => {
                 let cpus: f64 = cpus.parse().expect("CPUs");
                 change(name).view.as_ref().is_some_and(|view| (view.cpus_over_limit - cpus).abs() < 1e-6)
             }
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -176,11 +176,11 @@
                 ("preempted", counters.preempted_tasks),
                 ("lost", counters.machines_lost),
                 ("bound", counters.tasks_bound),
-                ("looked", counters.machines_examined),
+                ("machines-examined", counters.machines_examined),
                 ("searches", counters.gang_searches),
                 ("changes", counters.kv_mutations),
-                ("greeted", counters.leadership_announcements),
-                ("greeted_at_once", counters.max_announcements_per_step),
+                ("announcements", counters.leadership_announcements),
+                ("announcements-per-step", counters.max_announcements_per_step),
             ] {
                 let highest = self.counters.entry(name).or_default();
                 *highest = (*highest).max(value);
