--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -147,7 +147,7 @@
 
 /// One fault of any other kind.
 fn random_fault(rng: &mut SmallRng, nodes: usize) -> FaultScript {
-    let for_ms = FAULT_DURATIONS_MS[rng.random_range(0..FAULT_DURATIONS_MS.len())];
+    let duration_ms = FAULT_DURATIONS_MS[rng.random_range(0..FAULT_DURATIONS_MS.len())];
     let host = format!("host-{:06}", rng.random_range(0..6));
     let other = format!("host-{:06}", rng.random_range(0..6));
     let node = pick_one(rng, &["leader?", "n0", "n1", "n2"]);
@@ -158,57 +158,59 @@
             all.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
             all
         }
-        2 => lasting_fault(&[&format!("cut {node} state")], for_ms, &["uncut state"]),
+        2 => lasting_fault(&[&format!("cut {node} state")], duration_ms, &["uncut state"]),
         3 => lasting_fault(
             &[&format!("cut {node} state"), &format!("cut {node} mesh")],
-            for_ms,
+            duration_ms,
             &["uncut state", "uncut mesh"],
         ),
-        4 => lasting_fault(&[&format!("cut {node} all")], for_ms, &["uncut all"]),
-        5 => lasting_fault(&[&format!("cut {node} workers")], for_ms, &["uncut workers"]),
-        6 => lasting_fault(&[&format!("cut {node} polls")], for_ms, &["uncut polls"]),
-        7 => lasting_fault(&["kv-outage on"], for_ms, &["kv-outage off"]),
+        4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["uncut all"]),
+        5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["uncut workers"]),
+        6 => lasting_fault(&[&format!("cut {node} polls")], duration_ms, &["uncut polls"]),
+        7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
         8 => lasting_fault(
             &[&format!(
                 "kv-delay {}",
                 pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
             )],
-            for_ms,
+            duration_ms,
             &["kv-delay fine"],
         ),
         9 => lasting_fault(
             &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
-            for_ms.min(15_000),
+            duration_ms.min(15_000),
             &["txns fine"],
         ),
-        10 => lasting_fault(&["txns lost"], for_ms.min(6_000), &["txns fine"]),
-        11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], for_ms, &["copy-heartbeats none"]),
+        10 => lasting_fault(&["txns lost"], duration_ms.min(6_000), &["txns fine"]),
+        11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], duration_ms, &["copy-heartbeats none"]),
         12 => lasting_fault(
             &[&format!("receive-path-down {host} {other}")],
-            for_ms,
+            duration_ms,
             &["receive-path-down none"],
         ),
-        13 => lasting_fault(&["receive-path-down all"], for_ms.min(15_000), &["receive-path-down none"]),
+        13 => lasting_fault(&["receive-path-down all"], duration_ms.min(15_000), &["receive-path-down none"]),
         14 => lasting_fault(
             &[&format!("hang {host}"), &format!("hang {other}")],
-            for_ms,
+            duration_ms,
             &[&format!("resume {host}"), &format!("resume {other}")],
         ),
         15 => lasting_fault(
             &["direct-commands lost"],
-            for_ms.min(15_000),
+            duration_ms.min(15_000),
             &["direct-commands fine", "deliver-held"],
         ),
-        16 => lasting_fault(&["mesh held"], for_ms, &["mesh fine", "deliver-held"]),
-        17 => lasting_fault(&[&format!("send-path-down {host} {other}")], for_ms, &["send-path-down none"]),
-        18 => lasting_fault(&["send-path-down all"], for_ms.min(15_000), &["send-path-down none"]),
-        19 => lasting_fault(&["copy-heartbeats next"], for_ms, &["copy-heartbeats none"]),
+        16 => lasting_fault(&["mesh held"], duration_ms, &["mesh fine", "deliver-held"]),
+        17 => {
+            lasting_fault(&[&format!("send-path-down {host} {other}")], duration_ms, &["send-path-down none"])
+        }
+        18 => lasting_fault(&["send-path-down all"], duration_ms.min(15_000), &["send-path-down none"]),
+        19 => lasting_fault(&["copy-heartbeats next"], duration_ms, &["copy-heartbeats none"]),
         20 => lasting_fault(
             &[&format!("cloud-delay late {}", pick_one(rng, &["1", "2.5", "9"]))],
-            for_ms,
+            duration_ms,
             &["cloud-delay fine"],
         ),
-        _ => lasting_fault(&[&format!("freeze {node}")], for_ms, &["thaw"]),
+        _ => lasting_fault(&[&format!("freeze {node}")], duration_ms, &["thaw"]),
     }
 }
 
@@ -293,8 +295,8 @@
 
 /// Two or three overlapping faults, with jobs of every shape, long tasks, cancellations and polls.
 fn overlapping_faults_plan(seed: u64) -> FaultPlan {
-    const LONG: std::ops::Range<usize> = 30..36;
-    const AT_END: [usize; 3] = [20, 40, 60];
+    const LONG_JOBS: std::ops::Range<usize> = 30..36;
+    const CANCELLED_AT_END: [usize; 3] = [20, 40, 60];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let nodes = if seed % 3 == 0 { 5 } else { 3 };
     let mut setup = lines(&["team core max=16", "team guest max=14", "team single max=1", "team long max=4"]);
@@ -311,7 +313,7 @@
         "submit 7 service tasks=3 scatter team=guest",
         "submit 8 gang tasks=2 cpus=2 run=60 checkpoint=10 team=guest",
     ]));
-    setup.extend(LONG.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
+    setup.extend(LONG_JOBS.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
     setup.push("advance 16".into());
     // Two polls of a job may be in flight at the same time, at different controllers.
     setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("poll-rate {job} 1")));
@@ -321,19 +323,19 @@
     }
     let (faults, begin) = overlapping_faults(&mut rng, nodes, 8_000);
     let mut users = FaultScript::new();
-    for job in LONG {
+    for job in LONG_JOBS {
         users.push((rng.random_range(0..begin + 20_000), format!("cancel {job}")));
     }
     // The last three are cancelled as their last task ends.
-    for job in (10..16).chain(AT_END) {
+    for job in (10..16).chain(CANCELLED_AT_END) {
         users.push((rng.random_range(0..begin + 20_000), format!("submit {job} tasks=2 run=2")));
     }
     let mut final_checks = lines(&RECOVERY_LINES);
     let ends = [1, 2, 3, 5, 6, 8, 10, 11, 12, 13, 14, 15];
     final_checks.push(format!("until 75 recently-answered 7 {}", ends.map(|job| job.to_string()).join(" ")));
-    final_checks.extend(LONG.map(|job| format!("until 60 withdrawn {job}")));
+    final_checks.extend(LONG_JOBS.map(|job| format!("until 60 withdrawn {job}")));
     final_checks.extend(ends.map(|job| format!("until 400 done {job}")));
-    final_checks.extend(AT_END.map(|job| format!("until 60 ended {job}")));
+    final_checks.extend(CANCELLED_AT_END.map(|job| format!("until 60 ended {job}")));
     final_checks.extend(lines(&[
         "cancel 7",
         "until 60 withdrawn 7",
--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -75,7 +75,7 @@
     /// Requests a change: NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]. Without values the entry is unset.
     pub fn set_config(&mut self, words: &[&str]) -> ActionResult {
         let [name, team, rest @ ..] = words else {
-            return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=]");
+            return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=] [via=]");
         };
         let entry = ConfigKey::parse(&format!("team/{team}")).map_err(|error| error.to_string())?;
         let cpus = |field| named_argument(rest, field).map(|_| numeric_argument(rest, field, 0.0));
