--- /dev/null
+++ b/tests/random_faults.rs
@@ -0,0 +1,499 @@
+//! Random fault plans, generated from seeds: several controllers, faults that overlap in all orders, jobs of every
+//! shape, and users that poll and cancel while the faults last. The tests check that the rules of the users' protocol
+//! hold at every moment, that polls of accepted jobs are answered within 75 s of the last fault, that these jobs
+//! finish, and that there is one leader at the end. A plan that fails is reduced by leaving faults out and printed as
+//! a scenario. `SEED=17 cargo test --test random_faults` runs one plan of each kind, `SEEDS=1000 ...` runs more of
+//! them.
+
+mod simulation;
+
+use rand::rngs::SmallRng;
+use rand::{RngExt, SeedableRng};
+use simulation::SimulatedCluster;
+
+/// Plans of each kind that CI runs. The result of a seed is always the same.
+const SEEDS: u64 = 24;
+
+/// Lines of a scenario, each with its time since the start of the fault in ms.
+type FaultScript = Vec<(u64, String)>;
+
+/// Faults with their start times in ms, the setup that precedes them and the checks that follow them.
+struct FaultPlan {
+    setup: Vec<String>,
+    faults: Vec<(u64, FaultScript)>,
+    /// What users do while the faults last, with times in ms. Shrinking must keep it, because the final checks expect
+    /// its jobs.
+    user_actions: FaultScript,
+    final_checks: Vec<String>,
+}
+
+impl FaultPlan {
+    /// Returns the plan as the lines of a scenario.
+    fn scenario_lines(&self) -> Vec<String> {
+        let mut timed: Vec<(u64, &String)> = self
+            .faults
+            .iter()
+            .flat_map(|(begin, script)| script.iter().map(move |(offset, line)| (begin + offset, line)))
+            .chain(self.user_actions.iter().map(|(at, line)| (*at, line)))
+            .collect();
+        timed.sort_by_key(|(at, _)| *at);
+        let mut lines = self.setup.clone();
+        let mut now = 0;
+        for (at, line) in timed {
+            if at > now {
+                lines.push(format!("advance {}", (at - now) as f64 / 1000.0));
+                now = at;
+            }
+            lines.push(line.clone());
+        }
+        lines.extend(self.final_checks.iter().cloned());
+        lines
+    }
+
+    fn without_fault(&self, left_out: usize) -> FaultPlan {
+        let mut faults = self.faults.clone();
+        faults.remove(left_out);
+        FaultPlan {
+            setup: self.setup.clone(),
+            faults,
+            user_actions: self.user_actions.clone(),
+            final_checks: self.final_checks.clone(),
+        }
+    }
+
+    fn run(&self) -> Result<u64, String> {
+        self.run_in(SimulatedCluster::new())
+    }
+
+    /// Returns the longest time, in ms, that a task ran after its user knew of the cancellation.
+    fn run_in(&self, mut cluster: SimulatedCluster) -> Result<u64, String> {
+        for line in self.scenario_lines() {
+            let words: Vec<&str> = line.split_whitespace().collect();
+            cluster.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
+        }
+        Ok(cluster.longest_cancelled_stay_ms())
+    }
+}
+
+/// Leaves out each fault without which the plan still fails.
+fn shrink(mut plan: FaultPlan, mut problem: String) -> (FaultPlan, String) {
+    let mut index = 0;
+    while index < plan.faults.len() {
+        let smaller = plan.without_fault(index);
+        match smaller.run() {
+            Err(same_problem) => (plan, problem) = (smaller, same_problem),
+            Ok(_) => index += 1,
+        }
+    }
+    (plan, problem)
+}
+
+fn lines(texts: &[&str]) -> Vec<String> {
+    texts.iter().map(|text| (*text).to_string()).collect()
+}
+
+/// Returns a fault that starts with the lines `first` and ends with the lines `last` after `duration_ms`.
+fn lasting_fault(first: &[&str], duration_ms: u64, last: &[&str]) -> FaultScript {
+    let begin = first.iter().map(|line| (0, (*line).to_string()));
+    begin.chain(last.iter().map(|line| (duration_ms, (*line).to_string()))).collect()
+}
+
+fn pick_one<'a>(rng: &mut SmallRng, choices: &[&'a str]) -> &'a str {
+    choices[rng.random_range(0..choices.len())]
+}
+
+/// Kills a controller and starts it again, without its in-memory state, after `downtime_ms`.
+fn kill_and_restart(node: &str, downtime_ms: u64) -> FaultScript {
+    vec![(0, format!("kill {node}")), (downtime_ms, "start-all".into())]
+}
+
+fn delayed(script: FaultScript, delay_ms: u64) -> FaultScript {
+    script.into_iter().map(|(offset, line)| (offset + delay_ms, line)).collect()
+}
+
+const FAULT_DURATIONS_MS: [u64; 7] = [300, 1_000, 3_000, 6_000, 15_000, 30_000, 60_000];
+
+/// Controllers that are killed and started again within a second, alone or during another fault.
+fn random_quick_restart(rng: &mut SmallRng, nodes: usize) -> FaultScript {
+    let node = format!("n{}", rng.random_range(0..nodes));
+    let downtime_ms = [20, 40, 100, 200, 500, 1000][rng.random_range(0..6)];
+    let kill_at_ms = rng.random_range(100..6_000);
+    let restart_during = |first: &[&str], last: &[&str]| {
+        let mut script = lasting_fault(first, kill_at_ms + downtime_ms + 20, last);
+        script.extend(delayed(kill_and_restart(&node, downtime_ms), kill_at_ms));
+        script.sort_by_key(|(at, _)| *at);
+        script
+    };
+    match rng.random_range(0..12) {
+        0..=3 => kill_and_restart(&node, downtime_ms),
+        4 => lasting_fault(&["kill n0", "kill n1"], downtime_ms, &["start-all"]),
+        5 => (0..nodes as u64)
+            .flat_map(|at| delayed(kill_and_restart(&format!("n{at}"), downtime_ms), at * (downtime_ms + 20)))
+            .collect(),
+        6 => restart_during(&["txns lost"], &["txns fine"]),
+        7 => restart_during(
+            &["txns late"],
+            &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns fine"],
+        ),
+        8 => restart_during(&["mesh held"], &["mesh fine", "deliver-held"]),
+        9 => restart_during(&["direct-commands lost"], &["direct-commands fine", "deliver-held"]),
+        10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
+        _ => {
+            let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
+            restart_during(&[&format!("cut {node} {link}")], &[&format!("uncut {link}")])
+        }
+    }
+}
+
+/// One fault of any other kind.
+fn random_fault(rng: &mut SmallRng, nodes: usize) -> FaultScript {
+    let duration_ms = FAULT_DURATIONS_MS[rng.random_range(0..FAULT_DURATIONS_MS.len())];
+    let host = format!("host-{:06}", rng.random_range(0..6));
+    let other = format!("host-{:06}", rng.random_range(0..6));
+    let node = pick_one(rng, &["leader?", "n0", "n1", "n2"]);
+    match rng.random_range(0..22) {
+        0 => kill_and_restart("leader?", [40, 200, 1_000, 6_000][rng.random_range(0..4)]),
+        1 => {
+            let mut all: FaultScript = (0..nodes).map(|at| (0, format!("kill n{at}"))).collect();
+            all.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
+            all
+        }
+        2 => lasting_fault(&[&format!("cut {node} state")], duration_ms, &["uncut state"]),
+        3 => lasting_fault(
+            &[&format!("cut {node} state"), &format!("cut {node} mesh")],
+            duration_ms,
+            &["uncut state", "uncut mesh"],
+        ),
+        4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["uncut all"]),
+        5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["uncut workers"]),
+        6 => lasting_fault(&[&format!("cut {node} polls")], duration_ms, &["uncut polls"]),
+        7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
+        8 => lasting_fault(
+            &[&format!(
+                "kv-delay {}",
+                pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
+            )],
+            duration_ms,
+            &["kv-delay fine"],
+        ),
+        9 => lasting_fault(
+            &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
+            duration_ms.min(15_000),
+            &["txns fine"],
+        ),
+        10 => lasting_fault(&["txns lost"], duration_ms.min(6_000), &["txns fine"]),
+        11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], duration_ms, &["copy-heartbeats none"]),
+        12 => lasting_fault(
+            &[&format!("receive-path-down {host} {other}")],
+            duration_ms,
+            &["receive-path-down none"],
+        ),
+        13 => lasting_fault(&["receive-path-down all"], duration_ms.min(15_000), &["receive-path-down none"]),
+        14 => lasting_fault(
+            &[&format!("hang {host}"), &format!("hang {other}")],
+            duration_ms,
+            &[&format!("resume {host}"), &format!("resume {other}")],
+        ),
+        15 => lasting_fault(
+            &["direct-commands lost"],
+            duration_ms.min(15_000),
+            &["direct-commands fine", "deliver-held"],
+        ),
+        16 => lasting_fault(&["mesh held"], duration_ms, &["mesh fine", "deliver-held"]),
+        17 => {
+            lasting_fault(&[&format!("send-path-down {host} {other}")], duration_ms, &["send-path-down none"])
+        }
+        18 => lasting_fault(&["send-path-down all"], duration_ms.min(15_000), &["send-path-down none"]),
+        19 => lasting_fault(&["copy-heartbeats next"], duration_ms, &["copy-heartbeats none"]),
+        20 => lasting_fault(
+            &[&format!("cloud-delay late {}", pick_one(rng, &["1", "2.5", "9"]))],
+            duration_ms,
+            &["cloud-delay fine"],
+        ),
+        _ => lasting_fault(&[&format!("freeze {node}")], duration_ms, &["thaw"]),
+    }
+}
+
+/// Ends every fault that may still be in effect.
+const RECOVERY_LINES: [&str; 18] = [
+    "heal",
+    "kv-outage off",
+    "kv-delay fine",
+    "txns fine",
+    "mesh fine",
+    "direct-commands fine",
+    "copy-heartbeats none",
+    "receive-path-down none",
+    "send-path-down none",
+    "cloud-delay fine",
+    "resume host-000000",
+    "resume host-000001",
+    "resume host-000002",
+    "resume host-000003",
+    "thaw",
+    "start-all",
+    "until 30 leader = any",
+    "check-waiting",
+];
+
+fn zones(nodes: usize) -> String {
+    ["a", "b", "c", "a", "b"][..nodes].join(" ")
+}
+
+/// Controllers that are killed and quickly started again, one fault after the other.
+fn restart_plan(seed: u64) -> FaultPlan {
+    const FAULT_COUNT: usize = 14;
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let nodes = if seed % 2 == 0 { 3 } else { 5 };
+    let mut setup =
+        lines(&["team core max=14", "team guest", "machine-type small cpus=4 boot=4 count=4 zones=a,b"]);
+    setup.push(format!("controllers {}", zones(nodes)));
+    setup.extend(lines(&[
+        "until 6 leader = any",
+        "submit 1 tasks=30 run=9",
+        "submit 2 gang tasks=3 cpus=3 run=12 checkpoint=4 together",
+        "submit 3 tasks=12 run=15 team=guest",
+        "submit 4 tasks=400 run=50 team=guest",
+        "advance 8",
+    ]));
+    let mut faults = Vec::new();
+    let mut begin = 0;
+    for at in 0..FAULT_COUNT {
+        let mut script = random_quick_restart(&mut rng, nodes);
+        let duration_ms = script.iter().map(|(at, _)| *at).max().unwrap_or(0);
+        // Submits during the fault, so that some responses that accept a job are lost in flight.
+        script.insert(script.len().min(1), (0, format!("submit {} tasks=2 run=2", 10 + at)));
+        match at {
+            4 => script.push((duration_ms, "submit 5 tasks=6 run=3 team=guest".into())),
+            8 => script.push((duration_ms, "cancel 4".into())),
+            _ => {}
+        }
+        faults.push((begin, script));
+        begin += duration_ms + rng.random_range(20..4_000);
+    }
+    let mut final_checks = lines(&RECOVERY_LINES);
+    final_checks.extend(lines(&["until 60 withdrawn 4", "until 90 tasks <= 30"]));
+    let jobs = [1, 2, 3, 5].into_iter().chain((0..FAULT_COUNT).map(|at| 10 + at));
+    final_checks.extend(jobs.map(|job| format!("until 400 done {job}")));
+    final_checks.extend(lines(&["advance 40", "expect leaders = 1", "expect tasks <= 0"]));
+    FaultPlan { setup, faults, user_actions: FaultScript::new(), final_checks }
+}
+
+/// Returns two or three faults with their start times, each less than `max_gap_ms` after the previous one, and the
+/// time at which another fault would start.
+fn overlapping_faults(rng: &mut SmallRng, nodes: usize, max_gap_ms: u64) -> (Vec<(u64, FaultScript)>, u64) {
+    let mut faults = Vec::new();
+    let mut begin = 0;
+    for _ in 0..rng.random_range(2..4) {
+        let is_lasting = rng.random_range(0..5) > 0;
+        let script = if is_lasting { random_fault(rng, nodes) } else { random_quick_restart(rng, nodes) };
+        faults.push((begin, script));
+        begin += rng.random_range(0..max_gap_ms);
+    }
+    (faults, begin)
+}
+
+/// Two or three overlapping faults, with jobs of every shape, long tasks, cancellations and polls.
+fn overlapping_faults_plan(seed: u64) -> FaultPlan {
+    const LONG_JOBS: std::ops::Range<usize> = 30..36;
+    const CANCELLED_AT_END: [usize; 3] = [20, 40, 60];
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
+    let nodes = if seed % 3 == 0 { 5 } else { 3 };
+    let mut setup = lines(&["team core max=16", "team guest max=14", "team single max=1", "team long max=4"]);
+    let boot = ["0.5", "1", "4"][rng.random_range(0..3)];
+    setup.push(format!("machine-type small cpus=4 boot={boot} count=7 zones=a,b"));
+    setup.push(format!("controllers {}", zones(nodes)));
+    setup.extend(lines(&[
+        "until 6 leader = any",
+        "submit 1 tasks=30 run=9",
+        "submit 2 gang tasks=3 cpus=3 run=25 checkpoint=4 together",
+        "submit 3 tasks=12 run=30 team=guest",
+        "submit 5 tasks=3 run=17 team=single",
+        "submit 6 tasks=2 run=40 team=guest",
+        "submit 7 service tasks=3 scatter team=guest",
+        "submit 8 gang tasks=2 cpus=2 run=60 checkpoint=10 team=guest",
+    ]));
+    setup.extend(LONG_JOBS.map(|job| format!("submit {job} tasks=1 run=900 team=long")));
+    setup.push("advance 16".into());
+    // Two polls of a job may be in flight at the same time, at different controllers.
+    setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("poll-rate {job} 1")));
+    setup.extend(lines(&["close-polls on", "cancel-at-end 20"]));
+    if seed % 4 == 1 {
+        setup.push("kv-delay uneven".into());
+    }
+    let (faults, begin) = overlapping_faults(&mut rng, nodes, 8_000);
+    let mut users = FaultScript::new();
+    for job in LONG_JOBS {
+        users.push((rng.random_range(0..begin + 20_000), format!("cancel {job}")));
+    }
+    // The last three are cancelled as their last task ends.
+    for job in (10..16).chain(CANCELLED_AT_END) {
+        users.push((rng.random_range(0..begin + 20_000), format!("submit {job} tasks=2 run=2")));
+    }
+    let mut final_checks = lines(&RECOVERY_LINES);
+    let ends = [1, 2, 3, 5, 6, 8, 10, 11, 12, 13, 14, 15];
+    final_checks.push(format!("until 75 recently-answered 7 {}", ends.map(|job| job.to_string()).join(" ")));
+    final_checks.extend(LONG_JOBS.map(|job| format!("until 60 withdrawn {job}")));
+    final_checks.extend(ends.map(|job| format!("until 400 done {job}")));
+    final_checks.extend(CANCELLED_AT_END.map(|job| format!("until 60 ended {job}")));
+    final_checks.extend(lines(&[
+        "cancel 7",
+        "until 60 withdrawn 7",
+        "advance 40",
+        "expect leaders = 1",
+        "expect tasks <= 0",
+    ]));
+    FaultPlan { setup, faults, user_actions: users, final_checks }
+}
+
+/// Worker timings, in seconds: heartbeat interval, lease duration, and deadline of a cancellation.
+const WORKER_TIMINGS: [[&str; 3]; 3] = [["2", "12", "32"], ["5", "26.5", "46.5"], ["5", "36", "61"]];
+/// Times from the leader's loss of the state service to the outage for all controllers, in ms: before and after another
+/// controller becomes leader.
+const OUTAGE_DELAYS_MS: [u64; 6] = [100, 1_000, 3_700, 4_300, 5_500, 10_000];
+
+/// The state service refuses the leader alone, and other controllers confirm cancellations. Then it is down for all
+/// controllers for longer than the cancellation deadline, while workers keep reporting to the former leader.
+fn disconnected_leader_plan(timings: usize, outage_delay_ms: u64, rng: &mut SmallRng) -> FaultPlan {
+    let [report, lease, cancel] = WORKER_TIMINGS[timings];
+    let mut setup = vec![format!("settings workers report_s={report} lease_s={lease} cancel_s={cancel}")];
+    setup.extend(lines(&["team long", "machine-type small cpus=4 boot=4 count=5", "controllers a a a"]));
+    // Every monotonic clock is off by 500 ppm, the most that the lease timings allow for, and the wall clock of n0 is
+    // 20 ms ahead of the others.
+    let sign = if rng.random_bool(0.5) { "" } else { "-" };
+    for node in 0..3 {
+        setup.push(format!("clock n{node} {sign}500 {}", if node == 0 { "10" } else { "-10" }));
+    }
+    setup.extend(lines(&["until 6 leader = any"]));
+    setup.extend((1..=8).map(|job| format!("submit {job} tasks=2 run=900 team=long")));
+    setup.extend(lines(&["until 30 running 8 >= 2", "until 30 running 1 >= 2"]));
+    setup.push(format!("advance {}", f64::from(rng.random_range(20..2_000)) / 1000.0));
+    let mut script = vec![(0, "cut leader state".to_string())];
+    if rng.random_bool(0.5) {
+        script.push((0, "cut leader mesh".into()));
+    }
+    if rng.random_bool(0.5) {
+        // The successor's commands do not reach the machines.
+        script.push((0, "cut all orders".into()));
+    }
+    // Cancellations at the first and the last moment and two in between, through each of the two other controllers.
+    let last = outage_delay_ms.saturating_sub(60);
+    let times = [0, last, rng.random_range(0..last + 1), rng.random_range(0..last + 1)];
+    for (job, at) in (1..).zip(times) {
+        script.push((at, format!("cancel {job} {}", if job % 2 == 0 { "first" } else { "second" })));
+    }
+    script.sort_by_key(|(at, _)| *at);
+    script.push((outage_delay_ms, "kv-outage on".into()));
+    // A cancellation is confirmed only once a leader that may not have read it can no longer start tasks.
+    script.push((outage_delay_ms.max(2_700), "expect reported-cancelled >= 1".into()));
+    let cancel_ms = cancel.parse::<f64>().expect("seconds") * 1000.0;
+    let outage_end_ms = outage_delay_ms + cancel_ms as u64 + rng.random_range(1_000..25_000);
+    script.push((outage_end_ms, "kv-outage off".into()));
+    let mut final_checks = lines(&RECOVERY_LINES);
+    final_checks.extend((1..=4).map(|job| format!("until 60 withdrawn {job}")));
+    final_checks.extend(lines(&["until 75 recently-answered 5 6 7 8", "until 240 running 8 >= 2"]));
+    final_checks.extend((5..=8).map(|job| format!("cancel {job}")));
+    final_checks.extend(lines(&["until 60 tasks <= 0", "expect leaders = 1"]));
+    FaultPlan { setup, faults: vec![(0, script)], user_actions: FaultScript::new(), final_checks }
+}
+
+/// Limits that change while faults overlap. The simulated cluster checks each start against the limit in force at that
+/// moment.
+fn limit_changes_plan(seed: u64) -> FaultPlan {
+    const CHANGES: usize = 12;
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x11317);
+    let nodes = if seed % 3 == 0 { 5 } else { 3 };
+    let mut setup = lines(&[
+        "team core max=16",
+        "team guest max=14",
+        "machine-type small cpus=4 boot=3 count=8 zones=a,b",
+    ]);
+    setup.push("config".into());
+    setup.push(format!("controllers {}", zones(nodes)));
+    setup.extend(lines(&[
+        "until 6 leader = any",
+        "submit 1 tasks=150 run=4",
+        "submit 2 tasks=60 run=9 team=guest",
+        "submit 3 gang tasks=3 cpus=2 run=15 checkpoint=4",
+        "advance 8",
+    ]));
+    let (faults, begin) = overlapping_faults(&mut rng, nodes, 12_000);
+    let mut users = FaultScript::new();
+    for change in 0..CHANGES {
+        let team = pick_one(&mut rng, &["core", "guest"]);
+        let at = rng.random_range(0..begin + 20_000);
+        users.push((at, format!("set-config c{change} {team} limit={}", rng.random_range(1..14))));
+    }
+    users.push((rng.random_range(0..begin + 20_000), "cancel 2".into()));
+    users.sort();
+    let mut final_checks = lines(&RECOVERY_LINES);
+    final_checks.extend((0..CHANGES).map(|change| format!("until 60 config settled c{change}")));
+    final_checks.extend(lines(&[
+        "set-config last core",
+        "until 10 config in-force last",
+        "until 60 withdrawn 2",
+    ]));
+    final_checks.extend(lines(&["until 900 done 1", "until 300 done 3", "advance 40", "expect tasks <= 0"]));
+    FaultPlan { setup, faults, user_actions: users, final_checks }
+}
+
+fn environment_number(name: &str) -> Option<u64> {
+    std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok())
+}
+
+fn seeds() -> std::ops::Range<u64> {
+    match environment_number("SEED") {
+        Some(seed) => seed..seed + 1,
+        None => 0..environment_number("SEEDS").unwrap_or(SEEDS),
+    }
+}
+
+fn check_plans(plans: impl Iterator<Item = (String, FaultPlan)>) {
+    let mut longest = 0;
+    let mut failed = Vec::new();
+    for (name, plan) in plans {
+        match plan.run_in(SimulatedCluster::traced(&name)) {
+            Ok(longest_stay_ms) => longest = longest.max(longest_stay_ms),
+            Err(problem) => {
+                let (plan, problem) = shrink(plan, problem);
+                failed.push(format!("{name}: {problem}\n{}", plan.scenario_lines().join("\n")));
+            }
+        }
+    }
+    println!("the longest time that a task ran after its cancellation was reported: {longest} ms");
+    assert!(failed.is_empty(), "{} plans failed:\n{}", failed.len(), failed.join("\n\n"));
+}
+
+#[test]
+fn the_invariants_hold_when_controllers_restart_quickly() {
+    check_plans(seeds().map(|seed| (format!("flashes, seed {seed}"), restart_plan(seed))));
+}
+
+#[test]
+fn the_invariants_hold_when_faults_overlap() {
+    check_plans(seeds().map(|seed| (format!("meetings, seed {seed}"), overlapping_faults_plan(seed))));
+}
+
+#[test]
+fn nothing_starts_above_a_limit_in_force_when_faults_overlap() {
+    check_plans(seeds().map(|seed| (format!("limits, seed {seed}"), limit_changes_plan(seed))));
+}
+
+/// Uses each set of worker timings with each outage delay; seeds beyond these have a random delay.
+#[test]
+fn cancelled_tasks_stop_in_time_when_the_leader_cannot_reach_the_store() {
+    for (timings, [_, lease, cancel]) in WORKER_TIMINGS.iter().enumerate() {
+        println!("lease {lease} s, cancellation {cancel} s:");
+        check_plans(seeds().map(|seed| {
+            let mut rng = SmallRng::seed_from_u64(seed ^ 0xb11d);
+            let delay_ms = match OUTAGE_DELAYS_MS.get(seed as usize) {
+                Some(delay_ms) => *delay_ms,
+                None => rng.random_range(80..15_000),
+            };
+            (
+                format!("blind, seed {seed}, site {timings}, gap {delay_ms} ms"),
+                disconnected_leader_plan(timings, delay_ms, &mut rng),
+            )
+        }));
+    }
+}
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -1,4 +1,4 @@
-//! The actions of scenarios: a line begins with the name of one, and its other words are the arguments.
+//! The actions of scenarios. The first word of a line names the action, and the other words are its arguments.
 
 mod controllers;
 mod faults;
@@ -9,19 +9,19 @@
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
-    /// Carries out one line. Fails if it cannot be done, or if a rule was broken meanwhile.
+    /// Runs the action of one line. Fails if the action fails or if an invariant has been violated.
     pub fn run_action(&mut self, words: &[&str]) -> Result<(), String> {
         let (name, arguments) = words.split_first().ok_or("an empty line")?;
-        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown command")?;
+        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown action")?;
         action(self, arguments)?;
         match self.violations.first() {
-            Some(violation) => Err(format!("rule broken: {violation}")),
+            Some(violation) => Err(format!("violated rule: {violation}")),
             None => Ok(()),
         }
     }
 }
 
-/// What was expected or does not hold, for the author of the scenario.
+/// The result of an action. The error tells the author of the scenario what was expected or does not hold.
 pub type ActionResult = Result<(), String>;
 type Action = fn(&mut SimulatedCluster, &[&str]) -> ActionResult;
 
@@ -32,29 +32,29 @@
     ("operators", SimulatedCluster::set_operators),
     ("list", SimulatedCluster::start_list),
     ("config", SimulatedCluster::enable_config),
-    ("set", SimulatedCluster::set_config),
+    ("set-config", SimulatedCluster::set_config),
     ("graphs", SimulatedCluster::set_graphs),
     ("node", SimulatedCluster::add_node),
-    ("fan", SimulatedCluster::add_fan_out),
+    ("fan-out", SimulatedCluster::add_fan_out),
     ("upload", SimulatedCluster::upload_graph),
     ("commit", SimulatedCluster::commit_graph),
     ("cancel-run", SimulatedCluster::cancel_run),
-    ("redo", SimulatedCluster::rerun),
+    ("rerun", SimulatedCluster::rerun),
     ("team", SimulatedCluster::add_team),
     ("objective", SimulatedCluster::add_objective),
-    ("kind", SimulatedCluster::add_machine_type),
-    ("nodes", SimulatedCluster::start_controllers),
-    ("machine", SimulatedCluster::add_machine_of),
+    ("machine-type", SimulatedCluster::add_machine_type),
+    ("controllers", SimulatedCluster::start_controllers),
+    ("machine", SimulatedCluster::add_machine),
     ("machines", SimulatedCluster::add_machines),
     ("record", SimulatedCluster::put_record),
-    ("known", SimulatedCluster::mark_accepted),
+    ("mark-accepted", SimulatedCluster::mark_accepted),
     ("submit", |cluster, arguments| {
         cluster.submit_job(arguments);
         Ok(())
     }),
-    ("raw", SimulatedCluster::submit_raw),
+    ("submit-raw", SimulatedCluster::submit_raw),
     ("poll", SimulatedCluster::poll_expecting),
-    ("abort", SimulatedCluster::cancel),
+    ("cancel", SimulatedCluster::cancel),
     ("advance", SimulatedCluster::advance),
     ("until", SimulatedCluster::until),
     ("expect", SimulatedCluster::expect),
@@ -62,37 +62,37 @@
     ("kill", SimulatedCluster::kill_controller),
     ("start", SimulatedCluster::start_controller),
     ("start-all", SimulatedCluster::start_all_controllers),
-    ("processor", SimulatedCluster::set_controller_capacity),
+    ("event-capacity", SimulatedCluster::set_controller_capacity),
     ("cut", SimulatedCluster::cut_link),
     ("uncut", SimulatedCluster::restore_links),
     ("heal", SimulatedCluster::restore_all_links),
-    ("part", SimulatedCluster::partition_zones),
-    ("outage", SimulatedCluster::set_kv_outage),
-    ("cloud", SimulatedCluster::set_cloud_outage),
+    ("partition", SimulatedCluster::partition_zones),
+    ("kv-outage", SimulatedCluster::set_kv_outage),
+    ("cloud-outage", SimulatedCluster::set_cloud_outage),
     ("hang", SimulatedCluster::hang_machines),
-    ("unhang", SimulatedCluster::resume_machines),
-    ("sick", SimulatedCluster::make_sick),
-    ("slow", SimulatedCluster::slow_machine),
-    ("mend", SimulatedCluster::stop_task_failures),
-    ("notice", SimulatedCluster::announce_spot_reclaim),
-    ("take", SimulatedCluster::remove_machine),
-    ("changes", SimulatedCluster::set_long_changes),
-    ("direct", SimulatedCluster::set_direct_commands),
+    ("resume", SimulatedCluster::resume_machines),
+    ("fail-tasks", SimulatedCluster::fail_tasks_on_machine),
+    ("slow-machine", SimulatedCluster::slow_machine),
+    ("stop-failures", SimulatedCluster::stop_task_failures),
+    ("reclaim-notice", SimulatedCluster::announce_spot_reclaim),
+    ("remove-machine", SimulatedCluster::remove_machine),
+    ("change-responses", SimulatedCluster::set_long_changes),
+    ("direct-commands", SimulatedCluster::set_direct_commands),
     ("txns", SimulatedCluster::set_txn_mode),
-    ("deliver", SimulatedCluster::deliver_held),
-    ("lose", SimulatedCluster::drop_held),
+    ("deliver-held", SimulatedCluster::deliver_held),
+    ("drop-held", SimulatedCluster::drop_held),
     ("mesh", SimulatedCluster::set_mesh_mode),
-    ("flash", SimulatedCluster::restart_at_once),
-    ("asks", SimulatedCluster::poll_repeatedly),
-    ("deaf", SimulatedCluster::set_receive_path_down),
-    ("mute", SimulatedCluster::set_send_path_down),
-    ("calm", SimulatedCluster::expect_prompt_starts),
-    ("cloud-answers", SimulatedCluster::set_cloud_delay),
-    ("close-looks", SimulatedCluster::set_close_polling),
+    ("restart", SimulatedCluster::kill_and_restart),
+    ("poll-rate", SimulatedCluster::poll_repeatedly),
+    ("receive-path-down", SimulatedCluster::set_receive_path_down),
+    ("send-path-down", SimulatedCluster::set_send_path_down),
+    ("check-waiting", SimulatedCluster::expect_prompt_starts),
+    ("cloud-delay", SimulatedCluster::set_cloud_delay),
+    ("close-polls", SimulatedCluster::set_close_polling),
     ("stream", SimulatedCluster::set_stream),
-    ("cancels-at-end", SimulatedCluster::set_cancels_at_end),
-    ("copies", SimulatedCluster::set_heartbeat_copies),
-    ("state", SimulatedCluster::set_kv_delay),
+    ("cancel-at-end", SimulatedCluster::set_cancels_at_end),
+    ("copy-heartbeats", SimulatedCluster::set_heartbeat_copies),
+    ("kv-delay", SimulatedCluster::set_kv_delay),
     ("freeze", SimulatedCluster::freeze_controller),
     ("thaw", SimulatedCluster::thaw_controllers),
     ("clock", SimulatedCluster::set_clock),
@@ -107,5 +107,5 @@
 }
 
 pub fn parse_status(text: &str) -> Result<u16, String> {
-    text.parse().map_err(|_| format!("expected a status, not {text}"))
+    text.parse().map_err(|_| format!("expected a status code, not {text}"))
 }
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -1,5 +1,5 @@
-//! The conditions that scenarios wait for and expect, one function for each subject. A condition on a job or a run starts
-//! the requests that show whether it holds.
+//! The conditions that scenarios wait for and expect, grouped by subject. Evaluating a condition on a job or a run also
+//! starts the polls and queries whose responses show whether it holds.
 
 use olivelatch::coordination::controller::Controller;
 use olivelatch_worker::Worker;
@@ -10,8 +10,8 @@
 use super::{ControllerSlot, PendingRequest, SimulatedCluster};
 
 const POLL_INTERVAL_MS: u64 = 500;
-/// An answer about a job counts as recent for so long.
-const RECENT_MS: u64 = 5_000;
+/// How long after a response about a job the condition `recently-answered` holds.
+const RECENT_RESPONSE_MS: u64 = 5_000;
 
 fn compare(value: u64, operator: &str, right: &str) -> bool {
     let right: u64 = right.parse().expect("a number");
@@ -23,7 +23,7 @@
     }
 }
 
-/// Tasks that the worker runs, without those that wait for their image.
+/// Returns the number of tasks that the worker runs, without those that wait for their image.
 fn running_tasks(worker: &Worker) -> u64 {
     worker.attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended()).count() as u64
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What users know of jobs, and what became of cancelled ones.
+    /// Conditions on what users know about jobs, and on the tasks of cancelled jobs.
     fn job_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
             [status @ ("done" | "withdrawn"), id] => {
@@ -59,30 +59,32 @@
                 self.final_states.contains_key(&id)
             }
             // The users know the final state of every job of the stream.
-            ["streamed"] => self.job_stream.as_ref().is_some_and(JobStream::is_finished),
-            // The longest time, in ms, from the end of a job's last task until its user knew of it.
-            ["told_late", op, right] => self
+            ["stream-finished"] => self.job_stream.as_ref().is_some_and(JobStream::is_finished),
+            // The longest time, in ms, from the end of a job's last task until its user knew the final state.
+            ["notification-delay", op, right] => self
                 .job_stream
                 .as_ref()
                 .is_some_and(|stream| compare(stream.max_notification_delay_ms, op, right)),
-            ["known", ids @ ..] => {
+            // The users have had a recent response about each of these jobs.
+            ["recently-answered", ids @ ..] => {
                 let ids: Vec<String> = ids.iter().map(|id| job_name(id)).collect();
                 if self.now % POLL_INTERVAL_MS == 0 {
                     ids.iter().for_each(|id| self.poll_job(id));
                 }
                 let known = |id: &String| {
-                    self.faults.last_answered_at.get(id).is_some_and(|at| self.now <= at + RECENT_MS)
+                    self.faults.last_answered_at.get(id).is_some_and(|at| self.now <= at + RECENT_RESPONSE_MS)
                 };
                 ids.iter().all(known)
             }
-            ["confirmed", op, right] => compare(self.cancelled.len() as u64, op, right),
+            // How many jobs' users know that their jobs are cancelled.
+            ["reported-cancelled", op, right] => compare(self.cancelled.len() as u64, op, right),
             // The longest time, in ms, that a task ran after its user knew of the cancellation.
-            ["stayed", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
+            ["longest-cancelled-run", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
             ["accepted", id] => self.accepted_jobs.contains(&job_name(id)),
-            // Tasks that started after their user knew of the cancellation.
-            ["started_cancelled", op, right] => compare(self.faults.started_cancelled, op, right),
-            // Tasks that ended with the lease of their worker.
-            ["lost_with_lease", op, right] => compare(self.faults.lost_with_lease, op, right),
+            // How many tasks started after their user knew of the cancellation.
+            ["started-after-cancel", op, right] => compare(self.faults.started_cancelled, op, right),
+            // How many tasks were killed because the lease of their worker had expired.
+            ["killed-on-lease-expiry", op, right] => compare(self.faults.lost_with_lease, op, right),
             ["running", id, op, right] => {
                 let id = job_name(id);
                 let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
@@ -93,20 +95,20 @@
         })
     }
 
-    /// What operators are shown.
+    /// Conditions on the responses to operators' queries.
     fn operator_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
-            ["explained", id, word] => {
+            ["reason", id, word] => {
                 self.operator_queries.start_query("explain", &job_name(id));
                 self.operator_queries.response_contains("explain", &job_name(id), word)
             }
-            ["unexplained", id, word] => {
+            ["no-reason", id, word] => {
                 let id = job_name(id);
                 self.operator_queries.start_query("explain", &id);
                 self.operator_queries.response("explain", &id).is_some()
                     && !self.operator_queries.response_contains("explain", &id, word)
             }
-            ["noted", id, word] => {
+            ["event", id, word] => {
                 self.operator_queries.start_query("events", &job_name(id));
                 self.operator_queries.response_contains("events", &job_name(id), word)
             }
@@ -118,7 +120,7 @@
                     .and_then(|body| body.pointer(pointer));
                 found.is_some_and(|found| found.to_string().trim_matches('"') == *value)
             }
-            ["figure", id, pointer, op, right] => {
+            ["explain-value", id, pointer, op, right] => {
                 self.operator_queries.start_query("explain", &job_name(id));
                 let found = self
                     .operator_queries
@@ -134,7 +136,7 @@
         })
     }
 
-    /// Runs of graphs.
+    /// Conditions on DAG runs and their nodes.
     fn graph_condition(&mut self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["node", run, node, state] => {
@@ -149,7 +151,7 @@
                 let found = self.dag_runs.run_row(run).map(|row| row["states"][*state].as_u64().unwrap_or(0));
                 found.is_some_and(|found| compare(found, op, right))
             }
-            ["sent"] => {
+            ["graph-requests-sent"] => {
                 self.dag_runs.is_idle()
                     && !self
                         .requests_in_flight
@@ -160,7 +162,7 @@
         })
     }
 
-    /// Records in the kv store.
+    /// Conditions on the records in the kv store.
     fn record_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["record", key, op @ ("has" | "lacks"), word] => {
@@ -171,16 +173,16 @@
                 let count = self.kv_store.keys().filter(|key| key.starts_with(prefix)).count();
                 compare(count as u64, op, right)
             }
-            ["grants", op, right] => compare(self.kv_store.granted_lease_count(), op, right),
+            ["granted-leases", op, right] => compare(self.kv_store.granted_lease_count(), op, right),
             ["records", op, right] => compare(self.kv_store.len() as u64, op, right),
             _ => return None,
         })
     }
 
-    /// Machines and what runs on them.
+    /// Conditions on machines and their tasks.
     fn machine_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
-            ["on", host, op, right] => {
+            ["tasks-on", host, op, right] => {
                 let worker = self.workers.iter().find(|worker| worker.machine.name == *host);
                 worker.is_some_and(|worker| compare(running_tasks(worker), op, right))
             }
@@ -192,7 +194,7 @@
         })
     }
 
-    /// Controllers and the counters of their leaders.
+    /// Conditions on controllers and the counters of leaders.
     fn controller_condition(&self, words: &[&str]) -> Option<bool> {
         Some(match words {
             ["counter", name, op, right] => {
@@ -208,7 +210,7 @@
             ["leaders", op, right] => {
                 compare(self.controllers.iter().filter(|slot| slot.is_leader()).count() as u64, op, right)
             }
-            ["quiet", op, right] => {
+            ["idle-controllers", op, right] => {
                 let is_idle =
                     |slot: &&ControllerSlot| slot.controller.as_ref().is_some_and(Controller::is_idle);
                 compare(self.controllers.iter().filter(is_idle).count() as u64, op, right)
