--- a/crates/cli/src/render/reasons.rs
+++ b/crates/cli/src/render/reasons.rs
@@ -127,9 +127,18 @@
             too_small,
             ..
         } => format!(
-            "no machine that the job may use is up (a task needs {requested_cpus} CPUs, {requested_memory_gb} GB); \
-             of {machines} machines up, {wrong_machine_type} are of another type, {wrong_zone} are in another zone, \
-             {spot_not_allowed} are spot machines, {too_small} are too small"
+            concat!(
+                "no machine that the job may use is up (a task needs {} CPUs, {} GB); ",
+                "of {} machines up, {} are of another type, {} are in another zone, ",
+                "{} are spot machines, {} are too small"
+            ),
+            requested_cpus,
+            requested_memory_gb,
+            machines,
+            wrong_machine_type,
+            wrong_zone,
+            spot_not_allowed,
+            too_small
         ),
         StateReason::InsufficientCapacity { requested_cpus, requested_memory_gb, machine_types, .. } => {
             let capacity = join(machine_types, "; ", machine_type_capacity);
--- a/crates/scale-test/src/html_report.rs
+++ b/crates/scale-test/src/html_report.rs
@@ -56,10 +56,10 @@
 
 /// The page: the table, and a plot of each kind of measurement.
 pub fn render_page(report: &RunReport) -> String {
-    let mut html = String::from(
-        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Scale run</title>\n\
-         <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{overflow-x:auto}</style>\n",
-    );
+    let mut html = String::from(concat!(
+        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Scale run</title>\n",
+        "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{overflow-x:auto}</style>\n",
+    ));
     // Writing to a string cannot fail.
     let _ = writeln!(html, "<h1>Scale run</h1>\n<pre>{}</pre>", escape_html(&report.table()));
     for (title, lines) in plots() {
--- a/src/bookkeeping/dag/error.rs
+++ b/src/bookkeeping/dag/error.rs
@@ -39,8 +39,7 @@
     },
     /// An edge range refers to nodes that do not exist, or is empty.
     #[error(
-        "edges to node {to} from the {count} nodes that start at node {first}: \
-         expected at least one upstream node, and only nodes that exist"
+        "edges to node {to} from {count} nodes starting at {first}: expected 1 or more, and only nodes that exist"
     )]
     EdgeRange {
         /// Index of the downstream node.
--- a/src/coordination/leader/debug_status.rs
+++ b/src/coordination/leader/debug_status.rs
@@ -67,11 +67,16 @@
         let team_cpu: BTreeMap<TeamIx, u64> =
             self.quotas.usage.iter().map(|(team, used)| (*team, used.cpu)).collect();
         log::debug!(
-            "status of queues: {shared} shared, {dedicated} dedicated and {} backlog tasks; {} waiting gangs; \
-             {} log segments; team CPUs in thousandths: {team_cpu:?}; {:?}",
+            concat!(
+                "status of queues: {} shared, {} dedicated and {} backlog tasks; {} waiting gangs; ",
+                "{} log segments; team CPUs in thousandths: {:?}; {:?}"
+            ),
+            shared,
+            dedicated,
             self.placement.backlog.len(),
             self.placement.waiting_gangs.len(),
             self.assignment_log.segment_count(),
+            team_cpu,
             self.counters
         );
     }
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -153,8 +153,10 @@
             "Number of times this controller became the leader",
             self.status.failovers,
         ));
-        let help = "Messages and connections of other controllers dropped: invalid, duplicate, from an unknown \
-            sender, above the connection limit, or replaced by a newer connection";
+        let help = concat!(
+            "Messages and connections of other controllers dropped: invalid, duplicate, from an unknown ",
+            "sender, above the connection limit, or replaced by a newer connection"
+        );
         counters.push(("olivelatch_mesh_dropped", help, self.mesh_dropped));
         for (name, help, value) in counters {
             let counter = ConstCounter::new(value);
@@ -180,8 +182,10 @@
     }
 
     fn encode_job_counters(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), Error> {
-        let help = "Jobs by team, class and state, from the stored records; the state told counts only \
-            completions reported by this controller";
+        let help = concat!(
+            "Jobs by team, class and state, from the stored records; the state told counts only ",
+            "completions reported by this controller"
+        );
         let mut family = encoder.encode_descriptor("olivelatch_jobs", help, None, MetricType::Counter)?;
         for row in &self.status.job_counters {
             let counts = [
--- a/src/tunables.rs
+++ b/src/tunables.rs
@@ -21,8 +21,7 @@
     #[error("{file}: {name} must be {low} to {high}, not {value}")]
     OutOfRange { file: String, name: &'static str, low: f64, high: f64, value: f64 },
     #[error(
-        "{file}: graphs are enabled but operators are not: graph runs are queried through the operators' interface, \
-         so turn operators on as well"
+        "{file}: graphs are enabled but operators are not: turn operators on, their interface answers graph run queries"
     )]
     GraphsRequireOperators { file: String },
     #[error("{file}: pool {pool}: expected 1 to {MAX_POOL_SLOTS} slots, not {slots}")]
