--- a/src/coordination/leader/cancellation.rs
+++ b/src/coordination/leader/cancellation.rs
@@ -69,7 +69,7 @@
             binding.stop_grace_ms = Some(0);
             binding.stop_sent_at = None;
             binding.lease_renewal_cutoff = Some(deadline);
-            self.cluster.pending_announcements.insert(ix);
+            self.cluster.pending_direct_messages.insert(ix);
         }
     }
 }
--- a/src/coordination/leader/cluster.rs
+++ b/src/coordination/leader/cluster.rs
@@ -37,7 +37,7 @@
     pub(super) image_holders: HashMap<ImageIx, BTreeSet<MachineIx>>,
     /// Machines to be sent a direct message, which announces the leader or carries commands that should not wait for
     /// the next heartbeat.
-    pub(super) pending_announcements: BTreeSet<MachineIx>,
+    pub(super) pending_direct_messages: BTreeSet<MachineIx>,
 }
 
 impl MachineType {
--- a/src/coordination/leader/dag_runs/time_limits.rs
+++ b/src/coordination/leader/dag_runs/time_limits.rs
@@ -77,7 +77,7 @@
                 binding.stop_grace_ms = Some(TIME_LIMIT_STOP_GRACE_MS);
                 binding.timed_out = true;
             }
-            self.cluster.pending_announcements.insert(ix);
+            self.cluster.pending_direct_messages.insert(ix);
         }
     }
 }
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -94,13 +94,13 @@
             if under_pressure { MAX_ANNOUNCEMENTS_UNDER_PRESSURE } else { MAX_ANNOUNCEMENTS };
         let mut messages = Vec::new();
         let mut announcements = 0;
-        for ix in std::mem::take(&mut self.cluster.pending_announcements) {
+        for ix in std::mem::take(&mut self.cluster.pending_direct_messages) {
             let Some(purpose) = self.direct_purpose(ix, clock.now) else { continue };
             if purpose == DirectPurpose::Announcement {
                 // Sent all at once, announcements would delay lease renewals and heartbeats. A machine whose
                 // heartbeat arrives first needs no announcement.
                 if announcements >= max_announcements {
-                    self.cluster.pending_announcements.insert(ix);
+                    self.cluster.pending_direct_messages.insert(ix);
                     continue;
                 }
                 announcements += 1;
@@ -129,7 +129,7 @@
         let receive_path_down = machine.receive_path_down();
         if machine.direct_send_in_flight || now < machine.direct_send_not_before {
             if receive_path_down {
-                self.cluster.pending_announcements.insert(ix);
+                self.cluster.pending_direct_messages.insert(ix);
             }
             return None;
         }
@@ -170,7 +170,7 @@
         if outcome == DirectOutcome::Refused && machine.epoch > message.epoch {
             // A worker ignores a token that comes with an epoch other than its own. The records do not hold
             // the epoch, but the refusal carried it, so the message can be sent again at once.
-            self.cluster.pending_announcements.insert(ix);
+            self.cluster.pending_direct_messages.insert(ix);
         } else if outcome != DirectOutcome::Executed {
             machine.direct_send_not_before = clock.now.saturating_add(DIRECT_BACKOFF_MS);
         }
@@ -178,7 +178,7 @@
         match outcome {
             DirectOutcome::Executed => self.refresh_placement_index(ix),
             DirectOutcome::Refused | DirectOutcome::Unknown if machine.receive_path_down() => {
-                self.cluster.pending_announcements.insert(ix);
+                self.cluster.pending_direct_messages.insert(ix);
             }
             DirectOutcome::Refused => {}
             DirectOutcome::Unknown => {
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -88,7 +88,7 @@
         if heartbeat.token == self.term.token() && !machine.token_acknowledged {
             machine.token_acknowledged = true;
             machine.token_first_acknowledged = Some(clock.now);
-            self.cluster.pending_announcements.insert(ix);
+            self.cluster.pending_direct_messages.insert(ix);
         }
         self.refresh_placement_index(ix);
     }
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -137,7 +137,7 @@
             log::info!(event = "receive_path_down", machine = name; "receive path down: machine {name} sends heartbeats, commands do not arrive");
             self.refresh_placement_index(ix);
             self.requeue_machine_queues(ix);
-            self.cluster.pending_announcements.insert(ix);
+            self.cluster.pending_direct_messages.insert(ix);
         }
     }
 
--- a/src/coordination/leader/placement/stop_tasks.rs
+++ b/src/coordination/leader/placement/stop_tasks.rs
@@ -27,7 +27,7 @@
             let binding = &mut self.cluster.machines[machine_ix.index()].bindings[binding_index];
             binding.stop_grace_ms.get_or_insert(grace_ms);
             self.quotas.stopping_usage.entry(team).or_default().add(&need);
-            self.cluster.pending_announcements.insert(machine_ix);
+            self.cluster.pending_direct_messages.insert(machine_ix);
             self.cluster.placement_index.record_capacity_growth(machine_ix);
             return;
         }
@@ -61,7 +61,7 @@
                 stopped += 1;
             }
         }
-        self.cluster.pending_announcements.insert(machine_ix);
+        self.cluster.pending_direct_messages.insert(machine_ix);
         stopped
     }
 
--- a/src/coordination/leader/records/assignment_log/append.rs
+++ b/src/coordination/leader/records/assignment_log/append.rs
@@ -152,7 +152,7 @@
         let previous = binding.log_segment.replace(segment);
         if binding.dispatch == DispatchState::Planned {
             binding.dispatch = DispatchState::Recorded;
-            self.cluster.pending_announcements.insert(start.machine);
+            self.cluster.pending_direct_messages.insert(start.machine);
         }
         self.assignment_log.add_start(segment, start, previous);
     }
--- a/src/coordination/leader/records/recovery.rs
+++ b/src/coordination/leader/records/recovery.rs
@@ -98,7 +98,7 @@
             self.recover_binding(segment, TaskPlacement { machine: ix, task, attempt }, cache, clock);
         }
         // Announces the new token early, because a worker that has received it rejects commands of the deposed leader.
-        self.cluster.pending_announcements.insert(ix);
+        self.cluster.pending_direct_messages.insert(ix);
     }
 
     fn register_recorded_machine(
