--- a/src/coordination/leader/machines/capacity_plan/array_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/array_demand.rs
@@ -51,9 +51,10 @@
         assigned
     }
 
-    /// Returns the CPU milliseconds of a new machine that count as usable. A new machine takes time to boot
-    /// and is billed for a minimum time: unless there is work for that long, present machines are the better
-    /// choice.
+    /// Returns the CPU milliseconds of a new machine that count as usable: those within the horizon or the
+    /// minimum billed time, whichever is longer, less the boot time, but enough for one run. Counting all of
+    /// the billed time keeps a plan from requesting more machines than have work for the time that is paid
+    /// for.
     fn usable_cpu_ms(&self, machine_type: &MachineType) -> u64 {
         let billed_ms = self.horizon_ms.max(MIN_BILLED_MS);
         let usable_ms = billed_ms.saturating_sub(machine_type.boot_ms).max(self.run_ms);
--- a/src/coordination/leader/machines/capacity_plan/gang_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/gang_demand.rs
@@ -62,8 +62,8 @@
     }
 
     /// Returns the zone for a job that must be in a single zone: of the zones that have or can get enough
-    /// capacity, the one with most present capacity for the job. If there is none, returns the zone of the
-    /// cheapest offer.
+    /// capacity, the one with the most present capacity for the job. If there is none, returns the zone of
+    /// the cheapest offer.
     fn choose_zone(&self, ix: JobIx, job_state: &JobState) -> Option<ZoneIx> {
         let mut slots_by_zone: BTreeMap<ZoneIx, u64> = BTreeMap::new();
         for planned in &self.planned_machines {
--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Counts machines of pending requests that suit the job as wanted, as long as `try_use` accepts one
-    /// more.
+    /// Adds machines of pending requests that suit the job to the wanted machines, as long as `try_use`
+    /// accepts another one.
     fn use_pending_requests(
         &mut self,
         job_state: &JobState,
--- a/src/coordination/leader/machines/capacity_plan/planned_machines.rs
+++ b/src/coordination/leader/machines/capacity_plan/planned_machines.rs
@@ -4,7 +4,7 @@
 use crate::coordination::leader::{Binding, Leader, Machine, MachineState};
 use crate::ids::MachineIx;
 
-/// A booting machine is expected to be available no sooner than in this time.
+/// A booting machine is expected to be available no sooner than this time from now.
 const MIN_BOOT_WAIT_MS: u64 = 5_000;
 /// A running task is expected to run at least this much longer.
 const MIN_REMAINING_RUN_MS: u64 = 1_000;
--- a/src/coordination/leader/machines/capacity_plan/zone_demand.rs
+++ b/src/coordination/leader/machines/capacity_plan/zone_demand.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Returns the zone with most of a job's tasks. After a failover, the records of tasks in other zones may be
-/// stale.
+/// Returns the zone that has the most tasks of a job. After a failover, the records of tasks in other
+/// zones may be stale.
 fn zone_with_most_tasks(tasks_per_zone: &HashMap<ZoneIx, u32>) -> Option<ZoneIx> {
     tasks_per_zone.iter().max_by_key(|(zone, count)| (**count, **zone)).map(|(zone, _)| *zone)
 }
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -222,8 +222,8 @@
         binding.late_start_possible |= outcome == DirectOutcome::Unknown;
     }
     if outcome == DirectOutcome::Unknown {
-        // This includes tasks that have exited in the meantime: the worker must still have them when a
-        // delayed copy of the command arrives, or it would start them again.
+        // This includes tasks that have exited in the meantime: if the worker had forgotten them when a
+        // delayed copy of the command arrives, it would start them again.
         machine.late_starts.extend(message.task_starts.iter().copied());
     }
 }
--- a/src/coordination/leader/machines/provisioner/offer_backoff.rs
+++ b/src/coordination/leader/machines/provisioner/offer_backoff.rs
@@ -1,8 +1,8 @@
 //! Exponential backoff of offers that the cloud has refused.
 //!
-//! One offer is tried per second. With a constant backoff of as many seconds as there were cheap offers
-//! without capacity, those were tried in turn forever, and more expensive offers that had capacity were never
-//! tried.
+//! One offer is tried per second, the cheapest that is not in backoff. With a constant backoff of n seconds
+//! and n cheap offers without capacity, each cheap offer was due again by the time the others had been tried,
+//! so more expensive offers that had capacity were never tried.
 
 use std::collections::HashMap;
 
--- a/src/coordination/leader/machines/provisioner/scale_in.rs
+++ b/src/coordination/leader/machines/provisioner/scale_in.rs
@@ -105,7 +105,7 @@
         overdue && !seeking_leader
     }
 
-    /// Requests the cloud to release machines whose return is durably recorded.
+    /// Asks the cloud to release machines whose return is durably recorded.
     pub(super) fn release_machines(&mut self, clock: Clock, actions: &mut Vec<Action>) {
         let provisioner = &mut self.provisioner;
         if provisioner.release_in_flight || clock.now < provisioner.next_release_at {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -82,7 +82,7 @@
     /// `token`.
     ///
     /// `previous_serving_ms` is how long after its own lease a deposed leader may have answered heartbeats. The last
-    /// worker leases that it renewed have expired at the term's `recovery_until`.
+    /// worker leases that it renewed have expired by the term's `recovery_until`.
     pub fn new(
         token: FencingToken,
         previous_serving_ms: u64,
--- a/src/coordination/leader/placement/best_effort.rs
+++ b/src/coordination/leader/placement/best_effort.rs
@@ -1,8 +1,8 @@
 //! Best-effort jobs: array jobs without a deadline that are not DAG nodes and whose class has no objective. They get
 //! the capacity that other jobs leave over.
 //!
-//! Their tasks may run for minutes. When they were given every machine that was free for a moment, arrays with an
-//! objective of two and a half minutes that came a little later had to wait until these tasks ended
+//! Their tasks may run for minutes. Before their share was limited, they took every machine that was briefly free, and
+//! arrays with an objective of two and a half minutes that arrived a little later had to wait until these tasks ended
 //! (docs/incidents/guests.md).
 
 use olivelatch_admission::headroom::Headroom;
--- a/src/coordination/leader/placement/dispatch.rs
+++ b/src/coordination/leader/placement/dispatch.rs
@@ -19,17 +19,17 @@
 const MAX_STEALS_PER_PASS: usize = 4;
 /// Paused thieves that resume at each sweep while any shared queue holds tasks.
 const THIEVES_RESUMED_PER_SWEEP: usize = 4;
-/// Minimum time between searches for machines for waiting gangs: within a shorter time too little changes for them.
+/// Minimum time between searches for machines for waiting gangs: too little changes for them in a shorter time.
 const GANG_SEARCH_INTERVAL_MS: u64 = 150;
-/// Minimum time between these searches while the leader is behind its events.
+/// Minimum time between these searches while the leader is behind with handling its events.
 const GANG_SEARCH_INTERVAL_UNDER_PRESSURE_MS: u64 = 1_000;
 
 /// The first job of a queue from which a machine may start a task.
 pub(super) struct FirstStartable {
     /// The position of that job; None if no job of the queue may start a task.
     pub(super) order: Option<QueueOrder>,
-    /// At least one examined job was kept from starting only by something other than the machine: a cluster-wide
-    /// limit or a preempting job.
+    /// At least one examined job could start on this machine, but a cluster-wide limit or a preempting job keeps it
+    /// from starting.
     pub(super) any_limited: bool,
 }
 
--- a/src/coordination/leader/placement/eligibility.rs
+++ b/src/coordination/leader/placement/eligibility.rs
@@ -103,7 +103,7 @@
         (self.best_effort_slots(job) == 0).then_some(PlacementBlocker::BestEffortLimit)
     }
 
-    /// Returns whether the job's zone rules allow this machine. Every placement counts where a task of the job may
+    /// Returns whether the job's zone rules allow this machine. They apply to all zones in which a task of the job may
     /// still be.
     pub(super) fn zone_rules_allow(&self, machine_ix: MachineIx, job: &JobState) -> bool {
         let zone = self.cluster.machines[machine_ix.index()].zone;
--- a/src/coordination/leader/placement/gang_search.rs
+++ b/src/coordination/leader/placement/gang_search.rs
@@ -1,5 +1,5 @@
-//! Searches machines for all tasks of a gang or service, among the machine types and zones that fit. Counts room that
-//! is free, or that preemption or draining can make.
+//! Searches for machines for all tasks of a gang or service, among the machine types and zones that fit. Counts room
+//! that is free, or that preemption or draining can make.
 //!
 //! The functions read the leader's state and change nothing.
 
@@ -57,7 +57,8 @@
 }
 
 impl Leader {
-    /// Returns machines for all `count` tasks with the least delay, or None if there is not enough room.
+    /// Returns the machines on which all `count` tasks can start with the least delay, or None if there is not enough
+    /// room.
     pub(super) fn find_gang_placement(
         &self,
         job_ix: JobIx,
--- a/src/coordination/leader/placement/gang_search_cache.rs
+++ b/src/coordination/leader/placement/gang_search_cache.rs
@@ -9,8 +9,8 @@
 use crate::ids::{MachineTypeIx, Millis, Resources, TeamIx, ZoneIx};
 use crate::protocol::users::PriorityClass;
 
-/// An entry expires after this time even if no room has grown: meanwhile running tasks come closer to their ends, and
-/// borrowed capacity becomes reclaimable.
+/// An entry expires after this time even if room has not grown, because running tasks have come closer to their ends
+/// and borrowed capacity may have become reclaimable.
 const ENTRY_TTL_MS: u64 = 1_000;
 
 /// The requirements that decide where a gang can be placed. A search is valid for all gangs with the same key.
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Records that a search found nothing. Not recorded are searches for a gang whose own history excludes machines or
-    /// zones, as their failure does not apply to other gangs.
+    /// Records that a search found nothing. A search for a gang whose own history excludes machines or zones is not
+    /// recorded, because its failure does not apply to other gangs.
     pub(super) fn record_failure(&mut self, job: &JobState, count: usize, room_generation: u64, now: Millis) {
         if !job.failed_on.is_empty() || !job.tasks_per_zone.is_empty() {
             return;
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -152,9 +152,9 @@
     }
 
     /// Returns the order in which waiting gangs are tried: by rank, unless the backlog of gangs for the machines that
-    /// fit them is so long that a gang that came now would not even start before its objectives had passed. In that
+    /// fit them is so long that a gang that arrived now would not even start before its objectives had passed. In that
     /// case gangs of team classes below their minimum share come first, and small gangs come before large ones that
-    /// came only a little earlier, so that more gangs complete.
+    /// arrived only a little earlier, so that more gangs complete.
     pub(super) fn gang_order(&self) -> Vec<Rank> {
         let mut ranks: Vec<Rank> = self.placement.waiting_gangs.iter().copied().collect();
         let excess_backlog_ms =
--- a/src/coordination/leader/placement/policy.rs
+++ b/src/coordination/leader/placement/policy.rs
@@ -17,7 +17,7 @@
 //! objectives.
 //!
 //! The fourth criterion starves no job, because it is a wall-clock time: it stays the same while the start-by times
-//! of newer jobs advance. A node passes a plain job only if it came less than two minutes later, however long its
+//! of newer jobs advance. A node passes a plain job only if it arrived less than two minutes later, however long its
 //! downstream path is.
 //!
 //! This module does no I/O and reads no clock. Memory: one entry for each job.
--- a/src/coordination/leader/placement/reserved_machines.rs
+++ b/src/coordination/leader/placement/reserved_machines.rs
@@ -81,7 +81,7 @@
             }
             let mut reservable = self.reservable_machines(*machine_type, type_demand);
             reservable.sort_unstable();
-            // Half of the machines stay open if queued tasks wait that fit no other type.
+            // Half of the machines stay open if some queued tasks fit only types for which gangs wait.
             let limit =
                 if self.has_queued_work_only_for(demand) { reservable.len() / 2 } else { reservable.len() };
             let count = limit.min(type_demand.tasks as usize);
@@ -139,7 +139,7 @@
         self.cluster.placement_index.schedulable_matching(is_other).next().is_some()
     }
 
-    /// Returns whether there are waiting queued tasks that fit only types for which gangs wait too.
+    /// Returns whether some queued tasks fit only types for which gangs wait too.
     fn has_queued_work_only_for(&self, demand: &GangDemandByType) -> bool {
         let fits_elsewhere =
             |job: &JobState| self.machine_types_for(job).iter().any(|ix| !demand.contains_key(ix));
--- a/src/coordination/leader/placement/steal.rs
+++ b/src/coordination/leader/placement/steal.rs
@@ -36,8 +36,9 @@
         first.order.is_none() && first.any_limited
     }
 
-    /// Moves tasks to the thief's shared queue: half of the tasks that it could start from the shared queue that has
-    /// most of them in a random sample (DAWS). Returns whether it found any; if not, the thief backs off.
+    /// Moves tasks to the thief's shared queue (DAWS): from a random sample of machines, chooses the shared queue with
+    /// the most tasks that the thief could start, and takes half of these. Returns whether there were any; if not, the
+    /// thief backs off.
     pub(super) fn steal(&mut self, thief: MachineIx, clock: Clock) -> bool {
         let stolen = self.take_half_of_longest(thief);
         if stolen.is_empty() {
@@ -116,11 +117,11 @@
         Some(QueuedTask { machine_ix: other, rank: order.rank })
     }
 
-    /// Returns the job of a queue that is served first.
+    /// Returns the order of the job that the queue serves first.
     fn first_in_order(&self, queue: &Queue) -> Option<QueueOrder> {
         let present = self.placement.priority_inputs.present;
-        // These inputs can put a job before the one with the lowest rank. Guarantees can as well, but are not checked
-        // here.
+        // Either of these inputs can put a job before the one with the lowest rank. Guarantees can as well, but are not
+        // considered here.
         if present.past_slo || present.below_minimum_share {
             queue.ranks().map(|rank| self.queue_order(rank)).min()
         } else {
--- a/src/coordination/leader/placement/stop_tasks.rs
+++ b/src/coordination/leader/placement/stop_tasks.rs
@@ -65,8 +65,9 @@
         stopped
     }
 
-    /// Handles the notice that the cloud reclaims the machine in `notice_ms`: stops tasks that can save a checkpoint
-    /// by then and tasks whose start has not been sent yet, and moves the machine's queued tasks to other machines.
+    /// Handles the notice that the cloud will reclaim the machine in `notice_ms`: stops tasks that can save a
+    /// checkpoint by then and tasks whose start has not been sent yet, and moves the machine's queued tasks to other
+    /// machines.
     pub(in crate::coordination::leader) fn on_interruption_notice(
         &mut self,
         machine_ix: MachineIx,
--- a/src/coordination/leader/records/assignment_log/mod.rs
+++ b/src/coordination/leader/records/assignment_log/mod.rs
@@ -29,7 +29,7 @@
 /// Above this number of segments in which only finished tasks are live, the blocks of the oldest such segment get
 /// records of their own.
 const MAX_FINISHED_ONLY_SEGMENTS: usize = 32;
-/// How long finished tasks wait for a segment that is written for other entries, in milliseconds.
+/// How long finished tasks wait to share a segment that is written for other entries, in milliseconds.
 const FINISHED_DELAY_MS: u64 = 1_000;
 /// Share of the leader's writes that may be new segments. The rest is for deleting segments, which costs a write each,
 /// and for other records.
@@ -77,7 +77,7 @@
         self.pending_returns.insert(machine);
     }
 
-    /// Queues a finished task. It is recorded by the next segment that other entries require, or after a delay.
+    /// Queues a finished task. It is recorded in the next segment that is written for other entries, or after a delay.
     pub(in crate::coordination::leader) fn queue_finished(&mut self, task: TaskId, now: Millis) {
         self.pending_finished.insert(task);
         self.pending_finished_since.get_or_insert(now);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Adds a block of which the segment records finished tasks.
+    /// Adds a block that contains finished tasks which the segment records.
     pub(super) fn add_finished(&mut self, segment: SegmentId, block: FinishedBlock) {
         if let Some(segment) = self.segments.get_mut(&segment) {
             segment.finished.insert(block);
--- a/src/coordination/leader/records/image_locality.rs
+++ b/src/coordination/leader/records/image_locality.rs
@@ -7,7 +7,7 @@
 use crate::ids::{ImageIx, MachineIx};
 
 impl Leader {
-    /// Records that the machine is about to use the image, which has `mb` megabytes.
+    /// Records that the machine is about to use the image, whose size is `mb` megabytes.
     pub(in crate::coordination::leader) fn record_image_use(
         &mut self,
         ix: MachineIx,
