--- a/crates/admission/src/borrowed.rs
+++ b/crates/admission/src/borrowed.rs
@@ -55,7 +55,8 @@
     }
 
     /// Deducts the amount from the team's borrowed capacity. Returns false if the remaining borrowed capacity does not
-    /// cover it. `whole_job` is the job that stops as a whole, if any: only its first part is deducted.
+    /// cover it. `whole_job` is the job that stops as a whole, if any: only the first call for that job deducts its
+    /// amount.
     pub fn reclaim(&mut self, team: T, amount: QuotaAmount, whole_job: Option<J>) -> bool {
         if whole_job.is_some_and(|job| self.reclaimed_jobs.contains(&job)) {
             return true;
--- a/crates/admission/tests/minimum_shares.rs
+++ b/crates/admission/tests/minimum_shares.rs
@@ -49,7 +49,7 @@
         for key in waiting {
             let minimum = MINIMUM_SHARE * STEPS_PER_WINDOW * weights[key] as f64 / total_weight as f64;
             let received = last_window.get(&key).copied().unwrap_or(0) as f64;
-            // The window advances in steps of a sixth, so a window may fall short by up to that.
+            // The window advances by a sixth of its length at a time, so a key may fall short by up to that fraction.
             prop_assert!(received >= minimum * 0.8 - 2.0, "key {key} received {received}, minimum share {minimum}");
         }
     }
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -12,7 +12,7 @@
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Why a request failed.
+/// Reasons why a request fails.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// No server responded within the deadline; the request may still have been executed.
--- a/crates/kv-store/src/engine.rs
+++ b/crates/kv-store/src/engine.rs
@@ -56,7 +56,7 @@
     ttl_ms: u64,
 }
 
-/// Why a transaction was not applied.
+/// Reasons why a transaction is not applied.
 pub(crate) enum TxnError {
     /// The transaction attaches a key to a lease that does not exist.
     NoSuchLease,
--- a/crates/kv-store/src/store_file.rs
+++ b/crates/kv-store/src/store_file.rs
@@ -11,7 +11,7 @@
 
 use crate::engine::Delta;
 
-/// Why the state file cannot be read or written.
+/// Reasons why the state file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The file cannot be opened.
@@ -54,8 +54,8 @@
 
 // Row names in the table NUMBERS.
 const FORMAT_NAME: &str = "format";
-/// The row holds the number of the lease that was granted last.
-const NEXT_LEASE_NAME: &str = "next_lease";
+/// The row holds the number of the lease that was granted last, in spite of its stored name.
+const LAST_LEASE_NAME: &str = "next_lease";
 const REVISION_NAME: &str = "revision";
 
 /// The stored form of a key's value.
@@ -123,7 +123,7 @@
         let txn = self.database.begin_read().map_err(redb_error)?;
         let mut deltas = Vec::new();
         let numbers = txn.open_table(NUMBERS).map_err(redb_error)?;
-        if let Some(last_lease) = numbers.get(NEXT_LEASE_NAME).map_err(redb_error)? {
+        if let Some(last_lease) = numbers.get(LAST_LEASE_NAME).map_err(redb_error)? {
             // Removed leases are not stored. This delta makes sure that their numbers are not granted again.
             deltas.push(Delta::RemoveLease { lease: last_lease.value() });
         }
@@ -186,7 +186,7 @@
             Delta::Revision(revision) => drop(numbers.insert(REVISION_NAME, revision).map_err(redb_error)?),
             Delta::GrantLease { lease, ttl_ms } => {
                 leases.insert(lease, ttl_ms).map_err(redb_error)?;
-                numbers.insert(NEXT_LEASE_NAME, lease).map_err(redb_error)?;
+                numbers.insert(LAST_LEASE_NAME, lease).map_err(redb_error)?;
             }
             Delta::RemoveLease { lease } => drop(leases.remove(lease).map_err(redb_error)?),
         }
--- a/crates/local-cluster/src/cluster/requests.rs
+++ b/crates/local-cluster/src/cluster/requests.rs
@@ -39,7 +39,7 @@
             }
             JOB_STORE_LISTENER => {
                 let response = self.job_store.handle_request(&self.folder, method, path, body);
-                response.unwrap_or_else(|| self.describe_cluster(method, path))
+                response.unwrap_or_else(|| self.handle_cluster_request(method, path))
             }
             _ => self.machines.handle_request(listener, method, path, body, &self.job_store, now),
         };
@@ -86,7 +86,7 @@
     }
 
     /// Handles requests about the local cluster itself, which come from `olivelatchctl` and tests.
-    fn describe_cluster(&mut self, method: &str, path: &str) -> (u16, Value) {
+    fn handle_cluster_request(&mut self, method: &str, path: &str) -> (u16, Value) {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match (method, segments.as_slice()) {
             ("GET", ["region"]) => {
--- a/crates/local-cluster/src/error.rs
+++ b/crates/local-cluster/src/error.rs
@@ -5,7 +5,7 @@
 use olivelatch_kv_store::StoreError;
 use thiserror::Error;
 
-/// Why a local cluster could not be opened, or why it stopped with an error.
+/// Reasons why a local cluster cannot be opened or stops with an error.
 #[derive(Debug, Error)]
 pub enum LocalClusterError {
     /// An operation on a file, a socket or a process failed.
--- a/crates/local-cluster/src/machines.rs
+++ b/crates/local-cluster/src/machines.rs
@@ -47,7 +47,7 @@
 pub struct Machines {
     workers: Vec<Worker>,
     heartbeat_channels: Vec<HeartbeatChannel>,
-    /// Since when each started gang (job and attempt) has missed a member.
+    /// Time since which a member of a started gang has been missing, by job and attempt.
     incomplete_gangs: BTreeMap<(String, u64), u64>,
     controllers: Vec<SocketAddr>,
     outputs: TaskOutputs,
--- a/crates/local-cluster/src/tests/machines.rs
+++ b/crates/local-cluster/src/tests/machines.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// A task that is done on one machine must not run again on another machine that was already up. Formerly, a worker had
-/// only the results from before its start.
+/// A task that is done on one machine must not run again on another machine that was already up. A worker used to know
+/// only the results that were stored before it started.
 #[test]
 fn a_task_result_applies_to_machines_that_are_already_up() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/worker/src/description.rs
+++ b/crates/worker/src/description.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why an uploaded description is rejected.
+/// Reasons why an uploaded description is rejected.
 #[derive(Debug, Error)]
 pub enum DescriptionError {
     /// The body is not JSON of the expected form.
--- a/crates/worker/src/gangs.rs
+++ b/crates/worker/src/gangs.rs
@@ -79,7 +79,7 @@
 }
 
 /// Starts, completes and stops the gangs on all machines of a cluster. `incomplete_since` is state that the caller
-/// keeps between calls: since when a started gang has missed a member.
+/// keeps between calls: the time since which a member of a started gang has been missing.
 pub fn coordinate_gangs(
     workers: &mut [Worker],
     now: u64,
--- a/src/protocol/config.rs
+++ b/src/protocol/config.rs
@@ -18,7 +18,7 @@
 /// Prefix of the names of team entries.
 const TEAM_PREFIX: &str = "team/";
 
-/// Why the key of an entry is not valid.
+/// Reasons why the key of an entry is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigKeyError {
     #[error("expected an entry like team/NAME, not {0:?}")]
@@ -162,11 +162,12 @@
     pub controller: Option<String>,
     #[serde(rename = "reason")]
     pub cause: PropagationBlocker,
-    /// Seconds since the responding controller read the change, or since it last read all records; 0 if neither.
+    /// Seconds since the responding controller read the change or, if that time is not known, since it last read all
+    /// records; 0 if neither time is known.
     pub since_s: f64,
 }
 
-/// Why a change is not known to be in force yet.
+/// Reasons why a change is not known to be in force yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PropagationBlocker {
--- a/src/protocol/graphs/requests.rs
+++ b/src/protocol/graphs/requests.rs
@@ -90,7 +90,7 @@
     Query(OperatorRequest),
 }
 
-/// Why the header of a run is not valid. The texts name fields as they are written on the wire.
+/// Reasons why the header of a run is not valid. The texts name fields as they are written on the wire.
 #[derive(Debug, Error)]
 enum HeaderError {
     #[error("graph: expected 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes and underscores, not {0:?}")]
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -92,7 +92,7 @@
     Rejected {
         status: u16,
     },
-    /// It may have been carried out.
+    /// The request may have been carried out.
     Unknown,
 }
 
--- a/src/protocol/operators/explanation.rs
+++ b/src/protocol/operators/explanation.rs
@@ -25,7 +25,8 @@
     /// Machines with too little free capacity.
     #[serde(rename = "full")]
     pub without_capacity: u32,
-    /// Machines that take no queued tasks: cordoned, as the capacity plan does not need them, or reserved for gangs.
+    /// Machines that take no queued tasks, because they are cordoned (the capacity plan does not need them) or reserved
+    /// for gangs.
     #[serde(rename = "parked")]
     pub cordoned: u32,
     /// Machines that take no tasks, for example because they are quarantined, slow, unreachable or being given back.
@@ -160,7 +161,8 @@
         requested_memory_gb: f64,
         /// Machines that are up or unreachable; the fields below count them by why the job cannot use them.
         machines: u32,
-        /// Machines of a type that the job does not allow, and unavailable machines that it cannot use in any case.
+        /// Machines of a type that the job does not allow, and unavailable machines that it could not use even if they
+        /// were available.
         #[serde(rename = "wrong_kind")]
         wrong_machine_type: u32,
         wrong_zone: u32,
@@ -211,7 +213,7 @@
     /// The cloud had too little capacity for machines that the job may use; they are requested again after a backoff.
     #[serde(rename = "cloud_refused")]
     CloudRejected { offers: Vec<InstanceOfferView> },
-    /// Machines can start tasks now: they are placed in one of the next scheduling rounds.
+    /// Machines can start tasks of the job now; the tasks are placed in one of the next scheduling rounds.
     #[serde(rename = "due")]
     Schedulable {
         /// Number of these machines.
--- a/src/protocol/operators/status.rs
+++ b/src/protocol/operators/status.rs
@@ -28,7 +28,7 @@
     /// Jobs that are done or cancelled.
     #[serde(rename = "jobs_ended")]
     pub jobs_terminal: u64,
-    /// Users' requests that wait for a response, without those whose write to the key-value store is in flight.
+    /// Users' requests that wait for a response and have no write to the key-value store in flight.
     #[serde(rename = "requests_held")]
     pub requests_pending: u64,
     /// How often the controller became the leader since it started.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -16,8 +16,8 @@
     /// with its read watermark.
     RevisionNotice { revision: u64 },
     /// Health beacon, sent once a second: whether the sender can reach the key-value store, how many workers recently
-    /// sent heartbeats to the sender although another controller leads, and how many did so to the other controllers
-    /// that the sender receives beacons from.
+    /// sent it heartbeats although another controller leads (misdirected workers), and the sum of that number over the
+    /// other controllers whose beacons the sender receives, excluding the receiver.
     HealthStatus { kv_reachable: bool, misdirected_workers: u32, misdirected_workers_elsewhere: u32 },
     /// The leader steps down and asks the receiver to become the leader.
     TransferLeadership,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -10,7 +10,7 @@
 use super::{HttpRequest, HttpResponse};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskId};
 
-/// Why an attempt ended.
+/// Reasons why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
     Done,
@@ -236,7 +236,8 @@
     )
 }
 
-/// Returns a request that sends commands between heartbeats; the worker rejects it if its epoch is another one.
+/// Returns a request that sends commands between heartbeats; the worker rejects it if `epoch` is not the worker's
+/// current epoch.
 pub fn commands_request(token: FencingToken, epoch: AgentEpoch, commands: &[WorkerCommand]) -> HttpRequest {
     HttpRequest::post(
         "/orders",
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -170,7 +170,7 @@
         if is_worker && has_no_connection && self.is_out_of_sockets() {
             self.evict_idle_workers(context);
         }
-        // The store and the cloud may open connections even when the process is out of sockets.
+        // Connections to the store and the cloud may be opened even when the process is out of sockets.
         let out_of_sockets = is_worker && self.is_out_of_sockets();
         loop {
             let Some(pool) = self.pools.get_mut(&target) else {
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -22,8 +22,8 @@
 const ERROR_LOG_INTERVAL_MS: u64 = 10_000;
 /// Minimum time between two attempts to connect to a peer.
 const RECONNECT_DELAY_MS: u64 = 500;
-/// A connection attempt that takes longer is abandoned and repeated. An attempt to reach a machine that is powered off
-/// would hang until the machine is back, and long after that.
+/// A connection attempt that takes longer is abandoned and repeated. Otherwise an attempt to reach a machine that is
+/// powered off would hang until long after the machine is back.
 const CONNECT_TIMEOUT_MS: u64 = 2_000;
 /// A peer that connects again after sending nothing for this time may have restarted, so the connection to its former
 /// process is replaced.
@@ -100,8 +100,8 @@
     }
 
     /// Handles the hello of a peer. Each peer has one incoming connection: an earlier one belongs to a former process
-    /// or was abandoned by the peer, so it is closed and its remaining messages are dropped. If two processes of a
-    /// peer replace each other's connection, this settles, since the live one connects again.
+    /// or was abandoned by the peer, so it is closed and its remaining messages are dropped. Two processes of a peer
+    /// may replace each other's connection; this ends with a connection of the live process, since it connects again.
     fn identify_peer(&mut self, context: &TransportContext, key: usize, controller: &str) {
         let now = context.now();
         let last_received = self.last_received.insert(controller.into(), now);
--- a/src/transport/metrics.rs
+++ b/src/transport/metrics.rs
@@ -74,7 +74,7 @@
         ("olivelatch_jobs_ended", "Jobs that are done or cancelled", status.jobs_terminal as f64),
         (
             "olivelatch_requests_held",
-            "Users' requests waiting for a response",
+            "Users' requests that wait for a response and have no write to the key-value store in flight",
             status.requests_pending as f64,
         ),
         ("olivelatch_connections", "Open connections of users, workers and operators", connections as f64),
@@ -101,7 +101,7 @@
         ("olivelatch_queued_dedicated_tasks", "Tasks in dedicated queues", leader.queued_dedicated as f64),
         (
             "olivelatch_queued_nowhere_tasks",
-            "Tasks that no present machine can run",
+            "Tasks that no current machine may run",
             leader.queued_backlog as f64,
         ),
         ("olivelatch_gangs_waiting", "Gangs and services with unplaced tasks", leader.gangs_waiting as f64),
@@ -132,9 +132,9 @@
             leader.stolen_tasks,
         ),
         ("olivelatch_spilled_tasks", "Tasks moved from dedicated to shared queues", leader.spilled_tasks),
-        ("olivelatch_preempted_tasks", "Tasks stopped to make room for others", leader.preempted_tasks),
+        ("olivelatch_preempted_tasks", "Tasks preempted to free capacity for others", leader.preempted_tasks),
         ("olivelatch_machines_lost", "Machines lost with the tasks on them", leader.machines_lost),
-        ("olivelatch_state_changes", "Mutations requested from the key-value store", leader.kv_mutations),
+        ("olivelatch_state_changes", "Mutations sent to the key-value store", leader.kv_mutations),
     ]
 }
 
--- a/src/transport/router.rs
+++ b/src/transport/router.rs
@@ -62,7 +62,7 @@
         _ => return Route::Respond(HttpResponse::error(404, "no such path")),
     };
     if request.method != method {
-        return Route::Respond(HttpResponse::error(405, "wrong method"));
+        return Route::Respond(HttpResponse::error(405, &format!("method not allowed: expected {method}")));
     }
     action()
 }
@@ -90,7 +90,9 @@
         _ => parse_operator_request(path.strip_prefix("/v1/")?, query)?,
     };
     Some(match parsed {
-        _ if request.method != "GET" => Route::Respond(HttpResponse::error(405, "wrong method")),
+        _ if request.method != "GET" => {
+            Route::Respond(HttpResponse::error(405, "method not allowed: expected GET"))
+        }
         Ok(request) => Route::Operator(request),
         Err(response) => Route::Respond(response),
     })
--- a/src/tunables.rs
+++ b/src/tunables.rs
@@ -36,7 +36,8 @@
     /// Maximum ratio of fetch time to run time with which a task joins a shared queue (DAWS).
     #[serde(rename = "t")]
     pub fetch_ratio_threshold: f64,
-    /// Estimated run time, in seconds, above which a dedicated queue spills tasks to the machine's shared queue (DAWS).
+    /// Estimated time to run all tasks of a dedicated queue, in seconds, above which the queue spills tasks to the
+    /// machine's shared queue (DAWS).
     #[serde(rename = "tt_s")]
     pub spill_threshold_s: f64,
     /// Fetch rate assumed while none has been observed or published, in GB per second.
@@ -56,7 +57,8 @@
     /// Time after which an idle machine is returned to the cloud, in seconds.
     #[serde(rename = "idle_s")]
     pub idle_return_s: f64,
-    /// Target for jobs without an objective or past it: complete within this time, in seconds, plus one run time.
+    /// Target for jobs that have neither an objective nor a deadline, or that have missed it: they should finish within
+    /// this time, in seconds, plus the run time of one task.
     #[serde(rename = "drain_s")]
     pub queue_drain_target_s: f64,
     /// Fraction of the time left until a job's objective within which all its tasks should have started.
@@ -82,7 +84,8 @@
     /// go first when too many gangs wait; reserves machines of scarce types for gangs.
     #[serde(rename = "order")]
     pub overload_ordering: bool,
-    /// Skips planning and direct starts while the controller lags behind its incoming events.
+    /// While the controller lags behind its incoming events, plans less often and sends most starts with heartbeat
+    /// responses instead of directly.
     #[serde(rename = "pressure")]
     pub load_shedding: bool,
     /// Keeps best-effort jobs from using capacity that other jobs have recently requested.
@@ -138,7 +141,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct GraphTunables {
     pub enabled: bool,
-    /// Slots by pool: the maximum number of tasks, of nodes that name the pool, that run at the same time.
+    /// Slots of each pool: the maximum number of tasks that run at the same time, counted over all nodes that name the
+    /// pool.
     pub pools: BTreeMap<String, f64>,
     /// Number of finished runs that are kept for inspection and reruns.
     #[serde(rename = "kept_runs")]
