--- a/deploy/config.hcl
+++ b/deploy/config.hcl
@@ -1,5 +1,5 @@
-# Limits and guarantees of teams, changed while the service runs (`olivelatchctl config`, docs/client.md). All controllers must run
-# with it: while one leads that does not, no change is in force.
+# Allows changes of team limits and guarantees while the service runs (`olivelatchctl config`, docs/client.md). Enable it
+# on all controllers: while a controller without it leads, no change is in force.
 
 operators {
   enabled = true
--- a/deploy/graphs.hcl
+++ b/deploy/graphs.hcl
@@ -1,5 +1,5 @@
-# Graphs, with the operators' interface through which they are queried (docs/flows.md). To be turned on at all
-# controllers, and only when all of them have a version that knows graphs.
+# Enables graphs, and the operators' interface through which they are queried (docs/flows.md). Enable it on all
+# controllers, and only after all of them run a version that supports graphs.
 
 operators {
   enabled = true
@@ -7,9 +7,9 @@
 
 graphs {
   enabled   = true
-  kept_runs = 50 # ended runs that can be shown and rerun
+  kept_runs = 50 # finished runs that can be shown and run again
 
-  # Slots: tasks at a time of nodes that name the pool.
+  # Maximum number of concurrent tasks of the nodes that name the pool.
   pools = {
     billing = 8
   }
--- a/deploy/operators.hcl
+++ b/deploy/operators.hcl
@@ -1,10 +1,10 @@
-# The operators' interface on: lists, explanations, events, metrics (docs/client.md).
+# Enables the operators' interface: lists, explanations, events and metrics (docs/client.md).
 #     target/release/olivelatch serve --tunables deploy/operators.hcl --config settings.json
 
 operators {
   enabled        = true
-  events_per_job = 32 # events kept for each job, in the leader's memory
-  explains_per_s = 20 # lists, inspections and explanations computed a second
+  events_per_job = 32 # events per job that the leader keeps in memory
+  explains_per_s = 20 # limit for lists, inspections and explanations per second
 }
 
 log {
--- a/deploy/overload.hcl
+++ b/deploy/overload.hcl
@@ -1,11 +1,10 @@
-# What changes while there is more than can be served (docs/overload.md). All are on without this file; here is how to turn
-# one off, should a fleet do worse with it:
+# Behaviour under overload (docs/overload.md). Each part is enabled by default; set it to false to disable it:
 #     target/release/olivelatch serve --tunables deploy/overload.hcl --config settings.json
 
 overload {
-  order    = true # past-SLO jobs put off, minimum shares, small gangs first, machines of scarce types reserved for gangs
-  pressure = true # load shedding: a controller behind its events plans less often and sends no direct starts
-  headroom = true # best-effort work leaves capacity for what others asked for lately
-  claims   = true # arrays preempt long tasks of lower priority, or what others have borrowed
-  trials   = true # probation: jobs that fail wherever they are tried run one task at a time
+  order    = true # delays past-SLO jobs, grants minimum shares, starts small gangs first, reserves scarce machine types for gangs
+  pressure = true # load shedding: a controller that lags behind its events plans less often and sends no direct starts
+  headroom = true # best-effort jobs leave capacity for the recent demand of other jobs
+  claims   = true # arrays preempt long tasks of lower priority, and tasks on borrowed capacity
+  trials   = true # probation: a job that fails on every machine runs one task at a time
 }
