--- a/crates/cli/src/commands/scale.rs
+++ b/crates/cli/src/commands/scale.rs
@@ -28,7 +28,7 @@
                 checked.controllers,
                 checked.max_workers(),
                 checked.teams.count,
-                checked.processes(),
+                checked.process_count(),
                 checked.load_s()
             );
         }
--- a/crates/scale-test/src/plan/mod.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -293,7 +293,7 @@
 
     /// Returns the number of processes: the controllers, one process of simulated workers per zone, the kv
     /// store and the run itself.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.controllers + self.zones.len() + 2
     }
 
--- a/crates/scale-test/src/plan/validation.rs
+++ b/crates/scale-test/src/plan/validation.rs
@@ -30,7 +30,7 @@
         check_range("phase", self.phases.len() as f64, 1.0, 100.0)?;
         check_range("job", self.jobs.len() as f64, 1.0, 100.0)?;
         check_range("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
-        check_range("processes", self.processes() as f64, 1.0, MAX_PROCESSES as f64)
+        check_range("processes", self.process_count() as f64, 1.0, MAX_PROCESSES as f64)
     }
 
     fn validate_machines(&self) -> Result<(), InvalidValue> {
