--- a/crates/scale-test/src/arrivals.rs
+++ b/crates/scale-test/src/arrivals.rs
@@ -8,13 +8,14 @@
 use serde_json::{Value, json};
 
 use crate::control::SimulatedJob;
-use crate::plan::{JobPlan, PhasePlan, Plan, team_name};
+use crate::plan::{JobClassPlan, PhasePlan, Plan, team_name};
 
-/// Minimum time from a job's submission to its cancellation, and the length of the window after it in which
-/// the cancellation time is drawn.
+/// Minimum time from a job's submission to its cancellation.
 const CANCEL_AFTER_MS: u64 = 2_000;
+/// The cancellation time is drawn from a window of this length, which begins at the minimum.
 const CANCEL_WINDOW_MS: u64 = 20_000;
-/// Time that a task takes to save a checkpoint when it is stopped.
+/// Time that saving a checkpoint takes according to a job's submission and description. Simulated tasks save
+/// no checkpoints, so a stopped task ends at once.
 const CHECKPOINT_MS: u64 = 500;
 
 /// A job that arrives. Times are in milliseconds from the beginning of the load.
@@ -24,7 +25,7 @@
     pub at_ms: u64,
     /// Id of the job.
     pub job: String,
-    /// Class of the job: the name of its kind in the plan.
+    /// Name of the job's class in the plan.
     pub class: String,
     /// Rank of the team that owns the job; 0 is the largest team.
     pub team: usize,
@@ -40,11 +41,13 @@
     pub cancel_at_ms: Option<u64>,
 }
 
-/// The sequence of arrivals of one kind of job.
+/// The sequence of arrivals of one class of jobs.
 struct ArrivalStream {
     class: String,
-    plan: JobPlan,
+    plan: JobClassPlan,
+    /// Mean number of tasks of a job.
     mean_tasks: f64,
+    /// Time of the next arrival, from the beginning of the load; infinite after the last phase.
     next_arrival_ms: f64,
 }
 
@@ -54,7 +57,6 @@
     streams: Vec<ArrivalStream>,
     /// End of each phase in milliseconds, and its task starts per second.
     phase_rates: Vec<(f64, f64)>,
-    /// Cumulative weights of the teams.
     cumulative_team_weights: Vec<f64>,
     next_job: u64,
 }
@@ -69,7 +71,7 @@
             cumulative_team_weights: cumulative_team_weights(plan.teams.count),
             next_job: 1,
         };
-        for (class, job) in &plan.jobs {
+        for (class, job) in &plan.job_classes {
             let mean_tasks =
                 job.tasks.iter().map(|tasks| f64::from(*tasks)).sum::<f64>() / job.tasks.len() as f64;
             let mut stream =
@@ -80,8 +82,8 @@
         arrivals
     }
 
-    /// Returns the jobs per second of a stream at a time, and the end of the phase, when this rate next
-    /// changes; `None` after the last phase.
+    /// Returns a stream's arrival rate at a time, in jobs per second, and the end of the phase, until which
+    /// the rate holds; `None` after the last phase.
     fn arrival_rate(&self, stream: &ArrivalStream, at_ms: f64) -> Option<(f64, f64)> {
         let (end_ms, starts_per_s) = self.phase_rates.iter().find(|(end_ms, _)| at_ms < *end_ms)?;
         Some((starts_per_s * stream.plan.share / stream.mean_tasks, *end_ms))
--- a/crates/scale-test/src/changes.rs
+++ b/crates/scale-test/src/changes.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::measurements::{ConfigChangeLatency, LatencyHistogram};
-use crate::plan::ChangesPlan;
+use crate::plan::ChangeSeriesPlan;
 
 /// The operators' objective: a change is in force everywhere within this time.
 const OBJECTIVE_MS: u64 = 3_000;
@@ -66,7 +66,7 @@
 
 /// All configuration changes of a run.
 pub struct ConfigChanges {
-    plans: IndexMap<String, ChangesPlan>,
+    plans: IndexMap<String, ChangeSeriesPlan>,
     teams: Vec<TeamSettings>,
     /// Time of the next burst of each series, in milliseconds from the beginning of the load.
     next_ms: Vec<f64>,
@@ -77,7 +77,11 @@
 
 impl ConfigChanges {
     /// Creates the series of the plan, without changes yet.
-    pub fn new(plans: &IndexMap<String, ChangesPlan>, teams: Vec<TeamSettings>, seed: u64) -> ConfigChanges {
+    pub fn new(
+        plans: &IndexMap<String, ChangeSeriesPlan>,
+        teams: Vec<TeamSettings>,
+        seed: u64,
+    ) -> ConfigChanges {
         ConfigChanges {
             next_ms: plans.values().map(|plan| plan.from_s * 1000.0).collect(),
             plans: plans.clone(),
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -31,8 +31,8 @@
     /// Creates the cloud of a plan, with the machines that are up from the start.
     pub fn new(plan: &Plan, port: u16) -> TestCloud {
         let mut cloud = Cloud::default();
-        cloud.machine_types = plan.machine_types();
-        for (machine_type, machine) in &plan.machines {
+        cloud.machine_types = plan.machine_type_specs();
+        for (machine_type, machine) in &plan.machine_types {
             for zone in &plan.zones {
                 for _ in 0..machine.up_at_start {
                     cloud.add_machine(machine_type, zone, false, 0, 0);
@@ -112,7 +112,7 @@
 
     /// Restores the capacity of the plan.
     pub fn restore_capacity(&mut self, plan: &Plan) {
-        self.cloud.machine_types = plan.machine_types();
+        self.cloud.machine_types = plan.machine_type_specs();
     }
 
     /// Forgets the machines of a zone whose process lost its commands, so that they are booted again.
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -22,7 +22,7 @@
     pub gang: bool,
     /// Number of tasks.
     pub tasks: u32,
-    /// Time that a task takes to save a checkpoint when it is stopped, in ms.
+    /// Time that saving a checkpoint takes, in ms. Not used, because simulated tasks save no checkpoints.
     #[serde(rename = "save_ms")]
     pub checkpoint_ms: u64,
     /// Run time of a task in ms.
--- a/crates/scale-test/src/plan/mod.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -64,7 +64,8 @@
     pub up_at_start: usize,
 }
 
-/// The teams, ordered by size: a team's share is proportional to 1/rank, so the first team is the largest.
+/// The teams, ordered from the largest to the smallest: the guarantee of the n-th team and its share of the
+/// jobs are proportional to 1/n.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamsPlan {
@@ -85,19 +86,19 @@
 pub struct PhasePlan {
     /// Length of the phase in seconds.
     pub seconds: f64,
-    /// Mean number of task starts per second that the arriving jobs need.
+    /// Mean number of tasks per second in the jobs that arrive. Each task needs at least one start.
     pub starts_per_s: f64,
 }
 
-/// A kind of job.
+/// A class of jobs: all its jobs arrive at the same mean rate and have tasks of the same size.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct JobPlan {
-    /// Job kind that the scheduler distinguishes, such as array or gang.
+pub struct JobClassPlan {
+    /// How the tasks of a job relate to each other, such as array or gang.
     pub shape: JobKind,
     /// Priority class of the jobs.
     pub urgency: PriorityClass,
-    /// Fraction of all task starts that belong to jobs of this kind, from 0 to 1.
+    /// Fraction of `starts_per_s` that belongs to jobs of this class, from 0 to 1.
     pub share: f64,
     /// Possible numbers of tasks; one is drawn for each job.
     pub tasks: Vec<u32>,
@@ -114,7 +115,7 @@
     pub image_gb: f64,
     /// Number of different images; one is drawn for each job.
     pub images: u32,
-    /// Objective for this kind: the seconds within which most of its jobs should be done. The controllers
+    /// Objective for this class: the seconds within which most of its jobs should be done. The controllers
     /// provision machines to meet it.
     #[serde(default)]
     #[serde(rename = "done_within_s")]
@@ -194,14 +195,14 @@
 /// A series of changes to team limits during the load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ChangesPlan {
+pub struct ChangeSeriesPlan {
     /// Start of the series, in seconds from the beginning of the load.
     pub from_s: f64,
     /// End of the series, in seconds from the beginning of the load.
     pub to_s: f64,
     /// Seconds between two bursts of changes.
     pub every_s: f64,
-    /// Number of changes requested at the same time in each burst.
+    /// Number of changes in each burst, all requested at the same time.
     pub burst: usize,
 }
 
@@ -217,13 +218,15 @@
     pub zones: Vec<String>,
     /// Machine types by name.
     #[serde(rename = "machine")]
-    pub machines: IndexMap<String, MachineTypePlan>,
+    pub machine_types: IndexMap<String, MachineTypePlan>,
     /// Number of teams, and their guarantees and limits.
     pub teams: TeamsPlan,
-    /// Timings of heartbeats, leases and gangs.
-    pub workers: WorkerTimings,
+    /// Timings of heartbeats, leases, gangs and cancellations.
+    #[serde(rename = "workers")]
+    pub worker_timings: WorkerTimings,
     /// Limits of the kv store.
-    pub state: KvLimits,
+    #[serde(rename = "state")]
+    pub kv_limits: KvLimits,
     /// Rate limit of the cloud, in requests per second.
     pub cloud_requests_per_s: f64,
     /// Resources that a controller's process may use.
@@ -237,21 +240,21 @@
     pub phases: IndexMap<String, PhasePlan>,
     /// Maximum time in seconds that the run waits after the last phase for unfinished jobs to complete.
     pub drain_s: f64,
-    /// Kinds of jobs by name.
+    /// Classes of jobs by name.
     #[serde(rename = "job")]
-    pub jobs: IndexMap<String, JobPlan>,
+    pub job_classes: IndexMap<String, JobClassPlan>,
     /// Faults by name.
     #[serde(rename = "fault", default)]
     pub faults: IndexMap<String, FaultKind>,
     /// Series of configuration changes by name.
     #[serde(rename = "change", default)]
-    pub changes: IndexMap<String, ChangesPlan>,
+    pub change_series: IndexMap<String, ChangeSeriesPlan>,
     /// Defect of the simulated workers, if the run tests the checker.
     #[serde(default)]
     pub defect: Option<Defect>,
 }
 
-/// Seconds by which the cloud's list of machines lags behind its state.
+/// Maximum lag of the cloud's list of machines, in seconds, as the controllers' settings state it.
 const LIST_LAG_S: f64 = 0.5;
 
 impl Plan {
@@ -299,11 +302,11 @@
 
     /// Returns the maximum number of workers in all zones together.
     pub fn max_workers(&self) -> usize {
-        self.machines.values().map(|machine| machine.per_zone * self.zones.len()).sum()
+        self.machine_types.values().map(|machine| machine.per_zone * self.zones.len()).sum()
     }
 
     /// Returns the name, guarantee and limit of each team, ordered from the largest to the smallest.
-    pub fn team_plans(&self) -> Vec<TeamSettings> {
+    pub fn team_settings(&self) -> Vec<TeamSettings> {
         let weight = |rank: usize| 1.0 / (rank + 1) as f64;
         let total_weight: f64 = (0..self.teams.count).map(weight).sum();
         let team = |rank: usize| {
@@ -318,10 +321,10 @@
     pub fn platform(&self) -> Platform {
         Platform {
             zones: self.zones.clone(),
-            teams: self.team_plans(),
+            teams: self.team_settings(),
             objectives: self.objectives(),
-            workers: self.workers,
-            kv_limits: self.state,
+            workers: self.worker_timings,
+            kv_limits: self.kv_limits,
             cloud_requests_per_s: self.cloud_requests_per_s,
             list_lag_s: LIST_LAG_S,
             quota: self.quota,
@@ -329,14 +332,14 @@
     }
 
     fn objectives(&self) -> Vec<ObjectivePlan> {
-        let objective = |(class, job): (&String, &JobPlan)| {
+        let objective = |(class, job): (&String, &JobClassPlan)| {
             Some(ObjectivePlan { class: class.clone(), within_s: job.objective_s? })
         };
-        self.jobs.iter().filter_map(objective).collect()
+        self.job_classes.iter().filter_map(objective).collect()
     }
 
     /// Returns the machine types of the simulated cloud.
-    pub fn machine_types(&self) -> Vec<MachineTypeSpec> {
+    pub fn machine_type_specs(&self) -> Vec<MachineTypeSpec> {
         let machine_type = |(name, machine): (&String, &MachineTypePlan)| MachineTypeSpec {
             name: name.clone(),
             cpus: machine.cpus,
@@ -348,7 +351,7 @@
             on_demand_per_zone: machine.per_zone,
             spot_per_zone: 0,
         };
-        self.machines.iter().map(machine_type).collect()
+        self.machine_types.iter().map(machine_type).collect()
     }
 }
 
--- a/crates/scale-test/src/plan/validation.rs
+++ b/crates/scale-test/src/plan/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that the values of a plan are in range, so that no run starts that could not be carried out.
+//! Checks that the values of a plan are in range, before any process is started.
 
 use super::{FaultKind, Plan};
 
@@ -26,15 +26,15 @@
     fn validate_sizes(&self) -> Result<(), InvalidValue> {
         check_range("controllers", self.controllers as f64, 1.0, 100.0)?;
         check_range("zones", self.zones.len() as f64, 1.0, 100.0)?;
-        check_range("machine", self.machines.len() as f64, 1.0, 20.0)?;
+        check_range("machine", self.machine_types.len() as f64, 1.0, 20.0)?;
         check_range("phase", self.phases.len() as f64, 1.0, 100.0)?;
-        check_range("job", self.jobs.len() as f64, 1.0, 100.0)?;
+        check_range("job", self.job_classes.len() as f64, 1.0, 100.0)?;
         check_range("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
         check_range("processes", self.process_count() as f64, 1.0, MAX_PROCESSES as f64)
     }
 
     fn validate_machines(&self) -> Result<(), InvalidValue> {
-        for (name, machine) in &self.machines {
+        for (name, machine) in &self.machine_types {
             check_range(
                 &format!("machine {name}: up_at_start"),
                 machine.up_at_start as f64,
@@ -56,7 +56,7 @@
     }
 
     fn validate_jobs(&self) -> Result<(), InvalidValue> {
-        for (name, job) in &self.jobs {
+        for (name, job) in &self.job_classes {
             check_range(&format!("job {name}: share"), job.share, 0.0, 1.0)?;
             check_range(&format!("job {name}: cancelled"), job.cancelled_share, 0.0, 1.0)?;
             check_range(
@@ -89,10 +89,10 @@
     }
 
     fn validate_changes(&self) -> Result<(), InvalidValue> {
-        for (name, changes) in &self.changes {
-            check_range(&format!("change {name}: every_s"), changes.every_s, 0.1, 86_400.0)?;
-            check_range(&format!("change {name}: burst"), changes.burst as f64, 1.0, 1000.0)?;
-            check_range(&format!("change {name}: to_s"), changes.to_s, changes.from_s, self.load_s())?;
+        for (name, series) in &self.change_series {
+            check_range(&format!("change {name}: every_s"), series.every_s, 0.1, 86_400.0)?;
+            check_range(&format!("change {name}: burst"), series.burst as f64, 1.0, 1000.0)?;
+            check_range(&format!("change {name}: to_s"), series.to_s, series.from_s, self.load_s())?;
         }
         Ok(())
     }
--- a/crates/scale-test/src/run/load.rs
+++ b/crates/scale-test/src/run/load.rs
@@ -43,7 +43,7 @@
             arrivals: Arrivals::new(plan),
             users: Users::new(plan.controllers, plan.seed),
             user_by_job: HashMap::new(),
-            config_changes: ConfigChanges::new(&plan.changes, plan.team_plans(), plan.seed),
+            config_changes: ConfigChanges::new(&plan.change_series, plan.team_settings(), plan.seed),
         }
     }
 
@@ -131,7 +131,7 @@
             UserOutcome::Accepted { after_ms } => self.record_acceptance(user, after_ms),
             UserOutcome::Cancelled => {
                 self.report.cancelled += 1;
-                let cancel_ms = (self.plan.workers.cancel_s * 1000.0) as u64;
+                let cancel_ms = (self.plan.worker_timings.cancel_s * 1000.0) as u64;
                 let times = CancelTimes { at_ms: now, stopped_by_ms: now + cancel_ms };
                 self.checker.record_cancellation(&job, times);
             }
--- a/crates/scale-test/src/run/start.rs
+++ b/crates/scale-test/src/run/start.rs
@@ -165,16 +165,16 @@
         let file = self.arguments.out.join("state.redb");
         // A run begins with an empty store. The removal fails if there is no file, which is the usual case.
         let _ = std::fs::remove_file(&file);
-        let state = &self.plan.state;
+        let limits = &self.plan.kv_limits;
         let process_arguments = KvStoreArguments {
             address,
             control,
             file,
             epoch_ms: self.epoch_ms,
-            requests_per_s: state.requests_per_s,
-            mutations_per_s: state.mutations_per_s,
-            value_bytes: (state.value_kb * 1024.0) as usize,
-            txn_mutations: state.txn_mutations,
+            requests_per_s: limits.requests_per_s,
+            mutations_per_s: limits.mutations_per_s,
+            value_bytes: (limits.value_kb * 1024.0) as usize,
+            txn_mutations: limits.txn_mutations,
         };
         let arguments =
             vec!["scale".into(), "state".into(), to_json(&process_arguments, "arguments of a process")?];
@@ -188,15 +188,15 @@
         controllers: &[SocketAddr],
     ) -> Result<ManagedProcess, ScaleError> {
         let to_ms = |seconds: f64| (seconds * 1000.0) as u64;
-        let workers = &self.plan.workers;
+        let timings = &self.plan.worker_timings;
         let process_arguments = ZoneProcessArguments {
             control,
             controllers: controllers.to_vec(),
             epoch_ms: self.epoch_ms,
-            report_ms: to_ms(workers.heartbeat_s),
-            lease_ms: to_ms(workers.lease_s),
-            gang_wait_ms: to_ms(workers.gang_wait_s),
-            gang_peer_ms: to_ms(workers.gang_peer_s),
+            report_ms: to_ms(timings.heartbeat_s),
+            lease_ms: to_ms(timings.lease_s),
+            gang_wait_ms: to_ms(timings.gang_wait_s),
+            gang_peer_ms: to_ms(timings.gang_peer_s),
             seed: self.plan.seed.wrapping_add(zone as u64 + 1),
             defect: self.plan.defect,
         };
@@ -266,7 +266,7 @@
         let network = Network::listen(addresses.cluster.cloud)?;
         let epoch_ms = unix_ms();
         let processes = ProcessStarter { plan: &plan, arguments, epoch_ms }.start_all(&addresses)?;
-        let team_limits = plan.team_plans().iter().map(|team| team.limit).collect();
+        let team_limits = plan.team_settings().iter().map(|team| team.limit).collect();
         Ok(ScaleRun {
             clock: RunClock::new(epoch_ms),
             network,
--- a/crates/scale-test/tests/golden.rs
+++ b/crates/scale-test/tests/golden.rs
@@ -40,7 +40,7 @@
 }
 
 fn jobs(plan: &Plan) -> Value {
-    blocks(plan.jobs.iter(), |job| {
+    blocks(plan.job_classes.iter(), |job| {
         json!({"shape": job.shape, "urgency": job.urgency, "share": job.share, "tasks": job.tasks,
             "cpus": job.cpus, "memory_gb": job.memory_gb, "run_s": job.run_s, "one_zone": job.one_zone,
             "image_gb": job.image_gb, "images": job.images, "done_within_s": job.objective_s,
@@ -49,14 +49,14 @@
 }
 
 fn machines(plan: &Plan) -> Value {
-    blocks(plan.machines.iter(), |machine| {
+    blocks(plan.machine_types.iter(), |machine| {
         json!({"cpus": machine.cpus, "memory_gb": machine.memory_gb, "fetch_gb_per_s": machine.fetch_gb_per_s,
             "boot_s": machine.boot_s, "per_zone": machine.per_zone, "up_at_start": machine.up_at_start})
     })
 }
 
 fn plan_fields(plan: &Plan) -> Value {
-    let (teams, workers, state, quota) = (&plan.teams, &plan.workers, &plan.state, &plan.quota);
+    let (teams, timings, limits, quota) = (&plan.teams, &plan.worker_timings, &plan.kv_limits, &plan.quota);
     let mut fields = Map::new();
     let mut add = |name: &str, value: Value| drop(fields.insert(name.into(), value));
     add("seed", json!(plan.seed));
@@ -70,13 +70,13 @@
     );
     add(
         "workers",
-        json!({"report_s": workers.heartbeat_s, "lease_s": workers.lease_s, "gang_wait_s": workers.gang_wait_s,
-            "gang_peer_s": workers.gang_peer_s, "cancel_s": workers.cancel_s}),
+        json!({"report_s": timings.heartbeat_s, "lease_s": timings.lease_s, "gang_wait_s": timings.gang_wait_s,
+            "gang_peer_s": timings.gang_peer_s, "cancel_s": timings.cancel_s}),
     );
     add(
         "state",
-        json!({"requests_per_s": state.requests_per_s, "changes_per_s": state.mutations_per_s,
-            "value_kb": state.value_kb, "txn_changes": state.txn_mutations}),
+        json!({"requests_per_s": limits.requests_per_s, "changes_per_s": limits.mutations_per_s,
+            "value_kb": limits.value_kb, "txn_changes": limits.txn_mutations}),
     );
     add("cloud_requests_per_s", json!(plan.cloud_requests_per_s));
     add(
@@ -98,8 +98,8 @@
     add(
         "change",
         blocks(
-            plan.changes.iter(),
-            |change| json!({"from_s": change.from_s, "to_s": change.to_s, "every_s": change.every_s, "burst": change.burst}),
+            plan.change_series.iter(),
+            |series| json!({"from_s": series.from_s, "to_s": series.to_s, "every_s": series.every_s, "burst": series.burst}),
         ),
     );
     add("defect", json!(plan.defect));
