--- a/crates/scale-test/src/plan/validation.rs
+++ b/crates/scale-test/src/plan/validation.rs
@@ -25,12 +25,17 @@
 
     fn validate_sizes(&self) -> Result<(), InvalidValue> {
         check_range("controllers", self.controllers as f64, 1.0, 100.0)?;
-        check_range("zones", self.zones.len() as f64, 1.0, 100.0)?;
-        check_range("machine", self.machine_types.len() as f64, 1.0, 20.0)?;
-        check_range("phase", self.phases.len() as f64, 1.0, 100.0)?;
-        check_range("job", self.job_classes.len() as f64, 1.0, 100.0)?;
+        check_range("zones: number of names", self.zones.len() as f64, 1.0, 100.0)?;
+        check_range("machine: number of blocks", self.machine_types.len() as f64, 1.0, 20.0)?;
+        check_range("phase: number of blocks", self.phases.len() as f64, 1.0, 100.0)?;
+        check_range("job: number of blocks", self.job_classes.len() as f64, 1.0, 100.0)?;
         check_range("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
-        check_range("processes", self.process_count() as f64, 1.0, MAX_PROCESSES as f64)
+        check_range(
+            "number of processes (controllers, zones, kv store, the run itself)",
+            self.process_count() as f64,
+            1.0,
+            MAX_PROCESSES as f64,
+        )
     }
 
     fn validate_machines(&self) -> Result<(), InvalidValue> {
@@ -60,13 +65,18 @@
             check_range(&format!("job {name}: share"), job.share, 0.0, 1.0)?;
             check_range(&format!("job {name}: cancelled"), job.cancelled_share, 0.0, 1.0)?;
             check_range(
-                &format!("job {name}: tasks"),
+                &format!("job {name}: tasks: smallest number (0 if the list is empty)"),
                 job.tasks.iter().min().copied().unwrap_or(0).into(),
                 1.0,
                 100_000.0,
             )?;
             check_range(&format!("job {name}: images"), job.images.into(), 1.0, 1e6)?;
-            check_range(&format!("job {name}: run_s"), job.run_s[1] - job.run_s[0], 0.0, 1e6)?;
+            check_range(
+                &format!("job {name}: run_s: maximum minus minimum"),
+                job.run_s[1] - job.run_s[0],
+                0.0,
+                1e6,
+            )?;
         }
         Ok(())
     }
--- a/crates/scale-test/src/run/kv_poll.rs
+++ b/crates/scale-test/src/run/kv_poll.rs
@@ -57,7 +57,9 @@
             if now < START_TIMEOUT_MS {
                 return Ok(None);
             }
-            return Err(ScaleError::Process("the kv store process did not respond".into()));
+            return Err(ScaleError::Process(
+                "the kv store process did not respond; see state.log in the output directory".into(),
+            ));
         };
         let measurements: KvMeasurements = serde_json::from_slice(&response.body)
             .map_err(|error| ScaleError::Json { what: "measurements of the kv store".into(), error })?;
--- a/crates/scale-test/src/run/mod.rs
+++ b/crates/scale-test/src/run/mod.rs
@@ -150,7 +150,7 @@
         self.run_until(deadline, |run| run.kv.measurements.leader.is_some())?;
         if self.kv.measurements.leader.is_none() && !self.is_stopped() {
             return Err(ScaleError::Process(format!(
-                "no controller became leader within {} s",
+                "no controller became leader within {} s; see the controllers' logs in the output directory",
                 START_TIMEOUT_MS / 1000
             )));
         }
--- a/crates/scale-test/src/run/process_group.rs
+++ b/crates/scale-test/src/run/process_group.rs
@@ -61,12 +61,15 @@
                 second.leader_cpu = share;
             }
             if process.has_exited() {
-                return Err(ScaleError::Process(format!("process {} exited unexpectedly", process.name)));
+                return Err(ScaleError::Process(format!(
+                    "process {} exited unexpectedly; see its log in the output directory",
+                    process.name
+                )));
             }
         }
         if bytes > self.memory_limit {
             return Err(ScaleError::Refused(format!(
-                "the processes use {} MB of memory, the limit is {} MB",
+                "the processes of the run use {} MB of memory; the limit is {} MB, half of the machine's memory; use a smaller plan",
                 bytes / 1_000_000,
                 self.memory_limit / 1_000_000
             )));
--- a/crates/scale-test/src/run/start.rs
+++ b/crates/scale-test/src/run/start.rs
@@ -56,7 +56,7 @@
     let limit = memory.total_bytes / MEMORY_LIMIT_DIVISOR;
     if wanted > limit.min(memory.free_bytes) {
         return Err(ScaleError::Refused(format!(
-            "the plan needs about {} MB of memory; {} MB are available, and a run may use at most {} MB, half of the machine's memory",
+            "the plan needs about {} MB of memory; {} MB are available, and a run may use at most {} MB, half of the machine's memory; use a smaller plan",
             wanted / 1_000_000,
             memory.free_bytes / 1_000_000,
             limit / 1_000_000
--- a/crates/scale-test/src/run/zones.rs
+++ b/crates/scale-test/src/run/zones.rs
@@ -113,7 +113,9 @@
                 self.cloud.clear_zone(zone);
                 return Ok(());
             }
-            return Err(ScaleError::Process(format!("the simulated workers of zone {name} did not respond")));
+            return Err(ScaleError::Process(format!(
+                "the process of the simulated workers of zone {name} did not respond; see its log in the output directory"
+            )));
         };
         let status: ZoneStatus = serde_json::from_slice(&response.body)
             .map_err(|error| ScaleError::Json { what: format!("status of zone {name}"), error })?;
--- a/crates/scale-test/src/simulated_workers/control_protocol.rs
+++ b/crates/scale-test/src/simulated_workers/control_protocol.rs
@@ -57,9 +57,9 @@
         let listener = ListenerId(self.next_listener);
         self.next_listener += 1;
         let endpoint = machine.endpoint.clone();
-        let address = endpoint
-            .parse()
-            .map_err(|_| ScaleError::Process(format!("invalid address of a worker: {endpoint}")))?;
+        let address = endpoint.parse().map_err(|_| {
+            ScaleError::Process(format!("address of a worker: expected IP:PORT, not {endpoint}"))
+        })?;
         self.server
             .listen(&mut self.keys, address, listener)
             .map_err(io_error(format!("listening on {endpoint}")))?;
--- a/crates/scale-test/tests/plans.rs
+++ b/crates/scale-test/tests/plans.rs
@@ -49,6 +49,10 @@
         error_after_replacing("up_at_start    = 30", "up_at_start    = 90")
             .contains("machine small: up_at_start")
     );
+    assert!(
+        error_after_replacing("run_s     = [2, 6]", "run_s     = [6, 2]")
+            .contains("job ingest: run_s: maximum minus minimum: expected 0 to 1000000, not -4")
+    );
     assert!(error_after_replacing("seed        = 1", "seeds       = 1").contains("line "));
     let unknown_zone = error_after_replacing(
         "kind   = \"kill_leader\"\n  at_s   = 15\n  back_s = 3",
