--- a/crates/scale-test/src/arrivals.rs
+++ b/crates/scale-test/src/arrivals.rs
@@ -93,12 +93,12 @@
     /// phase.
     fn advance(&mut self, stream: &mut ArrivalStream) {
         loop {
-            let Some((per_s, end_ms)) = self.arrival_rate(stream, stream.next_arrival_ms) else {
+            let Some((jobs_per_s, end_ms)) = self.arrival_rate(stream, stream.next_arrival_ms) else {
                 stream.next_arrival_ms = f64::INFINITY;
                 return;
             };
             let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
-            let gap_ms = if per_s > 0.0 { -uniform.ln() / per_s * 1000.0 } else { f64::INFINITY };
+            let gap_ms = if jobs_per_s > 0.0 { -uniform.ln() / jobs_per_s * 1000.0 } else { f64::INFINITY };
             if stream.next_arrival_ms + gap_ms < end_ms {
                 stream.next_arrival_ms += gap_ms;
                 return;
--- a/crates/scale-test/src/changes.rs
+++ b/crates/scale-test/src/changes.rs
@@ -10,11 +10,11 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::measurements::{ConfigChangeLatency, LatencyHistogram};
+use crate::measurements::{ChangeSeriesReport, LatencyHistogram};
 use crate::plan::ChangeSeriesPlan;
 
 /// The operators' objective: a change is in force everywhere within this time.
-const OBJECTIVE_MS: u64 = 3_000;
+const IN_FORCE_OBJECTIVE_MS: u64 = 3_000;
 /// HTTP status of a request that exceeded a rate limit; the request is retried.
 const TOO_MANY_REQUESTS: u16 = 429;
 const REQUEST_TIMEOUT_MS: u64 = 4_000;
@@ -22,18 +22,19 @@
 /// A change sets a team's limit to at least this fraction of its limit in the plan.
 const MIN_LIMIT_SHARE: f64 = 0.9;
 
-/// A change that was requested.
+/// A change that was requested. Times are in milliseconds of the run.
 struct ConfigChange {
-    series: String,
+    /// Name of the series in the plan.
+    series_name: String,
     team: usize,
     request: ConfigChangeRequest,
     requested_at: u64,
     /// Time at which the next request is due; `None` while one is in flight and after the last one.
-    next_attempt: Option<u64>,
+    next_request_at: Option<u64>,
     /// Version of the configuration entry that contains the change, once the change is accepted.
     version: Option<u64>,
     /// Number of requests sent so far; each goes to the next controller in turn.
-    attempts: usize,
+    requests_sent: usize,
     finished: bool,
 }
 
@@ -66,12 +67,12 @@
 
 /// All configuration changes of a run.
 pub struct ConfigChanges {
-    plans: IndexMap<String, ChangeSeriesPlan>,
+    series_plans: IndexMap<String, ChangeSeriesPlan>,
     teams: Vec<TeamSettings>,
     /// Time of the next burst of each series, in milliseconds from the beginning of the load.
-    next_ms: Vec<f64>,
+    next_burst_ms: Vec<f64>,
     changes: Vec<ConfigChange>,
-    series: BTreeMap<String, SeriesMeasurements>,
+    measurements_by_series: BTreeMap<String, SeriesMeasurements>,
     rng: StdRng,
 }
 
@@ -83,35 +84,37 @@
         seed: u64,
     ) -> ConfigChanges {
         ConfigChanges {
-            next_ms: plans.values().map(|plan| plan.from_s * 1000.0).collect(),
-            plans: plans.clone(),
+            next_burst_ms: plans.values().map(|plan| plan.from_s * 1000.0).collect(),
+            series_plans: plans.clone(),
             teams,
             changes: Vec::new(),
-            series: BTreeMap::new(),
+            measurements_by_series: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
     /// Returns the requests that are due. `load_ms` is the time since the beginning of the load.
     pub fn due_requests(&mut self, now: u64, load_ms: u64) -> Vec<ChangeRequestToSend> {
-        for index in 0..self.plans.len() {
+        for index in 0..self.series_plans.len() {
             let Some((name, plan)) =
-                self.plans.get_index(index).map(|(name, plan)| (name.clone(), plan.clone()))
+                self.series_plans.get_index(index).map(|(name, plan)| (name.clone(), plan.clone()))
             else {
                 continue;
             };
-            while self.next_ms[index] <= load_ms as f64 && self.next_ms[index] < plan.to_s * 1000.0 {
-                self.next_ms[index] += plan.every_s * 1000.0;
+            while self.next_burst_ms[index] <= load_ms as f64
+                && self.next_burst_ms[index] < plan.to_s * 1000.0
+            {
+                self.next_burst_ms[index] += plan.every_s * 1000.0;
                 (0..plan.burst).for_each(|_| self.start_change(&name, now));
             }
         }
         let due: Vec<usize> = (0..self.changes.len())
-            .filter(|index| self.changes[*index].next_attempt.is_some_and(|next| next <= now))
+            .filter(|index| self.changes[*index].next_request_at.is_some_and(|next| next <= now))
             .collect();
         due.into_iter().map(|index| self.next_request(index, now)).collect()
     }
 
-    fn start_change(&mut self, series: &str, now: u64) {
+    fn start_change(&mut self, series_name: &str, now: u64) {
         let team = self.rng.random_range(0..self.teams.len());
         let limit_share = self.rng.random_range(MIN_LIMIT_SHARE..=1.0);
         let limit_cpus = (self.teams[team].limit * limit_share).floor();
@@ -119,29 +122,29 @@
             quota: TeamQuota { limit_cpus: Some(limit_cpus), guaranteed_cpus: None },
             expected_version: None,
             changed_by: "scale run".into(),
-            reason: series.into(),
+            reason: series_name.into(),
             change_id: format!("{:032x}", self.rng.random::<u128>()),
         };
-        self.series.entry(series.into()).or_default().requested += 1;
+        self.measurements_by_series.entry(series_name.into()).or_default().requested += 1;
         self.changes.push(ConfigChange {
-            series: series.into(),
+            series_name: series_name.into(),
             team,
             request,
             requested_at: now,
-            next_attempt: Some(now),
+            next_request_at: Some(now),
             version: None,
-            attempts: 0,
+            requests_sent: 0,
             finished: false,
         });
     }
 
-    /// Returns the request of the change itself, or, once the change is accepted, a poll whether it is in
-    /// force.
+    /// Returns the request that makes the change, or, once the change is accepted, a request that asks whether
+    /// it is in force.
     fn next_request(&mut self, index: usize, now: u64) -> ChangeRequestToSend {
         let change = &mut self.changes[index];
-        change.next_attempt = None;
-        change.attempts += 1;
-        let controller = index + change.attempts;
+        change.next_request_at = None;
+        change.requests_sent += 1;
+        let controller = index + change.requests_sent;
         let entry = format!("/v1/config/team/{}", self.teams[change.team].name);
         let (method, path, body) = match change.version {
             Some(version) => ("GET", format!("{entry}?version={version}"), Vec::new()),
@@ -154,7 +157,7 @@
     /// Handles the response to a request of a change; `None` when the request failed or timed out.
     pub fn handle_response(&mut self, index: usize, response: Option<&Response>, now: u64) {
         let change = &mut self.changes[index];
-        let series = self.series.entry(change.series.clone()).or_default();
+        let series = self.measurements_by_series.entry(change.series_name.clone()).or_default();
         let status = response.map_or(0, |response| response.status);
         if (400..500).contains(&status) && status != TOO_MANY_REQUESTS {
             change.finished = true;
@@ -168,7 +171,7 @@
             .and_then(|response| serde_json::from_slice(&response.body).ok());
         let Some(view) = view else {
             let wait_s = response.and_then(|response| response.retry_after_s).unwrap_or(0);
-            change.next_attempt = Some(now + RETRY_MS.max(u64::from(wait_s) * 1000));
+            change.next_request_at = Some(now + RETRY_MS.max(u64::from(wait_s) * 1000));
             return;
         };
         let elapsed_ms = now.saturating_sub(change.requested_at);
@@ -177,12 +180,12 @@
             series.accept_times.record(elapsed_ms);
         }
         if !view.is_effective {
-            change.next_attempt = Some(now);
+            change.next_request_at = Some(now);
             return;
         }
         change.finished = true;
         series.in_force_times.record(elapsed_ms);
-        series.past_objective += u64::from(elapsed_ms > OBJECTIVE_MS);
+        series.past_objective += u64::from(elapsed_ms > IN_FORCE_OBJECTIVE_MS);
     }
 
     /// Returns the number of changes that are neither in force nor refused.
@@ -191,9 +194,9 @@
     }
 
     /// Returns the measurements by the name of the series in the plan.
-    pub fn measurements(&self) -> BTreeMap<String, ConfigChangeLatency> {
+    pub fn measurements(&self) -> BTreeMap<String, ChangeSeriesReport> {
         let summarize = |(name, series): (&String, &SeriesMeasurements)| {
-            let latency = ConfigChangeLatency {
+            let report = ChangeSeriesReport {
                 requested: series.requested,
                 failed: series.failed,
                 first_failure: series.first_failure.clone(),
@@ -201,8 +204,8 @@
                 in_force_latency: series.in_force_times.summary(),
                 past_objective: series.past_objective,
             };
-            (name.clone(), latency)
+            (name.clone(), report)
         };
-        self.series.iter().map(summarize).collect()
+        self.measurements_by_series.iter().map(summarize).collect()
     }
 }
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -9,10 +9,9 @@
 use crate::control::{SimulatedMachine, ZoneCommand};
 use crate::plan::Plan;
 
-/// Number of values used in each of the last two octets of the machines' addresses: machines in a block of
-/// addresses that share three octets, and such blocks that share two octets.
+/// Number of values that each of the last two octets of a machine's address takes.
 const VALUES_PER_OCTET: usize = 250;
-/// Second octet of the loopback addresses of the first machines.
+/// Second octet of the address of the first machine.
 const BASE_SECOND_OCTET: usize = 64;
 
 /// The simulated cloud, and the machines that the zones' processes have been told to boot.
@@ -96,11 +95,12 @@
 
     /// Fails a share of the machines, spread evenly, and reduces the cloud's capacity by the same share.
     pub fn fail_machines(&mut self, share: f64) {
-        let mut to_fail = 0.0;
+        // Each machine adds the share; whenever the sum reaches 1, one machine fails.
+        let mut failed_fraction = 0.0;
         for machine in self.cloud.machines.iter_mut().filter(|machine| !machine.failed) {
-            to_fail += share;
-            if to_fail >= 1.0 {
-                to_fail -= 1.0;
+            failed_fraction += share;
+            if failed_fraction >= 1.0 {
+                failed_fraction -= 1.0;
                 machine.failed = true;
             }
         }
@@ -115,14 +115,15 @@
         self.cloud.machine_types = plan.machine_type_specs();
     }
 
-    /// Forgets the machines of a zone whose process lost its commands, so that they are booted again.
+    /// Forgets that the machines of a zone were booted, so that the next call of `machine_changes` boots them
+    /// again. Used when commands to the zone's process were lost.
     pub fn clear_zone(&mut self, zone: usize) {
         self.machine_zones.retain(|_, other| *other != zone);
     }
 }
 
-/// Returns the loopback address and port of a machine's worker, derived from the number in the machine's
-/// name.
+/// Returns the loopback address and port of a machine's worker. The last two octets are the number in the
+/// machine's name in base `VALUES_PER_OCTET`, the last one plus 1; the second octet counts the carries.
 fn machine_address(name: &str, port: u16) -> String {
     let number: usize = name.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0);
     let (block, last_octet) = (number / VALUES_PER_OCTET, number % VALUES_PER_OCTET + 1);
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -27,7 +27,8 @@
     /// The machine is too small for the plan, or the processes use more memory than the limit.
     #[error("refused: {0}")]
     Refused(String),
-    /// A process of the run does not respond, exited unexpectedly, or received an invalid address.
+    /// A process of the run does not respond, exited unexpectedly or received an invalid address, no controller
+    /// became leader, or the memory of the machine cannot be read.
     #[error("{0}")]
     Process(String),
     /// A message between processes of the run, or the report, cannot be converted to or from JSON.
--- a/crates/scale-test/src/html_report.rs
+++ b/crates/scale-test/src/html_report.rs
@@ -6,14 +6,14 @@
 
 use crate::measurements::{RunReport, SecondSample};
 
-/// Width and height of a plot. All sizes are in pixels.
-const SIZE: (u32, u32) = (900, 260);
+/// Width and height of a plot. This size and those below are in pixels.
+const PLOT_SIZE: (u32, u32) = (900, 260);
 const MARGIN: u32 = 10;
 const LABELS_WIDTH: u32 = 70;
 const LABELS_HEIGHT: u32 = 30;
-/// Minimum of the top value of a plot's y axis, and the factor by which the axis exceeds the highest value.
-const MIN_HEIGHT: f64 = 1e-3;
-const HEADROOM: f64 = 1.05;
+/// The y axis ends at the highest value, or at this one if all values are lower, times `Y_MAX_FACTOR`.
+const MIN_Y_MAX: f64 = 1e-3;
+const Y_MAX_FACTOR: f64 = 1.05;
 const FONT: (&str, u32) = ("sans-serif", 16);
 
 /// A line of a plot.
@@ -89,8 +89,8 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     let last = seconds.last().map_or(1, |second| second.at_s).max(1);
     let values = seconds.iter().flat_map(|second| lines.iter().map(|line| (line.value)(second)));
-    let highest = values.fold(0.0, f64::max).max(MIN_HEIGHT) * HEADROOM;
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let highest = values.fold(0.0, f64::max).max(MIN_Y_MAX) * Y_MAX_FACTOR;
+    let area = SVGBackend::with_string(svg, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(MARGIN)
--- a/crates/scale-test/src/invariants.rs
+++ b/crates/scale-test/src/invariants.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancelTimes {
     /// Time at which the user received the confirmation.
-    pub at_ms: u64,
+    pub confirmed_at_ms: u64,
     /// Deadline by which all tasks of the job must have stopped.
-    pub stopped_by_ms: u64,
+    pub stop_deadline_ms: u64,
 }
 
 /// A violated invariant. All times are in milliseconds since the start of the run.
@@ -101,9 +101,11 @@
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     jobs: HashMap<String, JobFacts>,
+    /// Maximum number of CPUs of each team.
     limits: Vec<f64>,
     /// Names of the workers that each task is on.
     task_workers: HashMap<String, Vec<String>>,
+    /// CPUs of the placed tasks of each team.
     used_cpus: Vec<f64>,
     cancelled: HashMap<String, CancelTimes>,
     /// Cancelled jobs by the deadline by which their tasks must have stopped.
@@ -128,12 +130,12 @@
     }
 
     /// Records that a cancellation was confirmed; later confirmations of the same job are ignored.
-    pub fn record_cancellation(&mut self, job: &str, when: CancelTimes) {
+    pub fn record_cancellation(&mut self, job: &str, times: CancelTimes) {
         if self.cancelled.contains_key(job) {
             return;
         }
-        self.cancelled.insert(job.into(), when);
-        self.stop_deadlines.entry(when.stopped_by_ms).or_default().push(job.into());
+        self.cancelled.insert(job.into(), times);
+        self.stop_deadlines.entry(times.stop_deadline_ms).or_default().push(job.into());
     }
 
     /// Records that a controller reported an accepted job as unknown.
@@ -157,17 +159,16 @@
         }
     }
 
-    /// Checks the deadlines of cancelled jobs that lie before `now_ms`: all tasks of these jobs must have
-    /// stopped.
+    /// Checks the cancelled jobs whose deadline lies before `now_ms`: all their tasks must have stopped.
     pub fn advance_to(&mut self, now_ms: u64) {
         let later = self.stop_deadlines.split_off(&now_ms);
         let due = std::mem::replace(&mut self.stop_deadlines, later);
-        for (stopped_by_ms, jobs) in due {
-            jobs.iter().for_each(|job| self.check_stopped(job, stopped_by_ms));
+        for (stop_deadline_ms, jobs) in due {
+            jobs.iter().for_each(|job| self.check_stopped(job, stop_deadline_ms));
         }
     }
 
-    fn check_stopped(&mut self, job: &str, stopped_by_ms: u64) {
+    fn check_stopped(&mut self, job: &str, stop_deadline_ms: u64) {
         let remaining: Vec<(String, String)> = self
             .task_workers
             .iter()
@@ -175,7 +176,7 @@
             .flat_map(|(task, workers)| workers.iter().map(|worker| (task.clone(), worker.clone())))
             .collect();
         for (task, worker) in remaining {
-            self.violations.push(Violation::RanCancelled { at_ms: stopped_by_ms, task, worker });
+            self.violations.push(Violation::RanCancelled { at_ms: stop_deadline_ms, task, worker });
         }
     }
 
@@ -184,7 +185,11 @@
             self.violations.push(Violation::UnknownJob { at_ms: event.at_ms, task: event.task.clone() });
             return;
         };
-        if self.cancelled.get(job_of_task(&event.task)).is_some_and(|when| event.at_ms > when.stopped_by_ms) {
+        if self
+            .cancelled
+            .get(job_of_task(&event.task))
+            .is_some_and(|times| event.at_ms > times.stop_deadline_ms)
+        {
             let (task, worker) = (event.task.clone(), event.worker.clone());
             self.violations.push(Violation::RanCancelled { at_ms: event.at_ms, task, worker });
         }
--- a/crates/scale-test/src/kv_store.rs
+++ b/crates/scale-test/src/kv_store.rs
@@ -42,10 +42,11 @@
 
 const KV_LISTENER: ListenerId = ListenerId(0);
 const CONTROL_LISTENER: ListenerId = ListenerId(1);
-const POLL_MS: u64 = 20;
+/// Maximum time that the event loop waits for socket events.
+const POLL_INTERVAL_MS: u64 = 20;
 /// The process exits if it has received no request from the run for this long, because the run has then
 /// ended.
-const CONTROL_TIMEOUT_MS: u64 = 15_000;
+const CONTROL_LOSS_TIMEOUT_MS: u64 = 15_000;
 const LEADER_KEY: &str = "olivelatch/leader";
 const TOO_MANY_REQUESTS: u16 = 429;
 
@@ -53,14 +54,16 @@
     clock: RunClock,
     engine: KvEngine,
     file: StoreFile,
-    measurements: KvMeasurements,
+    /// Counts requests, refusals and mutations; `current_measurements` fills in the other values.
+    counters: KvMeasurements,
     /// Responses that are sent after the next commit.
     pending_responses: Vec<(ConnectionId, u16, Value)>,
     /// Time at which the run last requested measurements.
     last_control_request_at: u64,
 }
 
-/// Serves the kv store until the run ends. A response is sent only after its mutations are on disk.
+/// Serves the kv store until the run ends. The response to a request is sent only after the request's
+/// mutations are on disk.
 ///
 /// # Errors
 ///
@@ -85,13 +88,15 @@
         clock,
         engine,
         file,
-        measurements: KvMeasurements::default(),
+        counters: KvMeasurements::default(),
         pending_responses: Vec::new(),
     };
     let mut events = Events::new();
-    while process.clock.now() < process.last_control_request_at + CONTROL_TIMEOUT_MS {
+    while process.clock.now() < process.last_control_request_at + CONTROL_LOSS_TIMEOUT_MS {
         events.clear();
-        poller.wait(&mut events, Duration::from_millis(POLL_MS)).map_err(io_error("polling sockets"))?;
+        poller
+            .wait(&mut events, Duration::from_millis(POLL_INTERVAL_MS))
+            .map_err(io_error("polling sockets"))?;
         let now = process.clock.now();
         let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
         for key in ready {
@@ -106,7 +111,8 @@
 }
 
 impl KvStoreProcess {
-    /// Carries out a request and the requests that have already arrived after it on the same connection.
+    /// Carries out a request. The response of the kv store follows with the next commit; a request for
+    /// measurements is answered at once, and then the next one on its connection is carried out.
     fn handle_requests(
         &mut self,
         server: &mut HttpServer,
@@ -117,21 +123,21 @@
             let now = self.clock.now();
             if listener == CONTROL_LISTENER {
                 self.last_control_request_at = now;
-                let body = serde_json::to_vec(&self.measurements(poller)).unwrap_or_default();
+                let body = serde_json::to_vec(&self.current_measurements(poller)).unwrap_or_default();
                 next = server.respond(connection, 200, &body);
                 continue;
             }
             let (status, body) =
                 self.engine.handle_request(&request.method, &request.path, &request.body, now);
-            self.measurements.requests += 1;
-            self.measurements.refused += u64::from(status == TOO_MANY_REQUESTS);
+            self.counters.requests += 1;
+            self.counters.refused += u64::from(status == TOO_MANY_REQUESTS);
             self.pending_responses.push((connection, status, body));
         }
     }
 
-    fn measurements(&self, poller: &EventPoller) -> KvMeasurements {
+    fn current_measurements(&self, poller: &EventPoller) -> KvMeasurements {
         let record = self.engine.get(LEADER_KEY);
-        let mut measurements = self.measurements.clone();
+        let mut measurements = self.counters.clone();
         measurements.revision = self.engine.revision();
         measurements.keys = self.engine.len();
         measurements.leader = record.and_then(|record| record["node"].as_str()).map(String::from);
@@ -145,7 +151,7 @@
         while !self.pending_responses.is_empty() {
             let deltas = self.engine.take_deltas();
             let is_mutation = |delta: &&Delta| matches!(delta, Delta::Put { .. } | Delta::Delete { .. });
-            self.measurements.mutations += deltas.iter().filter(is_mutation).count() as u64;
+            self.counters.mutations += deltas.iter().filter(is_mutation).count() as u64;
             self.file.commit(&deltas, &[])?;
             for (connection, status, body) in std::mem::take(&mut self.pending_responses) {
                 let bytes = serde_json::to_vec(&body).unwrap_or_default();
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -4,9 +4,9 @@
 //! loopback. The workers are simulated: they use the worker's own code (`olivelatch-worker`) with simulated
 //! tasks, and one process holds many of them. An open-loop load follows a plan (an HCL file), faults are
 //! injected at the times that the plan sets, and an independent checker verifies the events that the
-//! simulated workers observed. `plan`, `arrivals`, `invariants` and `measurements` do no I/O and read no
-//! clock. No process outlives a run. A run refuses to start if the machine is too small for its plan.
-//! Operators find the documentation in docs/scale.md.
+//! simulated workers observed. `arrivals`, `changes`, `users`, `invariants` and `measurements` do no I/O
+//! and read no clock. No process outlives a run. A run refuses to start if the machine is too small for its
+//! plan. Operators find the documentation in docs/scale.md.
 
 #![warn(missing_docs)]
 
--- a/crates/scale-test/src/measurements/latency.rs
+++ b/crates/scale-test/src/measurements/latency.rs
@@ -77,11 +77,11 @@
     }
 
     /// Returns the summaries by class and phase.
-    pub fn table(&self) -> BTreeMap<String, BTreeMap<String, LatencySummary>> {
-        let mut table: BTreeMap<String, BTreeMap<String, LatencySummary>> = BTreeMap::new();
+    pub fn summaries(&self) -> BTreeMap<String, BTreeMap<String, LatencySummary>> {
+        let mut summaries: BTreeMap<String, BTreeMap<String, LatencySummary>> = BTreeMap::new();
         for ((class, phase), latencies) in &self.histograms {
-            table.entry(class.clone()).or_default().insert(phase.clone(), latencies.summary());
+            summaries.entry(class.clone()).or_default().insert(phase.clone(), latencies.summary());
         }
-        table
+        summaries
     }
 }
--- a/crates/scale-test/src/measurements/mod.rs
+++ b/crates/scale-test/src/measurements/mod.rs
@@ -139,7 +139,7 @@
     #[serde(rename = "leads")]
     pub leader_changes: Vec<LeaderChange>,
     /// Latencies of configuration changes, by the name of the series in the plan.
-    pub changes: BTreeMap<String, ConfigChangeLatency>,
+    pub changes: BTreeMap<String, ChangeSeriesReport>,
     /// Number of tasks of urgent classes that waited longer than `URGENT_OBJECTIVE_MS`.
     #[serde(rename = "urgent_late")]
     pub urgent_past_objective: u64,
@@ -157,9 +157,9 @@
     pub samples: Vec<SecondSample>,
 }
 
-/// Latencies and failures of the configuration changes in one series of the plan.
+/// Outcomes and latencies of the configuration changes in one series of the plan.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct ConfigChangeLatency {
+pub struct ChangeSeriesReport {
     /// Number of changes that were requested.
     #[serde(rename = "asked")]
     pub requested: u64,
--- a/crates/scale-test/src/measurements/usage.rs
+++ b/crates/scale-test/src/measurements/usage.rs
@@ -19,10 +19,14 @@
     pub memory_peak_mb: f64,
     /// Maximum number of open files.
     pub files_peak: usize,
+    /// Processor time over the periods in `sampled_s`, in seconds.
     #[serde(skip)]
     cpu_time_s: f64,
+    /// Sum of the periods between two samples in which the process was not restarted, in seconds.
     #[serde(skip)]
     sampled_s: f64,
+    /// The last sample, with its time in milliseconds of the run; `None` before the first sample and if the
+    /// process was not running.
     #[serde(skip)]
     last_sample: Option<(u64, ResourceSample)>,
 }
--- a/crates/scale-test/src/plan/mod.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -90,7 +90,7 @@
     pub starts_per_s: f64,
 }
 
-/// A class of jobs: all its jobs arrive at the same mean rate and have tasks of the same size.
+/// A class of jobs, which have the same shape and urgency, and whose tasks have the same size.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobClassPlan {
--- a/crates/scale-test/src/processes.rs
+++ b/crates/scale-test/src/processes.rs
@@ -95,11 +95,11 @@
     /// Returns the present resource usage; `None` if the process is not running.
     pub fn sample(&self) -> Option<ResourceSample> {
         let child = self.child.as_ref()?;
-        sample(&Process::new(child.id() as i32).ok()?)
+        sample_process(&Process::new(child.id() as i32).ok()?)
     }
 
     /// Returns whether the process exited without having been killed by the run.
-    pub fn has_exited(&mut self) -> bool {
+    pub fn has_exited_unexpectedly(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(Some(_))),
             None => false,
@@ -143,7 +143,7 @@
     }
 }
 
-fn sample(process: &Process) -> Option<ResourceSample> {
+fn sample_process(process: &Process) -> Option<ResourceSample> {
     let stat = process.stat().ok()?;
     Some(ResourceSample {
         cpu_time_s: (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64,
@@ -154,7 +154,7 @@
 
 /// Returns the resource usage of the run's own process.
 pub fn sample_self() -> ResourceSample {
-    Process::myself().ok().as_ref().and_then(sample).unwrap_or_default()
+    Process::myself().ok().as_ref().and_then(sample_process).unwrap_or_default()
 }
 
 /// The memory of the machine.
@@ -162,7 +162,7 @@
     /// Total memory in bytes.
     pub total_bytes: u64,
     /// Memory in bytes that processes can still allocate.
-    pub free_bytes: u64,
+    pub available_bytes: u64,
 }
 
 /// Reads the total and the available memory of the machine.
@@ -170,11 +170,11 @@
 /// # Errors
 ///
 /// `/proc/meminfo` cannot be read.
-pub fn memory_totals() -> Result<MachineMemory, ScaleError> {
+pub fn read_machine_memory() -> Result<MachineMemory, ScaleError> {
     let info = procfs::Meminfo::current()
         .map_err(|error| ScaleError::Process(format!("cannot read the memory of the machine: {error}")))?;
-    let free_bytes = info.mem_available.unwrap_or(info.mem_free);
-    Ok(MachineMemory { total_bytes: info.mem_total, free_bytes })
+    let available_bytes = info.mem_available.unwrap_or(info.mem_free);
+    Ok(MachineMemory { total_bytes: info.mem_total, available_bytes })
 }
 
 /// Raises the limit of open files for this process and the processes that it starts to `wanted`, if it is
@@ -204,6 +204,6 @@
 /// # Errors
 ///
 /// The directory cannot be created.
-pub fn create_directory(path: &Path) -> Result<(), ScaleError> {
+pub fn create_output_directory(path: &Path) -> Result<(), ScaleError> {
     std::fs::create_dir_all(path).map_err(io_error(path.display().to_string()))
 }
--- a/crates/scale-test/src/run/faults.rs
+++ b/crates/scale-test/src/run/faults.rs
@@ -44,6 +44,7 @@
     pub(super) fn apply_due_faults(&mut self, now: u64) -> Result<(), ScaleError> {
         let due: Vec<usize> =
             (0..self.fault_schedule.len()).filter(|index| self.fault_schedule[*index].at_ms <= now).collect();
+        // From the highest index down, because `swap_remove` moves the last action to the freed index.
         for index in due.into_iter().rev() {
             let fault = self.fault_schedule.swap_remove(index);
             self.apply_fault_action(fault.action, now)?;
--- a/crates/scale-test/src/run/kv_poll.rs
+++ b/crates/scale-test/src/run/kv_poll.rs
@@ -6,7 +6,7 @@
 use olivelatch_net::http::Response;
 
 use super::network::Network;
-use super::{CONTROL_TIMEOUT_MS, START_TIMEOUT_MS, STATUS_INTERVAL_MS, ScaleRun};
+use super::{CONTROL_REQUEST_TIMEOUT_MS, START_TIMEOUT_MS, STATUS_INTERVAL_MS, ScaleRun};
 use crate::control::KvMeasurements;
 use crate::error::ScaleError;
 use crate::measurements::LeaderChange;
@@ -15,6 +15,7 @@
 pub(super) const KV_SLOT: usize = 1_000;
 
 pub(super) struct KvPoller {
+    /// Address at which the process serves its measurements.
     control: SocketAddr,
     /// Measurements in the last response.
     pub(super) measurements: KvMeasurements,
@@ -43,7 +44,7 @@
         self.next_poll = now + STATUS_INTERVAL_MS;
         self.in_flight = true;
         let request = ("GET", "/figures", b"".as_slice());
-        network.send(CallSlot(KV_SLOT), self.control, request, now + CONTROL_TIMEOUT_MS);
+        network.send(CallSlot(KV_SLOT), self.control, request, now + CONTROL_REQUEST_TIMEOUT_MS);
     }
 
     /// Stores the measurements of a response; returns the leader if it has changed.
--- a/crates/scale-test/src/run/load.rs
+++ b/crates/scale-test/src/run/load.rs
@@ -19,15 +19,16 @@
 const DESCRIBE_AHEAD_MS: u64 = 2_000;
 /// A submission counts as late if it is sent later than planned by more than this.
 const LATE_SUBMISSION_MS: u64 = 250;
-/// First call slots of configuration changes and of users; each change and each user has a slot of its own.
+/// Call slot of the first configuration change; each change has a slot of its own.
 pub(super) const FIRST_CHANGE_SLOT: usize = 10_000;
+/// Call slot of the first user; each user has a slot of its own. Smaller slots belong to changes.
 pub(super) const FIRST_USER_SLOT: usize = 1_000_000;
-/// Value of `start_ms` while the load has not begun; it is later than any time of the run.
+/// Value of `Load::start_ms` before the load begins; it is later than any time of the run.
 const NOT_STARTED: u64 = u64::MAX;
 
-/// The senders of requests to the controllers, and the time at which the load began.
+/// The jobs that are still to arrive, the users and the configuration changes.
 pub(super) struct Load {
-    /// Time at which the load began, from which all its times count.
+    /// Time of the run at which the load began; `NOT_STARTED` before.
     pub(super) start_ms: u64,
     arrivals: Arrivals,
     pub(super) users: Users,
@@ -100,13 +101,13 @@
     fn record_submission_delay(&mut self, request: &UserRequestToSend, now: u64) {
         let user = &self.load.users.users[request.user];
         let late_ms = now.saturating_sub(self.load.start_ms + user.arrival.at_ms);
-        if user.first_request && late_ms > LATE_SUBMISSION_MS {
+        if user.is_first_request && late_ms > LATE_SUBMISSION_MS {
             self.report.late_submissions += 1;
             self.report.load_late_max_s = self.report.load_late_max_s.max(late_ms as f64 / 1000.0);
         }
     }
 
-    /// Sends the configuration requests that are due, to the controllers in turn.
+    /// Sends the requests for configuration changes that are due.
     pub(super) fn send_config_changes(&mut self, now: u64) {
         if !self.load.has_started() {
             return;
@@ -132,7 +133,7 @@
             UserOutcome::Cancelled => {
                 self.report.cancelled += 1;
                 let cancel_ms = (self.plan.worker_timings.cancel_s * 1000.0) as u64;
-                let times = CancelTimes { at_ms: now, stopped_by_ms: now + cancel_ms };
+                let times = CancelTimes { confirmed_at_ms: now, stop_deadline_ms: now + cancel_ms };
                 self.checker.record_cancellation(&job, times);
             }
             UserOutcome::Done => self.report.done += 1,
--- a/crates/scale-test/src/run/mod.rs
+++ b/crates/scale-test/src/run/mod.rs
@@ -41,7 +41,7 @@
 use crate::invariants::InvariantChecker;
 use crate::measurements::RunReport;
 use crate::plan::Plan;
-use crate::processes::create_directory;
+use crate::processes::create_output_directory;
 use crate::simulated_workers::RunClock;
 
 /// The command-line arguments of a run.
@@ -62,15 +62,16 @@
 const STATUS_INTERVAL_MS: u64 = 200;
 /// Interval at which machines that have become ready are booted and removed machines are stopped.
 const CLOUD_INTERVAL_MS: u64 = 100;
-/// Deadline of a message to a process of the run.
-const CONTROL_TIMEOUT_MS: u64 = 10_000;
+/// Time-out of a request to a zone's process or to the kv store's process.
+const CONTROL_REQUEST_TIMEOUT_MS: u64 = 10_000;
 /// Time within which the processes must respond and a controller must become leader.
 const START_TIMEOUT_MS: u64 = 30_000;
 /// Time-out of the final poll of all jobs.
-const FINAL_POLL_MS: u64 = 60_000;
+const FINAL_POLL_TIMEOUT_MS: u64 = 60_000;
 /// Maximum number of violations that are printed; the report lists all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
+/// The state of a run. Times are in milliseconds since its start.
 struct ScaleRun {
     plan: Plan,
     clock: RunClock,
@@ -90,6 +91,7 @@
     pending_events: Vec<TaskEvent>,
     measurements: RunMeasurements,
     fault_schedule: Vec<ScheduledFault>,
+    /// Time of the last fault that killed a leader.
     leader_killed_at: Option<u64>,
     /// Highest fencing token seen in an attempt on a worker.
     highest_token: u64,
@@ -106,7 +108,7 @@
 pub fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
     let plan = Plan::load(&arguments.plan)?;
     let memory_limit = start::check_machine_resources(&plan)?;
-    create_directory(&arguments.out)?;
+    create_output_directory(&arguments.out)?;
     let mut run = ScaleRun::start(plan, arguments, memory_limit)?;
     let result = run.run_phases();
     run.report.end_reason = match &result {
@@ -127,22 +129,22 @@
 
     fn run_phases(&mut self) -> Result<(), ScaleError> {
         self.wait_for_leader()?;
-        let settled = self.clock.now() + (self.plan.settle_s * 1000.0) as u64;
-        self.run_until(settled, |_| false)?;
+        let settle_end = self.clock.now() + (self.plan.settle_s * 1000.0) as u64;
+        self.run_until(settle_end, |_| false)?;
         self.start_load();
         let load_end = self.load.start_ms + (self.plan.load_s() * 1000.0) as u64;
         self.run_until(load_end, |_| false)?;
         self.record_load_end(load_end);
-        let drained = load_end + (self.plan.drain_s * 1000.0) as u64;
-        self.run_until(drained, |run| {
-            run.load.users.unfinished() == 0 && run.load.config_changes.unfinished() == 0
+        let drain_deadline = load_end + (self.plan.drain_s * 1000.0) as u64;
+        self.run_until(drain_deadline, |run| {
+            run.load.users.unfinished_jobs() == 0 && run.load.config_changes.unfinished() == 0
         })?;
-        self.load.users.poll_all(self.clock.now());
-        let polled = self.clock.now() + FINAL_POLL_MS;
-        self.run_until(polled, |run| run.load.users.unanswered_final_polls() == 0)?;
+        self.load.users.schedule_final_polls(self.clock.now());
+        let final_poll_deadline = self.clock.now() + FINAL_POLL_TIMEOUT_MS;
+        self.run_until(final_poll_deadline, |run| run.load.users.unanswered_final_polls() == 0)?;
         // Wait for the next polls of the zones, which deliver their last events.
-        let delivered = self.clock.now() + 2 * STATUS_INTERVAL_MS;
-        self.run_until(delivered, |_| false)
+        let delivery_end = self.clock.now() + 2 * STATUS_INTERVAL_MS;
+        self.run_until(delivery_end, |_| false)
     }
 
     fn wait_for_leader(&mut self) -> Result<(), ScaleError> {
@@ -188,10 +190,13 @@
         Ok(())
     }
 
+    /// Passes a response, or `None` if the request failed, to the sender that owns the call slot.
     fn handle_response(&mut self, slot: CallSlot, response: Option<&Response>) -> Result<(), ScaleError> {
         match slot.0 {
             zone if zone < self.zones.len() => self.handle_zone_response(zone, response),
             KV_SLOT => self.handle_kv_response(response),
+            // Each change and each user has a slot of its own, so the connection is closed: it would stay open
+            // until the slot's next request.
             change if change < FIRST_USER_SLOT => {
                 self.network.http_client.abort_call(slot);
                 let change = change - FIRST_CHANGE_SLOT;
@@ -225,6 +230,7 @@
         self.sample_processes(now)
     }
 
+    /// Queues the commands to boot and remove machines, if `CLOUD_INTERVAL_MS` has passed.
     fn step_cloud(&mut self, now: u64) {
         if now < self.next_cloud_step {
             return;
@@ -255,11 +261,11 @@
     fn complete_report(&mut self) {
         self.report.phases = self.phase_throughput();
         self.report.compute_peaks();
-        self.report.start_latencies = self.measurements.start_latencies.table();
+        self.report.start_latencies = self.measurements.start_latencies.summaries();
         self.report.acceptance_latency = self.measurements.acceptance_latency.summary();
         self.report.changes = self.load.config_changes.measurements();
         self.report.user_retries = self.load.users.retries;
-        self.report.unfinished_at_end = self.load.users.unfinished();
+        self.report.unfinished_at_end = self.load.users.unfinished_jobs();
         self.report.unanswered_at_end = self.load.users.unanswered_final_polls();
         self.report.state.refused = self.kv.measurements.refused;
         self.report.state.keys = self.kv.measurements.keys;
--- a/crates/scale-test/src/run/process_group.rs
+++ b/crates/scale-test/src/run/process_group.rs
@@ -60,7 +60,7 @@
             if leader == Some(index) {
                 second.leader_cpu = share;
             }
-            if process.has_exited() {
+            if process.has_exited_unexpectedly() {
                 return Err(ScaleError::Process(format!(
                     "process {} exited unexpectedly; see its log in the output directory",
                     process.name
--- a/crates/scale-test/src/run/start.rs
+++ b/crates/scale-test/src/run/start.rs
@@ -21,12 +21,14 @@
 use crate::kv_store::KvStoreArguments;
 use crate::measurements::RunReport;
 use crate::plan::Plan;
-use crate::processes::{ManagedProcess, ProcessCommand, Role, memory_totals, raise_open_file_limit};
+use crate::processes::{ManagedProcess, ProcessCommand, Role, raise_open_file_limit, read_machine_memory};
 use crate::simulated_workers::{RunClock, ZoneProcessArguments, unix_ms};
 
-/// Expected memory of one simulated worker, of one controller, and of everything else together.
+/// Expected memory of one simulated worker.
 const WORKER_BYTES: u64 = 200_000;
+/// Expected memory of one controller.
 const CONTROLLER_BYTES: u64 = 120_000_000;
+/// Expected memory of everything else in a run.
 const BASE_BYTES: u64 = 500_000_000;
 /// Address at which the run's processes listen, except the workers, each of which has its own address.
 const SERVICE_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
@@ -35,15 +37,15 @@
 const FIXED_PORTS: usize = 4;
 /// Name of the file with the controllers' tunables, in the run's output directory.
 const TUNABLES_FILE: &str = "tunables.hcl";
-/// Number of open files that a process needs in addition to its connections, and the maximum number of
-/// connections that a process has for each worker.
+/// Number of open files that a process needs in addition to its connections to workers.
 const OPEN_FILE_MARGIN: u64 = 500;
+/// Maximum number of connections that a process has for each worker.
 const CONNECTIONS_PER_WORKER: u64 = 3;
 /// The processes of a run may use the memory of the machine divided by this.
 const MEMORY_LIMIT_DIVISOR: u64 = 2;
 
-/// Checks that the machine is large enough for the plan; returns the maximum memory of all processes
-/// together, in bytes.
+/// Checks that the machine is large enough for the plan, and raises the limit of open files if necessary.
+/// Returns the maximum memory of all processes together, in bytes.
 ///
 /// # Errors
 ///
@@ -51,18 +53,18 @@
 pub(super) fn check_machine_resources(plan: &Plan) -> Result<u64, ScaleError> {
     let workers = plan.max_workers() as u64;
     raise_open_file_limit(CONNECTIONS_PER_WORKER * workers + OPEN_FILE_MARGIN)?;
-    let memory = memory_totals()?;
-    let wanted = workers * WORKER_BYTES + plan.controllers as u64 * CONTROLLER_BYTES + BASE_BYTES;
-    let limit = memory.total_bytes / MEMORY_LIMIT_DIVISOR;
-    if wanted > limit.min(memory.free_bytes) {
+    let memory = read_machine_memory()?;
+    let needed_bytes = workers * WORKER_BYTES + plan.controllers as u64 * CONTROLLER_BYTES + BASE_BYTES;
+    let limit_bytes = memory.total_bytes / MEMORY_LIMIT_DIVISOR;
+    if needed_bytes > limit_bytes.min(memory.available_bytes) {
         return Err(ScaleError::Refused(format!(
             "the plan needs about {} MB of memory; {} MB are available, and a run may use at most {} MB, half of the machine's memory; use a smaller plan",
-            wanted / 1_000_000,
-            memory.free_bytes / 1_000_000,
-            limit / 1_000_000
+            needed_bytes / 1_000_000,
+            memory.available_bytes / 1_000_000,
+            limit_bytes / 1_000_000
         )));
     }
-    Ok(limit)
+    Ok(limit_bytes)
 }
 
 /// Ports reserved for this run. Each port is bound on 127.0.0.1, so that no other run gets the same one, and
@@ -102,6 +104,7 @@
     cluster: ClusterAddresses,
     kv_control: SocketAddr,
     zone_controls: Vec<SocketAddr>,
+    /// Port of all workers; each worker has its own IP address.
     worker_port: u16,
 }
 
@@ -112,18 +115,20 @@
         let (controllers, rest) = free.split_at(plan.controllers);
         let (meshes, rest) = rest.split_at(plan.controllers);
         let (zone_controls, rest) = rest.split_at(plan.zones.len());
+        let (kv_store, cloud, kv_control, worker) = (rest[0], rest[1], rest[2], rest[3]);
         let cluster = ClusterAddresses {
-            kv_store: rest[0],
-            cloud: rest[1],
-            job_store: rest[1],
+            kv_store,
+            cloud,
+            // A scale run has no job store, and the controllers' settings do not contain its address.
+            job_store: cloud,
             controllers: controllers.to_vec(),
             meshes: meshes.to_vec(),
         };
         let addresses = RunAddresses {
             cluster,
-            kv_control: rest[2],
+            kv_control,
             zone_controls: zone_controls.to_vec(),
-            worker_port: rest[3].port(),
+            worker_port: worker.port(),
         };
         Ok((addresses, ports))
     }
--- a/crates/scale-test/src/run/task_events.rs
+++ b/crates/scale-test/src/run/task_events.rs
@@ -11,7 +11,7 @@
 const TOKEN_SHIFT_BITS: u32 = 24;
 
 impl ScaleRun {
-    /// Checks the pending events up to the time until which all zones have delivered their events.
+    /// Checks the pending events before the time until which all zones have delivered their events.
     pub(super) fn check_events(&mut self) {
         let until = self.zones.iter().map(|zone| zone.status.until_ms).min().unwrap_or(0);
         let (mut complete, pending): (Vec<TaskEvent>, Vec<TaskEvent>) =
@@ -33,8 +33,8 @@
         self.checker.advance_to(until);
     }
 
-    /// Records the time of the new leader's first task start, which is the first placement with a higher
-    /// fencing token.
+    /// Records when the new leader's first task was placed. It is the first task with a higher fencing token
+    /// than all tasks before.
     fn record_placement(&mut self, event: &TaskEvent) {
         let token = event.attempt >> TOKEN_SHIFT_BITS;
         if token <= self.highest_token {
@@ -48,6 +48,7 @@
         change.first_start_s = Some(event.at_ms as f64 / 1000.0 - from_s);
     }
 
+    /// Counts a task start, and records the wait if it is the first start of the task.
     fn record_start(&mut self, event: &TaskEvent) {
         self.measurements.starts += 1;
         let job = event.task.split('/').next();
--- a/crates/scale-test/src/run/zones.rs
+++ b/crates/scale-test/src/run/zones.rs
@@ -9,7 +9,7 @@
 
 use super::network::Network;
 use super::start::to_json;
-use super::{CONTROL_TIMEOUT_MS, START_TIMEOUT_MS, STATUS_INTERVAL_MS, ScaleRun};
+use super::{CONTROL_REQUEST_TIMEOUT_MS, START_TIMEOUT_MS, STATUS_INTERVAL_MS, ScaleRun};
 use crate::control::{TaskEvent, ZoneCommand, ZoneStatus};
 use crate::error::ScaleError;
 
@@ -23,9 +23,10 @@
     /// Number of commands queued since the start of the run or the last reset.
     queued: u64,
     /// Number of commands in the message in flight; `None` if no message is in flight.
-    sent_in_flight: Option<u64>,
+    commands_in_flight: Option<u64>,
     /// Number of commands acknowledged by the zone's process.
     pub(super) acknowledged: u64,
+    /// Time of the run at which the next status poll is due.
     next_poll: u64,
     /// Status in the last response.
     pub(super) status: ZoneStatus,
@@ -39,7 +40,7 @@
             address,
             queue: VecDeque::new(),
             queued: 0,
-            sent_in_flight: None,
+            commands_in_flight: None,
             acknowledged: 0,
             next_poll: 0,
             status: ZoneStatus::default(),
@@ -57,7 +58,7 @@
     /// Sends queued commands, or an empty batch if a status poll is due. At most one message is in flight at
     /// a time.
     pub(super) fn poll(&mut self, slot: CallSlot, network: &mut Network, now: u64) -> Result<(), ScaleError> {
-        if self.sent_in_flight.is_some() || (self.queue.is_empty() && now < self.next_poll) {
+        if self.commands_in_flight.is_some() || (self.queue.is_empty() && now < self.next_poll) {
             return Ok(());
         }
         self.next_poll = now + STATUS_INTERVAL_MS;
@@ -69,16 +70,16 @@
             bytes += text.len() + 1;
             commands.push(text);
         }
-        self.sent_in_flight = Some(commands.len() as u64);
+        self.commands_in_flight = Some(commands.len() as u64);
         let body = format!("[{}]", commands.join(","));
         let request = ("POST", "/commands", body.as_bytes());
-        network.send(slot, self.address, request, now + CONTROL_TIMEOUT_MS);
+        network.send(slot, self.address, request, now + CONTROL_REQUEST_TIMEOUT_MS);
         Ok(())
     }
 
     /// Stores the status of a response and counts the commands as acknowledged; returns the events.
     fn handle_status(&mut self, mut status: ZoneStatus) -> Vec<TaskEvent> {
-        self.acknowledged += self.sent_in_flight.take().unwrap_or(0);
+        self.acknowledged += self.commands_in_flight.take().unwrap_or(0);
         let events = std::mem::take(&mut status.events);
         self.status = status;
         events
@@ -90,7 +91,7 @@
 
     /// Discards all commands, so that the caller can queue them again.
     fn reset(&mut self, now: u64) {
-        self.sent_in_flight = None;
+        self.commands_in_flight = None;
         self.queue.clear();
         self.queued = 0;
         self.next_poll = now + STATUS_INTERVAL_MS;
@@ -106,8 +107,8 @@
         let name = &self.plan.zones[zone];
         let link = &mut self.zones[zone];
         let Some(response) = response else {
-            // The process may not listen yet. The commands sent to it so far are lost; clearing the zone
-            // makes the cloud send the boot commands of its machines again.
+            // The process may not listen yet. The commands sent to it so far are lost; `clear_zone` makes the
+            // cloud send the boot commands of its machines again.
             if link.has_never_responded() && self.clock.now() < START_TIMEOUT_MS {
                 link.reset(self.clock.now());
                 self.cloud.clear_zone(zone);
--- a/crates/scale-test/src/simulated_workers/control_protocol.rs
+++ b/crates/scale-test/src/simulated_workers/control_protocol.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 
 use super::Zone;
-use super::observation::SimulatedWorker;
+use super::observation::WorkerContext;
 use crate::control::{SimulatedMachine, ZoneCommand};
 use crate::error::{ScaleError, io_error};
 
@@ -46,7 +46,7 @@
         self.status.until_ms = now;
         self.status.workers = self.workers.len();
         self.status.tasks_on_machines =
-            self.simulated_workers.iter().map(SimulatedWorker::tasks_on_machine).sum();
+            self.worker_contexts.iter().map(WorkerContext::tasks_on_machine).sum();
         self.status.bytes_in =
             syscalls.bytes_read.load(Ordering::Relaxed).saturating_sub(self.control_traffic.bytes_in);
         self.status.bytes_out =
@@ -70,7 +70,7 @@
         self.worker_by_listener.insert(listener, self.workers.len());
         self.workers.push(Worker::new(machine.into(), now));
         let heartbeat_sender = HeartbeatSender::new(controller, first_heartbeat);
-        self.simulated_workers.push(SimulatedWorker::new(listener, heartbeat_sender));
+        self.worker_contexts.push(WorkerContext::new(listener, heartbeat_sender));
         Ok(())
     }
 
@@ -78,10 +78,10 @@
         let Some(index) = self.workers.iter().position(|worker| worker.machine.name == name) else { return };
         self.observe_workers(now);
         self.workers.swap_remove(index);
-        let removed = self.simulated_workers.swap_remove(index);
+        let removed = self.worker_contexts.swap_remove(index);
         removed.observe_removal(name, now, &mut self.status.events);
         self.worker_by_listener.remove(&removed.listener);
-        if let Some(moved) = self.simulated_workers.get(index) {
+        if let Some(moved) = self.worker_contexts.get(index) {
             self.worker_by_listener.insert(moved.listener, index);
         }
         self.server.close_listener(removed.listener);
@@ -90,9 +90,9 @@
 
     fn partition(&mut self) {
         self.partitioned = true;
-        // The partition loses the heartbeats in flight.
+        // The heartbeats in flight are lost.
         let slots: Vec<CallSlot> =
-            self.simulated_workers.iter().map(|worker| CallSlot(worker.listener.0)).collect();
+            self.worker_contexts.iter().map(|worker| CallSlot(worker.listener.0)).collect();
         let now = self.clock.now();
         for slot in slots {
             self.http_client.abort_call(slot);
--- a/crates/scale-test/src/simulated_workers/controller_traffic.rs
+++ b/crates/scale-test/src/simulated_workers/controller_traffic.rs
@@ -12,7 +12,7 @@
 use super::{HEARTBEAT_TIMEOUT_MS, Zone};
 use crate::plan::Defect;
 
-/// The time between heartbeats varies by plus or minus the interval divided by this.
+/// The time between heartbeats deviates from the interval at random, at most by the interval divided by this.
 const JITTER_DIVISOR: u64 = 4;
 
 impl Zone {
@@ -62,7 +62,7 @@
         self.status.heartbeats_acknowledged += u64::from(status == 200);
         let controllers = self.arguments.controllers.len();
         let index_of_controller = |name: &str| controller_index(name, controllers);
-        self.simulated_workers[index].heartbeat_sender.handle_response(
+        self.worker_contexts[index].heartbeat_sender.handle_response(
             &mut self.workers[index],
             HeartbeatResponse { status, body: &body },
             now,
@@ -75,7 +75,7 @@
     /// Sends the heartbeats that are due.
     pub(super) fn send_heartbeats(&mut self, now: u64) {
         for index in 0..self.workers.len() {
-            let sender = &self.simulated_workers[index].heartbeat_sender;
+            let sender = &self.worker_contexts[index].heartbeat_sender;
             if sender.is_due(&self.workers[index], now, self.heartbeat_times) {
                 self.send_heartbeat(index, now);
             }
@@ -83,9 +83,9 @@
     }
 
     fn send_heartbeat(&mut self, index: usize, now: u64) {
-        let simulated = &mut self.simulated_workers[index];
-        let slot = CallSlot(simulated.listener.0);
-        let sender = &mut simulated.heartbeat_sender;
+        let context = &mut self.worker_contexts[index];
+        let slot = CallSlot(context.listener.0);
+        let sender = &mut context.heartbeat_sender;
         let max_deviation_ms = self.heartbeat_times.interval_ms / JITTER_DIVISOR;
         let jitter_ms = self.rng.random_range(0..=2 * max_deviation_ms);
         let times = HeartbeatTimes {
--- a/crates/scale-test/src/simulated_workers/mod.rs
+++ b/crates/scale-test/src/simulated_workers/mod.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 pub(crate) use self::clock::{RunClock, unix_ms};
-use self::observation::SimulatedWorker;
+use self::observation::WorkerContext;
 use crate::control::ZoneStatus;
 use crate::error::{ScaleError, io_error};
 use crate::plan::Defect;
@@ -45,7 +45,7 @@
     pub lease_ms: u64,
     /// Time that a gang waits for all its members, in milliseconds.
     pub gang_wait_ms: u64,
-    /// Time after which the members of a gang detect that one of them is lost, in milliseconds.
+    /// Time that a member of a gang may be missing before the others are stopped, in milliseconds.
     pub gang_peer_ms: u64,
     /// Seed of the zone's random number generator.
     pub seed: u64,
@@ -62,16 +62,16 @@
 /// Minimum time between a heartbeat and the next one that a change triggers.
 const MIN_HEARTBEAT_GAP_MS: u64 = 500;
 /// Time after a failed heartbeat before the next controller is tried.
-const RETRY_MS: u64 = 1_000;
+const HEARTBEAT_RETRY_MS: u64 = 1_000;
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 /// The process exits if it has received no message from the run for this long, because the run has then
 /// ended.
-const CONTROL_TIMEOUT_MS: u64 = 15_000;
-/// Estimated size of the HTTP head of a control message. Control messages are not counted as traffic of
-/// workers.
+const CONTROL_LOSS_TIMEOUT_MS: u64 = 15_000;
+/// Estimated size of the HTTP head of a control message in bytes.
 const MESSAGE_HEAD_BYTES: u64 = 200;
 
-/// Bytes of the control messages, which are subtracted from the traffic of the process.
+/// Bytes of the control messages. They are subtracted from the traffic of the process, so that only the
+/// workers' own traffic is reported.
 #[derive(Default)]
 struct ControlTraffic {
     bytes_in: u64,
@@ -88,14 +88,15 @@
     http_client: HttpClient,
     rng: StdRng,
     workers: Vec<Worker>,
-    /// State that the zone keeps for each worker, at the same indices as `workers`.
-    simulated_workers: Vec<SimulatedWorker>,
-    /// Indices into `workers`.
+    /// Listener, heartbeat sender and observed attempts of each worker, at the same indices as `workers`.
+    worker_contexts: Vec<WorkerContext>,
+    /// Index in `workers` of the worker that a listener belongs to.
     worker_by_listener: HashMap<ListenerId, usize>,
     next_listener: usize,
     jobs: JobDescriptions,
-    /// Gangs that ran and miss a member, with the time since when; maintained by `coordinate_gangs`.
-    broken_gangs: BTreeMap<(String, u64), u64>,
+    /// Time since which a member of a started gang has been missing, by job and attempt; state of
+    /// `coordinate_gangs`.
+    incomplete_gangs: BTreeMap<(String, u64), u64>,
     next_gang_check: u64,
     partitioned: bool,
     /// Connections with a request that arrived during the partition; the response is delayed until the
@@ -114,7 +115,7 @@
 pub fn serve_zone(arguments: ZoneProcessArguments) -> Result<(), ScaleError> {
     let mut zone = Zone::new(arguments)?;
     let mut events = Events::new();
-    while zone.clock.now() < zone.last_command_at + CONTROL_TIMEOUT_MS {
+    while zone.clock.now() < zone.last_command_at + CONTROL_LOSS_TIMEOUT_MS {
         events.clear();
         zone.poller.wait(&mut events, POLL_INTERVAL).map_err(io_error("polling sockets"))?;
         let ready: Vec<usize> = events.iter().map(|event| event.key).collect();
@@ -138,7 +139,7 @@
             heartbeat_times: HeartbeatTimes {
                 interval_ms: arguments.report_ms,
                 min_change_interval_ms: MIN_HEARTBEAT_GAP_MS,
-                retry_ms: RETRY_MS,
+                retry_ms: HEARTBEAT_RETRY_MS,
                 response_timeout_ms: HEARTBEAT_TIMEOUT_MS,
             },
             http_client: HttpClient::new(&poller),
@@ -149,11 +150,11 @@
             keys,
             server,
             workers: Vec::new(),
-            simulated_workers: Vec::new(),
+            worker_contexts: Vec::new(),
             worker_by_listener: HashMap::new(),
             next_listener: CONTROL_LISTENER.0 + 1,
             jobs: JobDescriptions::new(),
-            broken_gangs: BTreeMap::new(),
+            incomplete_gangs: BTreeMap::new(),
             next_gang_check: 0,
             partitioned: false,
             unanswered_connections: Vec::new(),
@@ -227,13 +228,13 @@
             gather_timeout_ms: self.arguments.gang_wait_ms,
             peer_loss_timeout_ms: self.arguments.gang_peer_ms,
         };
-        coordinate_gangs(&mut self.workers, now, times, &self.jobs, &mut self.broken_gangs);
+        coordinate_gangs(&mut self.workers, now, times, &self.jobs, &mut self.incomplete_gangs);
     }
 
     /// Records an event for each task whose state has changed since the last call.
     fn observe_workers(&mut self, now: u64) {
-        for (worker, simulated) in self.workers.iter().zip(&mut self.simulated_workers) {
-            simulated.observe(worker, now, &mut self.status.events);
+        for (worker, context) in self.workers.iter().zip(&mut self.worker_contexts) {
+            context.observe(worker, now, &mut self.status.events);
         }
     }
 }
--- a/crates/scale-test/src/simulated_workers/observation.rs
+++ b/crates/scale-test/src/simulated_workers/observation.rs
@@ -23,6 +23,7 @@
 impl From<&AttemptPhase> for ObservedPhase {
     fn from(phase: &AttemptPhase) -> ObservedPhase {
         match phase {
+            // `observe` skips attempts that have not fetched their image.
             AttemptPhase::FetchingImage { .. } | AttemptPhase::WaitingForGang { .. } => ObservedPhase::Placed,
             AttemptPhase::Ended { .. } => ObservedPhase::Removed,
             _ => ObservedPhase::Running,
@@ -30,17 +31,17 @@
     }
 }
 
-/// The state that the zone keeps for each worker: its listener, its heartbeat sender and the observed phases
-/// of its attempts.
-pub(super) struct SimulatedWorker {
+/// What the zone keeps for each worker beside the worker itself: its listener, its heartbeat sender and the
+/// observed phases of its attempts.
+pub(super) struct WorkerContext {
     pub(super) listener: ListenerId,
     pub(super) heartbeat_sender: HeartbeatSender,
     observed: BTreeMap<AttemptKey, ObservedPhase>,
 }
 
-impl SimulatedWorker {
-    pub(super) fn new(listener: ListenerId, heartbeat_sender: HeartbeatSender) -> SimulatedWorker {
-        SimulatedWorker { listener, heartbeat_sender, observed: BTreeMap::new() }
+impl WorkerContext {
+    pub(super) fn new(listener: ListenerId, heartbeat_sender: HeartbeatSender) -> WorkerContext {
+        WorkerContext { listener, heartbeat_sender, observed: BTreeMap::new() }
     }
 
     /// Returns the number of attempts that hold resources of the machine.
@@ -48,13 +49,15 @@
         self.observed.values().filter(|phase| **phase != ObservedPhase::Removed).count()
     }
 
-    /// Appends an event for each change since the last call; `now` is in milliseconds of the run.
+    /// Appends an event for each change since the last call; `now` is in milliseconds of the run. Attempts that
+    /// have not fetched their image are skipped: a task counts as placed only once its machine has the image.
     pub(super) fn observe(&mut self, worker: &Worker, now: u64, events: &mut Vec<TaskEvent>) {
         let name = &worker.machine.name;
         for attempt in worker.attempts.iter().filter(|attempt| attempt.has_image) {
             self.observe_attempt(name, attempt, now, events);
         }
-        // The worker no longer lists attempts that were killed with their agent epoch or deleted.
+        // The worker no longer lists attempts that it killed when its lease expired, or that a controller told
+        // it to forget.
         self.observed.retain(|key, phase| {
             let listed =
                 worker.attempts.iter().any(|attempt| attempt.attempt == key.1 && attempt.task == key.0);
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -8,10 +8,12 @@
 
 use crate::arrivals::Arrival;
 
-/// Time-outs, deadlines and intervals of the user protocol, in milliseconds.
+/// Time-out of a request that submits or cancels a job.
 const SUBMIT_TIMEOUT_MS: u64 = 5_000;
 const POLL_TIMEOUT_MS: u64 = 2_000;
+/// Minimum time before a request that failed is sent again.
 const RETRY_MS: u64 = 1_000;
+/// Time after the first submission request at which a user abandons a job that is not accepted.
 const SUBMIT_DEADLINE_MS: u64 = 60_000;
 const POLL_INTERVAL_MS: u64 = 5_000;
 
@@ -31,18 +33,18 @@
     Confirmed,
 }
 
-/// A user with one job.
+/// A user with one job. Times are in milliseconds of the run.
 pub struct User {
     /// The user's job.
     pub arrival: Arrival,
     stage: UserStage,
     /// Time at which the next request is due; `None` while one is in flight and when no further one is
     /// needed.
-    next_request: Option<u64>,
+    next_request_at: Option<u64>,
     /// Time at which the first submission was sent; before that, the planned time.
-    first_attempt: u64,
+    first_submission_at: u64,
     /// Whether the most recent request is the user's first one.
-    pub first_request: bool,
+    pub is_first_request: bool,
     /// Time at which the job was accepted.
     pub accepted_at: Option<u64>,
     /// Whether the job did not fit under its team's limit when it was accepted.
@@ -116,9 +118,9 @@
         self.users.push(User {
             arrival,
             stage: UserStage::Describing,
-            next_request: Some(at_ms),
-            first_attempt: at_ms,
-            first_request: false,
+            next_request_at: Some(at_ms),
+            first_submission_at: at_ms,
+            is_first_request: false,
             accepted_at: None,
             team_at_limit: false,
             cancelled: false,
@@ -137,7 +139,7 @@
     ) -> Vec<UserRequestToSend> {
         let mut requests = Vec::new();
         for index in 0..self.users.len() {
-            if self.users[index].next_request.is_none_or(|next| next > now) {
+            if self.users[index].next_request_at.is_none_or(|next| next > now) {
                 continue;
             }
             let controller = self.rng.random_range(0..self.controllers);
@@ -165,21 +167,21 @@
             (UserStage::Cancelling, 200) => user.handle_cancel_response(response),
             _ => {
                 self.retries += 1;
-                user.next_request = Some(now + RETRY_MS.max(u64::from(wait_s) * 1000));
+                user.next_request_at = Some(now + RETRY_MS.max(u64::from(wait_s) * 1000));
                 UserOutcome::Nothing
             }
         };
-        if user.stage == UserStage::Submitting && now > user.first_attempt + SUBMIT_DEADLINE_MS {
+        if user.stage == UserStage::Submitting && now > user.first_submission_at + SUBMIT_DEADLINE_MS {
             return user.abandon();
         }
         outcome
     }
 
     /// Schedules the final poll of every accepted job.
-    pub fn poll_all(&mut self, now: u64) {
+    pub fn schedule_final_polls(&mut self, now: u64) {
         for user in self.users.iter_mut().filter(|user| user.accepted_at.is_some()) {
             user.stage = UserStage::FinalPoll;
-            user.next_request = Some(now);
+            user.next_request_at = Some(now);
         }
     }
 
@@ -189,7 +191,7 @@
     }
 
     /// Returns the number of accepted jobs that are neither done nor cancelled.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_jobs(&self) -> usize {
         let unfinished = |user: &&User| user.accepted_at.is_some() && !user.done && !user.cancelled;
         self.users.iter().filter(unfinished).count()
     }
@@ -206,19 +208,19 @@
         load_start_ms: u64,
         acknowledged_commands: &[u64],
     ) -> Option<UserRequestToSend> {
-        self.first_request = self.stage == UserStage::Describing;
-        if self.first_request {
+        self.is_first_request = self.stage == UserStage::Describing;
+        if self.is_first_request {
             if !self.is_described(acknowledged_commands) {
                 return None;
             }
             self.stage = UserStage::Submitting;
-            self.first_attempt = now;
+            self.first_submission_at = now;
         }
         let wants_cancellation = self.arrival.cancel_at_ms.is_some_and(|at_ms| now >= load_start_ms + at_ms);
         if self.stage == UserStage::Polling && wants_cancellation && !self.done {
             self.stage = UserStage::Cancelling;
         }
-        self.next_request = None;
+        self.next_request_at = None;
         let (method, path, body, timeout_ms) = self.request_of_stage()?;
         Some(UserRequestToSend { user: index, controller, method, path, body, deadline_ms: now + timeout_ms })
     }
@@ -250,13 +252,13 @@
     fn accept(&mut self, now: u64) -> UserOutcome {
         self.stage = UserStage::Polling;
         self.accepted_at = Some(now);
-        self.next_request = Some(now + POLL_INTERVAL_MS);
-        UserOutcome::Accepted { after_ms: now.saturating_sub(self.first_attempt) }
+        self.next_request_at = Some(now + POLL_INTERVAL_MS);
+        UserOutcome::Accepted { after_ms: now.saturating_sub(self.first_submission_at) }
     }
 
     fn abandon(&mut self) -> UserOutcome {
         self.stage = UserStage::Finished;
-        self.next_request = None;
+        self.next_request_at = None;
         UserOutcome::Abandoned
     }
 
@@ -284,7 +286,7 @@
             }
             Some("withdrawn") => UserOutcome::TerminalStateChanged,
             _ => {
-                self.next_request = Some(now + POLL_INTERVAL_MS);
+                self.next_request_at = Some(now + POLL_INTERVAL_MS);
                 UserOutcome::Nothing
             }
         }
@@ -296,6 +298,7 @@
             self.cancelled = true;
             return UserOutcome::Cancelled;
         }
+        // The job was done before the cancellation: the response is 200 in this case too, with the job's status.
         self.done = true;
         UserOutcome::Done
     }
--- a/crates/scale-test/tests/invariant_checker.rs
+++ b/crates/scale-test/tests/invariant_checker.rs
@@ -47,8 +47,8 @@
     let mut checker = new_checker();
     checker.apply_event(&event(1, "a", "job-000002/0", TaskEventKind::Placed));
     checker.apply_event(&event(1, "a", "job-000002/1", TaskEventKind::Placed));
-    checker.record_cancellation("job-000002", CancelTimes { at_ms: 5, stopped_by_ms: 10 });
-    checker.record_cancellation("job-000002", CancelTimes { at_ms: 5, stopped_by_ms: 90 });
+    checker.record_cancellation("job-000002", CancelTimes { confirmed_at_ms: 5, stop_deadline_ms: 10 });
+    checker.record_cancellation("job-000002", CancelTimes { confirmed_at_ms: 5, stop_deadline_ms: 90 });
     checker.apply_event(&event(10, "a", "job-000002/0", TaskEventKind::Removed));
     assert!(checker.violations().is_empty(), "the deadline has not passed yet");
     checker.advance_to(11);
