--- a/crates/scale-test/src/plan/validation.rs
+++ b/crates/scale-test/src/plan/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that the values of a plan are in range, so that no run starts that could not be carried out.
+//! Checks that the values of a plan are in range, before any process is started.
 
 use super::{FaultKind, Plan};
 
@@ -25,16 +25,21 @@
 
     fn validate_sizes(&self) -> Result<(), InvalidValue> {
         check_range("controllers", self.controllers as f64, 1.0, 100.0)?;
-        check_range("zones", self.zones.len() as f64, 1.0, 100.0)?;
-        check_range("machine", self.machines.len() as f64, 1.0, 20.0)?;
-        check_range("phase", self.phases.len() as f64, 1.0, 100.0)?;
-        check_range("job", self.jobs.len() as f64, 1.0, 100.0)?;
+        check_range("zones: number of names", self.zones.len() as f64, 1.0, 100.0)?;
+        check_range("machine: number of blocks", self.machine_types.len() as f64, 1.0, 20.0)?;
+        check_range("phase: number of blocks", self.phases.len() as f64, 1.0, 100.0)?;
+        check_range("job: number of blocks", self.job_classes.len() as f64, 1.0, 100.0)?;
         check_range("teams.count", self.teams.count as f64, 1.0, 10_000.0)?;
-        check_range("processes", self.processes() as f64, 1.0, MAX_PROCESSES as f64)
+        check_range(
+            "number of processes (controllers, zones, kv store, the run itself)",
+            self.process_count() as f64,
+            1.0,
+            MAX_PROCESSES as f64,
+        )
     }
 
     fn validate_machines(&self) -> Result<(), InvalidValue> {
-        for (name, machine) in &self.machines {
+        for (name, machine) in &self.machine_types {
             check_range(
                 &format!("machine {name}: up_at_start"),
                 machine.up_at_start as f64,
@@ -56,17 +61,22 @@
     }
 
     fn validate_jobs(&self) -> Result<(), InvalidValue> {
-        for (name, job) in &self.jobs {
+        for (name, job) in &self.job_classes {
             check_range(&format!("job {name}: share"), job.share, 0.0, 1.0)?;
             check_range(&format!("job {name}: cancelled"), job.cancelled_share, 0.0, 1.0)?;
             check_range(
-                &format!("job {name}: tasks"),
+                &format!("job {name}: tasks: smallest number (0 if the list is empty)"),
                 job.tasks.iter().min().copied().unwrap_or(0).into(),
                 1.0,
                 100_000.0,
             )?;
             check_range(&format!("job {name}: images"), job.images.into(), 1.0, 1e6)?;
-            check_range(&format!("job {name}: run_s"), job.run_s[1] - job.run_s[0], 0.0, 1e6)?;
+            check_range(
+                &format!("job {name}: run_s: maximum minus minimum"),
+                job.run_s[1] - job.run_s[0],
+                0.0,
+                1e6,
+            )?;
         }
         Ok(())
     }
@@ -89,10 +99,10 @@
     }
 
     fn validate_changes(&self) -> Result<(), InvalidValue> {
-        for (name, changes) in &self.changes {
-            check_range(&format!("change {name}: every_s"), changes.every_s, 0.1, 86_400.0)?;
-            check_range(&format!("change {name}: burst"), changes.burst as f64, 1.0, 1000.0)?;
-            check_range(&format!("change {name}: to_s"), changes.to_s, changes.from_s, self.load_s())?;
+        for (name, series) in &self.change_series {
+            check_range(&format!("change {name}: every_s"), series.every_s, 0.1, 86_400.0)?;
+            check_range(&format!("change {name}: burst"), series.burst as f64, 1.0, 1000.0)?;
+            check_range(&format!("change {name}: to_s"), series.to_s, series.from_s, self.load_s())?;
         }
         Ok(())
     }
