--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -56,8 +56,8 @@
         let mut bytes = 0;
         for _ in 0..50 {
             let request = parse_operator_request(path, query).expect("a path").expect("a query");
-            cluster.next_request += 1;
-            let inbound = InboundId(cluster.next_request);
+            cluster.request_count += 1;
+            let inbound = InboundId(cluster.request_count);
             let clock = cluster.controller_clock(0);
             let controller = cluster.controllers[index].controller.as_mut().expect("a node");
             controller.receive_event(clock, Event::Operator { inbound, request });
@@ -215,9 +215,9 @@
         "{label}: {nodes} nodes in {seconds:.1} s, {:.1} per second; {:.2} store changes per node; {:.0} us of CPU time per node, at most {:.1} ms for one event ({})",
         nodes as f64 / seconds,
         (cluster.kv_mutations - before.0) as f64 / nodes as f64,
-        (cluster.event_cpu_time.total - before.1).as_micros() as f64 / nodes as f64,
-        cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0,
-        cluster.event_cpu_time.longest_event,
+        (cluster.event_handling_time.total - before.1).as_micros() as f64 / nodes as f64,
+        cluster.event_handling_time.longest.as_micros() as f64 / 1000.0,
+        cluster.event_handling_time.longest_event,
     );
 }
 
@@ -227,7 +227,7 @@
 fn measure_dag_nodes_and_plain_jobs() {
     const NODES: u64 = 10_000;
     let mut plain = start_cluster(&CLUSTER);
-    let (began, before) = (plain.now, (plain.kv_mutations, plain.event_cpu_time.total));
+    let (began, before) = (plain.now, (plain.kv_mutations, plain.event_handling_time.total));
     for at in 0..NODES {
         run_lines(&mut plain, &[&format!("submit {} {NODE}", 1 + at)]);
         // The highest rate that is accepted: faster submissions are delayed and then rejected.
@@ -247,7 +247,7 @@
         let shape = shape(kind, nodes);
         let mut cluster = start_cluster(&CLUSTER);
         draft_graph(&mut cluster, "r", 1, &shape);
-        let (began, before) = (cluster.now, (cluster.kv_mutations, cluster.event_cpu_time.total));
+        let (began, before) = (cluster.now, (cluster.kv_mutations, cluster.event_handling_time.total));
         run_lines(&mut cluster, &["commit r g"]);
         while finished_jobs(&cluster) < nodes as usize {
             cluster.step();
@@ -278,17 +278,17 @@
     let ends = finished_jobs(&cluster);
     println!(
         "before: {ends} of 50,000 nodes finished, at most {:.1} ms for one event",
-        cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0
+        cluster.event_handling_time.longest.as_micros() as f64 / 1000.0
     );
-    cluster.event_cpu_time = Default::default();
+    cluster.event_handling_time = Default::default();
     let began = cluster.now;
     run_lines(&mut cluster, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
     println!(
         "failover: a leader after {:.1} s; {:.0} ms of CPU time of three controllers, at most {:.1} ms for one event ({})",
         (cluster.now - began) as f64 / 1000.0,
-        cluster.event_cpu_time.total.as_micros() as f64 / 1000.0,
-        cluster.event_cpu_time.longest.as_micros() as f64 / 1000.0,
-        cluster.event_cpu_time.longest_event,
+        cluster.event_handling_time.total.as_micros() as f64 / 1000.0,
+        cluster.event_handling_time.longest.as_micros() as f64 / 1000.0,
+        cluster.event_handling_time.longest_event,
     );
     let before = finished_jobs(&cluster);
     let began = cluster.now;
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -3,7 +3,7 @@
 use olivelatch::coordination::Event;
 use olivelatch_worker::{TaskWork, Worker};
 
-use super::super::{MeshMode, SimulatedCluster, TxnMode};
+use super::super::{PeerMessageMode, SimulatedCluster, TxnMode};
 use super::requests::parse_job;
 use super::{ActionResult, parse_seconds, usage_error};
 
@@ -98,11 +98,11 @@
         Ok(())
     }
 
-    pub(super) fn set_mesh_mode(&mut self, words: &[&str]) -> ActionResult {
-        self.mesh_mode = match words {
-            ["held"] => MeshMode::Delayed,
-            ["twice"] => MeshMode::Duplicated,
-            ["fine"] => MeshMode::Normal,
+    pub(super) fn set_peer_message_mode(&mut self, words: &[&str]) -> ActionResult {
+        self.peer_message_mode = match words {
+            ["held"] => PeerMessageMode::Delayed,
+            ["twice"] => PeerMessageMode::Duplicated,
+            ["fine"] => PeerMessageMode::Normal,
             _ => return usage_error("held, twice or fine"),
         };
         Ok(())
@@ -116,7 +116,7 @@
         for (worker, body) in std::mem::take(&mut self.held_commands) {
             self.workers[worker].handle_direct_command(&body, self.now, &self.jobs);
         }
-        for (to, sender, message) in std::mem::take(&mut self.held_mesh) {
+        for (to, sender, message) in std::mem::take(&mut self.held_peer_messages) {
             self.send_event(to, Event::Peer { controller: sender, message });
         }
         Ok(())
@@ -126,7 +126,7 @@
     pub(super) fn drop_held(&mut self, _: &[&str]) -> ActionResult {
         self.held_txns.clear();
         self.held_commands.clear();
-        self.held_mesh.clear();
+        self.held_peer_messages.clear();
         Ok(())
     }
 }
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -54,14 +54,14 @@
 
 /// Time that controllers took to handle events: in total, and for the slowest event.
 #[derive(Default, Clone, Copy)]
-pub struct EventCpuTime {
+pub struct EventHandlingTime {
     pub total: Duration,
     pub longest: Duration,
     /// Kind of the slowest event.
     pub longest_event: &'static str,
 }
 
-impl EventCpuTime {
+impl EventHandlingTime {
     fn add(&mut self, duration: Duration, kind: &'static str) {
         self.total += duration;
         if duration > self.longest {
@@ -145,7 +145,7 @@
         self.trace.event(self.now, &name, &event);
         let (start, kind) = (Instant::now(), event.name());
         let actions = controller.handle_event(clock, event);
-        self.event_cpu_time.add(start.elapsed(), kind);
+        self.event_handling_time.add(start.elapsed(), kind);
         for action in actions {
             self.trace.action(self.now, &name, &action);
             self.perform_action(index, action);
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -22,7 +22,7 @@
 
 /// How messages between controllers are handled.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum MeshMode {
+pub(super) enum PeerMessageMode {
     Normal,
     /// Messages are delivered later, possibly after the sender was killed.
     Delayed,
@@ -127,10 +127,10 @@
             return;
         }
         let sender = self.controllers[from].name.clone();
-        if self.mesh_mode != MeshMode::Normal {
-            self.held_mesh.push((to, sender.clone(), message.clone()));
+        if self.peer_message_mode != PeerMessageMode::Normal {
+            self.held_peer_messages.push((to, sender.clone(), message.clone()));
         }
-        if self.mesh_mode != MeshMode::Delayed {
+        if self.peer_message_mode != PeerMessageMode::Delayed {
             self.send_event(to, Event::Peer { controller: sender, message });
         }
     }
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -162,7 +162,7 @@
             self.faults.kept_heartbeats.push_back(body.to_vec());
         }
         let delays = &self.faults.copy_delays_ms;
-        if let Some(delay) = delays.get(self.next_request as usize % delays.len().max(1)) {
+        if let Some(delay) = delays.get(self.request_count as usize % delays.len().max(1)) {
             self.faults.heartbeat_copies.push((self.now + delay, controller, body.to_vec()));
         }
     }
@@ -206,8 +206,8 @@
         for (_, controller, body) in take_due(&mut self.faults.heartbeat_copies, |(due, ..)| *due <= now) {
             let heartbeat = parse_heartbeat(&body).expect("a valid heartbeat");
             // No worker waits for the response.
-            self.next_request += 1;
-            let inbound = InboundId(self.next_request);
+            self.request_count += 1;
+            let inbound = InboundId(self.request_count);
             self.send_event(controller, Event::Heartbeat { inbound, heartbeat });
         }
     }
--- a/tests/simulation/job_stream.rs
+++ b/tests/simulation/job_stream.rs
@@ -7,7 +7,7 @@
 use olivelatch_worker::Worker;
 
 use super::actions::{ActionResult, parse_seconds, usage_error};
-use super::status_polls::done_attempts;
+use super::poll_bursts::done_attempts;
 use super::{JobArguments, ResponseCheck, SimulatedCluster};
 
 const POLL_INTERVAL_MS: u64 = 1_000;
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -21,9 +21,9 @@
 mod job_stream;
 mod machines;
 mod operator_queries;
+mod poll_bursts;
 mod requests;
-mod status_polls;
-mod stored;
+mod store_file;
 mod trace;
 mod users;
 mod waiting;
@@ -31,9 +31,9 @@
 use std::collections::{BTreeMap, HashSet};
 
 use config_changes::ConfigChanges;
-pub use controllers::{ControllerSlot, EventCpuTime};
+pub use controllers::{ControllerSlot, EventHandlingTime};
 use dag_runs::DagRuns;
-use deliveries::{MeshMode, TxnMode};
+use deliveries::{PeerMessageMode, TxnMode};
 use fault_injection::Faults;
 use job_arguments::{JobArguments, named_argument, numeric_argument};
 use job_stream::JobStream;
@@ -43,9 +43,9 @@
 use olivelatch_local_cluster::Cloud;
 use olivelatch_worker::{JobDescriptions, Worker};
 use operator_queries::OperatorQueries;
+use poll_bursts::PollBursts;
 use requests::PendingRequest;
 use serde_json::{Value, json};
-use status_polls::StatusPolls;
 use trace::Trace;
 use users::{RepeatingPoll, ResponseCheck, Resubmission};
 use waiting::WaitingCheck;
@@ -81,7 +81,7 @@
     cancelled: BTreeMap<String, u64>,
     final_states: BTreeMap<String, String>,
     requests_in_flight: BTreeMap<(usize, u64), PendingRequest>,
-    pub next_request: u64,
+    pub request_count: u64,
     violations: Vec<String>,
     zone_cuts: HashSet<(String, String)>,
     /// Events that a controller can handle per second, in units of one heartbeat; `None` for no limit.
@@ -93,12 +93,12 @@
     txn_mode: TxnMode,
     held_txns: Vec<Vec<u8>>,
     faults: Faults,
-    status_polls: StatusPolls,
+    poll_bursts: PollBursts,
     waiting_check: WaitingCheck,
     job_stream: Option<JobStream>,
-    mesh_mode: MeshMode,
+    peer_message_mode: PeerMessageMode,
     /// Delayed messages between controllers: receiver, sender, message.
-    held_mesh: Vec<(usize, String, PeerMessage)>,
+    held_peer_messages: Vec<(usize, String, PeerMessage)>,
     repeating_polls: Vec<RepeatingPoll>,
     /// The highest value of each of the leaders' counters.
     pub counters: BTreeMap<&'static str, u64>,
@@ -106,7 +106,7 @@
     pub dag_runs: DagRuns,
     config_changes: ConfigChanges,
     /// CPU time that the controllers take to handle events.
-    pub event_cpu_time: EventCpuTime,
+    pub event_handling_time: EventHandlingTime,
     /// Mutations that the kv store has applied.
     pub kv_mutations: u64,
     /// When the first task of each job got its image.
@@ -114,7 +114,7 @@
     /// When the latest task of each job got its image.
     last_start: BTreeMap<String, u64>,
     /// Final states that users knew when an operator's query was sent. The response must not contradict them.
-    known_at_request: BTreeMap<(usize, u64), BTreeMap<String, String>>,
+    final_states_at_request: BTreeMap<(usize, u64), BTreeMap<String, String>>,
     trace: Trace,
 }
 
@@ -155,7 +155,7 @@
             cancelled: BTreeMap::new(),
             final_states: BTreeMap::new(),
             requests_in_flight: BTreeMap::new(),
-            next_request: 0,
+            request_count: 0,
             violations: Vec::new(),
             zone_cuts: HashSet::new(),
             controller_capacity: None,
@@ -165,21 +165,21 @@
             txn_mode: TxnMode::Normal,
             held_txns: Vec::new(),
             faults: Faults::default(),
-            status_polls: StatusPolls::default(),
+            poll_bursts: PollBursts::default(),
             waiting_check: WaitingCheck::default(),
             job_stream: None,
-            mesh_mode: MeshMode::Normal,
-            held_mesh: Vec::new(),
+            peer_message_mode: PeerMessageMode::Normal,
+            held_peer_messages: Vec::new(),
             repeating_polls: Vec::new(),
             counters: BTreeMap::new(),
             operator_queries: OperatorQueries::default(),
             dag_runs: DagRuns::default(),
             config_changes: ConfigChanges::default(),
-            event_cpu_time: EventCpuTime::default(),
+            event_handling_time: EventHandlingTime::default(),
             kv_mutations: 0,
             first_start: BTreeMap::new(),
             last_start: BTreeMap::new(),
-            known_at_request: BTreeMap::new(),
+            final_states_at_request: BTreeMap::new(),
             trace: Trace::default(),
         }
     }
@@ -198,7 +198,7 @@
         self.step_config();
         self.repeat_cancels();
         self.repeat_polls();
-        self.step_status_polls();
+        self.step_poll_bursts();
         self.step_stream();
         self.boot_machines();
         self.step_workers();
--- a/tests/simulation/status_polls.rs
+++ b/tests/simulation/poll_bursts.rs
@@ -16,7 +16,7 @@
 const POLL_DELAYS_MS: [u64; 12] = [0, 20, 40, 60, 100, 160, 260, 400, 700, 1_100, 1_600, 2_400];
 
 #[derive(Default)]
-pub struct StatusPolls {
+pub struct PollBursts {
     enabled: bool,
     /// Jobs whose number is a multiple of this are cancelled when their last task ends; 0 for none.
     cancel_every: u64,
@@ -32,8 +32,8 @@
 }
 
 impl SimulatedCluster {
-    pub fn set_close_polling(&mut self, words: &[&str]) -> ActionResult {
-        self.status_polls.enabled = match words {
+    pub fn set_poll_bursts(&mut self, words: &[&str]) -> ActionResult {
+        self.poll_bursts.enabled = match words {
             ["on"] => true,
             ["off"] => false,
             _ => return usage_error("on or off"),
@@ -41,28 +41,28 @@
         Ok(())
     }
 
-    pub fn set_cancels_at_end(&mut self, words: &[&str]) -> ActionResult {
+    pub fn set_cancellations_at_end(&mut self, words: &[&str]) -> ActionResult {
         let [every] = words else {
             return usage_error("N (jobs whose number is a multiple of N are cancelled)");
         };
-        self.status_polls.cancel_every = every.parse().map_err(|_| "a count")?;
+        self.poll_bursts.cancel_every = every.parse().map_err(|_| "a count")?;
         Ok(())
     }
 
-    pub fn schedule_close_polls(&mut self, id: &str) {
-        if self.status_polls.enabled && self.submissions.contains_key(id) {
+    pub fn schedule_poll_burst(&mut self, id: &str) {
+        if self.poll_bursts.enabled && self.submissions.contains_key(id) {
             let now = self.now;
-            self.status_polls.due.extend(POLL_DELAYS_MS.map(|after| (now + after, id.to_string())));
+            self.poll_bursts.due.extend(POLL_DELAYS_MS.map(|after| (now + after, id.to_string())));
         }
     }
 
     /// Detects jobs whose last task has just ended, and sends the polls that are due.
-    pub fn step_status_polls(&mut self) {
-        if self.status_polls.enabled || self.status_polls.cancel_every > 0 {
-            self.observe_terminal_states();
+    pub fn step_poll_bursts(&mut self) {
+        if self.poll_bursts.enabled || self.poll_bursts.cancel_every > 0 {
+            self.detect_finished_jobs();
         }
-        while self.status_polls.due.first().is_some_and(|(at, _)| *at <= self.now) {
-            let (_, id) = self.status_polls.due.pop_first().expect("one that is due");
+        while self.poll_bursts.due.first().is_some_and(|(at, _)| *at <= self.now) {
+            let (_, id) = self.poll_bursts.due.pop_first().expect("one that is due");
             let job = JobId::parse(&id).expect("a job");
             let submission = self.submissions[&id].to_string();
             for controller in 0..self.controllers.len() {
@@ -74,11 +74,11 @@
         }
     }
 
-    fn observe_terminal_states(&mut self) {
+    fn detect_finished_jobs(&mut self) {
         let mut finished = Vec::new();
         for attempt in done_attempts(&self.workers) {
             let Some(spec) = self.submissions.get(attempt.job_name()) else { continue };
-            let done = self.status_polls.done_tasks.entry(attempt.job_name().into()).or_default();
+            let done = self.poll_bursts.done_tasks.entry(attempt.job_name().into()).or_default();
             if done.insert(attempt.task.clone()) && done.len() as u64 == spec["pieces"].as_u64().unwrap_or(0)
             {
                 finished.push(attempt.job_name().to_string());
@@ -86,10 +86,10 @@
         }
         for id in finished {
             let job = JobId::parse(&id).expect("a job");
-            if self.status_polls.cancel_every > 0 && job.0 % self.status_polls.cancel_every == 0 {
+            if self.poll_bursts.cancel_every > 0 && job.0 % self.poll_bursts.cancel_every == 0 {
                 self.pending_cancels.insert(id.clone(), self.now);
             }
-            self.schedule_close_polls(&id);
+            self.schedule_poll_burst(&id);
         }
     }
 
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -37,7 +37,7 @@
     ) -> Option<usize> {
         let candidates: Vec<usize> =
             (0..self.controllers.len()).filter(|index| is_candidate(self, *index)).collect();
-        candidates.get(self.next_request as usize % candidates.len().max(1)).copied()
+        candidates.get(self.request_count as usize % candidates.len().max(1)).copied()
     }
 
     /// Returns a controller that is ready and that users can reach, as a load balancer would pick it.
@@ -53,9 +53,9 @@
     }
 
     pub(super) fn track_request(&mut self, controller: usize, request: PendingRequest) -> InboundId {
-        self.next_request += 1;
-        self.requests_in_flight.insert((controller, self.next_request), request);
-        InboundId(self.next_request)
+        self.request_count += 1;
+        self.requests_in_flight.insert((controller, self.request_count), request);
+        InboundId(self.request_count)
     }
 
     /// Sends the operators' queries that are due to any running controller.
@@ -63,7 +63,7 @@
         for (subject, request) in self.operator_queries.due_queries(self.now) {
             let Some(controller) = self.pick_running_controller() else { return };
             let inbound = self.track_request(controller, PendingRequest::Operator(subject));
-            self.known_at_request.insert((controller, inbound.0), self.final_states.clone());
+            self.final_states_at_request.insert((controller, inbound.0), self.final_states.clone());
             self.send_event(controller, Event::Operator { inbound, request });
         }
     }
@@ -97,7 +97,7 @@
                 self.handle_heartbeat_response(worker, sent_at, epoch, response);
             }
             PendingRequest::Operator(subject) => {
-                let known = self.known_at_request.remove(&(from, inbound.0)).unwrap_or_default();
+                let known = self.final_states_at_request.remove(&(from, inbound.0)).unwrap_or_default();
                 let contradiction = self.operator_queries.find_contradiction(&subject, response, &known);
                 let violation = contradiction
                     .or(self.operator_queries.handle_response(&subject, response, self.now).err());
@@ -132,7 +132,7 @@
                 }
                 Some(PendingRequest::Config(name)) => self.handle_config_response(&name, None),
                 Some(PendingRequest::User { id, check })
-                    if check.follows_rules() && self.is_unacknowledged(&id) =>
+                    if check.includes_rules() && self.is_unacknowledged(&id) =>
                 {
                     self.resubmit_later(&id);
                 }
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(super) fn follows_rules(self) -> bool {
+    pub(super) fn includes_rules(self) -> bool {
         !matches!(self, ResponseCheck::StatusOnly(_))
     }
 }
@@ -54,7 +54,7 @@
     /// Sends a request to a ready controller. If there is none, a submission is retried later.
     pub(super) fn send_user_request(&mut self, request: UserRequest, id: &str, check: ResponseCheck) {
         let Some(controller) = self.pick_ready_controller() else {
-            if self.is_unacknowledged(id) && check.follows_rules() {
+            if self.is_unacknowledged(id) && check.includes_rules() {
                 self.resubmit_later(id);
             }
             return;
@@ -70,7 +70,7 @@
         {
             self.violations.push(format!("{id}: got status {status} instead of {expected}"));
         }
-        if check.follows_rules() {
+        if check.includes_rules() {
             if status < 300 {
                 self.record_acceptance(id, response);
             }
@@ -92,7 +92,7 @@
         self.record_status(id, body["status"].as_str().unwrap_or(""));
         self.faults.last_answered_at.insert(id.into(), self.now);
         if self.accepted_jobs.insert(id.into()) {
-            self.schedule_close_polls(id);
+            self.schedule_poll_burst(id);
         }
     }
 
@@ -106,7 +106,7 @@
         if status == "done" || status == "withdrawn" {
             let before = self.final_states.insert(id.into(), status.into());
             if before.is_none() {
-                self.schedule_close_polls(id);
+                self.schedule_poll_burst(id);
             }
         }
         if status == "withdrawn" {
