--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the configuration: operators send them, repeat them and watch them take effect. Limits in force are
-//! checked at every step.
+//! Config changes: operators request them, repeat the requests, and poll until the changes are in force. Checks at
+//! every step that no leader starts tasks above a limit in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,15 +17,18 @@
 
 /// A change that an operator has requested.
 struct ConfigChange {
-    entry: ConfigKey,
-    change: ConfigChangeRequest,
+    key: ConfigKey,
+    request: ConfigChangeRequest,
     /// The only controller that the requests are sent to; `None` for any.
     only_controller: Option<String>,
     requested_at: u64,
-    next_attempt: Option<u64>,
+    /// Time of the next request; `None` while one is in flight and once no more are needed.
+    next_request_at: Option<u64>,
     /// The status of the final response to the change.
     status: Option<u16>,
+    /// The version of the entry that the change created; `None` until it is known to be stored.
     version: Option<u64>,
+    /// When the operator learned that the change is in force.
     in_force_at: Option<u64>,
     /// The entry as the last response showed it.
     view: Option<ConfigEntryView>,
@@ -41,11 +44,14 @@
 #[derive(Default)]
 pub struct ConfigChanges {
     pub enabled: bool,
-    /// Controllers with the configuration disabled, as in an earlier version.
+    /// Controllers with config changes disabled, as in an earlier version.
     pub disabled_controllers: BTreeSet<String>,
+    /// Changes by their names in the scenario.
     changes: BTreeMap<String, ConfigChange>,
+    /// The newest limit that was shown to be in force, by team.
     active_limits: BTreeMap<String, ActiveLimit>,
-    /// CPUs that each team used at each leader at the last check, by the leader's index and incarnation and the team.
+    /// CPUs that each team used at the last check according to each leader, by the leader's index and incarnation and
+    /// the team.
     last_usage: BTreeMap<(usize, u32, String), f64>,
 }
 
@@ -57,15 +63,15 @@
         let later = self.changes.values().filter(|change| {
             let may_be_stored = change.status.is_none_or(|status| status == 200);
             let newer = change.version.is_none_or(|version| version > active.version);
-            change.entry.team() == team && may_be_stored && newer
+            change.key.team() == team && may_be_stored && newer
         });
-        let later = later.map(|change| change.change.quota.limit_cpus.unwrap_or(f64::INFINITY));
+        let later = later.map(|change| change.request.quota.limit_cpus.unwrap_or(f64::INFINITY));
         Some(later.fold(active.limit_cpus, f64::max))
     }
 }
 
 impl SimulatedCluster {
-    /// Enables the configuration, except at the named controllers.
+    /// Enables config changes, except at the named controllers.
     pub fn enable_config(&mut self, words: &[&str]) -> ActionResult {
         self.config_changes.enabled = true;
         self.config_changes.disabled_controllers = words.iter().map(|word| (*word).to_string()).collect();
@@ -77,35 +83,36 @@
         let [name, team, rest @ ..] = words else {
             return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=] [via=]");
         };
-        let entry = ConfigKey::parse(&format!("team/{team}")).map_err(|error| error.to_string())?;
+        let key = ConfigKey::parse(&format!("team/{team}")).map_err(|error| error.to_string())?;
         let cpus = |field| named_argument(rest, field).map(|_| numeric_argument(rest, field, 0.0));
-        let change = ConfigChangeRequest {
+        let request = ConfigChangeRequest {
             quota: TeamQuota { limit_cpus: cpus("limit"), guaranteed_cpus: cpus("guaranteed") },
             expected_version: named_argument(rest, "expected").and_then(|text| text.parse().ok()),
             changed_by: "operator".into(),
             reason: String::new(),
             change_id: (*name).into(),
         };
-        let requested = ConfigChange {
-            entry,
-            change,
+        let change = ConfigChange {
+            key,
+            request,
             only_controller: named_argument(rest, "via").map(String::from),
             requested_at: self.now,
-            next_attempt: Some(self.now),
+            next_request_at: Some(self.now),
             status: None,
             version: None,
             in_force_at: None,
             view: None,
         };
-        self.config_changes.changes.insert((*name).into(), requested);
+        self.config_changes.changes.insert((*name).into(), change);
         Ok(())
     }
 
+    /// Sends the requests that are due, and checks the limits.
     pub fn step_config(&mut self) {
         if !self.config_changes.enabled {
             return;
         }
-        let is_due = |change: &ConfigChange| change.next_attempt.is_some_and(|next| next <= self.now);
+        let is_due = |change: &ConfigChange| change.next_request_at.is_some_and(|at| at <= self.now);
         let due: Vec<String> = self
             .config_changes
             .changes
@@ -123,8 +130,8 @@
         let Some(change) = self.config_changes.changes.get(name) else { return };
         let only_controller = change.only_controller.clone();
         let request = match change.version {
-            Some(version) => ConfigRequest::Get { key: change.entry.clone(), min_version: Some(version) },
-            None => ConfigRequest::Set { key: change.entry.clone(), change: change.change.clone() },
+            Some(version) => ConfigRequest::Get { key: change.key.clone(), min_version: Some(version) },
+            None => ConfigRequest::Set { key: change.key.clone(), change: change.request.clone() },
         };
         let controller = self.pick_controller(|cluster, index| {
             let slot = &cluster.controllers[index];
@@ -134,7 +141,7 @@
         });
         let now = self.now;
         if let Some(change) = self.config_changes.changes.get_mut(name) {
-            change.next_attempt = controller.is_none().then_some(now + RETRY_MS);
+            change.next_request_at = controller.is_none().then_some(now + RETRY_MS);
         }
         if let Some(controller) = controller {
             let inbound = self.track_request(controller, PendingRequest::Config(name.into()));
@@ -146,7 +153,7 @@
     pub fn handle_config_response(&mut self, name: &str, response: Option<&HttpResponse>) {
         let now = self.now;
         let Some(change) = self.config_changes.changes.get_mut(name) else { return };
-        change.next_attempt = Some(now + RETRY_MS);
+        change.next_request_at = Some(now + RETRY_MS);
         let Some(response) = response.filter(|response| response.status != 503) else { return };
         let view: Option<ConfigEntryView> = serde_json::from_slice(&response.body).ok();
         if change.version.is_none() {
@@ -154,7 +161,7 @@
         }
         change.view.clone_from(&view);
         let Some(view) = view.filter(|_| response.status == 200) else {
-            change.next_attempt = None;
+            change.next_request_at = None;
             return;
         };
         let version = *change.version.get_or_insert(view.version);
@@ -162,10 +169,10 @@
         // force.
         if view.is_effective && change.in_force_at.is_none() {
             change.in_force_at = Some(now);
-            change.next_attempt = None;
+            change.next_request_at = None;
             let active =
-                ActiveLimit { version, limit_cpus: change.change.quota.limit_cpus.unwrap_or(f64::INFINITY) };
-            let team = change.entry.team().to_string();
+                ActiveLimit { version, limit_cpus: change.request.quota.limit_cpus.unwrap_or(f64::INFINITY) };
+            let team = change.key.team().to_string();
             let known = self.config_changes.active_limits.entry(team).or_insert(active);
             if known.version < version {
                 *known = active;
@@ -173,8 +180,8 @@
         }
     }
 
-    /// Checks that controllers with the configuration enabled start no task above a limit in force. Tasks that
-    /// already run above it may continue.
+    /// Checks that leaders with config changes enabled start no task above a limit in force. Tasks that already run
+    /// above it may continue.
     fn check_limits(&mut self) {
         let mut usage = BTreeMap::new();
         for index in 0..self.controllers.len() {
@@ -192,10 +199,11 @@
                 let before = self.config_changes.last_usage.get(&key).copied();
                 let allowed = self.config_changes.highest_allowed(&team.team);
                 let has_grown = before.is_some_and(|before| team.used_cpus > before + 1e-6);
-                if has_grown && allowed.is_some_and(|allowed| team.used_cpus > allowed + 1e-6) {
+                let exceeded = allowed.filter(|allowed| has_grown && team.used_cpus > allowed + 1e-6);
+                if let Some(allowed) = exceeded {
                     let problem = format!(
-                        "limit: {} started tasks up to {} CPUs at {}, the highest limit that may apply is {:?} CPUs",
-                        team.team, team.used_cpus, slot.name, allowed
+                        "limit: {} started tasks of team {}, which now uses {} CPUs; the highest limit that may apply is {allowed} CPUs",
+                        slot.name, team.team, team.used_cpus
                     );
                     self.violations.push(problem);
                 }
@@ -226,10 +234,10 @@
             }
             ["in-force", name] => change(name).in_force_at.is_some(),
             // The time, in ms, from the request until the operator knew that the change is in force.
-            ["delay", name, "<=", most] => {
+            ["delay", name, "<=", max_ms] => {
                 let change = change(name);
-                let most: u64 = most.parse().expect("milliseconds");
-                change.in_force_at.is_some_and(|in_force_at| in_force_at - change.requested_at <= most)
+                let max_ms: u64 = max_ms.parse().expect("milliseconds");
+                change.in_force_at.is_some_and(|in_force_at| in_force_at - change.requested_at <= max_ms)
             }
             ["blocked-by", name, reason] => {
                 let pending = change(name).view.as_ref().and_then(|view| view.pending_on.as_ref());
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Time that controllers took to handle events: in total, and for the slowest event.
+/// Real time that controllers took to handle events: in total, and for the slowest event.
 #[derive(Default, Clone, Copy)]
 pub struct EventHandlingTime {
     pub total: Duration,
@@ -71,7 +71,7 @@
 }
 
 impl SimulatedCluster {
-    /// Starts a controller whose only input is its settings, without state from an earlier incarnation.
+    /// Starts a controller from its settings and tunables, without state from an earlier incarnation.
     pub(super) fn boot_controller(&mut self, index: usize) {
         let settings = self.controller_settings(index);
         let mut tunables = Tunables::parse("scenario", &self.tunables).expect("tunables");
@@ -142,17 +142,18 @@
             return;
         };
         let name = name.clone();
-        self.trace.event(self.now, &name, &event);
+        self.trace.write_event(self.now, &name, &event);
         let (start, kind) = (Instant::now(), event.name());
         let actions = controller.handle_event(clock, event);
         self.event_handling_time.add(start.elapsed(), kind);
         for action in actions {
-            self.trace.action(self.now, &name, &action);
+            self.trace.write_action(self.now, &name, &action);
             self.perform_action(index, action);
         }
     }
 
-    /// Lets each controller handle its queued events and then a tick.
+    /// Makes each controller handle its queued events, as far as its processor time allows, and then a tick. Frozen
+    /// controllers are left out.
     pub(super) fn step_controllers(&mut self) {
         for index in 0..self.controllers.len() {
             if !self.controllers[index].clock_fault.frozen {
--- a/tests/simulation/dag_runs.rs
+++ b/tests/simulation/dag_runs.rs
@@ -1,5 +1,5 @@
-//! Clients of the graphs' interface: they upload drafts in parts and poll runs. A node must not start before its
-//! trigger rule is satisfied, which is checked here.
+//! Clients of the interface for graphs: they upload drafts of graphs in parts, commit, cancel and rerun runs, and poll
+//! them. Also checks that no node starts before its trigger rule is satisfied.
 
 use std::collections::BTreeMap;
 
@@ -11,6 +11,7 @@
 use serde_json::{Value, json};
 
 const POLL_INTERVAL_MS: u64 = 500;
+/// Delay after which a request that got no response, or 503, is repeated.
 const RETRY_MS: u64 = 1_000;
 const PARTS_PER_REQUEST: usize = 7;
 const MAX_RERUN_PART_BYTES: usize = 3_000;
@@ -20,19 +21,22 @@
 pub struct GraphDraft {
     templates: Vec<NodeTemplate>,
     pub nodes: Vec<DagNodeRecord>,
+    /// For each node and each range of its upstream nodes: the node, the first node of the range, and their number.
     edges: Vec<(u32, u32, u32)>,
     /// Parts that request reruns of nodes.
     rerun_parts: Vec<GraphPart>,
+    /// Number of the next part after those of the commit and of earlier reruns.
     next_part: u32,
 }
 
-/// A request about a run. If no status is expected, it is repeated until it is accepted.
+/// A request about a run. It is repeated while it gets no response or 503.
 #[derive(Clone)]
 pub struct GraphRequest {
     pub run: String,
     pub path: String,
     pub body: Value,
-    pub expect: Option<u16>,
+    /// The status that the response must have; `None` if the request must be accepted.
+    pub expected_status: Option<u16>,
     /// Whether this is a commit, whose response accepts the jobs of the run.
     pub is_commit: bool,
 }
@@ -41,13 +45,14 @@
 #[derive(Default)]
 pub struct DagRuns {
     drafts: BTreeMap<String, GraphDraft>,
-    /// Requests that are still to be sent, with the time at which each is due.
+    /// Requests that are still to be sent, with the time at which each is due. Requests about a run keep their order.
     queue: Vec<(u64, GraphRequest)>,
     /// Runs with a request in flight.
     in_flight: Vec<String>,
     /// The last successful response for each path.
     responses: BTreeMap<String, Value>,
-    next_poll: BTreeMap<String, u64>,
+    /// Time of the next poll of each path.
+    next_poll_at: BTreeMap<String, u64>,
     /// Final states of nodes that responses have shown, by job.
     final_states: BTreeMap<String, String>,
     /// Jobs that were accepted since the caller last emptied the list.
@@ -125,8 +130,10 @@
         self.drafts.entry(run.into()).or_default()
     }
 
-    fn push(&mut self, now: u64, run: &str, path: String, body: Value, expect: Option<u16>) {
-        self.queue.push((now, GraphRequest { run: run.into(), path, body, expect, is_commit: false }));
+    /// Queues a request other than a commit, which must be accepted.
+    fn queue_request(&mut self, now: u64, run: &str, path: String, body: Value) {
+        let request = GraphRequest { run: run.into(), path, body, expected_status: None, is_commit: false };
+        self.queue.push((now, request));
     }
 
     /// Uploads at most `max_parts` of the run's parts, several per request. Returns the number of parts of the run.
@@ -135,12 +142,12 @@
         let uploaded: Vec<_> = parts.iter().take(max_parts).collect();
         for (index, batch) in uploaded.chunks(PARTS_PER_REQUEST).enumerate() {
             let body = json!({"first": index * PARTS_PER_REQUEST, "parts": batch});
-            self.push(now, run, format!("graphs/{run}/parts"), body, None);
+            self.queue_request(now, run, format!("graphs/{run}/parts"), body);
         }
         parts.len() as u32
     }
 
-    /// Commits the uploaded parts. `expect` is the status that the response must have.
+    /// Commits the uploaded parts. If `expected_status` is `None`, the commit must be accepted.
     pub fn commit(
         &mut self,
         now: u64,
@@ -148,7 +155,7 @@
         graph: &str,
         parts: u32,
         max_active_runs: u64,
-        expect: Option<u16>,
+        expected_status: Option<u16>,
     ) {
         let draft = self.draft(run);
         draft.next_part = parts;
@@ -158,14 +165,14 @@
             run: run.into(),
             path: format!("graphs/{run}"),
             body,
-            expect,
-            is_commit: expect.is_none(),
+            expected_status,
+            is_commit: expected_status.is_none(),
         };
         self.queue.push((now, request));
     }
 
     pub fn cancel(&mut self, now: u64, run: &str) {
-        self.push(now, run, format!("graphs/{run}/cancel"), json!({}), None);
+        self.queue_request(now, run, format!("graphs/{run}/cancel"), json!({}));
     }
 
     /// Reruns a node and all nodes downstream of it; their new jobs are numbered from `job`. Returns the old and the
@@ -173,19 +180,19 @@
     pub fn rerun(&mut self, now: u64, run: &str, node: &str, job: u64) -> Vec<(String, String)> {
         let draft = self.draft(run);
         let nodes = draft.downstream(draft.position(node));
-        let rows: Vec<_> = nodes.iter().zip(job..).map(|(node, job)| (*node, 1, job)).collect();
+        let rerun_ranges: Vec<_> = nodes.iter().zip(job..).map(|(node, job)| (*node, 1, job)).collect();
         let mut jobs = Vec::new();
-        for (node, _, job) in &rows {
-            let row = &mut draft.nodes[*node as usize];
-            jobs.push((job_name(row.job), job_name(*job)));
-            row.job = *job;
+        for (node, _, job) in &rerun_ranges {
+            let record = &mut draft.nodes[*node as usize];
+            jobs.push((job_name(record.job), job_name(*job)));
+            record.job = *job;
         }
-        let parts = split_into_parts(Vec::new(), Vec::new(), Vec::new(), rows, MAX_RERUN_PART_BYTES);
+        let parts = split_into_parts(Vec::new(), Vec::new(), Vec::new(), rerun_ranges, MAX_RERUN_PART_BYTES);
         let (from, count) = (draft.next_part, parts.len() as u32);
         draft.next_part += count;
         draft.rerun_parts.extend(parts.clone());
-        self.push(now, run, format!("graphs/{run}/parts"), json!({"first": from, "parts": parts}), None);
-        self.push(now, run, format!("graphs/{run}/redo"), json!({"from": from, "parts": count}), None);
+        self.queue_request(now, run, format!("graphs/{run}/parts"), json!({"first": from, "parts": parts}));
+        self.queue_request(now, run, format!("graphs/{run}/redo"), json!({"from": from, "parts": count}));
         jobs
     }
 
@@ -208,7 +215,8 @@
         due
     }
 
-    /// Handles the response to a request; `None` if there was none. An error names the violated rule.
+    /// Handles the response to a request; `None` if there was none. Fails if the response has another status than
+    /// expected.
     pub fn handle_response(
         &mut self,
         request: GraphRequest,
@@ -217,14 +225,14 @@
     ) -> Result<(), String> {
         self.in_flight.retain(|run| *run != request.run);
         let status = response.map_or(503, |response| response.status);
-        if let Some(expect) = request.expect {
+        if let Some(expected) = request.expected_status {
             return match status {
                 503 => {
                     self.queue.insert(0, (now + RETRY_MS, request));
                     Ok(())
                 }
-                _ if status == expect => Ok(()),
-                _ => Err(format!("{}: got status {status} instead of {expect}", request.path)),
+                _ if status == expected => Ok(()),
+                _ => Err(format!("{}: got status {status} instead of {expected}", request.path)),
             };
         }
         if status < 300 {
@@ -253,19 +261,20 @@
         self.queue.is_empty()
     }
 
-    fn path_of(&mut self, run: &str, node: &str) -> String {
+    /// Returns the path of the page that has only this node of the run.
+    fn node_path(&mut self, run: &str, node: &str) -> String {
         let index = self.draft(run).position(node);
         let after = index.checked_sub(1).map_or(String::new(), |after| format!("after={after}&"));
         format!("graphs/{run}?{after}limit=1")
     }
 
     fn start_polling(&mut self, path: &str) {
-        self.next_poll.entry(path.into()).or_insert(0);
+        self.next_poll_at.entry(path.into()).or_insert(0);
     }
 
     /// Returns the paths of pages that are due to be polled.
     pub fn due_polls(&mut self, now: u64) -> Vec<String> {
-        let due = self.next_poll.iter_mut().filter(|(_, due_at)| **due_at <= now);
+        let due = self.next_poll_at.iter_mut().filter(|(_, due_at)| **due_at <= now);
         due.map(|(path, due_at)| {
             *due_at = now + POLL_INTERVAL_MS;
             path.clone()
@@ -273,7 +282,7 @@
         .collect()
     }
 
-    /// Handles a page. The error says how it contradicts an earlier page.
+    /// Handles the response to a poll. Fails if it contradicts an earlier one.
     pub fn handle_poll_response(&mut self, path: &str, response: &HttpResponse) -> Result<(), String> {
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         if response.status != 200 {
@@ -294,12 +303,14 @@
         Ok(())
     }
 
+    /// Returns a node as the last response showed it. Starts to poll it if necessary.
     pub fn node_view(&mut self, run: &str, node: &str) -> Option<&Value> {
-        let path = self.path_of(run, node);
+        let path = self.node_path(run, node);
         self.start_polling(&path);
         self.responses.get(&path)?["nodes"].as_array()?.first()
     }
 
+    /// Returns a run as the last response showed it. Starts to poll it if necessary.
     pub fn run_row(&mut self, run: &str) -> Option<&Value> {
         let path = format!("graphs/{run}?limit=1");
         self.start_polling(&path);
@@ -309,8 +320,8 @@
     /// Called when a task of a job has started. Returns a violation if the terminal records of the upstream nodes do
     /// not satisfy the trigger rule of the job's node.
     pub fn find_early_start(&self, job: &str, kv_store: &KvEngine) -> Option<String> {
-        let find = |draft: &GraphDraft| draft.nodes.iter().position(|node| job_name(node.job) == job);
-        let (draft, index) = self.drafts.values().find_map(|draft| Some((draft, find(draft)?)))?;
+        let find_node = |draft: &GraphDraft| draft.nodes.iter().position(|node| job_name(node.job) == job);
+        let (draft, index) = self.drafts.values().find_map(|draft| Some((draft, find_node(draft)?)))?;
         let rule = draft.templates[draft.nodes[index].template as usize].trigger_rule.as_str();
         let succeeded = |upstream: u32| {
             let job = job_name(draft.nodes[upstream as usize].job);
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum TxnMode {
     Normal,
-    /// Transactions are carried out, but the response is lost.
+    /// Transactions are carried out at once, but the response is lost.
     ResponseLost,
-    /// Transactions get no response and are carried out only when they are delivered later.
+    /// Transactions get no response. They are carried out after a fixed delay or when the scenario delivers them.
     Delayed,
 }
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PeerMessageMode {
     Normal,
-    /// Messages are delivered later, possibly after the sender was killed.
+    /// Messages are delivered when the scenario does so, possibly after the sender was killed.
     Delayed,
-    /// Messages are delivered at once and a second time later.
+    /// Messages are delivered at once, and a second time when the scenario does so.
     Duplicated,
 }
 
@@ -61,8 +61,8 @@
     }
 
     fn call_kv(&mut self, from: usize, outbound: OutboundId, request: &KvRequest, timeout_ms: u64) {
-        let poll_cut = self.is_cut(from, "polls") && matches!(request, KvRequest::PollChanges { .. });
-        let outcome = if self.kv_outage || poll_cut || self.is_cut(from, "state") {
+        let is_cut_poll = self.is_cut(from, "polls") && matches!(request, KvRequest::PollChanges { .. });
+        let outcome = if self.kv_outage || is_cut_poll || self.is_cut(from, "state") {
             unavailable(b"")
         } else {
             let request = request.to_http_request();
@@ -104,7 +104,7 @@
         response(status, &body)
     }
 
-    /// Lets the worker at the endpoint carry out commands if it is reachable, and returns the outcome.
+    /// Sends direct commands to the worker at the endpoint, and returns the outcome as the controller sees it.
     fn worker_outcome(&mut self, from: usize, endpoint: &str, request: &HttpRequest) -> HttpOutcome {
         let worker = self.workers.iter().position(|worker| worker.machine.endpoint == endpoint);
         let reachable = |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "orders");
--- a/tests/simulation/event_queue.rs
+++ b/tests/simulation/event_queue.rs
@@ -8,7 +8,7 @@
 
 use super::{STEP_MS, SimulatedCluster};
 
-/// Cost of handling a heartbeat or the outcome of a direct command, in units.
+/// Cost of handling a heartbeat or the outcome of a direct command. This is the unit of processor time here.
 const EVENT_COST: f64 = 1.0;
 /// Cost of sending direct commands to a worker, in units. It is higher because it takes a connection.
 const COMMAND_COST: f64 = 3.0;
@@ -16,7 +16,7 @@
 /// The events that wait for a controller, and the processor time that it has left for them.
 #[derive(Default)]
 pub struct EventQueue {
-    /// Units per step; `None` if every event is handled at once.
+    /// Units of processor time per step; `None` if every event is handled at once.
     units_per_step: Option<f64>,
     /// Units that are left. A negative value is a debt that later steps pay off.
     budget: f64,
@@ -40,6 +40,7 @@
         None
     }
 
+    /// Subtracts the cost of sending direct commands to a worker.
     pub fn charge_command(&mut self) {
         self.budget -= COMMAND_COST;
     }
@@ -55,7 +56,7 @@
 }
 
 impl SimulatedCluster {
-    /// Handles as many waiting events as the units of one step allow, after a debt has been paid off.
+    /// Handles as many waiting events as the units of one step allow. A debt is paid off first.
     pub fn drain_event_queue(&mut self, controller: usize) {
         let Some(units) = self.controllers[controller].event_queue.units_per_step else { return };
         let queue = &mut self.controllers[controller].event_queue;
--- a/tests/simulation/graph_actions.rs
+++ b/tests/simulation/graph_actions.rs
@@ -9,17 +9,17 @@
 const DEFAULT_PART_BYTES: f64 = 3_900.0;
 
 impl SimulatedCluster {
-    /// Enables the interfaces for graphs and for operators: pool:NAME=SLOTS adds a pool, and other NAME=VALUE words are
-    /// settings of the `graphs` block.
+    /// Enables the interfaces for graphs and for operators: [pool:NAME=SLOTS ...] [NAME=VALUE ...]. The first add
+    /// pools, the others are tunables in the `graphs` block.
     pub fn set_graphs(&mut self, words: &[&str]) -> ActionResult {
-        let (pools, settings): (Vec<&str>, Vec<&str>) =
+        let (pools, tunables): (Vec<&str>, Vec<&str>) =
             words.iter().partition(|word| word.starts_with("pool:"));
         let line = |pair: &str| format!("  {}\n", pair.replace('=', " = "));
-        let pools: String = pools.iter().map(|pool| line(&pool[5..])).collect();
-        let settings: String = settings.iter().map(|pair| line(pair)).collect();
+        let pools: String = pools.iter().map(|pool| line(&pool["pool:".len()..])).collect();
+        let tunables: String = tunables.iter().map(|pair| line(pair)).collect();
         self.tunables.push_str("operators {\n  enabled = true\n}\n");
         self.tunables
-            .push_str(&format!("graphs {{\n  enabled = true\n{settings}  pools = {{\n{pools}  }}\n}}\n"));
+            .push_str(&format!("graphs {{\n  enabled = true\n{tunables}  pools = {{\n{pools}  }}\n}}\n"));
         Ok(())
     }
 
@@ -69,7 +69,9 @@
         Ok(())
     }
 
-    /// Uploads and commits a run: RUN GRAPH [most=] [bytes=] [expect=] [alone]. With `alone` nothing is uploaded.
+    /// Uploads and commits a run: RUN GRAPH [most=] [bytes=] [expect=] [alone]. `most` is how many runs of the graph
+    /// may be active at once, `bytes` the maximum size of a part, and `expect` the status of the response. With `alone`
+    /// the run is committed without an upload.
     pub fn commit_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, graph, rest @ ..] = words else { return usage_error("RUN GRAPH ...") };
         let bytes = numeric_argument(rest, "bytes", DEFAULT_PART_BYTES) as usize;
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,22 +1,23 @@
-//! The invariants that are checked whenever a task starts and at every step. A violation fails the scenario.
+//! Invariants of tasks, some of which are checked whenever a task starts, the others at every step. A violation fails
+//! the scenario.
 
 use serde_json::{Value, json};
 
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
-    /// Checks the tasks of a worker, and especially those that it has just started.
-    pub fn check_tasks(&mut self, at: usize) {
-        let started = std::mem::take(&mut self.workers[at].started_tasks);
+    /// Checks each task that a worker has just started, and that the worker's cancelled tasks have stopped in time.
+    pub fn check_tasks(&mut self, worker_index: usize) {
+        let started = std::mem::take(&mut self.workers[worker_index].started_tasks);
         for task in started {
-            let elsewhere = self.workers.iter().enumerate().any(|(other, worker)| {
-                other != at
+            let runs_elsewhere = self.workers.iter().enumerate().any(|(other, worker)| {
+                other != worker_index
                     && worker
                         .attempts
                         .iter()
                         .any(|attempt| attempt.task == task && attempt.has_image && !attempt.is_ended())
             });
-            if elsewhere {
+            if runs_elsewhere {
                 self.violations.push(format!("ran_twice: {task}"));
             }
             let job = task.split('/').next().unwrap_or("").to_string();
@@ -24,32 +25,34 @@
             self.last_start.insert(job.clone(), self.now);
             self.faults.started_cancelled += u64::from(self.cancelled.contains_key(&job));
             self.violations.extend(self.dag_runs.find_early_start(&job, &self.kv_store));
-            self.check_placement(at, &job, &task);
+            self.check_placement(worker_index, &job, &task);
         }
-        self.check_cancelled(at);
+        self.check_cancelled(worker_index);
     }
 
-    /// Checks that cancelled tasks stop before the deadline. This includes tasks on hung machines, since these may
-    /// resume at any moment.
-    pub fn check_cancelled(&mut self, at: usize) {
-        let limit_ms = self.worker_setting_ms("cancel_s", 0.0);
-        for attempt in
-            self.workers[at].attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended())
-        {
+    /// Checks that a worker's cancelled tasks stop before the deadline. This includes tasks on hung machines, since
+    /// these may resume at any moment.
+    pub fn check_cancelled(&mut self, worker_index: usize) {
+        let deadline_ms = self.worker_setting_ms("cancel_s", 0.0);
+        let attempts = &self.workers[worker_index].attempts;
+        for attempt in attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended()) {
             let Some(cancelled_at) = self.cancelled.get(attempt.job_name()) else { continue };
             self.faults.longest_cancelled_stay_ms =
                 self.faults.longest_cancelled_stay_ms.max(self.now - cancelled_at);
-            if self.now > cancelled_at + limit_ms {
+            if self.now > cancelled_at + deadline_ms {
                 self.violations.push(format!("ran_cancelled: {}", attempt.task));
             }
         }
     }
 
-    fn check_placement(&mut self, at: usize, job: &str, task: &str) {
+    /// Called when a worker has started a task. Checks that its machine is allowed for the job, that the job's tasks
+    /// are in one zone or spread over zones as requested, and that its team is within its limit.
+    fn check_placement(&mut self, worker_index: usize, job: &str, task: &str) {
         let Some(spec) = self.submissions.get(job).cloned() else { return };
-        let worker = &self.workers[at];
-        let kinds = spec["boxkinds"].as_array();
-        let is_disallowed = kinds.is_some_and(|kinds| !kinds.contains(&json!(worker.machine.machine_type)))
+        let worker = &self.workers[worker_index];
+        let allowed_types = spec["boxkinds"].as_array();
+        let is_disallowed = allowed_types
+            .is_some_and(|allowed| !allowed.contains(&json!(worker.machine.machine_type)))
             || spec["hall"].as_str().is_some_and(|zone| zone != worker.machine.zone)
             || (worker.machine.spot && spec["loaners"] != json!(true));
         let zones: Vec<&str> = self
@@ -69,7 +72,7 @@
         self.check_team_limit(&spec);
     }
 
-    /// Called when a task of a team has started. Checks that the team's running tasks are within its limit.
+    /// Called when a task has started. Checks that the running tasks of its team are within the team's limit.
     fn check_team_limit(&mut self, spec: &Value) {
         let team = spec["owner"].as_str().unwrap_or("");
         let limit = self.config["cluster"]["teams"]
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -35,6 +35,7 @@
         self.cloud.machines.iter().any(|machine| machine.name == *name)
     }
 
+    /// Starts the worker of each machine that has just finished booting.
     pub(super) fn boot_machines(&mut self) {
         for machine in &self.cloud.machines {
             let known = self.workers.iter().any(|worker| worker.machine.name == machine.name);
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Handles a machine that was removed or hangs. If it hangs beyond its lease, its tasks have been killed when it
-    /// resumes.
+    /// Handles the worker of a machine that was removed or hangs. A removed machine loses its tasks at once; one that
+    /// hangs loses them when its lease expires, so that they are no longer running when it resumes.
     fn step_stopped_worker(&mut self, index: usize, exists: bool, lease_ms: u64) {
         let worker = &mut self.workers[index];
         let lease_expired = self.now > worker.last_answered_heartbeat_sent_at + lease_ms;
@@ -101,9 +102,9 @@
             return;
         }
         let interval_ms = self.worker_setting_ms("report_s", 2.0);
-        let early = self.workers[index].has_unreported_change
+        let may_send_early = self.workers[index].has_unreported_change
             && self.now + interval_ms >= target.next_at + MIN_HEARTBEAT_INTERVAL_MS;
-        if self.now < target.next_at && !early {
+        if self.now < target.next_at && !may_send_early {
             return;
         }
         self.workers[index].has_unreported_change = false;
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,8 +1,9 @@
 //! A simulated cluster in virtual time: real controllers (coordination and bookkeeping) with a simulated key-value
-//! store, cloud, workers and clients. The rules of the users' protocol are checked whenever a task starts.
+//! store, cloud, workers and clients. It detects violations of invariants, such as a task that runs twice or after its
+//! cancellation, and responses that contradict earlier ones.
 //!
-//! Nothing here opens a connection, starts a process or sleeps: time passes in steps of [`STEP_MS`], and the scenario
-//! and the seeds of the controllers determine everything that happens.
+//! Runs are deterministic: there are no connections, processes or sleeps, time advances in steps of [`STEP_MS`], and
+//! the outcome depends only on the scenario and the controllers' seeds.
 
 // Each test binary uses only some of these functions.
 #![allow(dead_code)]
@@ -52,16 +53,20 @@
 
 /// Virtual time that passes in one step, in ms.
 pub const STEP_MS: u64 = 20;
+/// Virtual time at which a new cluster starts, in ms.
 const START_MS: u64 = 100_000;
 
-/// A simulated cluster: its controllers, the services and machines that they use, and what its users know.
+/// A simulated cluster: its controllers, the services and machines that they use, and what its users know. Unless
+/// noted otherwise, times are virtual and in ms.
 pub struct SimulatedCluster {
-    /// Current virtual time, in ms.
     pub now: u64,
+    /// The controllers' settings file. Each controller gets its own node, zone and peers when it starts.
     config: Value,
+    /// The text of the controllers' tunables file.
     tunables: String,
     pub controllers: Vec<ControllerSlot>,
     pub kv_store: KvEngine,
+    /// Whether the kv store refuses all requests.
     kv_outage: bool,
     cloud: Cloud,
     cloud_down: bool,
@@ -69,35 +74,46 @@
     hung_machines: HashSet<String>,
     /// Where each worker sends its heartbeats, in the order of `workers`.
     heartbeat_targets: Vec<HeartbeatTarget>,
+    /// What workers know about each job.
     jobs: JobDescriptions,
-    /// Attempts of gangs that lack a member, with the time since which they do.
+    /// Attempts of gangs that lack a member, by job and attempt, with the time since which they do.
     broken_gangs: BTreeMap<(String, u64), u64>,
+    /// Submissions as on the wire, by job.
     submissions: BTreeMap<String, Value>,
+    /// Jobs whose users know that they were accepted.
     accepted_jobs: HashSet<String>,
     resubmissions: Vec<Resubmission>,
     /// Jobs that users cancel and whose final state is not known yet, with the time of the next cancel request.
     pending_cancels: BTreeMap<String, u64>,
     /// Jobs whose users know that they are cancelled, with the time since which they know.
     cancelled: BTreeMap<String, u64>,
+    /// Final states that responses have shown to users, by job.
     final_states: BTreeMap<String, String>,
+    /// Requests without a response, by the controller's index and the request's number.
     requests_in_flight: BTreeMap<(usize, u64), PendingRequest>,
+    /// How many requests have been sent so far; the last one has this number.
     pub request_count: u64,
+    /// Violations of invariants and rules, in the order in which they were found.
     violations: Vec<String>,
+    /// Pairs of zones between which no message arrives.
     zone_cuts: HashSet<(String, String)>,
     /// Events that a controller can handle per second, in units of one heartbeat; `None` for no limit.
     controller_capacity: Option<f64>,
+    /// Whether direct commands are held instead of delivered, and get no response.
     direct_commands_lost: bool,
     /// Whether responses to polls for changes are longer than a controller accepts.
     changes_too_long: bool,
+    /// Held direct commands: worker and body.
     held_commands: Vec<(usize, Vec<u8>)>,
     txn_mode: TxnMode,
+    /// Bodies of held transactions.
     held_txns: Vec<Vec<u8>>,
     faults: Faults,
     poll_bursts: PollBursts,
     waiting_check: WaitingCheck,
     job_stream: Option<JobStream>,
     peer_message_mode: PeerMessageMode,
-    /// Delayed messages between controllers: receiver, sender, message.
+    /// Held messages between controllers: receiver, sender, message.
     held_peer_messages: Vec<(usize, String, PeerMessage)>,
     repeating_polls: Vec<RepeatingPoll>,
     /// The highest value of each of the leaders' counters.
@@ -105,15 +121,16 @@
     operator_queries: OperatorQueries,
     pub dag_runs: DagRuns,
     config_changes: ConfigChanges,
-    /// CPU time that the controllers take to handle events.
+    /// Real time that the controllers take to handle events.
     pub event_handling_time: EventHandlingTime,
     /// Mutations that the kv store has applied.
     pub kv_mutations: u64,
-    /// When the first task of each job got its image.
+    /// When the first task of each job got its image, which counts as its start.
     pub first_start: BTreeMap<String, u64>,
     /// When the latest task of each job got its image.
     last_start: BTreeMap<String, u64>,
-    /// Final states that users knew when an operator's query was sent. The response must not contradict them.
+    /// Final states that users knew when an operator's query was sent, by the controller's index and the query's
+    /// number. The response must not contradict them.
     final_states_at_request: BTreeMap<(usize, u64), BTreeMap<String, String>>,
     trace: Trace,
 }
@@ -186,7 +203,7 @@
 
     /// Returns an empty cluster that writes its messages to a trace file of this name if `TRACE_DIR` is set.
     pub fn traced(name: &str) -> SimulatedCluster {
-        SimulatedCluster { trace: Trace::to(name), ..SimulatedCluster::new() }
+        SimulatedCluster { trace: Trace::create(name), ..SimulatedCluster::new() }
     }
 
     /// Advances virtual time by one step.
@@ -210,7 +227,7 @@
         self.record_counters();
     }
 
-    /// Returns a setting of the workers' protocol, which is in seconds, in ms.
+    /// Returns a setting of the workers' protocol in ms; the settings file has it in seconds.
     fn worker_setting_ms(&self, name: &str, default_s: f64) -> u64 {
         (self.config["cluster"]["workers"][name].as_f64().unwrap_or(default_s) * 1000.0) as u64
     }
--- a/tests/simulation/operator_queries.rs
+++ b/tests/simulation/operator_queries.rs
@@ -13,7 +13,9 @@
 
 /// What a query in flight is about.
 pub enum QuerySubject {
+    /// A job; the value is the query's path.
     Job(String),
+    /// A page of the list of jobs.
     ListPage,
 }
 
@@ -21,17 +23,21 @@
 pub struct OperatorQueries {
     /// The last successful response for each path, such as `jobs/job-000001/explain`.
     responses: BTreeMap<String, Value>,
-    next_query: BTreeMap<String, u64>,
+    /// Time of the next query for each path.
+    next_query_at: BTreeMap<String, u64>,
     pagination: Option<ListPagination>,
 }
 
 /// A list that is read page by page.
 struct ListPagination {
+    /// Page size and filters, without the start of the page.
     query: String,
+    /// Pause between a page and the request for the next one.
     pause_ms: u64,
-    due: u64,
+    next_request_at: u64,
+    /// The last page's `next`, with which the next page starts.
     after: Option<String>,
-    seen: Vec<String>,
+    listed_jobs: Vec<String>,
     finished: bool,
 }
 
@@ -40,28 +46,29 @@
     parse_operator_request(path, query).expect("a path of the interface").expect("a query")
 }
 
-fn path_of(what: &str, id: &str) -> String {
-    match what {
+/// Returns the path of a query about a job. `kind` is `inspect`, `explain` or `events`.
+fn query_path(kind: &str, id: &str) -> String {
+    match kind {
         "inspect" => format!("jobs/{id}"),
-        _ => format!("jobs/{id}/{what}"),
+        _ => format!("jobs/{id}/{kind}"),
     }
 }
 
 impl OperatorQueries {
     /// Starts to repeat a query about a job.
-    pub fn start_query(&mut self, what: &str, id: &str) {
-        self.next_query.entry(path_of(what, id)).or_insert(0);
+    pub fn start_query(&mut self, kind: &str, id: &str) {
+        self.next_query_at.entry(query_path(kind, id)).or_insert(0);
     }
 
-    pub fn response(&self, what: &str, id: &str) -> Option<&Value> {
-        self.responses.get(&path_of(what, id))
+    pub fn response(&self, kind: &str, id: &str) -> Option<&Value> {
+        self.responses.get(&query_path(kind, id))
     }
 
     /// Returns whether the last response contains a reason, or an event, of this name.
-    pub fn response_contains(&self, what: &str, id: &str, word: &str) -> bool {
-        let Some(response) = self.response(what, id) else { return false };
-        let (list, name) = if what == "events" { ("events", "event") } else { ("reasons", "reason") };
-        response[list].as_array().is_some_and(|items| items.iter().any(|item| item[name] == word))
+    pub fn response_contains(&self, kind: &str, id: &str, name: &str) -> bool {
+        let Some(response) = self.response(kind, id) else { return false };
+        let (list, name_field) = if kind == "events" { ("events", "event") } else { ("reasons", "reason") };
+        response[list].as_array().is_some_and(|items| items.iter().any(|item| item[name_field] == name))
     }
 
     pub fn start_pagination(&mut self, now: u64, limit: u64, pause_ms: u64, filters: &str) {
@@ -69,9 +76,9 @@
         self.pagination = Some(ListPagination {
             query,
             pause_ms,
-            due: now,
+            next_request_at: now,
             after: None,
-            seen: Vec::new(),
+            listed_jobs: Vec::new(),
             finished: false,
         });
     }
@@ -81,27 +88,29 @@
         self.pagination
             .as_ref()
             .filter(|pagination| pagination.finished)
-            .map(|pagination| pagination.seen.len())
+            .map(|pagination| pagination.listed_jobs.len())
     }
 
     /// Returns the queries that are due.
     pub fn due_queries(&mut self, now: u64) -> Vec<(QuerySubject, OperatorRequest)> {
         let mut due = Vec::new();
-        for (path, due_at) in self.next_query.iter_mut().filter(|(_, due_at)| **due_at <= now) {
+        for (path, due_at) in self.next_query_at.iter_mut().filter(|(_, due_at)| **due_at <= now) {
             *due_at = now + QUERY_INTERVAL_MS;
             due.push((QuerySubject::Job(path.clone()), request(path)));
         }
-        if let Some(pagination) =
-            self.pagination.as_mut().filter(|pagination| !pagination.finished && pagination.due <= now)
+        if let Some(pagination) = self
+            .pagination
+            .as_mut()
+            .filter(|pagination| !pagination.finished && pagination.next_request_at <= now)
         {
-            pagination.due = now + PAGE_TIMEOUT_MS;
+            pagination.next_request_at = now + PAGE_TIMEOUT_MS;
             let after = pagination.after.as_ref().map_or(String::new(), |after| format!("&after={after}"));
             due.push((QuerySubject::ListPage, request(&format!("jobs?{}{after}", pagination.query))));
         }
         due
     }
 
-    /// Handles a response. An error names the violated rule.
+    /// Handles a response. Fails if it violates a rule; the error names it.
     pub fn handle_response(
         &mut self,
         subject: &QuerySubject,
@@ -124,17 +133,17 @@
 
     fn handle_page(&mut self, status: u16, body: &Value, now: u64) -> Result<(), String> {
         let Some(pagination) = &mut self.pagination else { return Ok(()) };
-        pagination.due = now + pagination.pause_ms.max(1);
+        pagination.next_request_at = now + pagination.pause_ms.max(1);
         if status != 200 {
             return Ok(());
         }
         let rows = body["jobs"].as_array().ok_or("a page without jobs")?;
-        pagination.seen.extend(rows.iter().filter_map(|row| row["id"].as_str()).map(String::from));
+        pagination.listed_jobs.extend(rows.iter().filter_map(|row| row["id"].as_str()).map(String::from));
         pagination.after = body["next"].as_str().map(String::from);
         pagination.finished = pagination.after.is_none();
-        let distinct: BTreeSet<&String> = pagination.seen.iter().collect();
-        if distinct.len() < pagination.seen.len() {
-            return Err(format!("listed twice: {:?}", pagination.seen));
+        let distinct: BTreeSet<&String> = pagination.listed_jobs.iter().collect();
+        if distinct.len() < pagination.listed_jobs.len() {
+            return Err(format!("listed twice: {:?}", pagination.listed_jobs));
         }
         Ok(())
     }
--- a/tests/simulation/poll_bursts.rs
+++ b/tests/simulation/poll_bursts.rs
@@ -1,5 +1,5 @@
-//! Users that poll in quick succession: right after a job was accepted, finished or reported as cancelled, they poll
-//! all controllers several times within seconds and also repeat the submission. The responses are checked like any
+//! Users that poll in quick succession: once a job is accepted, its last task ends, or its final state is reported,
+//! they poll all controllers and repeat the submission several times within seconds. The responses are checked like any
 //! other.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -12,7 +12,7 @@
 use super::actions::{ActionResult, usage_error};
 use super::{PendingRequest, ResponseCheck, SimulatedCluster};
 
-/// Delays of the polls after the event, in ms.
+/// Delays of the polls of a burst after the event that causes it, in ms.
 const POLL_DELAYS_MS: [u64; 12] = [0, 20, 40, 60, 100, 160, 260, 400, 700, 1_100, 1_600, 2_400];
 
 #[derive(Default)]
@@ -20,7 +20,8 @@
     enabled: bool,
     /// Jobs whose number is a multiple of this are cancelled when their last task ends; 0 for none.
     cancel_every: u64,
-    due: BTreeSet<(u64, String)>,
+    /// Polls to be sent: time and job.
+    scheduled: BTreeSet<(u64, String)>,
     /// Finished tasks of each job.
     done_tasks: BTreeMap<String, HashSet<String>>,
 }
@@ -52,17 +53,18 @@
     pub fn schedule_poll_burst(&mut self, id: &str) {
         if self.poll_bursts.enabled && self.submissions.contains_key(id) {
             let now = self.now;
-            self.poll_bursts.due.extend(POLL_DELAYS_MS.map(|after| (now + after, id.to_string())));
+            let polls = POLL_DELAYS_MS.map(|delay_ms| (now + delay_ms, id.to_string()));
+            self.poll_bursts.scheduled.extend(polls);
         }
     }
 
-    /// Detects jobs whose last task has just ended, and sends the polls that are due.
+    /// Detects jobs whose last task has just ended, and sends the polls that are due, to every controller.
     pub fn step_poll_bursts(&mut self) {
         if self.poll_bursts.enabled || self.poll_bursts.cancel_every > 0 {
             self.detect_finished_jobs();
         }
-        while self.poll_bursts.due.first().is_some_and(|(at, _)| *at <= self.now) {
-            let (_, id) = self.poll_bursts.due.pop_first().expect("one that is due");
+        while self.poll_bursts.scheduled.first().is_some_and(|(at, _)| *at <= self.now) {
+            let (_, id) = self.poll_bursts.scheduled.pop_first().expect("one that is due");
             let job = JobId::parse(&id).expect("a job");
             let submission = self.submissions[&id].to_string();
             for controller in 0..self.controllers.len() {
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Cancels jobs whose last task has just ended, as far as the scenario requests it, and schedules polls of them.
     fn detect_finished_jobs(&mut self) {
         let mut finished = Vec::new();
         for attempt in done_attempts(&self.workers) {
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -25,12 +25,12 @@
     Graph(GraphRequest),
     /// A poll of a run, by its path.
     DagRunView(String),
-    /// A request about a change of the configuration, by the name of the change.
+    /// A request about a config change, by the name of the change.
     Config(String),
 }
 
 impl SimulatedCluster {
-    /// Returns one of the controllers that meet a condition; successive requests use them in turn.
+    /// Returns one of the controllers that meet a condition. Successive requests alternate between them.
     pub(super) fn pick_controller(
         &self,
         is_candidate: impl Fn(&SimulatedCluster, usize) -> bool,
@@ -52,13 +52,14 @@
         self.pick_controller(|cluster, index| cluster.controllers[index].controller.is_some())
     }
 
+    /// Registers a request that is about to be sent to a controller, and returns its ID.
     pub(super) fn track_request(&mut self, controller: usize, request: PendingRequest) -> InboundId {
         self.request_count += 1;
         self.requests_in_flight.insert((controller, self.request_count), request);
         InboundId(self.request_count)
     }
 
-    /// Sends the operators' queries that are due to any running controller.
+    /// Sends the operators' queries that are due, each to any running controller.
     pub(super) fn send_operator_queries(&mut self) {
         for (subject, request) in self.operator_queries.due_queries(self.now) {
             let Some(controller) = self.pick_running_controller() else { return };
--- a/tests/simulation/store_file.rs
+++ b/tests/simulation/store_file.rs
@@ -11,13 +11,13 @@
 const CLOUD: &str = "cloud";
 const TIME: &str = "time";
 
-fn saved(name: &str, bytes: Vec<u8>) -> AuxiliaryRecord {
+fn auxiliary_record(name: &str, bytes: Vec<u8>) -> AuxiliaryRecord {
     AuxiliaryRecord { name: name.into(), bytes: Some(bytes) }
 }
 
-fn bytes<'a>(auxiliary: &'a [AuxiliaryRecord], name: &str) -> &'a [u8] {
-    let found = auxiliary.iter().find(|saved| saved.name == name);
-    found.and_then(|saved| saved.bytes.as_deref()).expect(name)
+fn auxiliary_bytes<'a>(auxiliary: &'a [AuxiliaryRecord], name: &str) -> &'a [u8] {
+    let found = auxiliary.iter().find(|record| record.name == name);
+    found.and_then(|record| record.bytes.as_deref()).expect(name)
 }
 
 impl SimulatedCluster {
@@ -28,23 +28,23 @@
 
     /// Writes the kv store, the cloud and the time to a new store file, in the format that real clusters use.
     pub fn write_store_file(&mut self, path: &Path) {
-        let (file, _, _) = StoreFile::open(path).expect("a new state file");
+        let (file, _, _) = StoreFile::open(path).expect("a new store file");
         let auxiliary = [
-            saved(CLOUD, serde_json::to_vec(&self.cloud).expect("JSON")),
-            saved(TIME, self.now.to_string().into_bytes()),
+            auxiliary_record(CLOUD, serde_json::to_vec(&self.cloud).expect("JSON")),
+            auxiliary_record(TIME, self.now.to_string().into_bytes()),
         ];
         file.commit(&self.kv_store.take_deltas(), &auxiliary).expect("a commit");
     }
 
     /// Recovers records, machines and time from a store file, before any controller starts.
     pub fn read_store_file(&mut self, path: &Path) {
-        let (_, deltas, auxiliary) = StoreFile::open(path).expect("the state file");
-        self.now = serde_json::from_slice(bytes(&auxiliary, TIME)).expect("a time");
+        let (_, deltas, auxiliary) = StoreFile::open(path).expect("the store file");
+        self.now = serde_json::from_slice(auxiliary_bytes(&auxiliary, TIME)).expect("a time");
         self.kv_store = KvEngine::restore(&deltas, self.now);
-        self.cloud = serde_json::from_slice(bytes(&auxiliary, CLOUD)).expect("the cloud");
+        self.cloud = serde_json::from_slice(auxiliary_bytes(&auxiliary, CLOUD)).expect("the cloud");
     }
 
-    /// Makes the machines run these tasks again, once controllers have been started: machine, task, attempt.
+    /// Makes the machines run these attempts (machine, task, attempt) again. Controllers must have been started.
     pub fn resume_tasks(&mut self, tasks: &[(String, String, u64)]) {
         self.boot_machines();
         for (machine, task, attempt) in tasks {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the attempts that have not ended: machine, task, attempt.
+    /// Returns the attempts that have not ended, as (machine, task, attempt).
     pub fn live_attempts(&self) -> Vec<(String, String, u64)> {
         let live_attempts_of = |worker: &olivelatch_worker::Worker| {
             let live = worker.attempts.iter().filter(|attempt| !attempt.is_ended());
--- a/tests/simulation/trace.rs
+++ b/tests/simulation/trace.rs
@@ -10,7 +10,7 @@
 use olivelatch::protocol::{HttpOutcome, HttpRequest};
 
 /// Environment variable that names the folder for traces. If it is not set, no traces are written.
-const FOLDER: &str = "TRACE_DIR";
+const FOLDER_VARIABLE: &str = "TRACE_DIR";
 
 /// The file that a simulated cluster writes its messages to; none by default.
 #[derive(Default)]
@@ -18,15 +18,15 @@
 
 impl Trace {
     /// Creates a trace file of this name in the folder for traces, if one is set.
-    pub fn to(name: &str) -> Trace {
-        let Some(folder) = std::env::var_os(FOLDER) else { return Trace::default() };
+    pub fn create(name: &str) -> Trace {
+        let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else { return Trace::default() };
         let path = Path::new(&folder).join(format!("{}.trace", name.replace([' ', ','], "-")));
         let file = File::create(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         Trace(Some(BufWriter::new(file)))
     }
 
     /// Writes an event that a controller handles. Ticks are left out.
-    pub fn event(&mut self, now: u64, controller: &str, event: &Event) {
+    pub fn write_event(&mut self, now: u64, controller: &str, event: &Event) {
         let Some(file) = &mut self.0 else { return };
         let text = match event {
             Event::Tick => return,
@@ -35,7 +35,9 @@
             | Event::WorkerCommands { outbound, outcome } => {
                 format!("{} {} {}", event.name(), outbound.0, outcome_text(outcome))
             }
-            Event::Peer { controller, message } => format!("mesh {controller} {}", mesh_text(message)),
+            Event::Peer { controller, message } => {
+                format!("mesh {controller} {}", peer_message_text(message))
+            }
             Event::User { inbound, .. }
             | Event::Heartbeat { inbound, .. }
             | Event::Operator { inbound, .. }
@@ -46,7 +48,7 @@
     }
 
     /// Writes an action of a controller.
-    pub fn action(&mut self, now: u64, controller: &str, action: &Action) {
+    pub fn write_action(&mut self, now: u64, controller: &str, action: &Action) {
         let Some(file) = &mut self.0 else { return };
         let text = match action {
             Action::Respond { inbound, response } => {
@@ -57,24 +59,24 @@
                 )
             }
             Action::CallKv { outbound, request, timeout_ms } => {
-                format!("state {} {timeout_ms} {}", outbound.0, call_text(&request.to_http_request()))
+                format!("state {} {timeout_ms} {}", outbound.0, request_text(&request.to_http_request()))
             }
             Action::CallCloud { outbound, request, timeout_ms } => {
-                format!("cloud {} {timeout_ms} {}", outbound.0, call_text(&request.to_http_request()))
+                format!("cloud {} {timeout_ms} {}", outbound.0, request_text(&request.to_http_request()))
             }
-            Action::SendWorkerCommands { outbound, endpoint, request: call, timeout_ms } => {
-                format!("orders {} {endpoint} {timeout_ms} {}", outbound.0, call_text(call))
+            Action::SendWorkerCommands { outbound, endpoint, request, timeout_ms } => {
+                format!("orders {} {endpoint} {timeout_ms} {}", outbound.0, request_text(request))
             }
-            Action::SendPeerMessage { controller: node, message } => {
-                format!("mesh {node} {}", mesh_text(message))
+            Action::SendPeerMessage { controller, message } => {
+                format!("mesh {controller} {}", peer_message_text(message))
             }
         };
         writeln!(file, "{now} {controller} > {text}").expect("a trace");
     }
 }
 
-fn call_text(call: &HttpRequest) -> String {
-    format!("{} {} {}", call.method, call.path, String::from_utf8_lossy(&call.body))
+fn request_text(request: &HttpRequest) -> String {
+    format!("{} {} {}", request.method, request.path, String::from_utf8_lossy(&request.body))
 }
 
 fn outcome_text(outcome: &HttpOutcome) -> String {
@@ -86,6 +88,7 @@
     }
 }
 
-fn mesh_text(message: &PeerMessage) -> String {
+/// Returns a message between controllers as it is sent, in hexadecimal.
+fn peer_message_text(message: &PeerMessage) -> String {
     peer::encode(message).iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,5 +1,5 @@
-//! Users: they submit, poll and cancel jobs and retry requests. They remember the responses, which later responses
-//! must not contradict.
+//! Users: they submit, poll and cancel jobs and retry requests. Checks the rules of their protocol: a later response
+//! must not contradict an earlier one, and an accepted job must not be forgotten.
 
 use olivelatch::coordination::Event;
 use olivelatch::ids::JobId;
@@ -16,11 +16,11 @@
 /// How a response to a user is checked.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseCheck {
-    /// Checks the rules of the protocol. The user retries while the service is unavailable.
+    /// Checks the rules of the protocol. The user retries a submission while the response is 503.
     Rules,
     /// Checks the rules and that the response has this status.
     RulesAndStatus(u16),
-    /// Checks only this status, because the request is not about a job that the rules apply to.
+    /// Checks only that the response has this status, because the rules do not apply to the request.
     StatusOnly(u16),
 }
 
