--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -26,12 +26,12 @@
         "guess_s": 30.0, "snapshot_s": 5.0, "flush_s": 1.5, "due_s": 600.0})
 }
 
-fn with(mut value: Value, name: &str, other: Value) -> Value {
+fn with_field(mut value: Value, name: &str, other: Value) -> Value {
     value[name] = other;
     value
 }
 
-fn without(mut value: Value, names: &[&str]) -> Value {
+fn without_fields(mut value: Value, names: &[&str]) -> Value {
     for name in names {
         value.as_object_mut().expect("an object").remove(*name);
     }
@@ -46,13 +46,13 @@
     golden.round_trip::<Vec<PriorityClass>>("urgencies", &json!(["critical", "high", "normal", "low"]));
     let bodies = [
         ("whole", submission()),
-        ("short", without(submission(), &["boxkinds", "hall", "due_s"])),
-        ("more than known", with(submission(), "later", json!(1))),
-        ("no pieces", with(submission(), "pieces", json!(0))),
-        ("no owner", without(submission(), &["owner"])),
-        ("another shape", with(submission(), "shape", json!("heap"))),
-        ("too much", with(submission(), "vcpus", json!(1e12))),
-        ("no name", without(submission(), &["uid"])),
+        ("short", without_fields(submission(), &["boxkinds", "hall", "due_s"])),
+        ("more than known", with_field(submission(), "later", json!(1))),
+        ("no pieces", with_field(submission(), "pieces", json!(0))),
+        ("no owner", without_fields(submission(), &["owner"])),
+        ("another shape", with_field(submission(), "shape", json!("heap"))),
+        ("too much", with_field(submission(), "vcpus", json!(1e12))),
+        ("no name", without_fields(submission(), &["uid"])),
         ("a list", json!([])),
     ];
     for (name, body) in bodies {
@@ -80,15 +80,15 @@
     golden.check();
 }
 
-/// A heartbeat with every field and every task state set.
+/// A heartbeat with every field set and with tasks in every state.
 fn heartbeat() -> Value {
     let task_status = |task: u32, status: &str| json!({"piece": format!("job-000412/{task}"), "try": 70 + task, "status": status});
-    let exited = |task: u32, cause: &str| with(task_status(task, "ended"), "cause", json!(cause));
+    let exited = |task: u32, cause: &str| with_field(task_status(task, "ended"), "cause", json!(cause));
     json!({"box": "m-17", "endpoint": "10.0.0.7:700", "boxkind": "small", "hall": "north-a", "loaners": true,
         "shift": 4, "tick": 99, "baton": 31, "warning_s": 12.5, "pieces": [
             task_status(0, "fetching"), task_status(1, "gathering"), task_status(2, "running"), task_status(3, "flushing"),
-            with(with(exited(4, "done"), "made", json!(60)), "gave", json!(7)),
-            with(exited(5, "halted"), "kept", json!(true)), with(exited(6, "halted"), "kept", json!(false)),
+            with_field(with_field(exited(4, "done"), "made", json!(60)), "gave", json!(7)),
+            with_field(exited(5, "halted"), "kept", json!(true)), with_field(exited(6, "halted"), "kept", json!(false)),
             exited(7, "halted"), exited(8, "peers"), exited(9, "incomplete"), exited(10, "error"), exited(11, "full"),
             exited(12, "busy"), exited(13, "unknown"), exited(14, "something new"), task_status(15, "ended")]})
 }
@@ -96,9 +96,9 @@
 #[test]
 fn workers() {
     let mut golden = golden("workers");
-    let minimal = without(heartbeat(), &["endpoint", "baton", "warning_s", "pieces"]);
+    let minimal = without_fields(heartbeat(), &["endpoint", "baton", "warning_s", "pieces"]);
     let unknown_state =
-        with(heartbeat(), "pieces", json!([{"piece": "job-000412/0", "try": 1, "status": "asleep"}]));
+        with_field(heartbeat(), "pieces", json!([{"piece": "job-000412/0", "try": 1, "status": "asleep"}]));
     for (name, body) in
         [("whole", heartbeat()), ("short", minimal), ("a state that is not known", unknown_state)]
     {
@@ -129,7 +129,7 @@
     HttpOutcome::Response { status, body: body.as_bytes().to_vec() }
 }
 
-/// Failures that any outbound request may result in.
+/// Failures that any outbound request may result in, by the names of their cases.
 fn failures() -> Vec<(&'static str, HttpOutcome)> {
     vec![
         ("not sent", HttpOutcome::NotSent),
@@ -168,7 +168,7 @@
         listed("m-2", "running"),
         listed("m-3", "failed"),
         listed("m-4", "something new"),
-        without(listed("m-5", "booting"), &["endpoint", "held_s"])
+        without_fields(listed("m-5", "booting"), &["endpoint", "held_s"])
     ]);
     let scale_in = CloudRequest::ScaleIn { machines: vec!["m-1".into(), "m-2".into()] };
     vec![
@@ -210,7 +210,7 @@
     }
 }
 
-/// Requests and the bodies of their replies; as text, because stored values are passed through unparsed.
+/// Requests and the bodies of their replies. The bodies are text, because stored values are passed through unparsed.
 fn kv_requests() -> Vec<(&'static str, KvRequest, String)> {
     let prefix = || String::from("olivelatch/");
     let page = format!(
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn state() {
+fn kv_store() {
     let mut golden = golden("state");
     for (name, request, reply) in kv_requests() {
         golden.case(name, wire::request(&request.to_http_request()));
@@ -287,7 +287,7 @@
             wire::parsed_or_rejected(parse_operator_request(bare, query), wire::operator_request),
         );
     }
-    crate::views::operators(&mut golden);
+    crate::views::add_operator_cases(&mut golden);
     golden.check();
 }
 
@@ -304,9 +304,9 @@
         ("GET", "config/team/grid?version=x", json!({})),
         ("GET", "config/team/grid?since=1", json!({})),
         ("PUT", "config/team/grid", change.clone()),
-        ("PUT", "config/team/whole", without(change.clone(), &["expected", "why"])),
-        ("PUT", "config/team/nobody", with(change.clone(), "by", json!(""))),
-        ("PUT", "config/team/unknown", with(change, "later", json!(1))),
+        ("PUT", "config/team/whole", without_fields(change.clone(), &["expected", "why"])),
+        ("PUT", "config/team/nobody", with_field(change.clone(), "by", json!(""))),
+        ("PUT", "config/team/unknown", with_field(change, "later", json!(1))),
         ("DELETE", "config/team/grid", json!({})),
         ("GET", "config/pool/billing", json!({})),
         ("GET", "config/team/", json!({})),
@@ -317,7 +317,7 @@
         let parsed = parse_config_request(method, bare, query, body.to_string().as_bytes());
         golden.case(&format!("{method} {path}"), wire::parsed_or_rejected(parsed, wire::config_request));
     }
-    crate::views::config(&mut golden);
+    crate::views::add_config_cases(&mut golden);
     golden.check();
 }
 
@@ -333,11 +333,11 @@
         ("GET", "graphs/nightly-1?after=9&limit=5", json!({})),
         ("GET", "graphs/nightly-1?after=x", json!({})),
         ("GET", "graphs/ni ghtly", json!({})),
-        ("POST", "graphs/nightly-1/parts", json!({"first": 1, "parts": [crate::views::part(), {}]})),
+        ("POST", "graphs/nightly-1/parts", json!({"first": 1, "parts": [crate::views::graph_part(), {}]})),
         ("POST", "graphs/nightly-2/parts", json!({"first": 1, "parts": [{"later": 1}]})),
         ("POST", "graphs/nightly-1", header.clone()),
-        ("POST", "graphs/nightly-2", without(header.clone(), &["most_runs"])),
-        ("POST", "graphs/nightly-3", with(header, "nodes", json!(0))),
+        ("POST", "graphs/nightly-2", without_fields(header.clone(), &["most_runs"])),
+        ("POST", "graphs/nightly-3", with_field(header, "nodes", json!(0))),
         ("POST", "graphs/nightly-1/cancel", json!({})),
         ("POST", "graphs/nightly-1/redo", json!({"from": 2, "parts": 1})),
         ("PUT", "graphs/nightly-1", json!({})),
@@ -348,11 +348,11 @@
         let parsed = parse_graph_request(method, bare, query, body.to_string().as_bytes());
         golden.case(&format!("{method} {path}"), wire::parsed_or_rejected(parsed, wire::graph_request));
     }
-    crate::views::graphs(&mut golden);
+    crate::views::add_graph_cases(&mut golden);
     golden.check();
 }
 
-fn mesh_messages() -> Vec<(&'static str, PeerMessage)> {
+fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
     let query = |query_id, query| PeerMessage::Query { query_id, query };
     let query_response = |retry_after_s| PeerMessage::QueryResponse {
         query_id: 7,
@@ -383,7 +383,6 @@
     ]
 }
 
-/// `JobPhase` is serialized as the same word that `as_str` returns.
 #[test]
 fn job_phases_serialize_as_the_word_of_as_str() {
     for state in [JobPhase::Pending, JobPhase::Running, JobPhase::Done, JobPhase::Cancelled] {
@@ -403,10 +402,10 @@
 
 /// The bytes of frames must not change, because controllers of different versions exchange them.
 #[test]
-fn mesh() {
+fn peers() {
     let mut golden = golden("mesh");
     let recorded = golden.recorded();
-    for (name, message) in mesh_messages() {
+    for (name, message) in peer_messages() {
         let frame = recorded
             .as_ref()
             .map_or(peer::encode(&message), |cases| bytes(cases[name].as_str().expect(name)));
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -95,7 +95,7 @@
         &json!({"name": "small", "vcpus": 4.0, "accelerators": 1.0, "memory_gb": 16.0, "local_gb": 50.0,
             "pull_gb_per_s": 0.25, "price": 1.5, "low_price": 0.5, "ready_s": 20.0, "halls": ["north-a"]}),
     );
-    golden.round_trip::<GraphPart>("part", &views::part());
+    golden.round_trip::<GraphPart>("part", &views::graph_part());
     golden.round_trip::<DagRunRecord>(
         "graph",
         &json!({"at": AT_MS, "graph": "nightly", "parts": 2, "nodes": 3, "most_runs": 4}),
@@ -130,7 +130,7 @@
 }
 
 /// A part of the assignment log, as the leader builds it.
-fn log() -> AssignmentLogRecord {
+fn assignment_log() -> AssignmentLogRecord {
     let mut log = AssignmentLogRecord::new(Attempt(1_000));
     log.add_machine(&machine_descriptor("m-1", "north-a", true));
     log.add_task(wire::task("job-000412/0"), Attempt(1_007));
@@ -143,7 +143,7 @@
     log
 }
 
-fn recorded_machine(recorded: &RecordedMachine) -> Value {
+fn recorded_machine_json(recorded: &RecordedMachine) -> Value {
     let tasks: Vec<Value> =
         recorded.tasks.iter().map(|(task, attempt)| json!([task.to_string(), attempt.0])).collect();
     let machine = &recorded.machine;
@@ -151,30 +151,31 @@
         "r": recorded.returning, "t": tasks})
 }
 
-fn log_value(log: &AssignmentLogRecord) -> Value {
+fn assignment_log_json(log: &AssignmentLogRecord) -> Value {
     let finished: Vec<Value> =
         log.finished_ranges().map(|(job, first, count)| json!([job.to_string(), first, count])).collect();
-    json!({"machines": log.recorded_machines().map(|machine| recorded_machine(&machine)).collect::<Vec<_>>(), "done": finished,
+    json!({"machines": log.recorded_machines().map(|machine| recorded_machine_json(&machine)).collect::<Vec<_>>(), "done": finished,
         "starts": log.assigned_tasks().count()})
 }
 
 #[test]
 fn log_and_machines() {
     let mut golden = golden("log");
-    let text =
-        golden.recorded().map_or(encode(&log()), |cases| cases["log"].as_str().expect("the log").into());
+    let text = golden
+        .recorded()
+        .map_or(encode(&assignment_log()), |cases| cases["log"].as_str().expect("the log").into());
     let decoded = decode::<AssignmentLogRecord>(&text);
     assert_eq!(encode(&decoded), text);
-    golden.case("log", encode(&log()));
+    golden.case("log", encode(&assignment_log()));
     golden.case("log, empty", encode(&AssignmentLogRecord::new(Attempt(7))));
-    golden.case("log, most bytes", log().max_json_bytes());
-    golden.case("log, read", log_value(&decoded));
+    golden.case("log, most bytes", assignment_log().max_json_bytes());
+    golden.case("log, read", assignment_log_json(&decoded));
     let whole = json!({"kind": "small", "zone": "north-a", "spot": true, "endpoint": "10.0.0.7:700",
         "returning": true, "tasks": {"job-000412": [[0, 77], [1, 78]]}});
     let minimal = json!({"kind": "small", "zone": "north-a", "spot": false, "endpoint": ""});
     for (name, value) in [("machine", whole), ("machine, short", minimal)] {
         let machine: LegacyMachineRecord = decode(&value.to_string());
-        golden.case(name, recorded_machine(&machine.to_recorded("m-1")));
+        golden.case(name, recorded_machine_json(&machine.to_recorded("m-1")));
     }
     golden.check();
 }
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Files that controllers read but never write: the platform's settings and the tunables.
+//! Files that controllers read but never write: the platform's settings and the operators' tunables.
 
 use olivelatch::settings::{PeerController, ServiceLevelObjective, Settings, TeamSettings};
 use olivelatch::tunables::{LogFormat, Tunables};
@@ -7,7 +7,7 @@
 use crate::golden;
 
 /// A settings file with every field.
-const PLATFORM: &str = include_str!("platform.json");
+const ALL_SETTINGS: &str = include_str!("platform.json");
 /// Tunables with every field set.
 const ALL_TUNABLES: &str = include_str!("tunables.hcl");
 
@@ -27,7 +27,7 @@
 }
 
 /// Renders parsed settings with the file's field names and with times in milliseconds.
-fn platform(settings: &Settings) -> Value {
+fn settings_json(settings: &Settings) -> Value {
     let (workers, kv, quota) = (&settings.worker_timings, &settings.kv_limits, &settings.limits);
     json!({"node": settings.controller, "zone": settings.zone, "front": settings.http_addr, "mesh_addr": settings.peer_addr,
         "others": settings.peers.iter().map(peer).collect::<Vec<_>>(),
@@ -64,8 +64,8 @@
 #[test]
 fn platform_settings() {
     let mut golden = golden("settings");
-    for (name, text) in [("whole", PLATFORM.to_string()), ("least", required_fields(PLATFORM))] {
-        golden.case(name, platform(&Settings::parse("platform.json", &text).expect("settings")));
+    for (name, text) in [("whole", ALL_SETTINGS.to_string()), ("least", required_fields(ALL_SETTINGS))] {
+        golden.case(name, settings_json(&Settings::parse("platform.json", &text).expect("settings")));
     }
     let invalid_files = [
         ("no node", r#""node": "n0""#, r#""node": """#),
@@ -75,8 +75,8 @@
         ("a team", r#""cpus_max": 8.5"#, r#""cpus_max": -1"#),
     ];
     for (name, from, to) in invalid_files {
-        assert!(PLATFORM.contains(from), "{from}");
-        let parsed = Settings::parse("platform.json", &PLATFORM.replacen(from, to, 1));
+        assert!(ALL_SETTINGS.contains(from), "{from}");
+        let parsed = Settings::parse("platform.json", &ALL_SETTINGS.replacen(from, to, 1));
         golden.case(name, parsed.err().map(|error| error.to_string()));
     }
     golden.check();
@@ -91,7 +91,7 @@
 }
 
 /// Renders parsed tunables with the file's field names.
-fn tunables(tunables: &Tunables) -> Value {
+fn tunables_json(tunables: &Tunables) -> Value {
     let (overload, operators, graphs) = (&tunables.overload, &tunables.operators, &tunables.graphs);
     json!({"t": tunables.fetch_ratio_threshold, "tt_s": tunables.spill_threshold_s, "fetch_gb_per_s": tunables.fetch_gb_per_s,
         "steal_wait_ms": tunables.steal_backoff_ms, "steal_bound_s": tunables.max_steal_backoff_s, "hold_s": tunables.machine_hold_s,
@@ -119,7 +119,7 @@
     files.push(("everything set".into(), ALL_TUNABLES.into()));
     files.push(("lines as json".into(), "log {\n  format = \"json\"\n}\n".into()));
     for (name, text) in files {
-        golden.case(&name, tunables(&Tunables::parse(&name, &text).expect("tunables")));
+        golden.case(&name, tunables_json(&Tunables::parse(&name, &text).expect("tunables")));
     }
     let invalid_files = [
         ("a name", "tea = 1"),
--- a/tests/golden/support.rs
+++ b/tests/golden/support.rs
@@ -1,5 +1,5 @@
 //! Golden files: recorded outputs that the current code must still produce. `GOLDEN_WRITE=1` rewrites them. Message
-//! bodies are stored as strings and so compared byte for byte; everything around them is compared by value.
+//! bodies are stored as strings, and so they are compared byte for byte; everything around them is compared as JSON.
 
 // Each test binary uses only some of these functions.
 #![allow(dead_code)]
@@ -12,15 +12,15 @@
 
 /// The cases of one golden file, by name.
 pub struct Golden {
-    folder: &'static str,
+    crate_folder: &'static str,
     name: &'static str,
     cases: Map<String, Value>,
 }
 
 impl Golden {
-    /// `folder`: the crate's `CARGO_MANIFEST_DIR`; `name`: the file name without its extension.
-    pub fn new(folder: &'static str, name: &'static str) -> Golden {
-        Golden { folder, name, cases: Map::new() }
+    /// `crate_folder`: the crate's `CARGO_MANIFEST_DIR`; `name`: the file name without its extension.
+    pub fn new(crate_folder: &'static str, name: &'static str) -> Golden {
+        Golden { crate_folder, name, cases: Map::new() }
     }
 
     /// Adds a case. Panics when the name is already taken.
@@ -43,7 +43,7 @@
     }
 
     fn path(&self) -> std::path::PathBuf {
-        Path::new(self.folder).join("tests/golden").join(format!("{}.json", self.name))
+        Path::new(self.crate_folder).join("tests/golden").join(format!("{}.json", self.name))
     }
 
     /// The cases as recorded in the file; `None` when the file is being rewritten.
--- a/tests/golden/views.rs
+++ b/tests/golden/views.rs
@@ -1,4 +1,5 @@
-//! Response types that controllers serialize and the client parses: one sample of each, with every field and variant.
+//! Types that controllers serialize and the client parses, and those that the client sends: one sample of each, with
+//! every field and variant.
 
 use olivelatch::protocol::config::{
     ConfigChangeRequest, ConfigEntryList, ConfigEntryView, PendingOn, PropagationBlocker, TeamQuota,
@@ -111,7 +112,7 @@
         "takeovers": 6, "uptime_s": 70.5, "accounts": [job_counters], "work": leader_status})
 }
 
-pub fn operators(golden: &mut Golden) {
+pub fn add_operator_cases(golden: &mut Golden) {
     golden.round_trip::<JobList>(
         "list",
         &json!({"node": "n0", "revision": 99, "jobs": [job_row(), minimal_job_row()], "next": "job-000413"}),
@@ -150,7 +151,7 @@
     golden.round_trip::<ControllerStatus>("status, leading", &status());
 }
 
-pub fn config(golden: &mut Golden) {
+pub fn add_config_cases(golden: &mut Golden) {
     let value = json!({"limit_cpus": 4.0, "guaranteed_cpus": null});
     let view = json!({"entry": "team/grid", "version": 12, "value": value, "platform": value, "holds": value,
         "by": "ada", "why": "a quiet week", "at_ms": 1_790_000_000_000_u64, "in_force": false,
@@ -179,7 +180,7 @@
 }
 
 /// A graph part with every field set.
-pub fn part() -> Value {
+pub fn graph_part() -> Value {
     json!({"templates": [node_template()], "edges": [[1, 0, 1]], "redo": [[0, 2, 900_000_000_000_000_007_u64]],
         "nodes": [{"n": "raw", "j": 900_000_000_000_000_001_u64, "t": 0},
             {"n": "balance", "j": 900_000_000_000_000_002_u64, "t": 0, "m": 0}]})
@@ -198,13 +199,13 @@
         "evidence": [{"t": 2, "a": 76, "m": "m-1", "c": "exit 1"}]})
 }
 
-pub fn graphs(golden: &mut Golden) {
+pub fn add_graph_cases(golden: &mut Golden) {
     golden.round_trip::<NodeTemplate>("template", &node_template());
     golden.round_trip::<NodeTemplate>("template, short", &json!({"spec": submission(), "tries": 1}));
     golden.round_trip::<DagNodeRecord>("row", &json!({"n": "raw", "j": 7, "t": 0}));
-    golden.round_trip::<GraphPart>("part", &part());
+    golden.round_trip::<GraphPart>("part", &graph_part());
     golden.round_trip::<GraphPart>("part, empty", &json!({}));
-    golden.round_trip::<PartsUpload>("parts", &json!({"first": 1, "parts": [part()]}));
+    golden.round_trip::<PartsUpload>("parts", &json!({"first": 1, "parts": [graph_part()]}));
     golden.round_trip::<DagRunHeader>(
         "header",
         &json!({"graph": "nightly", "parts": 2, "nodes": 3, "most_runs": 4}),
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -11,17 +11,17 @@
 use olivelatch::protocol::{HttpRequest, HttpResponse};
 use serde_json::{Value, json};
 
-fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("text")
+fn utf8(bytes: &[u8]) -> &str {
+    std::str::from_utf8(bytes).expect("UTF-8")
 }
 
 pub fn response(response: &HttpResponse) -> Value {
-    json!({"status": response.status, "retry-after": response.retry_after_s, "body": text(&response.body),
+    json!({"status": response.status, "retry-after": response.retry_after_s, "body": utf8(&response.body),
         "plain": response.is_text})
 }
 
 pub fn request(request: &HttpRequest) -> Value {
-    json!({"call": format!("{} {}", request.method, request.path), "body": text(&request.body)})
+    json!({"call": format!("{} {}", request.method, request.path), "body": utf8(&request.body)})
 }
 
 pub fn task(text: &str) -> TaskId {
@@ -183,7 +183,7 @@
     }
 }
 
-/// A parsed request, the response that rejects it, or null when no route matches the path.
+/// Renders a parsed request, or the response that rejects it; null if no route matches the path.
 pub fn parsed_or_rejected<T>(parsed: Option<Result<T, HttpResponse>>, render: impl Fn(&T) -> Value) -> Value {
     match parsed {
         None => Value::Null,
