--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -1,6 +1,6 @@
 //! Compatibility with a store file of an earlier version (`tests/golden/inherited.pages`), written while jobs of every
-//! kind, a DAG run and a config entry were in progress. Controllers that start from it recover all of it, leave running
-//! tasks where they are, and complete the jobs. `GOLDEN_WRITE=1` rewrites the file.
+//! kind and a DAG run were in progress and a config entry was set. Controllers that start from it recover all of it,
+//! leave running tasks where they are, and complete the jobs. `GOLDEN_WRITE=1` rewrites the file.
 
 mod simulation;
 
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 use simulation::SimulatedCluster;
 
-/// Scenario lines that set up the cluster, the same when the file is written and when it is read.
-const CLUSTER: [&str; 6] = [
+/// Scenario lines that set up the cluster, both when the file is written and when it is read.
+const CLUSTER_SETUP: [&str; 6] = [
     "settings state write_rps=60",
     "graphs pool:billing=2",
     "team core max=24",
@@ -30,8 +30,8 @@
     "5 tasks=2 run=1 team=works",
     "9 tasks=3 run=5 team=works",
 ];
-/// Index of the job whose tasks are recorded in an earlier version's format; the test writes these records itself.
-const LEGACY_JOB: usize = 5;
+/// Index in `JOBS` of the job whose records `put_legacy_records` writes in an earlier version's format.
+const LEGACY_JOB_INDEX: usize = 5;
 
 /// The nodes of a DAG run whose fan-out is in progress when the file is written.
 const DAG_NODES: [&str; 4] = [
@@ -52,13 +52,13 @@
 
 fn start_cluster() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new();
-    CLUSTER.iter().for_each(|line| run_line(&mut cluster, line));
+    CLUSTER_SETUP.iter().for_each(|line| run_line(&mut cluster, line));
     run_line(&mut cluster, "config");
     cluster
 }
 
 /// Writes records in the format that was used before the assignment log existed: an accepted job, two of whose tasks
-/// are assigned in the record of their machine.
+/// are assigned in the record of their machine, and a provisioning request.
 fn put_legacy_records(cluster: &mut SimulatedCluster) {
     let manifest = json!({"uid": "job-000009", "jobclass": "work", "owner": "works", "shape": "array",
         "urgency": "normal", "pieces": 3, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "img-1",
@@ -86,7 +86,7 @@
     run_line(&mut cluster, &format!("submit {}", JOBS[0]));
     // Blocks of finished tasks are written only once many tasks have finished.
     run_line(&mut cluster, "until 90 keys olivelatch/fin/ >= 1");
-    JOBS[1..LEGACY_JOB].iter().for_each(|job| run_line(&mut cluster, &format!("submit {job}")));
+    JOBS[1..LEGACY_JOB_INDEX].iter().for_each(|job| run_line(&mut cluster, &format!("submit {job}")));
     DAG_NODES.iter().for_each(|line| run_line(&mut cluster, line));
     for line in [
         "commit r nightly bytes=900",
@@ -107,9 +107,10 @@
     running.extend([(name.clone(), "job-000009/0".into(), 7), (name, "job-000009/1".into(), 8)]);
     let path = temporary_path("written");
     cluster.write_store_file(&path);
-    let whole = std::fs::read(&path).expect("the state file");
-    std::fs::remove_file(path).expect("the temporary state file is removed");
-    std::fs::write(golden_path("inherited.pages"), pack(&whole)).expect("the packed state file is written");
+    let store_file = std::fs::read(&path).expect("the store file");
+    std::fs::remove_file(path).expect("the temporary store file is removed");
+    std::fs::write(golden_path("inherited.pages"), pack(&store_file))
+        .expect("the packed store file is written");
     let text = serde_json::to_string_pretty(&json!({"running": running, "keys": record_keys(&cluster)}))
         .expect("JSON");
     std::fs::write(golden_path("inherited.json"), text + "\n").expect("the list of its contents is written");
@@ -125,64 +126,67 @@
 }
 
 /// Size of a page of the store file, in bytes.
-const PAGE: usize = 4096;
+const PAGE_BYTES: usize = 4096;
 /// Flag in the number of a page that repeats one byte.
-const UNIFORM: usize = 1 << 63;
+const REPEATED_BYTE: usize = 1 << 63;
 
-/// Compresses a store file, most pages of which repeat one byte: the file's length, then number and bytes of each
-/// other page. A page that repeats a byte other than 0 is stored as its number with `UNIFORM` set, and that byte.
-fn pack(whole: &[u8]) -> Vec<u8> {
-    let mut packed = (whole.len() as u64).to_le_bytes().to_vec();
-    for (page, index) in whole.chunks(PAGE).zip(0_u64..) {
+/// Compresses a store file, most pages of which repeat one byte. The result has the file's length and then, for each
+/// page that is not all zeros, its number and its bytes; a page that repeats one byte has `REPEATED_BYTE` set in its
+/// number and only that byte.
+fn pack(store_file: &[u8]) -> Vec<u8> {
+    let mut packed = (store_file.len() as u64).to_le_bytes().to_vec();
+    for (page, index) in store_file.chunks(PAGE_BYTES).zip(0_u64..) {
         if page.iter().all(|byte| *byte == page[0]) {
             if page[0] != 0 {
-                packed.extend((index | UNIFORM as u64).to_le_bytes());
+                packed.extend((index | REPEATED_BYTE as u64).to_le_bytes());
                 packed.push(page[0]);
             }
             continue;
         }
         packed.extend(index.to_le_bytes());
         packed.extend(page);
-        packed.resize(packed.len() + PAGE - page.len(), 0);
+        packed.resize(packed.len() + PAGE_BYTES - page.len(), 0);
     }
     packed
 }
 
-fn number(bytes: &[u8]) -> usize {
+fn read_number(bytes: &[u8]) -> usize {
     u64::from_le_bytes(bytes.try_into().expect("8 bytes")) as usize
 }
 
 /// Reverses `pack`.
 fn unpack(packed: &[u8]) -> Vec<u8> {
     let (length, mut rest) = packed.split_at(8);
-    let mut whole = vec![0; number(length).next_multiple_of(PAGE)];
+    let mut store_file = vec![0; read_number(length).next_multiple_of(PAGE_BYTES)];
     while !rest.is_empty() {
         let (header, bytes) = rest.split_at(8);
-        let (index, uniform) = (number(header) & !UNIFORM, number(header) & UNIFORM != 0);
-        let page = &mut whole[index * PAGE..(index + 1) * PAGE];
-        rest = if uniform {
+        let header = read_number(header);
+        let (index, repeats_byte) = (header & !REPEATED_BYTE, header & REPEATED_BYTE != 0);
+        let page = &mut store_file[index * PAGE_BYTES..(index + 1) * PAGE_BYTES];
+        rest = if repeats_byte {
             page.fill(bytes[0]);
             &bytes[1..]
         } else {
-            page.copy_from_slice(&bytes[..PAGE]);
-            &bytes[PAGE..]
+            page.copy_from_slice(&bytes[..PAGE_BYTES]);
+            &bytes[PAGE_BYTES..]
         };
     }
-    whole.truncate(number(length));
-    whole
+    store_file.truncate(read_number(length));
+    store_file
 }
 
-/// Unpacks the golden file into a temporary one, because opening a store file writes to it.
+/// Unpacks the golden file into a temporary one, because opening a store file writes to it, and returns its path.
 fn unpack_golden_file() -> PathBuf {
-    let packed = std::fs::read(golden_path("inherited.pages")).expect("the pages of the state file");
-    let whole = unpack(&packed);
-    assert_eq!(pack(&whole), packed);
+    let packed = std::fs::read(golden_path("inherited.pages")).expect("the packed store file");
+    let store_file = unpack(&packed);
+    assert_eq!(pack(&store_file), packed);
     let path = temporary_path("read");
-    std::fs::write(&path, whole).expect("a copy of the state file");
+    std::fs::write(&path, store_file).expect("the unpacked store file is written");
     path
 }
 
-/// Returns machine, task and attempt of each task that was running when the file was written.
+/// Returns machine, task and attempt of each task that was running when the file was written. `contents` is the list in
+/// `inherited.json` of what the file contains.
 fn running_attempts(contents: &Value) -> Vec<(String, String, u64)> {
     serde_json::from_value(contents["running"].clone()).expect("machines, tasks and attempts")
 }
@@ -203,7 +207,8 @@
     cluster
 }
 
-/// Checks that the file has every kind of record and that the assignment log has every running task.
+/// Checks that the file has every kind of record, and that the assignment log has every running task except those in
+/// the earlier format.
 fn check_records(cluster: &SimulatedCluster, contents: &Value) {
     let records = cluster.all_records();
     for kind in ["job", "end", "fin", "machine", "log", "booking", "kind", "part", "graph", "turn", "config"]
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -74,9 +74,11 @@
     }
 }
 
+/// Controller processes, which are killed when this is dropped.
 struct Controllers {
-    children: Vec<Option<Child>>,
-    files: Vec<std::path::PathBuf>,
+    /// The running processes; `None` for a controller that has not been started.
+    processes: Vec<Option<Child>>,
+    settings_files: Vec<std::path::PathBuf>,
     client_addresses: Vec<String>,
 }
 
@@ -84,28 +86,28 @@
     fn start(&mut self, index: usize) {
         let child = Command::new(env!("CARGO_BIN_EXE_olivelatch"))
             .args(["serve", "--config"])
-            .arg(&self.files[index])
+            .arg(&self.settings_files[index])
             .env("LOG_LEVEL", "error")
             .stdin(Stdio::null())
             .spawn()
             .expect("the program starts");
-        self.children[index] = Some(child);
+        self.processes[index] = Some(child);
     }
 
     /// Returns the response of the first controller that does not return 503, as clients behind a load balancer see it.
     fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        let up = (0..self.client_addresses.len()).filter(|index| self.children[*index].is_some());
-        up.into_iter().find_map(|index| {
+        let mut running = (0..self.client_addresses.len()).filter(|index| self.processes[*index].is_some());
+        running.find_map(|index| {
             send_request(&self.client_addresses[index], method, path, body.as_bytes())
                 .filter(|(status, _)| *status != 503)
         })
     }
 
     fn wait_until(&self, seconds: u64, path: &str, is_expected: impl Fn(u16, &Value) -> bool) {
-        let end = Instant::now() + Duration::from_secs(seconds);
+        let deadline = Instant::now() + Duration::from_secs(seconds);
         let mut last = None;
-        while Instant::now() < end {
+        while Instant::now() < deadline {
             last = self.request("GET", path, &Value::Null);
             if last.as_ref().is_some_and(|(status, body)| is_expected(*status, body)) {
                 return;
@@ -118,12 +120,12 @@
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        for index in 0..self.children.len() {
-            if let Some(mut child) = self.children[index].take() {
+        for index in 0..self.processes.len() {
+            if let Some(mut child) = self.processes[index].take() {
                 let _ = child.kill();
                 let _ = child.wait();
             }
-            let _ = std::fs::remove_file(&self.files[index]);
+            let _ = std::fs::remove_file(&self.settings_files[index]);
         }
     }
 }
@@ -146,13 +148,13 @@
     serve(
         kv_listener,
         Arc::new(move |method: &str, path: &str, body: &[u8]| {
-            kv_store.lock().expect("state").handle_request(method, path, body, now())
+            kv_store.lock().expect("the kv store's lock").handle_request(method, path, body, now())
         }),
     );
     serve(
         cloud_listener,
         Arc::new(move |method: &str, path: &str, body: &[u8]| {
-            cloud.lock().expect("cloud").handle_request(method, path, body, now())
+            cloud.lock().expect("the cloud's lock").handle_request(method, path, body, now())
         }),
     );
     (kv_addr, cloud_addr)
@@ -171,15 +173,17 @@
 
 /// Returns the resident anonymous memory of a process in MB. Its mapped program file is not counted.
 fn resident_mb(child: &Child) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("our own process");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()))
+        .expect("the status of a running child process");
     let line = status.lines().find(|line| line.starts_with("RssAnon:")).expect("an RssAnon line");
     line.split_whitespace().nth(1).expect("a number").parse::<u64>().expect("a number") / 1024
 }
 
-/// Starts a controller with a key-value store and a cloud, and waits until it is ready; returns its client address too.
+/// Starts a controller with a key-value store and a cloud, and waits until it is ready. Returns the controller and its
+/// client address. `name` becomes part of the name of its settings file.
 fn start_one_controller(name: &str, peer_address: &str, peers: &Value) -> (Controllers, String) {
     let cloud = Arc::new(Mutex::new(Cloud::default()));
-    cloud.lock().expect("cloud").machine_types.push(small_machine_type());
+    cloud.lock().expect("the cloud's lock").machine_types.push(small_machine_type());
     let kv_store = Arc::new(Mutex::new(KvEngine::default()));
     let (kv_addr, cloud_addr) = serve_platform(kv_store, cloud, Instant::now());
     let client_address = free_address();
@@ -194,8 +198,8 @@
     let file = std::env::temp_dir().join(format!("olivelatch-{name}-{}.json", std::process::id()));
     std::fs::write(&file, settings.to_string()).expect("a settings file");
     let mut controllers = Controllers {
-        children: vec![None],
-        files: vec![file],
+        processes: vec![None],
+        settings_files: vec![file],
         client_addresses: vec![client_address.clone()],
     };
     controllers.start(0);
@@ -239,14 +243,14 @@
     assert!(!closed(&mut newest));
 }
 
-/// With 400 incomplete requests (24 MB), responses that are never read, and idle connections, the buffers stay within
-/// their share of the configured memory, and heartbeats and submissions are still served.
+/// With 400 incomplete requests (24 MB), responses that are never read, and idle connections, the controller's buffers
+/// stay within their share of the configured memory, and heartbeats and small submissions are still served.
 #[test]
 fn incomplete_requests_stay_within_the_memory_limit() {
     let (controllers, client_address) = start_one_controller("memory", &free_address(), &json!([]));
 
     let connect = || TcpStream::connect(&client_address).expect("a connection");
-    let mut open: Vec<TcpStream> = (0..100).map(|_| connect()).collect();
+    let mut connections: Vec<TcpStream> = (0..100).map(|_| connect()).collect();
     for index in 0..400 {
         let mut stream = connect();
         let length = 62_000;
@@ -254,17 +258,17 @@
         // The controller may reject and close while this is being sent, so write errors are expected.
         let _ = stream.write_all(head.as_bytes());
         let _ = stream.write_all(&vec![b'a' + (index % 26) as u8; length - 100]);
-        open.push(stream);
+        connections.push(stream);
     }
-    // Thousands of requests whose responses are not read.
+    // 60,000 requests whose responses are not read.
     for _ in 0..20 {
         let mut stream = connect();
         stream.set_write_timeout(Some(Duration::from_millis(200))).expect("a time-out");
         let _ = stream.write_all("GET /nowhere HTTP/1.1\r\n\r\n".repeat(3000).as_bytes());
-        open.push(stream);
+        connections.push(stream);
     }
     std::thread::sleep(Duration::from_millis(300));
-    let resident = resident_mb(controllers.children[0].as_ref().expect("a running controller"));
+    let resident = resident_mb(controllers.processes[0].as_ref().expect("a running controller"));
     assert!(resident < 9, "the controller uses {resident} MB of memory, expected less than 9 MB");
 
     let (status, _) = controllers.request("POST", "/work", &submission("job-000001", 1)).expect("a response");
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -18,7 +18,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-fn bytes() -> impl Strategy<Value = Vec<u8>> {
+fn random_bytes() -> impl Strategy<Value = Vec<u8>> {
     proptest::collection::vec(any::<u8>(), 0..400)
 }
 
@@ -53,7 +53,7 @@
 
 #[test]
 fn user_and_worker_bodies_are_parsed_or_rejected() {
-    let checked = runner().run(&(corrupted_bytes(SUBMISSION), bytes()), |(body, noise)| {
+    let checked = runner().run(&(corrupted_bytes(SUBMISSION), random_bytes()), |(body, noise)| {
         for body in [&body, &noise] {
             if let Err(response) = parse_submission(body) {
                 prop_assert_eq!(response.status, 400);
@@ -74,7 +74,7 @@
 #[test]
 fn http_is_parsed_or_rejected() {
     let checked = runner().run(
-        &(corrupted_bytes(REQUEST), corrupted_bytes(RESPONSE), bytes()),
+        &(corrupted_bytes(REQUEST), corrupted_bytes(RESPONSE), random_bytes()),
         |(request, response, noise)| {
             for bytes in [&request, &response, &noise] {
                 if let Parsed::Complete(request, consumed) = parse_request(bytes) {
@@ -90,7 +90,8 @@
     checked.expect("every message is parsed or rejected");
 }
 
-/// A corrupted frame from a peer is rejected or decodes to another valid message.
+/// A truncated frame from a peer never decodes to the original message. A corrupted one is rejected, or decodes to
+/// another message whose body is no longer than the frame.
 #[test]
 fn peer_messages_are_validated() {
     let messages = [
@@ -113,7 +114,7 @@
         }
     }
     let change = proptest::collection::vec((any::<usize>(), any::<u8>()), 1..8);
-    let checked = runner().run(&(change, bytes(), 0..messages.len()), |(changes, noise, which)| {
+    let checked = runner().run(&(change, random_bytes(), 0..messages.len()), |(changes, noise, which)| {
         let mut frame = frames[which].clone();
         let length = frame.len();
         changes.into_iter().for_each(|(index, byte)| frame[index % length] = byte);
@@ -132,9 +133,10 @@
 #[test]
 fn settings_are_parsed_or_rejected() {
     assert!(Tunables::parse("f", std::str::from_utf8(TUNABLES).expect("text")).is_ok());
-    let checked = runner().run(&(corrupted_bytes(TUNABLES), bytes()), |(tunables, noise)| {
+    let checked = runner().run(&(corrupted_bytes(TUNABLES), random_bytes()), |(tunables, noise)| {
         for bytes in [&tunables, &noise] {
             let text = String::from_utf8_lossy(bytes);
+            // An error begins with the name of the file.
             if let Err(error) = Tunables::parse("f", &text) {
                 prop_assert!(error.to_string().starts_with('f'));
             }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -59,7 +59,7 @@
             cluster.request_count += 1;
             let inbound = InboundId(cluster.request_count);
             let clock = cluster.controller_clock(0);
-            let controller = cluster.controllers[index].controller.as_mut().expect("a node");
+            let controller = cluster.controllers[index].controller.as_mut().expect("a running controller");
             controller.receive_event(clock, Event::Operator { inbound, request });
             // The controller polls the store and passes its read barrier before it responds.
             for _ in 0..20 {
@@ -78,7 +78,8 @@
                             cluster.now,
                         );
                         let outcome = HttpOutcome::Response { status, body: body.to_string().into_bytes() };
-                        let controller = cluster.controllers[index].controller.as_mut().expect("a node");
+                        let controller =
+                            cluster.controllers[index].controller.as_mut().expect("a running controller");
                         let started = std::time::Instant::now();
                         let follow_ups = controller.receive_event(clock, Event::Kv { outbound, outcome });
                         for action in follow_ups {
@@ -126,7 +127,7 @@
     }
 }
 
-const CLUSTER: [&str; 9] = [
+const CLUSTER_SETUP: [&str; 9] = [
     "graphs most_nodes=100000",
     "settings state rps=500 write_rps=250 txn_ops=64",
     "team core",
@@ -138,79 +139,87 @@
     "advance 2",
 ];
 
-const NODE: &str = "run=1 guess=1 cpus=1 memory=0.1 size=0";
+/// Arguments of every job and graph node that is measured.
+const NODE_ARGUMENTS: &str = "run=1 guess=1 cpus=1 memory=0.1 size=0";
 
 /// Returns the upstream nodes of each node, for a graph of the given kind.
 fn shape(kind: &str, nodes: u64) -> Vec<Vec<u64>> {
     let mut rng = SmallRng::seed_from_u64(16);
     (0..nodes)
-        .map(|at| match kind {
-            "fan-out" if at > 0 => vec![0],
-            "fan-in" if at + 1 == nodes => (0..at).collect(),
-            "pipeline" if at > 0 => vec![at - 1],
+        .map(|node| match kind {
+            "fan-out" if node > 0 => vec![0],
+            "fan-in" if node + 1 == nodes => (0..node).collect(),
+            "pipeline" if node > 0 => vec![node - 1],
             // Up to three of the hundred nodes before it.
-            "random" if at > 0 => {
-                let mut before: Vec<u64> = (0..rng.random_range(0..4u64))
-                    .map(|_| rng.random_range(at.saturating_sub(100)..at))
+            "random" if node > 0 => {
+                let mut upstream: Vec<u64> = (0..rng.random_range(0..4u64))
+                    .map(|_| rng.random_range(node.saturating_sub(100)..node))
                     .collect();
-                before.sort_unstable();
-                before.dedup();
-                before
+                upstream.sort_unstable();
+                upstream.dedup();
+                upstream
             }
             _ => Vec::new(),
         })
         .collect()
 }
 
-fn draft_graph(cluster: &mut SimulatedCluster, run: &str, first: u64, shape: &[Vec<u64>]) {
-    for (at, after) in shape.iter().enumerate() {
-        let all = after.len() + 1 == shape.len() && after.len() > 100;
-        let names: Vec<String> = after.iter().map(|up| format!("n{up}")).collect();
-        let after = match (all, names.is_empty()) {
+/// Adds the nodes of a graph to the draft of a run. Their jobs are numbered from `first_job`.
+fn draft_graph(cluster: &mut SimulatedCluster, run: &str, first_job: u64, shape: &[Vec<u64>]) {
+    for (index, upstream) in shape.iter().enumerate() {
+        let is_fan_in = upstream.len() + 1 == shape.len() && upstream.len() > 100;
+        let names: Vec<String> = upstream.iter().map(|node| format!("n{node}")).collect();
+        let after = match (is_fan_in, names.is_empty()) {
             (true, _) => " after=n*".to_string(),
             (_, true) => String::new(),
             _ => format!(" after={}", names.join(",")),
         };
         // The last node of a fan-in has a name that `n*` does not match.
-        let name = if all { "last".to_string() } else { format!("n{at}") };
-        run_lines(cluster, &[&format!("node {run} {name} {}{after} {NODE}", first + at as u64)]);
+        let name = if is_fan_in { "last".to_string() } else { format!("n{index}") };
+        run_lines(
+            cluster,
+            &[&format!("node {run} {name} {}{after} {NODE_ARGUMENTS}", first_job + index as u64)],
+        );
     }
 }
 
 /// Returns the number of nodes on the longest path through a graph.
 fn critical_path_length(shape: &[Vec<u64>]) -> u64 {
-    let mut layers = vec![1; shape.len()];
-    for (at, after) in shape.iter().enumerate() {
-        layers[at] = after.iter().map(|up| layers[*up as usize] + 1).max().unwrap_or(1);
+    let mut lengths = vec![1; shape.len()];
+    for (index, upstream) in shape.iter().enumerate() {
+        lengths[index] = upstream.iter().map(|node| lengths[*node as usize] + 1).max().unwrap_or(1);
     }
-    layers.into_iter().max().unwrap_or(0)
+    lengths.into_iter().max().unwrap_or(0)
 }
 
-/// Returns for each node the time, in ms, from the terminal record of its last upstream node to the moment its first
-/// task has its image. The result is sorted.
-fn start_delays(cluster: &SimulatedCluster, first: u64, shape: &[Vec<u64>]) -> Vec<u64> {
-    let name = |at: u64| format!("job-{:06}", first + at);
-    let ended = |at: u64| {
-        let end = cluster.kv_store.get(&format!("olivelatch/end/{}", name(at)))?;
-        Some(end["at"].as_u64()? - 1_700_000_000_000)
+/// Returns for each node the time, in ms, from the terminal record of its last upstream node to the moment when its
+/// first task has its image. The result is sorted.
+fn start_delays(cluster: &SimulatedCluster, first_job: u64, shape: &[Vec<u64>]) -> Vec<u64> {
+    let job_name = |node: u64| format!("job-{:06}", first_job + node);
+    let ended_at = |node: u64| {
+        let record = cluster.kv_store.get(&format!("olivelatch/end/{}", job_name(node)))?;
+        // Converts the wall-clock time of the record to virtual time.
+        Some(record["at"].as_u64()? - 1_700_000_000_000)
     };
-    let delay = |(at, after): (usize, &Vec<u64>)| {
-        let last = after.iter().filter_map(|up| ended(*up)).max()?;
-        Some(cluster.first_start.get(&name(at as u64))?.saturating_sub(last))
+    let delay = |(node, upstream): (usize, &Vec<u64>)| {
+        let last_end = upstream.iter().filter_map(|node| ended_at(*node)).max()?;
+        Some(cluster.first_start.get(&job_name(node as u64))?.saturating_sub(last_end))
     };
-    let mut all: Vec<u64> = shape.iter().enumerate().filter_map(delay).collect();
-    all.sort_unstable();
-    all
+    let mut delays: Vec<u64> = shape.iter().enumerate().filter_map(delay).collect();
+    delays.sort_unstable();
+    delays
 }
 
+/// Prints what the cluster has done since `start_ms`. `before` has the number of store changes and the time that
+/// controllers had taken to handle events, both at `start_ms`.
 fn print_result(
     cluster: &SimulatedCluster,
     label: &str,
     nodes: u64,
-    began: u64,
+    start_ms: u64,
     before: (u64, std::time::Duration),
 ) {
-    let seconds = (cluster.now - began) as f64 / 1000.0;
+    let seconds = (cluster.now - start_ms) as f64 / 1000.0;
     println!(
         "{label}: {nodes} nodes in {seconds:.1} s, {:.1} per second; {:.2} store changes per node; {:.0} us of CPU time per node, at most {:.1} ms for one event ({})",
         nodes as f64 / seconds,
@@ -226,10 +235,10 @@
 #[ignore = "a measurement"]
 fn measure_dag_nodes_and_plain_jobs() {
     const NODES: u64 = 10_000;
-    let mut plain = start_cluster(&CLUSTER);
-    let (began, before) = (plain.now, (plain.kv_mutations, plain.event_handling_time.total));
+    let mut plain = start_cluster(&CLUSTER_SETUP);
+    let (start_ms, before) = (plain.now, (plain.kv_mutations, plain.event_handling_time.total));
     for at in 0..NODES {
-        run_lines(&mut plain, &[&format!("submit {} {NODE}", 1 + at)]);
+        run_lines(&mut plain, &[&format!("submit {} {NODE_ARGUMENTS}", 1 + at)]);
         // The highest rate that is accepted: faster submissions are delayed and then rejected.
         if at % 50 == 49 {
             run_lines(&mut plain, &["advance 0.2"]);
@@ -238,21 +247,21 @@
     while finished_jobs(&plain) < NODES as usize {
         plain.step();
     }
-    print_result(&plain, "plain jobs", NODES, began, before);
+    print_result(&plain, "plain jobs", NODES, start_ms, before);
     // A pipeline is limited by its only path. With 2,000 nodes the machines have room for all nodes that are ready at
     // once.
     for (kind, nodes) in
         [("fan-out", NODES), ("fan-in", NODES), ("random", NODES), ("random", 2_000), ("pipeline", 1_000)]
     {
         let shape = shape(kind, nodes);
-        let mut cluster = start_cluster(&CLUSTER);
+        let mut cluster = start_cluster(&CLUSTER_SETUP);
         draft_graph(&mut cluster, "r", 1, &shape);
-        let (began, before) = (cluster.now, (cluster.kv_mutations, cluster.event_handling_time.total));
+        let (start_ms, before) = (cluster.now, (cluster.kv_mutations, cluster.event_handling_time.total));
         run_lines(&mut cluster, &["commit r g"]);
         while finished_jobs(&cluster) < nodes as usize {
             cluster.step();
         }
-        print_result(&cluster, kind, nodes, began, before);
+        print_result(&cluster, kind, nodes, start_ms, before);
         println!("  {} layers", critical_path_length(&shape));
         let delays = start_delays(&cluster, 1, &shape);
         if let (Some(middle), Some(late)) =
@@ -268,7 +277,7 @@
 #[test]
 #[ignore = "a measurement"]
 fn measure_failover_with_fifty_dag_runs() {
-    let mut cluster = start_cluster(&CLUSTER);
+    let mut cluster = start_cluster(&CLUSTER_SETUP);
     let shape = shape("random", 1_000);
     for run in 0..50u64 {
         draft_graph(&mut cluster, &format!("r{run}"), 1 + run * 1_000, &shape);
@@ -281,19 +290,19 @@
         cluster.event_handling_time.longest.as_micros() as f64 / 1000.0
     );
     cluster.event_handling_time = Default::default();
-    let began = cluster.now;
+    let start_ms = cluster.now;
     run_lines(&mut cluster, &["kill n0", "kill n1", "kill n2", "start-all", "until 60 leader = any"]);
     println!(
         "failover: a leader after {:.1} s; {:.0} ms of CPU time of three controllers, at most {:.1} ms for one event ({})",
-        (cluster.now - began) as f64 / 1000.0,
+        (cluster.now - start_ms) as f64 / 1000.0,
         cluster.event_handling_time.total.as_micros() as f64 / 1000.0,
         cluster.event_handling_time.longest.as_micros() as f64 / 1000.0,
         cluster.event_handling_time.longest_event,
     );
     let before = finished_jobs(&cluster);
-    let began = cluster.now;
+    let start_ms = cluster.now;
     while finished_jobs(&cluster) < before + 500 {
         cluster.step();
     }
-    println!("500 more nodes finished after {:.1} s", (cluster.now - began) as f64 / 1000.0);
+    println!("500 more nodes finished after {:.1} s", (cluster.now - start_ms) as f64 / 1000.0);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -11,22 +11,23 @@
 /// Runs one scenario file. The error names the line.
 fn run_scenario(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-    let mut cluster = SimulatedCluster::traced(&name(path));
-    let mut lines = 0;
-    for (at, line) in text.lines().enumerate() {
+    let mut cluster = SimulatedCluster::traced(&scenario_name(path));
+    let mut action_count = 0;
+    for (index, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
         if words.is_empty() {
             continue;
         }
-        lines += 1;
+        action_count += 1;
         log::info!("{} s: {line}", cluster.now as f64 / 1000.0);
-        let place = || format!("{}:{}: {line}", path.display(), at + 1);
-        cluster.run_action(&words).map_err(|problem| format!("{}: {problem}", place()))?;
+        cluster
+            .run_action(&words)
+            .map_err(|problem| format!("{}:{}: {line}: {problem}", path.display(), index + 1))?;
     }
-    if lines == 0 { Err(format!("{}: no actions in the file", path.display())) } else { Ok(()) }
+    if action_count == 0 { Err(format!("{}: no actions in the file", path.display())) } else { Ok(()) }
 }
 
-fn name(path: &Path) -> String {
+fn scenario_name(path: &Path) -> String {
     path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default()
 }
 
@@ -53,17 +54,17 @@
 }
 
 fn main() {
-    // `LOG_LEVEL=info SCENARIO=steal` prints the controllers' logs of the scenarios whose name contains `steal`.
+    // `LOG_LEVEL=info SCENARIO=steal` prints the controllers' logs in the scenarios whose names contain `steal`.
     if std::env::var("LOG_LEVEL").is_ok() {
         olivelatch::logging::init("scenario", olivelatch::tunables::LogFormat::Text);
     }
     let mut arguments = Arguments::from_args();
-    // `SCENARIO` holds part of a test name. It replaces the filter of the command line.
-    if let Ok(only) = std::env::var("SCENARIO") {
-        arguments.filter = Some(only);
+    // `SCENARIO` holds a part of a test name, and replaces the filter of the command line.
+    if let Ok(part_of_name) = std::env::var("SCENARIO") {
+        arguments.filter = Some(part_of_name);
     }
     let scenario = |path: PathBuf| {
-        Trial::test(name(&path), move || {
+        Trial::test(scenario_name(&path), move || {
             Ok(std::panic::catch_unwind(|| run_scenario(&path))
                 .unwrap_or_else(|_| Err(format!("{}: panicked", path.display())))?)
         })
--- a/tests/serving_window.rs
+++ b/tests/serving_window.rs
@@ -6,16 +6,16 @@
 use olivelatch::settings::WorkerTimings;
 use proptest::prelude::*;
 
-/// Relative drift between two clocks, each of which is off by at most 0.05%.
-const DRIFT: f64 = 0.001;
+/// Maximum relative drift between two clocks, each of which is off by at most 0.05%.
+const MAX_DRIFT: f64 = 0.001;
 
-fn worker_timings(lease_ms: u64, cancel_ms: u64) -> WorkerTimings {
+fn worker_timings(lease_ms: u64, cancel_deadline_ms: u64) -> WorkerTimings {
     WorkerTimings {
         heartbeat_interval_ms: 5_000,
         lease_duration_ms: lease_ms,
         gang_wait_ms: 30_000,
         gang_peer_ms: 5_000,
-        cancel_deadline_ms: cancel_ms,
+        cancel_deadline_ms,
     }
 }
 
@@ -28,9 +28,10 @@
     ) {
         let workers = worker_timings(lease, lease + margin);
         let served_until = Leadership::new("n", leader_lease).serves_workers_until(&workers, Some(Millis(polled_at))).0;
-        let stopped_by = served_until.saturating_sub(polled_at) as f64 + lease as f64 * (1.0 + DRIFT);
-        // With a smaller margin the deadline cannot be guaranteed. Serving is then bounded by the maximum cache age
-        // that task starts require.
+        let stopped_by = served_until.saturating_sub(polled_at) as f64 + lease as f64 * (1.0 + MAX_DRIFT);
+        // `margin` is the time from the end of a worker's lease to the cancellation deadline. If it is smaller than
+        // this, the deadline cannot be guaranteed. Serving is then bounded by the maximum cache age with which a leader
+        // may start tasks.
         let margin_suffices = margin as f64 >= MAX_CACHE_AGE_MS as f64 + lease as f64 * 0.002 + 1_300.0;
         prop_assert!(!margin_suffices || stopped_by <= workers.cancel_deadline_ms as f64, "stopped after {stopped_by} ms, the deadline is {} ms", workers.cancel_deadline_ms);
         prop_assert!(served_until <= polled_at + margin.max(MAX_CACHE_AGE_MS));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -5,7 +5,8 @@
 use olivelatch::tunables::Tunables;
 use serde_json::{Value, json};
 
-fn platform() -> Value {
+/// Returns a valid settings file.
+fn valid_settings() -> Value {
     json!({"node": "n0", "zone": "a", "front": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2", "new_field": 1,
         "others": [{"node": "n1", "zone": "a", "addr": "127.0.0.1:3"}],
         "endpoints": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
@@ -19,15 +20,16 @@
             "quota": {"core_share": 0.1, "mem_mb": 72.0, "max_connections": 1500}, "time_bound_ms": 100.0}})
 }
 
+/// Returns the error of settings that a change has made invalid.
 fn error_after(change: impl Fn(&mut Value)) -> String {
-    let mut value = platform();
-    change(&mut value);
-    Settings::parse("f.json", &value.to_string()).expect_err("invalid settings").to_string()
+    let mut settings = valid_settings();
+    change(&mut settings);
+    Settings::parse("f.json", &settings.to_string()).expect_err("invalid settings").to_string()
 }
 
 #[test]
 fn a_maximum_of_zero_is_no_limit() {
-    let settings = Settings::parse("f.json", &platform().to_string()).expect("fine");
+    let settings = Settings::parse("f.json", &valid_settings().to_string()).expect("valid settings");
     let huge = Resources { cpu: 1 << 40, gpu: 1 << 40, mem: 1 << 40 };
     assert!(huge.fits_in(&settings.teams[0].effective_limit()));
     assert!(!huge.fits_in(&settings.teams[1].effective_limit()));
@@ -51,11 +53,11 @@
 
 #[test]
 fn errors_in_tunables_name_their_line() {
-    assert_eq!(Tunables::parse("f.hcl", "").expect("defaults"), Tunables::default());
-    assert_eq!(Tunables::parse("f.hcl", "t = 0.75\n").expect("fine").fetch_ratio_threshold, 0.75);
-    let unknown = Tunables::parse("f.hcl", "t = 0.5\nbogus = 1\n").expect_err("unknown").to_string();
+    assert_eq!(Tunables::parse("f.hcl", "").expect("an empty file is valid"), Tunables::default());
+    assert_eq!(Tunables::parse("f.hcl", "t = 0.75\n").expect("valid tunables").fetch_ratio_threshold, 0.75);
+    let unknown = Tunables::parse("f.hcl", "t = 0.5\nbogus = 1\n").expect_err("an unknown name").to_string();
     assert!(unknown.contains("f.hcl: line 2") && unknown.contains("bogus"), "{unknown}");
-    let range = Tunables::parse("f.hcl", "idle_s = -1\n").expect_err("range").to_string();
+    let range = Tunables::parse("f.hcl", "idle_s = -1\n").expect_err("a value out of range").to_string();
     assert!(range.contains("idle_s must be 0 to"), "{range}");
     assert!(Tunables::parse("f.hcl", "t = = 1").is_err());
 }
@@ -69,8 +71,10 @@
     assert!(load("config.hcl").config.enabled && !load("operators.hcl").config.enabled);
     let graphs = load("graphs.hcl");
     assert!(graphs.operators.enabled && graphs.graphs.enabled && graphs.graphs.pools.contains_key("billing"));
-    let alone = Tunables::parse("f.hcl", "graphs {\n  enabled = true\n}\n").expect_err("alone").to_string();
+    let alone = Tunables::parse("f.hcl", "graphs {\n  enabled = true\n}\n")
+        .expect_err("graphs without operators")
+        .to_string();
     assert!(alone.contains("turn operators on"), "{alone}");
     let pool = "operators {\n  enabled = true\n}\ngraphs {\n  pools = {\n    a = 0\n  }\n}\n";
-    assert!(Tunables::parse("f.hcl", pool).expect_err("no slots").to_string().contains("pool a"));
+    assert!(Tunables::parse("f.hcl", pool).expect_err("a pool without slots").to_string().contains("pool a"));
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -16,7 +16,7 @@
 }
 
 /// Fields that may be null or missing.
-const OPTIONAL: [&str; 3] = ["boxkinds", "hall", "due_s"];
+const OPTIONAL_FIELDS: [&str; 3] = ["boxkinds", "hall", "due_s"];
 
 fn settings() -> Settings {
     let config = json!({"node": "n0", "zone": "a", "front": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2", "others": [],
@@ -65,7 +65,7 @@
     let fields: Vec<String> = submission().as_object().expect("an object").keys().cloned().collect();
     assert_eq!(fields.len(), 20);
     for name in &fields {
-        let optional = OPTIONAL.contains(&name.as_str());
+        let optional = OPTIONAL_FIELDS.contains(&name.as_str());
         let mut without = submission();
         without.as_object_mut().expect("an object").remove(name);
         let expected = if optional { None } else { Some(400) };
--- a/tests/watermarks.rs
+++ b/tests/watermarks.rs
@@ -8,6 +8,8 @@
 
 const JOB: JobId = JobId(7);
 
+/// Returns the watermarks of a controller that read the terminal state of `JOB` at 10 s. The terminal state was
+/// recorded at `revision`.
 fn watermarks_with_terminal(peers: &[&str], revision: u64, cancelled: bool) -> ReadWatermarks {
     let names: Vec<String> = peers.iter().map(|name| (*name).to_string()).collect();
     let mut watermarks = ReadWatermarks::new(&names);
@@ -16,6 +18,7 @@
     watermarks
 }
 
+/// Returns a leader that was elected at this revision.
 fn leader(controller: &str, revision: u64) -> ObservedLeader {
     ObservedLeader {
         controller: controller.into(),
@@ -49,22 +52,22 @@
     /// A leader that has not read the cancellation may start tasks of the job for as long as its cache counts as fresh.
     #[test]
     fn a_cancellation_is_reported_once_the_leader_cannot_start_its_tasks(
-        read in 0_u64..100, token in 1_u64..100, others in 0_u64..100, after in 0_u64..4_000,
+        leader_read in 0_u64..100, elected_at in 1_u64..100, other_read in 0_u64..100, after in 0_u64..4_000,
     ) {
         let mut watermarks = watermarks_with_terminal(&["leads", "other"], 50, true);
-        watermarks.record_peer_read("leads", Revision(read));
-        watermarks.record_peer_read("other", Revision(others));
-        let stable = watermarks.is_stable(JOB, Millis(10_000 + after), Revision(50), Some(&leader("leads", token)));
-        let may_start_tasks = read < 50 && token < 50 && after <= 2_500;
+        watermarks.record_peer_read("leads", Revision(leader_read));
+        watermarks.record_peer_read("other", Revision(other_read));
+        let leader = leader("leads", elected_at);
+        let stable = watermarks.is_stable(JOB, Millis(10_000 + after), Revision(50), Some(&leader));
+        let may_start_tasks = leader_read < 50 && elected_at < 50 && after <= 2_500;
         prop_assert!(!(stable && may_start_tasks), "reported while the leader may start tasks of the job");
-        let may_respond_older = (read < 50 || others < 50) && after <= 1_200;
+        let may_respond_older = (leader_read < 50 || other_read < 50) && after <= 1_200;
         prop_assert!(!(stable && may_respond_older), "reported while another controller may respond from an older read");
         prop_assert!(stable || after < 2_600, "not reported after {after} ms");
     }
 }
 
-/// A controller knows which leader was in office when the terminal state was recorded only once it has read up to that
-/// revision.
+/// Only once a controller has read up to the revision of the terminal state does it know who led at that revision.
 #[test]
 fn the_leader_is_not_inferred_from_an_older_read() {
     let mut watermarks = watermarks_with_terminal(&["a", "b"], 50, true);
