--- a/tests/simulation/status_polls.rs
+++ b/tests/simulation/poll_bursts.rs
@@ -1,5 +1,5 @@
-//! Users that poll in quick succession: right after a job was accepted, finished or reported as cancelled, they poll
-//! all controllers several times within seconds and also repeat the submission. The responses are checked like any
+//! Users that poll in quick succession: once a job is accepted, its last task ends, or its final state is reported,
+//! they poll all controllers and repeat the submission several times within seconds. The responses are checked like any
 //! other.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -12,15 +12,16 @@
 use super::actions::{ActionResult, usage_error};
 use super::{PendingRequest, ResponseCheck, SimulatedCluster};
 
-/// Delays of the polls after the event, in ms.
+/// Delays of the polls of a burst after the event that causes it, in ms.
 const POLL_DELAYS_MS: [u64; 12] = [0, 20, 40, 60, 100, 160, 260, 400, 700, 1_100, 1_600, 2_400];
 
 #[derive(Default)]
-pub struct StatusPolls {
+pub struct PollBursts {
     enabled: bool,
     /// Jobs whose number is a multiple of this are cancelled when their last task ends; 0 for none.
     cancel_every: u64,
-    due: BTreeSet<(u64, String)>,
+    /// Polls to be sent: time and job.
+    scheduled: BTreeSet<(u64, String)>,
     /// Finished tasks of each job.
     done_tasks: BTreeMap<String, HashSet<String>>,
 }
@@ -32,8 +33,8 @@
 }
 
 impl SimulatedCluster {
-    pub fn set_close_polling(&mut self, words: &[&str]) -> ActionResult {
-        self.status_polls.enabled = match words {
+    pub fn set_poll_bursts(&mut self, words: &[&str]) -> ActionResult {
+        self.poll_bursts.enabled = match words {
             ["on"] => true,
             ["off"] => false,
             _ => return usage_error("on or off"),
@@ -41,28 +42,29 @@
         Ok(())
     }
 
-    pub fn set_cancels_at_end(&mut self, words: &[&str]) -> ActionResult {
+    pub fn set_cancellations_at_end(&mut self, words: &[&str]) -> ActionResult {
         let [every] = words else {
             return usage_error("N (jobs whose number is a multiple of N are cancelled)");
         };
-        self.status_polls.cancel_every = every.parse().map_err(|_| "a count")?;
+        self.poll_bursts.cancel_every = every.parse().map_err(|_| "a count")?;
         Ok(())
     }
 
-    pub fn schedule_close_polls(&mut self, id: &str) {
-        if self.status_polls.enabled && self.submissions.contains_key(id) {
+    pub fn schedule_poll_burst(&mut self, id: &str) {
+        if self.poll_bursts.enabled && self.submissions.contains_key(id) {
             let now = self.now;
-            self.status_polls.due.extend(POLL_DELAYS_MS.map(|after| (now + after, id.to_string())));
+            let polls = POLL_DELAYS_MS.map(|delay_ms| (now + delay_ms, id.to_string()));
+            self.poll_bursts.scheduled.extend(polls);
         }
     }
 
-    /// Detects jobs whose last task has just ended, and sends the polls that are due.
-    pub fn step_status_polls(&mut self) {
-        if self.status_polls.enabled || self.status_polls.cancel_every > 0 {
-            self.observe_terminal_states();
+    /// Detects jobs whose last task has just ended, and sends the polls that are due, to every controller.
+    pub fn step_poll_bursts(&mut self) {
+        if self.poll_bursts.enabled || self.poll_bursts.cancel_every > 0 {
+            self.detect_finished_jobs();
         }
-        while self.status_polls.due.first().is_some_and(|(at, _)| *at <= self.now) {
-            let (_, id) = self.status_polls.due.pop_first().expect("one that is due");
+        while self.poll_bursts.scheduled.first().is_some_and(|(at, _)| *at <= self.now) {
+            let (_, id) = self.poll_bursts.scheduled.pop_first().expect("one that is due");
             let job = JobId::parse(&id).expect("a job");
             let submission = self.submissions[&id].to_string();
             for controller in 0..self.controllers.len() {
@@ -74,11 +76,12 @@
         }
     }
 
-    fn observe_terminal_states(&mut self) {
+    /// Cancels jobs whose last task has just ended, as far as the scenario requests it, and schedules polls of them.
+    fn detect_finished_jobs(&mut self) {
         let mut finished = Vec::new();
         for attempt in done_attempts(&self.workers) {
             let Some(spec) = self.submissions.get(attempt.job_name()) else { continue };
-            let done = self.status_polls.done_tasks.entry(attempt.job_name().into()).or_default();
+            let done = self.poll_bursts.done_tasks.entry(attempt.job_name().into()).or_default();
             if done.insert(attempt.task.clone()) && done.len() as u64 == spec["pieces"].as_u64().unwrap_or(0)
             {
                 finished.push(attempt.job_name().to_string());
@@ -86,10 +89,10 @@
         }
         for id in finished {
             let job = JobId::parse(&id).expect("a job");
-            if self.status_polls.cancel_every > 0 && job.0 % self.status_polls.cancel_every == 0 {
+            if self.poll_bursts.cancel_every > 0 && job.0 % self.poll_bursts.cancel_every == 0 {
                 self.pending_cancels.insert(id.clone(), self.now);
             }
-            self.schedule_close_polls(&id);
+            self.schedule_poll_burst(&id);
         }
     }
 
