--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -17,6 +17,7 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(4);
 /// Lower bound for the timeout of an attempt close to the deadline: with less it could not even connect.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1);
+/// Pause between two attempts of a request to the job store.
 const JOB_STORE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A client of one context. It keeps no connection and no session between requests.
@@ -24,8 +25,8 @@
     context: Context,
     /// The longest time that a request may take, including all attempts.
     deadline: Duration,
-    /// Index of the controller that the next request tries first: at first a random one, then the one that gave
-    /// the last final response.
+    /// Index of the controller that the next request tries first: a random one for the first request, then the
+    /// one that gave the last final response.
     preferred_controller: usize,
     rng: SmallRng,
 }
@@ -82,8 +83,8 @@
         Ok(serde_json::from_slice(&self.request("GET", path, b"")?)?)
     }
 
-    /// Queries the status of each controller, one after the other with a single attempt each; `None` if it
-    /// does not respond.
+    /// Queries the status of each controller, one after the other, with a single attempt each. The status is
+    /// `None` if the controller does not respond with one.
     pub fn controller_statuses(&self) -> Vec<(SocketAddr, Option<ControllerStatus>)> {
         let timeout = ATTEMPT_TIMEOUT.min(self.deadline);
         let request = Request { method: "GET", path: "/v1/status", body: b"" };
@@ -100,8 +101,8 @@
     ) -> Result<Vec<u8>, ClientError> {
         let job_store = self.context.job_store.ok_or(ClientError::NoJobStore)?;
         let request = Request { method, path, body };
-        let end = Instant::now() + self.deadline;
-        while Instant::now() < end {
+        let deadline = Instant::now() + self.deadline;
+        while Instant::now() < deadline {
             match request.send(job_store, ATTEMPT_TIMEOUT) {
                 Some(response) if response.status < 300 => return Ok(response.body),
                 Some(response) if response.status != 503 => return Err(ClientError::refused(&response)),
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -14,7 +14,7 @@
 use crate::client::Client;
 use crate::exchange::ClientError;
 
-/// Interval between two polls of whether a change is in force.
+/// Pause between two polls in [`Client::config_wait`].
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a configuration file was not loaded.
@@ -28,7 +28,7 @@
         /// The underlying I/O error.
         error: std::io::Error,
     },
-    /// The file is not valid HCL, or contains unknown names.
+    /// The file is not valid HCL, or contains unknown fields.
     #[error("{file}: {problem}")]
     Hcl {
         /// The path of the file.
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigFile {
-    /// The values to set, by team name.
+    /// The quotas to set, by team name.
     #[serde(default)]
     pub team: BTreeMap<String, TeamQuota>,
 }
@@ -70,7 +70,7 @@
     /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// The text is not valid HCL, contains unknown names, or a team has no values.
+    /// The text is not valid HCL, contains unknown fields, or sets no value for a team.
     pub fn parse(file: &str, text: &str) -> Result<ConfigFile, ConfigFileError> {
         let entries: ConfigFile = hcl::from_str(text).map_err(|error| ConfigFileError::Hcl {
             file: file.into(),
@@ -82,7 +82,8 @@
         Ok(entries)
     }
 
-    /// Returns the entries that the file would change, with their current and their new values.
+    /// Returns the entries that the file would change, with their current and their new values; `list` holds the
+    /// stored entries.
     pub fn differences<'a>(&self, list: &'a ConfigEntryList) -> Vec<ConfigDifference<'a>> {
         let current = |team: &str| list.entries.iter().find(|entry| entry.key == format!("team/{team}"));
         let entries = self.team.iter().map(|(team, value)| ConfigDifference {
@@ -105,7 +106,7 @@
     pub key: String,
     /// The stored entry; `None` if the cluster has no such team.
     pub current: Option<&'a ConfigEntryView>,
-    /// The value in the file.
+    /// The quota in the file.
     pub wanted: TeamQuota,
 }
 
@@ -122,7 +123,7 @@
     /// Returns all entries.
     ///
     /// # Errors
-    /// The configuration is turned off, or no controller responds in time.
+    /// The controllers' tunables turn the configuration off, or no controller responds in time.
     pub fn config_list(&mut self) -> Result<ConfigEntryList, ClientError> {
         self.get("/v1/config")
     }
@@ -131,26 +132,26 @@
     ///
     /// # Errors
     /// There is no such entry, or no controller responds in time.
-    pub fn config_get(&mut self, entry: &str) -> Result<ConfigEntryView, ClientError> {
-        self.get(&format!("/v1/config/{entry}"))
+    pub fn config_get(&mut self, key: &str) -> Result<ConfigEntryView, ClientError> {
+        self.get(&format!("/v1/config/{key}"))
     }
 
-    /// Changes an entry; if `expected` is given, only while the entry has that version. Each call generates a
-    /// change id, so that its retries are idempotent.
+    /// Sets the quota of the entry with this key. If `expected_version` is given, the change is rejected unless the
+    /// entry has that version. Each call generates a change id, so that its retries are idempotent.
     ///
     /// # Errors
     /// The entry has another version (status 409), the value is rejected, or no controller responds in time.
     pub fn config_set(
         &mut self,
-        entry: &str,
-        value: TeamQuota,
-        expected: Option<u64>,
+        key: &str,
+        quota: TeamQuota,
+        expected_version: Option<u64>,
         author: &ChangeAuthor,
     ) -> Result<ConfigEntryView, ClientError> {
         let change_id = format!("{:032x}", rand::rng().random::<u128>());
         let request = ConfigChangeRequest {
-            quota: value,
-            expected_version: expected,
+            quota,
+            expected_version,
             changed_by: author.name.clone(),
             reason: author.reason.clone(),
             change_id,
@@ -158,23 +159,24 @@
         let body = serde_json::to_vec(&request)?;
         // Spreads changes over the controllers, as each has only a share of the key-value store's rate limit.
         self.prefer_next_controller();
-        Ok(serde_json::from_slice(&self.request("PUT", &format!("/v1/config/{entry}"), &body)?)?)
+        Ok(serde_json::from_slice(&self.request("PUT", &format!("/v1/config/{key}"), &body)?)?)
     }
 
-    /// Polls an entry until the given version is in force or `within` has passed, and returns the entry as last read.
+    /// Polls the entry with this key until the given version is in force or the timeout has passed, and returns the
+    /// entry as last read.
     ///
     /// # Errors
     /// There is no such entry, or no controller responds in time.
     pub fn config_wait(
         &mut self,
-        entry: &str,
+        key: &str,
         version: u64,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<ConfigEntryView, ClientError> {
         let start = Instant::now();
         loop {
-            let view: ConfigEntryView = self.get(&format!("/v1/config/{entry}?version={version}"))?;
-            if view.is_effective || start.elapsed() >= within {
+            let view: ConfigEntryView = self.get(&format!("/v1/config/{key}?version={version}"))?;
+            if view.is_effective || start.elapsed() >= timeout {
                 return Ok(view);
             }
             std::thread::sleep(POLL_INTERVAL);
--- a/crates/client/src/contexts.rs
+++ b/crates/client/src/contexts.rs
@@ -19,7 +19,7 @@
         /// The underlying I/O error.
         error: std::io::Error,
     },
-    /// The file is not valid HCL, or contains unknown names.
+    /// The file is not valid HCL, or contains unknown fields.
     #[error("{file}: {problem}")]
     Hcl {
         /// The path of the file.
@@ -34,7 +34,7 @@
         file: String,
         /// The requested name; empty if none was given and the file has no default.
         name: String,
-        /// The names of the contexts in the file.
+        /// The names of the contexts in the file, separated by commas.
         known: String,
     },
     /// The context has no controllers.
@@ -83,8 +83,8 @@
             .map_err(|error| ContextsError::Hcl { file, problem: collapse_whitespace(&error.to_string()) })
     }
 
-    /// Returns the named context; without a name the `current` one, or else the only one. `file` is the file's name in
-    /// errors.
+    /// Returns the context of this name; without a name the `current` one, or if there is none, the only one in the
+    /// file. `file` is the file's name in errors.
     ///
     /// # Errors
     /// There is no such context, or it has no controllers.
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -10,6 +10,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum number of bytes read from a connection at once.
 const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Reasons why a request fails.
@@ -20,7 +21,7 @@
     NoResponse {
         /// The deadline, in seconds.
         deadline_s: f64,
-        /// The addresses that were tried.
+        /// The addresses that were tried, separated by commas.
         tried: String,
     },
     /// The server responded with an error status.
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Returns whether the same request may succeed later: no server responded, or the response was 503.
+    /// Returns whether the same request may succeed later: no server responded, or the status was 503.
     pub fn is_unavailable(&self) -> bool {
         matches!(self, ClientError::NoResponse { .. } | ClientError::Refused { status: 503, .. })
     }
@@ -81,22 +82,22 @@
     /// Sends the request and reads the response; `None` if the connection fails, the timeout passes first, or
     /// the response is malformed or too large.
     pub(crate) fn send(&self, addr: SocketAddr, timeout: Duration) -> Option<Response> {
-        let end = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT.min(timeout)).ok()?;
         let mut bytes = Vec::new();
         write_request(&mut bytes, self.method, self.path, &addr.to_string(), self.body);
         stream.set_write_timeout(Some(timeout)).ok()?;
         stream.write_all(&bytes).ok()?;
-        read_response(&mut stream, end)
+        read_response(&mut stream, deadline)
     }
 }
 
-fn read_response(stream: &mut TcpStream, end: Instant) -> Option<Response> {
+fn read_response(stream: &mut TcpStream, deadline: Instant) -> Option<Response> {
     let mut input = Vec::new();
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let remaining =
-            end.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())?;
+            deadline.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())?;
         stream.set_read_timeout(Some(remaining)).ok()?;
         let count = stream.read(&mut chunk).ok().filter(|count| *count > 0)?;
         input.extend_from_slice(&chunk[..count]);
--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -9,12 +9,13 @@
 use crate::client::Client;
 use crate::exchange::ClientError;
 
-/// Size limit for the parts in one request, below the 64 KiB that controllers accept as a body.
-const MAX_BODY_BYTES: usize = 48 * 1024;
+/// Maximum size of the parts in one request, in bytes. Leaves room for the rest of the body, as controllers accept
+/// bodies of up to 64 KiB.
+const MAX_PARTS_BYTES: usize = 48 * 1024;
 /// How many times a commit is attempted; missing parts are uploaded again between the attempts.
 const MAX_COMMIT_ATTEMPTS: usize = 3;
-/// Page sizes: the largest that the controllers allow.
 const RUNS_PER_PAGE: usize = 200;
+/// The largest page size that the controllers allow.
 const NODES_PER_PAGE: usize = 500;
 
 /// The body of the response to a commit that is rejected because some of its parts are not stored.
@@ -24,12 +25,13 @@
     missing: Vec<u32>,
 }
 
-/// Returns the end of the largest batch of parts from `start` that fits in one request, with at least one part.
+/// Returns the end of the batch of parts that starts at `start`: as many as fit in one request, but at least one.
 fn end_of_batch(parts: &[GraphPart], start: usize) -> Result<usize, serde_json::Error> {
     let (mut end, mut bytes) = (start, 0);
     while end < parts.len() {
+        // With the comma after it.
         let size = serde_json::to_string(&parts[end])?.len() + 1;
-        if end > start && bytes + size > MAX_BODY_BYTES {
+        if end > start && bytes + size > MAX_PARTS_BYTES {
             break;
         }
         bytes += size;
@@ -47,12 +49,13 @@
         Ok(serde_json::from_slice(&self.request("POST", path, body.to_string().as_bytes())?)?)
     }
 
-    /// Uploads parts under consecutive numbers from `first`, with as many in each request as fit in its body.
-    fn upload_parts(&mut self, run: &str, first: u32, parts: &[GraphPart]) -> Result<(), ClientError> {
+    /// Uploads parts, with as many in each request as fit. They are numbered consecutively, starting at
+    /// `first_number`.
+    fn upload_parts(&mut self, run: &str, first_number: u32, parts: &[GraphPart]) -> Result<(), ClientError> {
         let mut start = 0;
         while start < parts.len() {
             let end = end_of_batch(parts, start)?;
-            let body = json!({"first": first + start as u32, "parts": parts[start..end]});
+            let body = json!({"first": first_number + start as u32, "parts": parts[start..end]});
             self.post_json(&format!("/v1/graphs/{run}/parts"), &body)?;
             start = end;
         }
@@ -63,7 +66,7 @@
     /// does not create another run.
     ///
     /// # Errors
-    /// The run is rejected, its parts expire repeatedly before the commit, or no controller responds in time.
+    /// The run is rejected, parts of it expire before every commit attempt, or no controller responds in time.
     pub fn submit_run(
         &mut self,
         run: &str,
@@ -91,7 +94,9 @@
         }
         Err(ClientError::Refused {
             status: 409,
-            text: "parts of the run were missing in every commit attempt".into(),
+            text: format!(
+                "parts of the run were missing in each of {MAX_COMMIT_ATTEMPTS} commit attempts; submit the run again"
+            ),
             body: Vec::new(),
         })
     }
@@ -139,14 +144,19 @@
         Ok(state_of(&response))
     }
 
-    /// Runs nodes again: uploads the parts that list them under consecutive numbers from `first`, then
-    /// commits the parts.
+    /// Runs nodes again. `parts` lists the nodes; the parts are uploaded with consecutive numbers, starting at
+    /// `first_part`, and then committed.
     ///
     /// # Errors
     /// The run has changed since it was read (status 409), the request is rejected, or no controller responds in time.
-    pub fn rerun_nodes(&mut self, run: &str, first: u32, parts: &[GraphPart]) -> Result<(), ClientError> {
-        self.upload_parts(run, first, parts)?;
-        let rerun = RerunRequest { first_part: first, parts: parts.len() as u32 };
+    pub fn rerun_nodes(
+        &mut self,
+        run: &str,
+        first_part: u32,
+        parts: &[GraphPart],
+    ) -> Result<(), ClientError> {
+        self.upload_parts(run, first_part, parts)?;
+        let rerun = RerunRequest { first_part, parts: parts.len() as u32 };
         self.post_json(&format!("/v1/graphs/{run}/redo"), &serde_json::to_value(rerun)?).map(drop)
     }
 }
--- a/crates/client/src/job_requests.rs
+++ b/crates/client/src/job_requests.rs
@@ -7,7 +7,7 @@
 use crate::client::Client;
 use crate::exchange::ClientError;
 
-/// The status of a job in the controllers' response to its user.
+/// The controllers' response to a submission, a status request or a cancellation of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct JobStatusResponse {
     /// The job's id.
@@ -15,10 +15,10 @@
     pub id: String,
     /// `pending`, `running`, `done` or `withdrawn`.
     pub status: String,
-    /// The number of tasks that are done, if the response has it.
+    /// The number of tasks that are done; `None` if a submission was just accepted or the job is finished.
     #[serde(default)]
     pub done: Option<u32>,
-    /// The number of running tasks, if the response has it.
+    /// The number of running tasks; `None` in the same responses as `done`.
     #[serde(default)]
     pub running: Option<u32>,
 }
--- a/crates/client/src/jobs.rs
+++ b/crates/client/src/jobs.rs
@@ -23,7 +23,7 @@
         /// The underlying I/O error.
         error: std::io::Error,
     },
-    /// The file is not valid HCL or JSON, or contains unknown names.
+    /// The file is not valid HCL or JSON, or contains unknown fields.
     #[error("{file}: {problem}")]
     Parse {
         /// The path of the file.
@@ -186,8 +186,8 @@
     pub id: String,
     /// The body of the submission.
     pub submission: Value,
-    /// The description for the workers: the submission and the command. `None` if the file names no command;
-    /// workers then need the description from another source.
+    /// The description for the workers: the submission, and under `run` the command. `None` if the job has no
+    /// command; workers then need the description from another source.
     pub description: Option<Value>,
 }
 
@@ -224,9 +224,9 @@
     }
 }
 
-/// Number of distinct ids per millisecond.
+/// Number of distinct ids that can be generated per millisecond.
 const IDS_PER_MS: u64 = 10_000;
-/// Generated ids have at most 18 digits.
+/// Generated ids are below this number, so that they have at most 18 digits.
 const ID_LIMIT: u64 = 1_000_000_000_000_000_000;
 
 /// Generates an id from the time and a random number. `index` is the job's position among the jobs that are prepared
@@ -286,13 +286,14 @@
         Ok(UserRequest::Submit { manifest: Err(problem), .. }) => {
             Err(JobEntryError::Invalid(problem.to_string()))
         }
+        // The submission is a JSON object, so the parser can only have rejected its id.
         Err(_) => Err(JobEntryError::Id(id.into())),
         Ok(_) => Ok(()),
     }
 }
 
 impl JobFile {
-    /// Reads and parses a file; its extension decides on the format.
+    /// Reads and parses a file: JSON if its extension is `.json`, otherwise HCL.
     ///
     /// # Errors
     /// The file cannot be read, or is invalid.
@@ -306,7 +307,7 @@
     /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// The text is not valid in the format, contains unknown names, or has no jobs.
+    /// The text is not valid in the format, contains unknown fields, or has no jobs.
     pub fn parse(file: &str, text: &str, format: JobFileFormat) -> Result<JobFile, JobFileError> {
         let parsed: Result<JobFileBody, String> = match format {
             JobFileFormat::Json => serde_json::from_str(text).map_err(|error| error.to_string()),
@@ -324,7 +325,7 @@
     /// Validates all jobs and builds their requests.
     ///
     /// # Errors
-    /// Names the first job that the controllers would reject.
+    /// The controllers would reject a job; the error names the first one.
     pub fn prepare(&self) -> Result<Vec<PreparedJob>, JobFileError> {
         let prepare = |(index, (name, entry)): (usize, (&String, &JobEntry))| {
             let in_file = |problem| JobFileError::Job { file: self.file.clone(), job: name.clone(), problem };
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! The olivelatch client library: sends requests to the controllers and reports the outcome, including unknown ones.
+//! The olivelatch client library: sends requests to the controllers and reports their outcome, also if it is unknown.
 //!
 //! `RetryState` decides which controller is tried next and when, within one deadline; it does no I/O and
 //! reads no clock. `Client` sends the requests, each over its own connection, and keeps no session: every
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -44,9 +44,9 @@
 
 #[derive(Debug)]
 struct ControllerBackoff {
-    /// The controller may not be tried before this time.
+    /// The controller is not tried before this time.
     not_before_ms: u64,
-    /// Backoff after the next lost attempt.
+    /// How long the controller is not tried after its next lost attempt, before jitter.
     backoff_ms: u64,
 }
 
@@ -54,18 +54,19 @@
 #[derive(Debug)]
 pub(crate) struct RetryState {
     controllers: Vec<ControllerBackoff>,
+    /// Index of the controller that the last decision selected.
     current: usize,
     deadline_ms: u64,
 }
 
-/// Returns whether a retry could not change the response.
+/// Returns whether a response with this status is final. Only 429 and server errors are worth a retry.
 fn is_final(status: u16) -> bool {
     !matches!(status, 429 | 500..)
 }
 
 impl RetryState {
-    /// Creates the state for a number of controllers. The first attempt goes to the one with index `first`; no attempt
-    /// starts after the deadline.
+    /// Creates the state for a number of controllers. The first attempt goes to the one with index `first`, modulo
+    /// their number; no attempt starts after the deadline.
     pub fn new(controllers: usize, first: usize, deadline_ms: u64) -> RetryState {
         let all =
             (0..controllers).map(|_| ControllerBackoff { not_before_ms: 0, backoff_ms: FIRST_BACKOFF_MS });
@@ -81,8 +82,9 @@
         }
     }
 
-    /// Records the outcome of the last attempt at time `now_ms` and returns the next step: the controller
-    /// that may be tried soonest comes next; ties go to the first one after the last one tried, in a ring.
+    /// Records the outcome of the last attempt, which ended at `now_ms`, and decides what to do next. Selects the
+    /// controller that may be tried soonest; among several, the next one in the list after the last one tried, where
+    /// the list wraps around.
     pub fn next_decision(
         &mut self,
         now_ms: u64,
@@ -105,9 +107,10 @@
                 }
             };
         let count = self.controllers.len();
-        let distance = |index: usize| (index + count - self.current - 1) % count;
-        let soonest = (0..count)
-            .min_by_key(|index| (self.controllers[*index].not_before_ms.max(now_ms), distance(*index)));
+        let positions_after_last = |index: usize| (index + count - self.current - 1) % count;
+        let soonest = (0..count).min_by_key(|index| {
+            (self.controllers[*index].not_before_ms.max(now_ms), positions_after_last(*index))
+        });
         let Some(controller) = soonest else { return RetryDecision::GiveUp };
         let wait_ms = self.controllers[controller].not_before_ms.saturating_sub(now_ms);
         if now_ms + wait_ms >= self.deadline_ms {
--- a/crates/client/src/tests/jobs.rs
+++ b/crates/client/src/tests/jobs.rs
@@ -18,9 +18,10 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     // Graph files have another format, which olivelatch-dag-files checks. Scale test plans are in a subfolder
     // and are checked by olivelatch-scale-test.
-    let graph = |path: &Path| std::fs::read_to_string(path).is_ok_and(|text| text.contains("\ngraph "));
+    let is_graph_file =
+        |path: &Path| std::fs::read_to_string(path).is_ok_and(|text| text.contains("\ngraph "));
     let files = std::fs::read_dir(folder).expect("the examples").flatten();
-    let files = files.filter(|file| file.path().is_file() && !graph(&file.path()));
+    let files = files.filter(|file| file.path().is_file() && !is_graph_file(&file.path()));
     let checked =
         files.map(|file| JobFile::load(&file.path()).and_then(|f| f.prepare()).expect("a valid file").len());
     assert!(checked.sum::<usize>() > 0);
--- a/crates/client/tests/golden.rs
+++ b/crates/client/tests/golden.rs
@@ -53,11 +53,11 @@
     Golden::new(env!("CARGO_MANIFEST_DIR"), name)
 }
 
-/// Returns a prepared job as JSON; an id that the client generated is replaced by a constant.
-fn prepared(job: &PreparedJob, generated_id: bool) -> Value {
+/// Returns a prepared job as JSON. If the client generated its id, a constant replaces the id.
+fn prepared_json(job: &PreparedJob, is_id_generated: bool) -> Value {
     let with_stable_id = |value: &Value| {
         let mut value = value.clone();
-        if generated_id {
+        if is_id_generated {
             assert_eq!(value["uid"], job.id);
             value["uid"] = json!("chosen");
         }
@@ -68,7 +68,7 @@
 
 fn add_jobs(golden: &mut Golden, file: &str, jobs: &JobFile) {
     for job in jobs.prepare().expect("jobs that can be sent") {
-        golden.case(&format!("{file}: {}", job.name), prepared(&job, job.id != "job-000412"));
+        golden.case(&format!("{file}: {}", job.name), prepared_json(&job, job.id != "job-000412"));
     }
 }
 
@@ -113,8 +113,9 @@
     golden.check();
 }
 
-/// Receives one complete request and sends `response`; the thread returns the request's text.
-fn listen(response: &'static str) -> (SocketAddr, JoinHandle<String>) {
+/// Starts a server for one request, to which it sends `response` as the body. Its thread returns the text of the
+/// request.
+fn serve_one_request(response: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let addr = listener.local_addr().expect("an address");
     let serve = move || {
@@ -159,12 +160,13 @@
 const STATUS: &str = r#"{"uid":"job-000412","status":"pending"}"#;
 const LIST: &str = r#"{"node":"n0","revision":1,"jobs":[],"next":null}"#;
 
-/// Only the requests are compared; how responses are handled is tested elsewhere.
+/// Compares only the requests; how responses are handled is tested elsewhere. `{}` is a response that the operation
+/// may fail to parse, so its outcome is ignored.
 #[test]
 fn requests() {
     let mut golden = golden("requests");
     for (name, operation, response) in REQUESTS {
-        let (addr, server) = listen(response);
+        let (addr, server) = serve_one_request(response);
         let context = Context { controllers: vec![addr], job_store: Some(addr) };
         let outcome = operation(&mut Client::new(context, Duration::from_secs(10)));
         let request = server.join().expect("a request").replace(&addr.to_string(), "ADDRESS");
