--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -31,13 +31,13 @@
 #[command(name = "olivelatchctl", version, about = "Submit, inspect and explain jobs; run a local cluster on one machine", after_help = AFTER_HELP)]
 pub struct Cli {
     #[command(flatten)]
-    pub common: Common,
+    pub global_args: GlobalArgs,
     #[command(subcommand)]
     pub command: Command,
 }
 
 #[derive(Debug, Clone, Args)]
-pub struct Common {
+pub struct GlobalArgs {
     /// Contexts file (HCL); by default $LATCH_CONTEXTS, ./.latch/contexts.hcl or ~/.config/latch/contexts.hcl
     #[arg(long, global = true, value_name = "FILE")]
     pub contexts: Option<PathBuf>,
@@ -55,9 +55,9 @@
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Submit jobs from files (HCL or JSON), or one job from flags
-    Submit(Submit),
+    Submit(SubmitArgs),
     /// List jobs, including finished ones
-    List(List),
+    List(ListArgs),
     /// Show a job and its tasks
     Show {
         id: String,
@@ -97,28 +97,28 @@
     },
     /// Submit, show, list, cancel, retry or clear runs of graphs
     #[command(subcommand)]
-    Graph(Graph),
+    Graph(GraphCommand),
     /// Show or change the limits and guarantees of teams while the controllers run
     #[command(subcommand)]
-    Config(Config),
+    Config(ConfigCommand),
     /// Check job files, and whether the context's controllers respond; submits nothing
     Check { files: Vec<PathBuf> },
     /// Print the completion script for a shell
     Completions { shell: Shell },
     /// Run a local cluster on this machine: key-value store, simulated cloud, workers, controllers
-    Up(Up),
+    Up(UpArgs),
     /// Run a demonstration in under a minute: a local cluster, a mixed batch, a controller killed halfway
-    Demo(Demo),
+    Demo(DemoArgs),
     /// Run or check a scale test on this machine: real controllers, simulated workers (docs/scale.md)
     #[command(subcommand)]
-    Scale(Scale),
+    Scale(ScaleCommand),
     /// Run a controller, as the program `olivelatch` does; `up` starts its controllers this way
     #[command(hide = true)]
-    Controller(Controller),
+    Controller(ControllerArgs),
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Graph {
+pub enum GraphCommand {
     /// Submit a run of a graph file (docs/flows.md)
     Submit {
         file: PathBuf,
@@ -180,7 +180,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Config {
+pub enum ConfigCommand {
     /// List the entries of all teams: effective values, use, and whether changes are in force
     List,
     /// Show one entry, such as team/NAME
@@ -198,13 +198,13 @@
         #[arg(long, value_name = "VERSION")]
         expected: Option<u64>,
         #[command(flatten)]
-        change: Change,
+        change: ChangeArgs,
     },
     /// Clear an entry, so that the platform's settings apply
     Unset {
         entry: String,
         #[command(flatten)]
-        change: Change,
+        change: ChangeArgs,
     },
     /// Show what applying a file would change
     Diff {
@@ -223,13 +223,13 @@
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
-        change: Change,
+        change: ChangeArgs,
     },
 }
 
 /// Who makes a change, why, and whether to wait for it.
 #[derive(Debug, Clone, Default, Args)]
-pub struct Change {
+pub struct ChangeArgs {
     /// Wait until the change is in force; if it is not by --within, say which controller it waits for and
     /// exit with code 6
     #[arg(long)]
@@ -245,7 +245,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Scale {
+pub enum ScaleCommand {
     /// Run a plan; exits with code 1 if an invariant was violated
     Run {
         /// Plan file (HCL); examples are in examples/scale
@@ -283,7 +283,7 @@
 }
 
 #[derive(Debug, Args)]
-pub struct Submit {
+pub struct SubmitArgs {
     /// Job files; without any, one job is made from the flags
     pub files: Vec<PathBuf>,
     /// Wait until all jobs are done or withdrawn
@@ -326,7 +326,7 @@
 }
 
 #[derive(Debug, Args)]
-pub struct List {
+pub struct ListArgs {
     /// List only jobs in this state: live, ended, pending, running, done or withdrawn
     #[arg(long)]
     pub state: Option<String>,
@@ -343,7 +343,7 @@
 }
 
 #[derive(Debug, Clone, Args)]
-pub struct Up {
+pub struct UpArgs {
     /// Folder of the cluster: stored state, logs, outputs. Using the folder again resumes the cluster
     #[arg(long, value_name = "DIR", default_value = ".latch")]
     pub state: PathBuf,
@@ -373,7 +373,7 @@
 }
 
 #[derive(Debug, Clone, Args)]
-pub struct Demo {
+pub struct DemoArgs {
     /// Keep the folder of the cluster
     #[arg(long)]
     pub keep: bool,
@@ -384,7 +384,7 @@
 
 #[derive(Debug, Args)]
 #[command(disable_help_flag = true)]
-pub struct Controller {
+pub struct ControllerArgs {
     #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
     pub rest: Vec<OsString>,
 }
--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -11,49 +11,51 @@
 use olivelatch_client::{ChangeAuthor, Client, ClientError, ConfigDifference, ConfigFile};
 use serde_json::json;
 
-use crate::args::{Change, Common, Config};
+use crate::args::{ChangeArgs, ConfigCommand, GlobalArgs};
 use crate::connection::connect_to;
 use crate::exit::{CommandError, WAIT_TIMEOUT};
 use crate::output::print_value;
 use crate::render;
 
-pub(super) fn run(common: &Common, command: &Config) -> Result<ExitCode, CommandError> {
+pub(super) fn run(global_args: &GlobalArgs, command: &ConfigCommand) -> Result<ExitCode, CommandError> {
     match command {
-        Config::List => {
-            let list = connect_to(common, None)?.config_list()?;
-            print_value(common, &list, || render::config_table(&list.entries))?;
+        ConfigCommand::List => {
+            let list = connect_to(global_args, None)?.config_list()?;
+            print_value(global_args, &list, || render::config_table(&list.entries))?;
             Ok(ExitCode::SUCCESS)
         }
-        Config::Get { entry } => {
-            let view = connect_to(common, None)?.config_get(entry)?;
-            print_value(common, &view, || render::config_entry(&view))?;
+        ConfigCommand::Get { entry } => {
+            let view = connect_to(global_args, None)?.config_get(entry)?;
+            print_value(global_args, &view, || render::config_entry_text(&view))?;
             Ok(ExitCode::SUCCESS)
         }
-        Config::Set { entry, limit_cpus, guaranteed_cpus, expected, change } => {
+        ConfigCommand::Set { entry, limit_cpus, guaranteed_cpus, expected, change } => {
             if limit_cpus.is_none() && guaranteed_cpus.is_none() {
                 return Err(CommandError::Usage("expected --limit-cpus, --guaranteed-cpus or both".into()));
             }
-            let mut client = connect_to(common, None)?;
+            let mut client = connect_to(global_args, None)?;
             let current = client.config_get(entry)?;
             let value = TeamQuota {
                 limit_cpus: limit_cpus.or(current.configured.limit_cpus),
                 guaranteed_cpus: guaranteed_cpus.or(current.configured.guaranteed_cpus),
             };
-            change_entry(common, &mut client, entry, value, expected.unwrap_or(current.version), change)
+            change_entry(global_args, &mut client, entry, value, expected.unwrap_or(current.version), change)
         }
-        Config::Unset { entry, change } => {
-            let mut client = connect_to(common, None)?;
+        ConfigCommand::Unset { entry, change } => {
+            let mut client = connect_to(global_args, None)?;
             let current = client.config_get(entry)?;
-            change_entry(common, &mut client, entry, TeamQuota::default(), current.version, change)
+            change_entry(global_args, &mut client, entry, TeamQuota::default(), current.version, change)
         }
-        Config::Diff { file, to } => apply(common, file, to, ApplyMode::DryRun, &Change::default()),
-        Config::Apply { file, to, dry_run, change } => {
-            apply(common, file, to, if *dry_run { ApplyMode::DryRun } else { ApplyMode::Write }, change)
+        ConfigCommand::Diff { file, to } => {
+            apply(global_args, file, to, ApplyMode::DryRun, &ChangeArgs::default())
+        }
+        ConfigCommand::Apply { file, to, dry_run, change } => {
+            apply(global_args, file, to, if *dry_run { ApplyMode::DryRun } else { ApplyMode::Write }, change)
         }
     }
 }
 
-fn change_author(change: &Change) -> ChangeAuthor {
+fn change_author(change: &ChangeArgs) -> ChangeAuthor {
     let login_name = || std::env::var("USER").ok().filter(|name| !name.is_empty());
     ChangeAuthor {
         name: change.by.clone().or_else(login_name).unwrap_or_else(|| "operator".into()),
@@ -62,12 +64,12 @@
 }
 
 fn change_entry(
-    common: &Common,
+    global_args: &GlobalArgs,
     client: &mut Client,
     entry: &str,
     value: TeamQuota,
     expected: u64,
-    change: &Change,
+    change: &ChangeArgs,
 ) -> Result<ExitCode, CommandError> {
     let start = Instant::now();
     let stored = match client.config_set(entry, value, Some(expected), &change_author(change)) {
@@ -75,10 +77,10 @@
         stored => stored?,
     };
     if !change.wait {
-        print_value(common, &stored, || {
+        print_value(global_args, &stored, || {
             format!(
                 "{}\n{}",
-                render::config_entry(&stored),
+                render::config_entry_text(&stored),
                 "stored; use --wait to wait until it is in force"
             )
         })?;
@@ -86,13 +88,13 @@
     }
     let view = client.config_wait(entry, stored.version, wait_timeout(change)?)?;
     let seconds = start.elapsed().as_secs_f64();
-    print_value(common, &json!({"entry": view, "seconds": seconds}), || {
-        format!("{}\n{}", render::config_entry(&view), render::in_force_text(&view, seconds))
+    print_value(global_args, &json!({"entry": view, "seconds": seconds}), || {
+        format!("{}\n{}", render::config_entry_text(&view), render::in_force_text(&view, seconds))
     })?;
     Ok(if view.is_effective { ExitCode::SUCCESS } else { ExitCode::from(WAIT_TIMEOUT) })
 }
 
-fn wait_timeout(change: &Change) -> Result<Duration, CommandError> {
+fn wait_timeout(change: &ChangeArgs) -> Result<Duration, CommandError> {
     Duration::try_from_secs_f64(change.within)
         .map_err(|_| CommandError::Usage(format!("--within: expected seconds, not {}", change.within)))
 }
@@ -104,7 +106,7 @@
             "{entry} was changed meanwhile by {}: it is now at version {} with {}; read it again and repeat the change",
             current.changed_by.as_deref().unwrap_or("an unknown operator"),
             current.version,
-            render::team_value_text(current.configured)
+            render::team_quota_text(current.configured)
         )),
         Err(_) => CommandError::Refused(String::from_utf8_lossy(body).into_owned()),
     }
@@ -134,18 +136,18 @@
 /// Applies a file in each context, or only shows what would change. A failure in one cluster does not affect
 /// the others.
 fn apply(
-    common: &Common,
+    global_args: &GlobalArgs,
     path: &Path,
     to: &[String],
     mode: ApplyMode,
-    change: &Change,
+    change: &ChangeArgs,
 ) -> Result<ExitCode, CommandError> {
     let file = ConfigFile::load(path)?;
     let contexts: Vec<Option<&str>> =
         if to.is_empty() { vec![None] } else { to.iter().map(|name| Some(name.as_str())).collect() };
     let mut outcomes = Vec::new();
     for context in contexts {
-        let result = connect_to(common, context)
+        let result = connect_to(global_args, context)
             .and_then(|mut client| apply_in_cluster(&mut client, &file, mode, change));
         outcomes.push(ContextOutcome { context: context.unwrap_or("current").into(), result });
     }
@@ -183,7 +185,7 @@
     client: &mut Client,
     file: &ConfigFile,
     mode: ApplyMode,
-    change: &Change,
+    change: &ChangeArgs,
 ) -> Result<ClusterChanges, CommandError> {
     let list = client.config_list()?;
     let differences = file.differences(&list);
@@ -214,7 +216,7 @@
 fn store_difference(
     client: &mut Client,
     difference: &ConfigDifference<'_>,
-    change: &Change,
+    change: &ChangeArgs,
 ) -> Result<ConfigEntryView, CommandError> {
     let expected = difference.current.map(|current| current.version);
     match client.config_set(&difference.key, difference.wanted, expected, &change_author(change)) {
@@ -228,7 +230,7 @@
     format!(
         "  {}: {} -> {}",
         difference.key,
-        render::team_value_text(current),
-        render::team_value_text(difference.wanted)
+        render::team_quota_text(current),
+        render::team_quota_text(difference.wanted)
     )
 }
--- a/crates/cli/src/commands/controllers.rs
+++ b/crates/cli/src/commands/controllers.rs
@@ -9,7 +9,7 @@
 use olivelatch_client::{Client, ClientError, JobFile};
 use serde_json::json;
 
-use crate::args::Common;
+use crate::args::GlobalArgs;
 use crate::connection::controller_statuses;
 use crate::exit::CommandError;
 use crate::output::print_value;
@@ -19,14 +19,14 @@
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
 /// Shows the controllers once, or every [`TOP_INTERVAL`] until the user interrupts the program.
-pub(super) fn top(common: &Common, client: &Client, once: bool) -> Result<(), CommandError> {
+pub(super) fn top(global_args: &GlobalArgs, client: &Client, once: bool) -> Result<(), CommandError> {
     loop {
         let statuses = controller_statuses(client);
         let value: BTreeMap<_, _> = statuses.iter().map(|(addr, status)| (addr, status)).collect();
         if !once && std::io::stdout().is_terminal() {
             print!("{CLEAR_SCREEN}");
         }
-        print_value(common, &value, || render::controllers_table(&statuses))?;
+        print_value(global_args, &value, || render::controllers_table(&statuses))?;
         if once {
             return Ok(());
         }
@@ -35,7 +35,11 @@
 }
 
 /// Checks the job files, then whether at least one controller responds.
-pub(super) fn check(common: &Common, client: &Client, files: &[PathBuf]) -> Result<(), CommandError> {
+pub(super) fn check(
+    global_args: &GlobalArgs,
+    client: &Client,
+    files: &[PathBuf],
+) -> Result<(), CommandError> {
     for file in files {
         println!("{}", check_file(file)?);
     }
@@ -45,13 +49,13 @@
     let leaders = statuses.iter().filter_map(|(_, status)| status.as_ref()).filter(|status| status.is_leader);
     let leaders = leaders.count();
     let value = json!({"controllers": total, "silent": unresponsive, "leaders": leaders});
-    print_value(common, &value, || {
+    print_value(global_args, &value, || {
         format!("{total} controllers, {unresponsive} not responding, {leaders} leading")
     })?;
     if unresponsive == total {
         let addresses: Vec<String> = statuses.into_iter().map(|(addr, _)| addr).collect();
         return Err(CommandError::Client(ClientError::NoResponse {
-            deadline_s: common.deadline,
+            deadline_s: global_args.deadline,
             tried: addresses.join(", "),
         }));
     }
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -13,7 +13,7 @@
 
 use super::submit::submit_job;
 use super::up;
-use crate::args::{Demo, Up};
+use crate::args::{DemoArgs, UpArgs};
 use crate::connection::controller_statuses;
 use crate::exit::CommandError;
 use crate::render;
@@ -124,7 +124,7 @@
 }
 
 /// Runs the demonstration in a new local cluster, whose folder is removed afterwards unless `--keep` is given.
-pub(super) fn demo(args: &Demo) -> Result<(), CommandError> {
+pub(super) fn demo(args: &DemoArgs) -> Result<(), CommandError> {
     let folder = std::env::temp_dir().join(format!("latch-demo-{}", std::process::id()));
     let cluster = LocalCluster::open(up::cluster_config(&cluster_args(&folder))?)?;
     let context = up::context(cluster.addresses());
@@ -146,8 +146,8 @@
     Ok(cluster_result?)
 }
 
-fn cluster_args(folder: &Path) -> Up {
-    Up {
+fn cluster_args(folder: &Path) -> UpArgs {
+    UpArgs {
         state: folder.to_path_buf(),
         controllers: 3,
         machines: 4,
@@ -214,7 +214,7 @@
             Ok(limited)
         })?;
         if let Some(explanation) = explanation {
-            self.print(&format!("why is {LIMITED_JOB} waiting?\n{}", render::explanation(&explanation)));
+            self.print(&format!("why is {LIMITED_JOB} waiting?\n{}", render::explanation_text(&explanation)));
         }
         Ok(())
     }
--- a/crates/cli/src/commands/graphs.rs
+++ b/crates/cli/src/commands/graphs.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use super::wait::{POLL_INTERVAL, WaitDeadline};
-use crate::args::{Common, Graph};
+use crate::args::{GlobalArgs, GraphCommand};
 use crate::exit::{CommandError, NOT_SUCCESSFUL, WAIT_TIMEOUT};
 use crate::output::{print_value, progress_bar};
 use crate::render;
@@ -19,40 +19,44 @@
 /// How many times a rerun is attempted: another client may change the run between the read and the write.
 const MAX_RERUN_ATTEMPTS: usize = 3;
 
-pub(super) fn run(common: &Common, client: &mut Client, command: &Graph) -> Result<ExitCode, CommandError> {
+pub(super) fn run(
+    global_args: &GlobalArgs,
+    client: &mut Client,
+    command: &GraphCommand,
+) -> Result<ExitCode, CommandError> {
     let mut run_to_wait_for = None;
     match command {
-        Graph::Submit { file, run, vars, wait } => {
+        GraphCommand::Submit { file, run, vars, wait } => {
             let dag = DagFile::load(file, &parse_vars(vars)?)?;
             let prepared = dag.prepare(&file.display().to_string(), run.as_deref())?;
-            submit(common, client, &prepared)?;
+            submit(global_args, client, &prepared)?;
             run_to_wait_for = wait.then_some(prepared.run);
         }
-        Graph::Show { run, dot, svg } => {
-            show(common, &client.run_detail(run)?, PictureFormat::of(*dot, *svg))?;
+        GraphCommand::Show { run, dot, svg } => {
+            show(global_args, &client.run_detail(run)?, ShowFormat::of(*dot, *svg))?;
         }
-        Graph::List { graph } => list(common, client, graph.as_deref())?,
-        Graph::Cancel { run } => {
+        GraphCommand::List { graph } => list(global_args, client, graph.as_deref())?,
+        GraphCommand::Cancel { run } => {
             let state = client.cancel_run(run)?;
-            print_value(common, &json!({"run": run, "state": state}), || format!("{run}  {state}"))?;
+            print_value(global_args, &json!({"run": run, "state": state}), || format!("{run}  {state}"))?;
         }
-        Graph::Retry { run, wait } => {
-            rerun(common, client, run, &|detail| Ok(unsuccessful_nodes(detail)))?;
+        GraphCommand::Retry { run, wait } => {
+            rerun(global_args, client, run, &|detail| Ok(unsuccessful_nodes(detail)))?;
             run_to_wait_for = wait.then(|| run.clone());
         }
-        Graph::Clear { run, nodes, wait } => {
-            rerun(common, client, run, &|detail| nodes_by_name(run, detail, nodes))?;
+        GraphCommand::Clear { run, nodes, wait } => {
+            rerun(global_args, client, run, &|detail| nodes_by_name(run, detail, nodes))?;
             run_to_wait_for = wait.then(|| run.clone());
         }
-        Graph::Wait { run, timeout } => return wait_for_run(common, client, run, *timeout),
-        Graph::Check { files, vars } => {
+        GraphCommand::Wait { run, timeout } => return wait_for_run(global_args, client, run, *timeout),
+        GraphCommand::Check { files, vars } => {
             for file in files {
                 println!("{}", check(file, &parse_vars(vars)?)?);
             }
         }
     }
     match run_to_wait_for {
-        Some(run) => wait_for_run(common, client, &run, None),
+        Some(run) => wait_for_run(global_args, client, &run, None),
         None => Ok(ExitCode::SUCCESS),
     }
 }
@@ -79,14 +83,14 @@
 
 /// Uploads the descriptions first, so that workers have one for every job of the run, then uploads and
 /// commits the parts.
-fn submit(common: &Common, client: &mut Client, prepared: &PreparedRun) -> Result<(), CommandError> {
+fn submit(global_args: &GlobalArgs, client: &mut Client, prepared: &PreparedRun) -> Result<(), CommandError> {
     // A repeated submission returns here: its jobs got other ids the first time, so the commit would be rejected.
     match client.run_summary(&prepared.run) {
-        Ok(row) => return print_run(common, &row),
+        Ok(row) => return print_run(global_args, &row),
         Err(error) if error.status() == Some(404) => {}
         Err(error) => return Err(error.into()),
     }
-    let progress = progress_bar(common, prepared.descriptions.len(), "describing");
+    let progress = progress_bar(global_args, prepared.descriptions.len(), "describing");
     for (job, description) in &prepared.descriptions {
         client.upload_description(job, description)?;
         progress.inc(1);
@@ -95,19 +99,19 @@
     let state = client.submit_run(&prepared.run, &prepared.header, &prepared.parts)?;
     let (run, nodes) = (&prepared.run, prepared.header.nodes);
     print_value(
-        common,
+        global_args,
         &json!({"run": run, "graph": prepared.header.graph, "state": state, "nodes": nodes}),
         || format!("{run}  {state}  {nodes} nodes"),
     )
 }
 
-fn print_run(common: &Common, row: &DagRunSummary) -> Result<(), CommandError> {
-    print_value(common, row, || format!("{}  {}  {} nodes", row.run, row.state.as_str(), row.nodes))
+fn print_run(global_args: &GlobalArgs, row: &DagRunSummary) -> Result<(), CommandError> {
+    print_value(global_args, row, || format!("{}  {}  {} nodes", row.run, row.state.as_str(), row.nodes))
 }
 
 /// The format in which a run is shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PictureFormat {
+enum ShowFormat {
     /// Text for people, or JSON with `--json`.
     Text,
     /// The DOT format of Graphviz.
@@ -115,32 +119,32 @@
     Svg,
 }
 
-impl PictureFormat {
+impl ShowFormat {
     /// Selects the format from the flags, which exclude each other.
-    fn of(dot: bool, svg: bool) -> PictureFormat {
+    fn of(dot: bool, svg: bool) -> ShowFormat {
         match (dot, svg) {
-            (true, _) => PictureFormat::Dot,
-            (_, true) => PictureFormat::Svg,
-            _ => PictureFormat::Text,
+            (true, _) => ShowFormat::Dot,
+            (_, true) => ShowFormat::Svg,
+            _ => ShowFormat::Text,
         }
     }
 }
 
-fn show(common: &Common, detail: &DagRunDetail, format: PictureFormat) -> Result<(), CommandError> {
+fn show(global_args: &GlobalArgs, detail: &DagRunDetail, format: ShowFormat) -> Result<(), CommandError> {
     let view = RunView::new(detail).map_err(|error| CommandError::Other(error.to_string()))?;
     let picture = match format {
-        PictureFormat::Text => {
-            return print_value(common, detail, || view.render_text().trim_end().to_string());
+        ShowFormat::Text => {
+            return print_value(global_args, detail, || view.render_text().trim_end().to_string());
         }
-        PictureFormat::Dot => view.render_dot(),
-        PictureFormat::Svg => view.render_svg(),
+        ShowFormat::Dot => view.render_dot(),
+        ShowFormat::Svg => view.render_svg(),
     };
     // Not printed through `anstream`, which would strip escape sequences: the picture must stay unchanged.
     std::println!("{}", picture.map_err(|error| CommandError::Other(error.to_string()))?.trim_end());
     Ok(())
 }
 
-fn list(common: &Common, client: &mut Client, graph: Option<&str>) -> Result<(), CommandError> {
+fn list(global_args: &GlobalArgs, client: &mut Client, graph: Option<&str>) -> Result<(), CommandError> {
     let (mut rows, mut after) = (Vec::new(), None);
     loop {
         let page = client.runs(graph, after.as_deref())?;
@@ -150,7 +154,7 @@
             break;
         }
     }
-    print_value(common, &json!({"runs": rows}), || render::runs_table(&rows))
+    print_value(global_args, &json!({"runs": rows}), || render::runs_table(&rows))
 }
 
 /// Returns the indices of the nodes that failed or were cancelled, also because of an upstream failure.
@@ -176,7 +180,7 @@
 /// Runs the selected nodes and all nodes downstream of them again, as new jobs. Each attempt reads the run
 /// and selects the nodes anew.
 fn rerun(
-    common: &Common,
+    global_args: &GlobalArgs,
     client: &mut Client,
     run: &str,
     select_nodes: &dyn Fn(&DagRunDetail) -> Result<Vec<u32>, CommandError>,
@@ -197,7 +201,7 @@
             client.upload_description(new_job, &rerun.description(&description, new_job))?;
         }
         match client.rerun_nodes(run, detail.summary.next_part, &rerun.parts) {
-            Ok(()) => return print_rerun(common, run, rerun.jobs.len()),
+            Ok(()) => return print_rerun(global_args, run, rerun.jobs.len()),
             Err(ClientError::Refused { status: 409, .. }) if attempts_left > 0 => {}
             Err(error) => return Err(error.into()),
         }
@@ -205,15 +209,15 @@
     Ok(())
 }
 
-fn print_rerun(common: &Common, run: &str, nodes: usize) -> Result<(), CommandError> {
-    print_value(common, &json!({"run": run, "nodes": nodes}), || {
+fn print_rerun(global_args: &GlobalArgs, run: &str, nodes: usize) -> Result<(), CommandError> {
+    print_value(global_args, &json!({"run": run, "nodes": nodes}), || {
         format!("{run}  running {nodes} {} again", if nodes == 1 { "node" } else { "nodes" })
     })
 }
 
 /// Polls the run until it is in a terminal state or the timeout, in seconds, has passed.
 fn wait_for_run(
-    common: &Common,
+    global_args: &GlobalArgs,
     client: &mut Client,
     run: &str,
     timeout_s: Option<f64>,
@@ -223,11 +227,12 @@
     loop {
         match client.run_summary(run) {
             Ok(row) => {
-                let progress = progress.get_or_insert_with(|| progress_bar(common, row.nodes as usize, run));
+                let progress =
+                    progress.get_or_insert_with(|| progress_bar(global_args, row.nodes as usize, run));
                 progress.set_position(started_nodes(&row));
                 if row.state.is_terminal() {
                     progress.finish_and_clear();
-                    print_run(common, &row)?;
+                    print_run(global_args, &row)?;
                     let successful = row.state == DagRunState::Success;
                     return Ok(if successful { ExitCode::SUCCESS } else { ExitCode::from(NOT_SUCCESSFUL) });
                 }
--- a/crates/cli/src/commands/jobs.rs
+++ b/crates/cli/src/commands/jobs.rs
@@ -4,7 +4,7 @@
 use olivelatch_client::Client;
 use serde_json::json;
 
-use crate::args::Common;
+use crate::args::GlobalArgs;
 use crate::exit::CommandError;
 use crate::output::print_value;
 use crate::render;
@@ -12,34 +12,43 @@
 /// The largest number of tasks that controllers return in one response.
 const MAX_TASKS_SHOWN: usize = 500;
 
-pub(super) fn show(common: &Common, client: &mut Client, id: &str, tasks: usize) -> Result<(), CommandError> {
+pub(super) fn show(
+    global_args: &GlobalArgs,
+    client: &mut Client,
+    id: &str,
+    tasks: usize,
+) -> Result<(), CommandError> {
     let detail = client.job_detail(id, None, tasks.clamp(1, MAX_TASKS_SHOWN))?;
-    print_value(common, &detail, || render::job_detail(&detail))
+    print_value(global_args, &detail, || render::job_detail_text(&detail))
 }
 
 pub(super) fn explain(
-    common: &Common,
+    global_args: &GlobalArgs,
     client: &mut Client,
     id: &str,
     task: Option<u32>,
 ) -> Result<(), CommandError> {
     let explanation = client.explain(id, task)?;
-    print_value(common, &explanation, || render::explanation(&explanation))
+    print_value(global_args, &explanation, || render::explanation_text(&explanation))
 }
 
-pub(super) fn cancel(common: &Common, client: &mut Client, ids: &[String]) -> Result<(), CommandError> {
+pub(super) fn cancel(
+    global_args: &GlobalArgs,
+    client: &mut Client,
+    ids: &[String],
+) -> Result<(), CommandError> {
     for id in ids {
         let job = client.cancel(id)?;
-        print_value(common, &json!({"id": job.id, "state": job.status}), || {
+        print_value(global_args, &json!({"id": job.id, "state": job.status}), || {
             format!("{}  {}", job.id, job.status)
         })?;
     }
     Ok(())
 }
 
-pub(super) fn events(common: &Common, client: &mut Client, id: &str) -> Result<(), CommandError> {
+pub(super) fn events(global_args: &GlobalArgs, client: &mut Client, id: &str) -> Result<(), CommandError> {
     let events = client.events(id)?;
-    print_value(common, &events, || render::events_table(&events))
+    print_value(global_args, &events, || render::events_table(&events))
 }
 
 pub(super) fn logs(client: &Client, id: &str, task: u32) -> Result<(), CommandError> {
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -4,7 +4,7 @@
 use olivelatch_client::{Client, ClientError};
 use serde_json::json;
 
-use crate::args::{Common, List};
+use crate::args::{GlobalArgs, ListArgs};
 use crate::exit::CommandError;
 use crate::output::print_value;
 use crate::render;
@@ -21,25 +21,29 @@
 
 /// Prints the jobs. If an error stops the list early, the jobs fetched so far are printed and the list is reported as
 /// incomplete.
-pub(super) fn list(common: &Common, client: &mut Client, args: &List) -> Result<(), CommandError> {
+pub(super) fn list(
+    global_args: &GlobalArgs,
+    client: &mut Client,
+    args: &ListArgs,
+) -> Result<(), CommandError> {
     let FetchedJobs { mut rows, more_follow, error } = fetch_jobs(client, args)?;
     let truncated = more_follow || rows.len() > args.most;
     rows.truncate(args.most);
     let after = rows.last().filter(|_| truncated).map(|row| row.id.clone());
     let complete = after.is_none() && error.is_none();
-    print_value(common, &json!({"jobs": rows, "complete": complete, "after": after}), || {
+    print_value(global_args, &json!({"jobs": rows, "complete": complete, "after": after}), || {
         render::jobs_table(&rows)
     })?;
     if let Some(error) = error {
         return Err(CommandError::Other(format!("the list is incomplete: {error}")));
     }
-    if let Some(after) = after.filter(|_| !common.json) {
+    if let Some(after) = after.filter(|_| !global_args.json) {
         eprintln!("olivelatchctl: more jobs follow; continue with --after {after}");
     }
     Ok(())
 }
 
-fn fetch_jobs(client: &mut Client, args: &List) -> Result<FetchedJobs, CommandError> {
+fn fetch_jobs(client: &mut Client, args: &ListArgs) -> Result<FetchedJobs, CommandError> {
     let query = list_query(args);
     let (mut rows, mut after) = (Vec::new(), args.after.clone());
     loop {
@@ -59,7 +63,7 @@
     }
 }
 
-fn list_query(args: &List) -> String {
+fn list_query(args: &ListArgs) -> String {
     let mut query = format!("limit={}", PAGE_SIZE.min(args.most.max(1)));
     for (name, value) in [("state", &args.state), ("team", &args.team), ("class", &args.class)] {
         if let Some(value) = value {
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -19,22 +19,22 @@
 
 /// Runs the command and returns its exit code.
 pub fn run(cli: Cli) -> Result<ExitCode, CommandError> {
-    let common = &cli.common;
+    let global_args = &cli.global_args;
     match cli.command {
-        Command::Submit(args) => return submit::submit(common, &mut connect(common)?, &args),
-        Command::List(args) => list::list(common, &mut connect(common)?, &args)?,
-        Command::Show { id, tasks } => jobs::show(common, &mut connect(common)?, &id, tasks)?,
-        Command::Explain { id, task } => jobs::explain(common, &mut connect(common)?, &id, task)?,
-        Command::Cancel { ids } => jobs::cancel(common, &mut connect(common)?, &ids)?,
+        Command::Submit(args) => return submit::submit(global_args, &mut connect(global_args)?, &args),
+        Command::List(args) => list::list(global_args, &mut connect(global_args)?, &args)?,
+        Command::Show { id, tasks } => jobs::show(global_args, &mut connect(global_args)?, &id, tasks)?,
+        Command::Explain { id, task } => jobs::explain(global_args, &mut connect(global_args)?, &id, task)?,
+        Command::Cancel { ids } => jobs::cancel(global_args, &mut connect(global_args)?, &ids)?,
         Command::Wait { ids, timeout } => {
-            return wait::wait(common, &mut connect(common)?, &ids, timeout);
+            return wait::wait(global_args, &mut connect(global_args)?, &ids, timeout);
         }
-        Command::Events { id } => jobs::events(common, &mut connect(common)?, &id)?,
-        Command::Logs { id, task } => jobs::logs(&connect(common)?, &id, task)?,
-        Command::Top { once } => controllers::top(common, &connect(common)?, once)?,
-        Command::Graph(command) => return graphs::run(common, &mut connect(common)?, &command),
-        Command::Config(command) => return config::run(common, &command),
-        Command::Check { files } => controllers::check(common, &connect(common)?, &files)?,
+        Command::Events { id } => jobs::events(global_args, &mut connect(global_args)?, &id)?,
+        Command::Logs { id, task } => jobs::logs(&connect(global_args)?, &id, task)?,
+        Command::Top { once } => controllers::top(global_args, &connect(global_args)?, once)?,
+        Command::Graph(command) => return graphs::run(global_args, &mut connect(global_args)?, &command),
+        Command::Config(command) => return config::run(global_args, &command),
+        Command::Check { files } => controllers::check(global_args, &connect(global_args)?, &files)?,
         Command::Completions { shell } => args::completions(shell),
         Command::Up(args) => up::run_up(&args)?,
         Command::Demo(args) => demo::demo(&args)?,
--- a/crates/cli/src/commands/scale.rs
+++ b/crates/cli/src/commands/scale.rs
@@ -5,7 +5,7 @@
 use olivelatch_scale_test::{Plan, RunArguments, ScaleError, serve_kv_store, serve_zone};
 use serde::de::DeserializeOwned;
 
-use crate::args::Scale;
+use crate::args::ScaleCommand;
 use crate::exit::{CommandError, own_program};
 
 /// Parses the JSON that a scale test passes to the processes that it starts.
@@ -14,13 +14,13 @@
         .map_err(|error| CommandError::Usage(format!("invalid arguments of a scale test process: {error}")))
 }
 
-pub(super) fn run(command: Scale) -> Result<ExitCode, CommandError> {
+pub(super) fn run(command: ScaleCommand) -> Result<ExitCode, CommandError> {
     match command {
-        Scale::Run { plan, out, log_level } => {
+        ScaleCommand::Run { plan, out, log_level } => {
             let program = own_program()?;
             return Ok(olivelatch_scale_test::run(&RunArguments { plan, out, program, log_level })?);
         }
-        Scale::Check { plan } => {
+        ScaleCommand::Check { plan } => {
             let checked = Plan::load(&plan).map_err(ScaleError::from)?;
             println!(
                 "{}: valid, {} controllers, up to {} workers, {} teams, {} processes, {:.0} s of load",
@@ -32,8 +32,8 @@
                 checked.load_s()
             );
         }
-        Scale::Zone { arguments } => serve_zone(parse_arguments(&arguments)?)?,
-        Scale::State { arguments } => serve_kv_store(parse_arguments(&arguments)?)?,
+        ScaleCommand::Zone { arguments } => serve_zone(parse_arguments(&arguments)?)?,
+        ScaleCommand::State { arguments } => serve_kv_store(parse_arguments(&arguments)?)?,
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/commands/submit.rs
+++ b/crates/cli/src/commands/submit.rs
@@ -7,13 +7,17 @@
 use serde_json::json;
 
 use super::wait::wait;
-use crate::args::{Common, ShapeArgument, Submit, UrgencyArgument};
+use crate::args::{GlobalArgs, ShapeArgument, SubmitArgs, UrgencyArgument};
 use crate::exit::CommandError;
 use crate::output::{print_value, progress_bar};
 
-pub(super) fn submit(common: &Common, client: &mut Client, args: &Submit) -> Result<ExitCode, CommandError> {
+pub(super) fn submit(
+    global_args: &GlobalArgs,
+    client: &mut Client,
+    args: &SubmitArgs,
+) -> Result<ExitCode, CommandError> {
     let jobs = prepare_jobs(args)?;
-    let progress = progress_bar(common, jobs.len(), "submitting");
+    let progress = progress_bar(global_args, jobs.len(), "submitting");
     let mut ids = Vec::new();
     for job in &jobs {
         let status = submit_job(client, job).inspect_err(|error| {
@@ -22,14 +26,14 @@
         })?;
         progress.inc(1);
         progress.suspend(|| {
-            print_value(common, &json!({"name": job.name, "id": job.id, "state": status}), || {
+            print_value(global_args, &json!({"name": job.name, "id": job.id, "state": status}), || {
                 format!("{}  {}  {status}", job.id, job.name)
             })
         })?;
         ids.push(job.id.clone());
     }
     progress.finish_and_clear();
-    if args.wait { wait(common, client, &ids, None) } else { Ok(ExitCode::SUCCESS) }
+    if args.wait { wait(global_args, client, &ids, None) } else { Ok(ExitCode::SUCCESS) }
 }
 
 /// Uploads the description, then submits the job, so that workers never get a job without a description. Both requests
@@ -42,7 +46,7 @@
 }
 
 /// Reads and checks all files, before the first job is sent.
-fn prepare_jobs(args: &Submit) -> Result<Vec<PreparedJob>, CommandError> {
+fn prepare_jobs(args: &SubmitArgs) -> Result<Vec<PreparedJob>, CommandError> {
     if args.files.is_empty() {
         if args.command.is_empty() {
             return Err(CommandError::Usage("expected a job file, or a command after --".into()));
@@ -58,7 +62,7 @@
     Ok(jobs)
 }
 
-fn job_entry(args: &Submit) -> Result<JobEntry, CommandError> {
+fn job_entry(args: &SubmitArgs) -> Result<JobEntry, CommandError> {
     Ok(JobEntry {
         id: args.id.clone(),
         team: args.team.clone(),
--- a/crates/cli/src/commands/up.rs
+++ b/crates/cli/src/commands/up.rs
@@ -9,7 +9,7 @@
     ClusterAddresses, ClusterConfig, ControllerPlan, LocalCluster, MachineTypeSpec,
 };
 
-use crate::args::Up;
+use crate::args::UpArgs;
 use crate::exit::{CommandError, own_program};
 
 /// The controllers' tunables if no file is given.
@@ -54,7 +54,7 @@
 }
 
 /// Returns how the controllers are started: by olivelatchctl itself unless a program is named, with checked tunables.
-fn controller_plan(args: &Up) -> Result<ControllerPlan, CommandError> {
+fn controller_plan(args: &UpArgs) -> Result<ControllerPlan, CommandError> {
     let tunables = match &args.tunables {
         Some(path) => std::fs::read_to_string(path)
             .map_err(|error| usage_error(format!("{}: {error}", path.display())))?,
@@ -70,7 +70,7 @@
 }
 
 /// Builds the configuration of the local cluster from the flags, or names the flag that is invalid.
-pub(super) fn cluster_config(args: &Up) -> Result<ClusterConfig, CommandError> {
+pub(super) fn cluster_config(args: &UpArgs) -> Result<ClusterConfig, CommandError> {
     if !CONTROLLERS_RANGE.contains(&args.controllers) || !MACHINES_RANGE.contains(&args.machines) {
         return Err(usage_error(
             "--controllers, --machines: expected 1 to 9 controllers and 1 to 200 machines".into(),
@@ -115,7 +115,7 @@
 }
 
 /// Runs a local cluster until it is interrupted.
-pub(super) fn run_up(args: &Up) -> Result<(), CommandError> {
+pub(super) fn run_up(args: &UpArgs) -> Result<(), CommandError> {
     let config = cluster_config(args)?;
     let folder = config.folder.clone();
     let cluster = LocalCluster::open(config)?;
--- a/crates/cli/src/commands/wait.rs
+++ b/crates/cli/src/commands/wait.rs
@@ -6,7 +6,7 @@
 use olivelatch_client::{Client, ClientError};
 use serde_json::json;
 
-use crate::args::Common;
+use crate::args::GlobalArgs;
 use crate::exit::{CommandError, NOT_SUCCESSFUL, WAIT_TIMEOUT};
 use crate::output::{print_value, progress_bar};
 
@@ -35,13 +35,13 @@
 
 /// Polls the jobs until all are in a terminal state or the timeout, in seconds, has passed.
 pub(super) fn wait(
-    common: &Common,
+    global_args: &GlobalArgs,
     client: &mut Client,
     ids: &[String],
     timeout_s: Option<f64>,
 ) -> Result<ExitCode, CommandError> {
     let deadline = WaitDeadline::after(timeout_s);
-    let progress = progress_bar(common, ids.len(), "waiting");
+    let progress = progress_bar(global_args, ids.len(), "waiting");
     let mut unfinished: Vec<&String> = ids.iter().collect();
     let mut any_cancelled = false;
     loop {
@@ -54,7 +54,7 @@
             any_cancelled |= state == CANCELLED;
             progress.inc(1);
             progress.suspend(|| {
-                print_value(common, &json!({"id": id, "state": state}), || format!("{id}  {state}"))
+                print_value(global_args, &json!({"id": id, "state": state}), || format!("{id}  {state}"))
             })?;
         }
         unfinished = still_unfinished;
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -6,16 +6,16 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
 
-use crate::args::Common;
+use crate::args::GlobalArgs;
 use crate::exit::CommandError;
 
 /// Prints one value: as a line of JSON with `--json`, otherwise as text, which is only rendered in that case.
 pub fn print_value(
-    common: &Common,
+    global_args: &GlobalArgs,
     value: &impl Serialize,
     text: impl FnOnce() -> String,
 ) -> Result<(), CommandError> {
-    if common.json {
+    if global_args.json {
         println!("{}", serde_json::to_string(value)?);
     } else {
         println!("{}", text());
@@ -25,8 +25,8 @@
 
 /// Returns a progress bar on standard error. It is hidden with `--json`, for less than two steps, and if
 /// standard error is not a terminal.
-pub fn progress_bar(common: &Common, length: usize, label: &str) -> ProgressBar {
-    if common.json || length < 2 || !std::io::stderr().is_terminal() {
+pub fn progress_bar(global_args: &GlobalArgs, length: usize, label: &str) -> ProgressBar {
+    if global_args.json || length < 2 || !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
     let bar = ProgressBar::new(length as u64);
--- a/crates/cli/src/render/config.rs
+++ b/crates/cli/src/render/config.rs
@@ -5,7 +5,7 @@
 use super::{new_table, value_or_dash};
 
 /// Renders the value that an entry sets.
-pub fn team_value_text(value: TeamQuota) -> String {
+pub fn team_quota_text(value: TeamQuota) -> String {
     match value {
         TeamQuota { limit_cpus: None, guaranteed_cpus: None } => "the platform's settings".into(),
         TeamQuota { limit_cpus, guaranteed_cpus } => {
@@ -64,9 +64,9 @@
 }
 
 /// Renders all values of one entry.
-pub fn config_entry(entry: &ConfigEntryView) -> String {
+pub fn config_entry_text(entry: &ConfigEntryView) -> String {
     let mut lines = vec![
-        format!("{} version {}: {}", entry.key, entry.version, team_value_text(entry.configured)),
+        format!("{} version {}: {}", entry.key, entry.version, team_quota_text(entry.configured)),
         format!(
             "effective: limit {} CPUs, guaranteed {}",
             value_or_dash(entry.effective.limit_cpus),
--- a/crates/cli/src/render/explanation.rs
+++ b/crates/cli/src/render/explanation.rs
@@ -7,7 +7,7 @@
 use super::{paint, value_or_unknown};
 
 /// Renders the state, and each reason with its figures and what would change it.
-pub fn explanation(explanation: &Explanation) -> String {
+pub fn explanation_text(explanation: &Explanation) -> String {
     let state = explanation.state.map_or("?", JobPhase::as_str);
     let task = explanation.task.map_or(String::new(), |task| format!(", task {task}"));
     let done = format!(
--- a/crates/cli/src/render/jobs.rs
+++ b/crates/cli/src/render/jobs.rs
@@ -63,9 +63,9 @@
 }
 
 /// Renders one job: its task counts, its times, the resources per task, and its unfinished tasks.
-pub fn job_detail(detail: &JobDetail) -> String {
+pub fn job_detail_text(detail: &JobDetail) -> String {
     let mut lines = summary_lines(&detail.summary);
-    lines.extend(request_line(detail));
+    lines.extend(task_resources_line(detail));
     if detail.source == ResponseSource::Store && !detail.summary.state.is_terminal() {
         lines.push(
             "from the stored records, as no leader responds: the state of tasks on their machines is unknown"
@@ -102,7 +102,7 @@
     ]
 }
 
-fn request_line(detail: &JobDetail) -> Option<String> {
+fn task_resources_line(detail: &JobDetail) -> Option<String> {
     let spec = detail.spec.as_ref()?;
     let image = if spec.image_gb > 0.0 {
         format!(", image {} of {} GB", spec.image, spec.image_gb)
--- a/crates/cli/src/render/mod.rs
+++ b/crates/cli/src/render/mod.rs
@@ -16,11 +16,11 @@
 use anstyle::{AnsiColor, Style};
 use comfy_table::{Table, presets};
 
-pub use config::{config_entry, config_table, in_force_text, team_value_text};
+pub use config::{config_entry_text, config_table, in_force_text, team_quota_text};
 pub use controllers::controllers_table;
 pub use events::events_table;
-pub use explanation::explanation;
-pub use jobs::{job_detail, jobs_table};
+pub use explanation::explanation_text;
+pub use jobs::{job_detail_text, jobs_table};
 pub use reasons::reason_name;
 pub use runs::runs_table;
 
--- a/crates/cli/src/render/reasons.rs
+++ b/crates/cli/src/render/reasons.rs
@@ -141,7 +141,7 @@
             too_small
         ),
         StateReason::InsufficientCapacity { requested_cpus, requested_memory_gb, machine_types, .. } => {
-            let capacity = join(machine_types, "; ", machine_type_capacity);
+            let capacity = join(machine_types, "; ", machine_type_capacity_text);
             format!("a task needs {requested_cpus} CPUs, {requested_memory_gb} GB; {capacity}")
         }
         StateReason::HeldForGang { machines, gangs } => {
@@ -198,7 +198,7 @@
 }
 
 /// Renders why the machines of a type cannot take a task, with the number of machines for each cause.
-fn machine_type_capacity(capacity: &MachineTypeCapacity) -> String {
+fn machine_type_capacity_text(capacity: &MachineTypeCapacity) -> String {
     let causes = [
         (capacity.without_capacity, "without capacity"),
         (capacity.cordoned, "cordoned"),
