--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -35,11 +35,11 @@
             }
             let mut client = connect_to(global_args, None)?;
             let current = client.config_get(entry)?;
-            let value = TeamQuota {
+            let quota = TeamQuota {
                 limit_cpus: limit_cpus.or(current.configured.limit_cpus),
                 guaranteed_cpus: guaranteed_cpus.or(current.configured.guaranteed_cpus),
             };
-            change_entry(global_args, &mut client, entry, value, expected.unwrap_or(current.version), change)
+            change_entry(global_args, &mut client, entry, quota, expected.unwrap_or(current.version), change)
         }
         ConfigCommand::Unset { entry, change } => {
             let mut client = connect_to(global_args, None)?;
@@ -66,30 +66,27 @@
 fn change_entry(
     global_args: &GlobalArgs,
     client: &mut Client,
-    entry: &str,
-    value: TeamQuota,
-    expected: u64,
+    key: &str,
+    quota: TeamQuota,
+    expected_version: u64,
     change: &ChangeArgs,
 ) -> Result<ExitCode, CommandError> {
     let start = Instant::now();
-    let stored = match client.config_set(entry, value, Some(expected), &change_author(change)) {
-        Err(ClientError::Refused { status: 409, body, .. }) => return Err(conflict_error(entry, &body)),
+    let stored = match client.config_set(key, quota, Some(expected_version), &change_author(change)) {
+        Err(ClientError::Refused { status: 409, body, .. }) => return Err(conflict_error(key, &body)),
         stored => stored?,
     };
     if !change.wait {
         print_value(global_args, &stored, || {
-            format!(
-                "{}\n{}",
-                render::config_entry_text(&stored),
-                "stored; use --wait to wait until it is in force"
-            )
+            let entry = render::config_entry_text(&stored);
+            format!("{entry}\nstored; use --wait to wait until it is in force")
         })?;
         return Ok(ExitCode::SUCCESS);
     }
-    let view = client.config_wait(entry, stored.version, wait_timeout(change)?)?;
-    let seconds = start.elapsed().as_secs_f64();
-    print_value(global_args, &json!({"entry": view, "seconds": seconds}), || {
-        format!("{}\n{}", render::config_entry_text(&view), render::in_force_text(&view, seconds))
+    let view = client.config_wait(key, stored.version, wait_timeout(change)?)?;
+    let elapsed_s = start.elapsed().as_secs_f64();
+    print_value(global_args, &json!({"entry": view, "seconds": elapsed_s}), || {
+        format!("{}\n{}", render::config_entry_text(&view), render::in_force_text(&view, elapsed_s))
     })?;
     Ok(if view.is_effective { ExitCode::SUCCESS } else { ExitCode::from(WAIT_TIMEOUT) })
 }
@@ -100,10 +97,10 @@
 }
 
 /// Builds the error for an entry that someone else changed after it was read.
-fn conflict_error(entry: &str, body: &[u8]) -> CommandError {
+fn conflict_error(key: &str, body: &[u8]) -> CommandError {
     match serde_json::from_slice::<ConfigEntryView>(body) {
         Ok(current) => CommandError::Refused(format!(
-            "{entry} was changed meanwhile by {}: it is now at version {} with {}; read it again and repeat the change",
+            "{key} was changed meanwhile by {}: it is now at version {} with {}; read it again and repeat the change",
             current.changed_by.as_deref().unwrap_or("an unknown operator"),
             current.version,
             render::team_quota_text(current.configured)
@@ -119,7 +116,7 @@
     Write,
 }
 
-/// The outcome of a file in the cluster of one context.
+/// The outcome of applying a file in the cluster of one context.
 struct ContextOutcome {
     context: String,
     result: Result<ClusterChanges, CommandError>,
@@ -128,6 +125,7 @@
 /// The changes that a file makes in one cluster.
 #[derive(Default)]
 struct ClusterChanges {
+    /// The lines to print: one for each change, then one for each change that was waited for.
     lines: Vec<String>,
     /// Number of changes that were not in force in time.
     pending: usize,
@@ -138,13 +136,16 @@
 fn apply(
     global_args: &GlobalArgs,
     path: &Path,
-    to: &[String],
+    context_names: &[String],
     mode: ApplyMode,
     change: &ChangeArgs,
 ) -> Result<ExitCode, CommandError> {
     let file = ConfigFile::load(path)?;
-    let contexts: Vec<Option<&str>> =
-        if to.is_empty() { vec![None] } else { to.iter().map(|name| Some(name.as_str())).collect() };
+    let contexts: Vec<Option<&str>> = if context_names.is_empty() {
+        vec![None]
+    } else {
+        context_names.iter().map(|name| Some(name.as_str())).collect()
+    };
     let mut outcomes = Vec::new();
     for context in contexts {
         let result = connect_to(global_args, context)
@@ -154,7 +155,7 @@
     Ok(print_outcomes(outcomes))
 }
 
-/// Prints the outcome of the file in each cluster; the last failure determines the exit code.
+/// Prints the outcome in each cluster; the last failure determines the exit code.
 fn print_outcomes(outcomes: Vec<ContextOutcome>) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for ContextOutcome { context, result } in outcomes {
@@ -218,8 +219,8 @@
     difference: &ConfigDifference<'_>,
     change: &ChangeArgs,
 ) -> Result<ConfigEntryView, CommandError> {
-    let expected = difference.current.map(|current| current.version);
-    match client.config_set(&difference.key, difference.wanted, expected, &change_author(change)) {
+    let expected_version = difference.current.map(|current| current.version);
+    match client.config_set(&difference.key, difference.wanted, expected_version, &change_author(change)) {
         Err(ClientError::Refused { status: 409, body, .. }) => Err(conflict_error(&difference.key, &body)),
         stored => Ok(stored?),
     }
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -23,6 +23,7 @@
 const STEP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Allowed number of tasks of the largest job.
 const TASKS_RANGE: std::ops::RangeInclusive<u32> = 20..=5_000;
+/// Name of the job that its team's limit holds back.
 const LIMITED_JOB: &str = "billing";
 
 fn other_error(text: impl Into<String>) -> CommandError {
@@ -80,13 +81,14 @@
     }
 }
 
-/// A job whose tasks fail at the first attempt: a task fails unless it finds the marker folder of an earlier attempt.
+/// A job whose tasks fail at the first attempt: an attempt succeeds only if it finds the marker folder that an earlier
+/// attempt of the same task created.
 fn flaky(folder: &Path) -> JobEntry {
-    let marks = folder.join("marks").display().to_string();
+    let marks_folder = folder.join("marks").display().to_string();
     JobEntry {
         tasks: 6,
         estimated_run_s: 0.1,
-        env: BTreeMap::from([("MARKS".to_string(), marks)]),
+        env: BTreeMap::from([("MARKS".to_string(), marks_folder)]),
         command: shell_command(
             "mkdir -p $MARKS; if mkdir $MARKS/$OLIVELATCH_TASK 2>/dev/null; then echo first attempt fails; exit 1; fi; echo second attempt",
         ),
@@ -181,8 +183,10 @@
         for job in &jobs {
             submit_job(&mut self.client, job)?;
         }
-        let limited = jobs.iter().find(|job| job.name == LIMITED_JOB);
-        self.explain_limit(&limited.ok_or_else(|| other_error("no such job"))?.id)?;
+        let limited_job = jobs.iter().find(|job| job.name == LIMITED_JOB);
+        self.explain_limit(
+            &limited_job.ok_or_else(|| other_error(format!("the batch has no job named {LIMITED_JOB}")))?.id,
+        )?;
         self.wait_for_a_third(&jobs[0].id, tasks)?;
         self.kill_leader(&leader)?;
         self.wait_for_all(&jobs)?;
@@ -201,7 +205,7 @@
         wait_until("a leader", || {
             Ok(find_leader(&self.client).is_some() || self.stop_flag.load(Ordering::Relaxed))
         })?;
-        find_leader(&self.client).ok_or_else(|| other_error("interrupted"))
+        find_leader(&self.client).ok_or_else(|| other_error("interrupted while waiting for a leader"))
     }
 
     /// Waits until the explanation of the job names the team's limit, and prints it.
@@ -219,8 +223,10 @@
         Ok(())
     }
 
+    /// Waits until a third of the job's tasks are done.
     fn wait_for_a_third(&mut self, job: &str, tasks: u32) -> Result<(), CommandError> {
         wait_until("the completion of a third of the tasks", || {
+            // The response has no count once the job is finished.
             let done = self.client.job_status(job)?.done.unwrap_or(tasks);
             Ok(done * 3 >= tasks)
         })
@@ -263,8 +269,9 @@
 
 /// Summarizes the workers' run log, which is independent of what the controllers report.
 fn summarize_run_log(folder: &Path) -> Result<String, CommandError> {
-    let text =
-        std::fs::read_to_string(folder.join("runs.jsonl")).map_err(|error| other_error(error.to_string()))?;
+    let path = folder.join("runs.jsonl");
+    let text = std::fs::read_to_string(&path)
+        .map_err(|error| other_error(format!("{}: {error}", path.display())))?;
     let (mut starts, mut failed) = (0, 0);
     let (mut done, mut starts_after_done) = (BTreeSet::new(), 0);
     for line in text.lines() {
--- a/crates/cli/src/commands/graphs.rs
+++ b/crates/cli/src/commands/graphs.rs
@@ -84,13 +84,14 @@
 /// Uploads the descriptions first, so that workers have one for every job of the run, then uploads and
 /// commits the parts.
 fn submit(global_args: &GlobalArgs, client: &mut Client, prepared: &PreparedRun) -> Result<(), CommandError> {
-    // A repeated submission returns here: its jobs got other ids the first time, so the commit would be rejected.
+    // A repeated submission ends here. `DagFile::prepare` generates new job ids each time, so committing the run again
+    // with these ids would be rejected.
     match client.run_summary(&prepared.run) {
         Ok(row) => return print_run(global_args, &row),
         Err(error) if error.status() == Some(404) => {}
         Err(error) => return Err(error.into()),
     }
-    let progress = progress_bar(global_args, prepared.descriptions.len(), "describing");
+    let progress = progress_bar(global_args, prepared.descriptions.len(), "uploading descriptions");
     for (job, description) in &prepared.descriptions {
         client.upload_description(job, description)?;
         progress.inc(1);
@@ -157,7 +158,7 @@
     print_value(global_args, &json!({"runs": rows}), || render::runs_table(&rows))
 }
 
-/// Returns the indices of the nodes that failed or were cancelled, also because of an upstream failure.
+/// Returns the indices of the nodes that failed, did not run because an upstream node failed, or were cancelled.
 fn unsuccessful_nodes(detail: &DagRunDetail) -> Vec<u32> {
     let unsuccessful = |state: DagNodeState| {
         matches!(state, DagNodeState::Failed | DagNodeState::UpstreamFailed | DagNodeState::Cancelled)
@@ -177,8 +178,8 @@
     names.iter().map(find).collect()
 }
 
-/// Runs the selected nodes and all nodes downstream of them again, as new jobs. Each attempt reads the run
-/// and selects the nodes anew.
+/// Runs the selected nodes and all nodes downstream of them again, as new jobs. Each attempt reads the run again,
+/// and then selects the nodes.
 fn rerun(
     global_args: &GlobalArgs,
     client: &mut Client,
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -9,11 +9,13 @@
 use crate::output::print_value;
 use crate::render;
 
+/// Maximum number of jobs that one request fetches.
 const PAGE_SIZE: usize = 200;
 
 /// The jobs that were fetched until the last page, the limit or an error.
 struct FetchedJobs {
     rows: Vec<JobSummary>,
+    /// Whether the controllers have more jobs after `rows`.
     more_follow: bool,
     /// The error that stopped the list early.
     error: Option<ClientError>,
--- a/crates/cli/src/commands/up.rs
+++ b/crates/cli/src/commands/up.rs
@@ -44,8 +44,8 @@
 fn parse_team(text: &str) -> Result<(String, f64, f64), CommandError> {
     let invalid =
         || usage_error(format!("--team: expected NAME=CPUS:MOST, such as office=2:4, not {text:?}"));
-    let (name, shares) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(invalid)?;
-    let (guaranteed, limit) = shares.split_once(':').ok_or_else(invalid)?;
+    let (name, quota) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(invalid)?;
+    let (guaranteed, limit) = quota.split_once(':').ok_or_else(invalid)?;
     let number = |text: &str| {
         let cpus = text.parse::<f64>().ok();
         cpus.filter(|cpus| (0.0..=MAX_TEAM_CPUS).contains(cpus)).ok_or_else(invalid)
@@ -53,7 +53,8 @@
     Ok((name.into(), number(guaranteed)?, number(limit)?))
 }
 
-/// Returns how the controllers are started: by olivelatchctl itself unless a program is named, with checked tunables.
+/// Returns how to start the controllers: with the program that `--controller` names or else olivelatchctl itself, and
+/// with the tunables of `--tunables` or else the default ones, which are validated here.
 fn controller_plan(args: &UpArgs) -> Result<ControllerPlan, CommandError> {
     let tunables = match &args.tunables {
         Some(path) => std::fs::read_to_string(path)
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -12,11 +12,12 @@
 const OTHER_FAILURE: u8 = 1;
 /// Invalid arguments or files; clap uses the same code.
 const USAGE: u8 = 2;
+/// No controller responded in time, or the last response had status 503.
 const NO_RESPONSE: u8 = 3;
 const REFUSED: u8 = 4;
 /// `wait`: a job was cancelled, or a run did not succeed.
 pub const NOT_SUCCESSFUL: u8 = 5;
-/// `wait`: the timeout passed first. Also `config --wait`: the change is not in force in time.
+/// `wait`: the timeout passed first. Commands of `config` with `--wait`: the change was not in force in time.
 pub const WAIT_TIMEOUT: u8 = 6;
 
 /// Why a command failed. `Display` gives the message for the user.
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -9,7 +9,8 @@
 use crate::args::GlobalArgs;
 use crate::exit::CommandError;
 
-/// Prints one value: as a line of JSON with `--json`, otherwise as text, which is only rendered in that case.
+/// Prints one value: with `--json` as a line of JSON, otherwise as the text that `text` renders,
+/// which is only called then.
 pub fn print_value(
     global_args: &GlobalArgs,
     value: &impl Serialize,
@@ -23,7 +24,7 @@
     Ok(())
 }
 
-/// Returns a progress bar on standard error. It is hidden with `--json`, for less than two steps, and if
+/// Returns a progress bar on standard error. It is hidden with `--json`, for fewer than two steps, and if
 /// standard error is not a terminal.
 pub fn progress_bar(global_args: &GlobalArgs, length: usize, label: &str) -> ProgressBar {
     if global_args.json || length < 2 || !std::io::stderr().is_terminal() {
--- a/crates/cli/src/render/config.rs
+++ b/crates/cli/src/render/config.rs
@@ -4,9 +4,9 @@
 
 use super::{new_table, value_or_dash};
 
-/// Renders the value that an entry sets.
-pub fn team_quota_text(value: TeamQuota) -> String {
-    match value {
+/// Renders the quota that an entry sets.
+pub fn team_quota_text(quota: TeamQuota) -> String {
+    match quota {
         TeamQuota { limit_cpus: None, guaranteed_cpus: None } => "the platform's settings".into(),
         TeamQuota { limit_cpus, guaranteed_cpus } => {
             format!("limit {} CPUs, guaranteed {}", value_or_dash(limit_cpus), value_or_dash(guaranteed_cpus))
@@ -14,19 +14,17 @@
     }
 }
 
-/// Renders whether a change is in force, or which controller it still waits for and why. `seconds` is the
-/// time since the change was sent.
-pub fn in_force_text(view: &ConfigEntryView, seconds: f64) -> String {
+/// Renders whether a change is in force; if it is not, which controller it waits for, and why. `elapsed_s` is the
+/// time since the change was sent, in seconds.
+pub fn in_force_text(view: &ConfigEntryView, elapsed_s: f64) -> String {
     match &view.pending_on {
-        None => format!("{} version {}: in force after {seconds:.3} s", view.key, view.version),
-        Some(pending) => format!(
-            "{} version {}: NOT in force after {seconds:.3} s: {} {} (for {:.1} s so far)",
-            view.key,
-            view.version,
-            pending.controller.as_deref().unwrap_or("an unknown controller"),
-            pending.cause.description(),
-            pending.since_s
-        ),
+        None => format!("{} version {}: in force after {elapsed_s:.3} s", view.key, view.version),
+        Some(pending) => {
+            let controller = pending.controller.as_deref().unwrap_or("an unknown controller");
+            let cause =
+                format!("{controller} {} (for {:.1} s so far)", pending.cause.description(), pending.since_s);
+            format!("{} version {}: NOT in force after {elapsed_s:.3} s: {cause}", view.key, view.version)
+        }
     }
 }
 
--- a/crates/cli/src/render/controllers.rs
+++ b/crates/cli/src/render/controllers.rs
@@ -4,7 +4,8 @@
 
 use super::{MS_PER_SECOND, duration_text, new_table, value_or_dash, value_or_unknown};
 
-/// Renders one line per controller, where the status is `None` if it does not respond, and the leader's figures below.
+/// Renders one line per controller, and the leader's figures below. `statuses` holds for each controller its address
+/// and its status, which is `None` if it does not respond.
 pub fn controllers_table(statuses: &[(String, Option<ControllerStatus>)]) -> String {
     let mut table = new_table(&["CONTROLLER", "NODE", "STATE", "LIVE", "ENDED", "REVISION", "BEHIND", "UP"]);
     for (addr, status) in statuses {
@@ -24,7 +25,7 @@
     vec![
         addr.into(),
         status.controller.clone(),
-        role(status).into(),
+        role_text(status).into(),
         status.jobs_active.to_string(),
         status.jobs_terminal.to_string(),
         status.revision.to_string(),
@@ -33,7 +34,8 @@
     ]
 }
 
-fn role(status: &ControllerStatus) -> &'static str {
+/// Renders whether the controller is the leader or a follower, or why a follower cannot serve requests.
+fn role_text(status: &ControllerStatus) -> &'static str {
     match (status.is_leader, status.ready, status.kv_reachable) {
         (true, ..) => "leads",
         (_, _, false) => "without state service",
--- a/crates/cli/src/render/jobs.rs
+++ b/crates/cli/src/render/jobs.rs
@@ -50,11 +50,12 @@
     value_or_unknown(turnaround_ms.map(duration_text))
 }
 
-/// Colours the states after the table is laid out, as colour codes in a cell would widen its column.
+/// Colours the states, which are in the second column, after the table is laid out, as colour codes in a cell would
+/// widen its column.
 fn colour_states(text: &str) -> String {
     let colour_line = |line: &str| {
-        let word = line.split_whitespace().nth(1);
-        match JOB_PHASES.into_iter().find(|state| word == Some(state.as_str())) {
+        let second_column = line.split_whitespace().nth(1);
+        match JOB_PHASES.into_iter().find(|state| second_column == Some(state.as_str())) {
             Some(state) => line.replacen(state.as_str(), &painted_state(state), 1),
             None => line.to_string(),
         }
--- a/crates/cli/src/render/reasons.rs
+++ b/crates/cli/src/render/reasons.rs
@@ -1,6 +1,7 @@
 //! Texts for the reasons of a state: the name on the wire, a sentence with the figures, and what would change it.
 //!
-//! The three functions match every reason, so that a new one does not compile until it has all three texts.
+//! The three functions match every reason without a wildcard: after a reason is added, the crate does not compile
+//! until the reason has all three texts.
 
 use olivelatch::protocol::operators::{InstanceOfferView, MachineTypeCapacity, StateReason};
 
@@ -126,20 +127,14 @@
             spot_not_allowed,
             too_small,
             ..
-        } => format!(
-            concat!(
-                "no machine that the job may use is up (a task needs {} CPUs, {} GB); ",
-                "of {} machines up, {} are of another type, {} are in another zone, ",
-                "{} are spot machines, {} are too small"
-            ),
-            requested_cpus,
-            requested_memory_gb,
-            machines,
-            wrong_machine_type,
-            wrong_zone,
-            spot_not_allowed,
-            too_small
-        ),
+        } => {
+            let need = format!("a task needs {requested_cpus} CPUs, {requested_memory_gb} GB");
+            let by_type_and_zone =
+                format!("{wrong_machine_type} are of another type, {wrong_zone} are in another zone");
+            let by_spot_and_size = format!("{spot_not_allowed} are spot machines, {too_small} are too small");
+            let causes = format!("of {machines} machines up, {by_type_and_zone}, {by_spot_and_size}");
+            format!("no machine that the job may use is up ({need}); {causes}")
+        }
         StateReason::InsufficientCapacity { requested_cpus, requested_memory_gb, machine_types, .. } => {
             let capacity = join(machine_types, "; ", machine_type_capacity_text);
             format!("a task needs {requested_cpus} CPUs, {requested_memory_gb} GB; {capacity}")
@@ -197,7 +192,7 @@
     items.iter().map(text).collect::<Vec<_>>().join(separator)
 }
 
-/// Renders why the machines of a type cannot take a task, with the number of machines for each cause.
+/// Renders how many machines of a type cannot take a task, by cause, and the largest free capacity of one of them.
 fn machine_type_capacity_text(capacity: &MachineTypeCapacity) -> String {
     let causes = [
         (capacity.without_capacity, "without capacity"),
@@ -211,14 +206,11 @@
         .filter(|(machines, _)| *machines > 0)
         .map(|(machines, cause)| format!("{machines} {cause}"))
         .collect();
-    format!(
-        "{} of type {}: {}; largest free capacity of one machine: {} CPUs, {} GB",
-        machine_count(capacity.machines),
-        capacity.machine_type,
-        causes.join(", "),
-        capacity.max_free_cpus,
-        capacity.max_free_memory_gb
-    )
+    let MachineTypeCapacity { machine_type, max_free_cpus, max_free_memory_gb, .. } = capacity;
+    let machines = machine_count(capacity.machines);
+    let causes = causes.join(", ");
+    let free = format!("{max_free_cpus} CPUs, {max_free_memory_gb} GB");
+    format!("{machines} of type {machine_type}: {causes}; largest free capacity of one machine: {free}")
 }
 
 fn offers_text(offers: &[InstanceOfferView]) -> String {
