--- a/crates/cli/tests/config.rs
+++ b/crates/cli/tests/config.rs
@@ -5,7 +5,7 @@
 use common::TestCluster;
 use serde_json::Value;
 
-const DONE: Option<i32> = Some(0);
+const SUCCESS: Option<i32> = Some(0);
 const REJECTED: Option<i32> = Some(4);
 
 fn output_text(output: &std::process::Output) -> String {
@@ -23,7 +23,7 @@
         (output.status.code(), output_text(&output))
     };
     let (code, text) = run(&["set", "team/office", "--limit-cpus", "3", "--why", "quarter end", "--wait"]);
-    assert_eq!(code, DONE, "{text}");
+    assert_eq!(code, SUCCESS, "{text}");
     assert!(text.contains(": in force after "), "{text}");
     let shown = cluster.json(&["config", "get", "team/office"]);
     assert_eq!(
@@ -42,15 +42,15 @@
         .expect("a file");
     let file = file.display().to_string();
     let (code, text) = run(&["apply", &file, "--dry-run"]);
-    assert!(code == DONE && text.contains("team/lab") && text.contains("team/office"), "{text}");
+    assert!(code == SUCCESS && text.contains("team/lab") && text.contains("team/office"), "{text}");
     assert_eq!(cluster.json(&["config", "get", "team/lab"])[0]["version"], 0, "nothing was written");
     let (code, text) = run(&["apply", &file, "--to", "far", "--to", "local", "--wait"]);
-    assert_ne!(code, DONE, "one of the contexts does not exist: {text}");
+    assert_ne!(code, SUCCESS, "one of the contexts does not exist: {text}");
     assert!(text.contains("far: NOT CHANGED") && text.contains("in force after"), "{text}");
     let (code, text) = run(&["apply", &file, "--wait"]);
-    assert!(code == DONE && text.contains("nothing to change"), "{text}");
+    assert!(code == SUCCESS && text.contains("nothing to change"), "{text}");
     let (code, text) = run(&["unset", "team/office", "--wait"]);
-    assert_eq!(code, DONE, "{text}");
+    assert_eq!(code, SUCCESS, "{text}");
     assert_eq!(cluster.json(&["config", "get", "team/office"])[0]["holds"]["limit_cpus"], 8.0);
     cluster.stop();
 }
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -11,16 +11,17 @@
 
 use support::Golden;
 
-/// Starts a stand-in for a controller, which sends the same response to every request until the test ends.
-fn controller(status: u16, body: &'static str) -> SocketAddr {
+/// Starts a stub of a controller, which sends the same response to every request until the test ends, and returns its
+/// address.
+fn stub_controller(status: u16, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let addr = listener.local_addr().expect("an address");
     let response = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut chunk = [0; 16 * 1024];
-            let read = stream.read(&mut chunk).unwrap_or(0);
-            if read > 0 {
+            let received_bytes = stream.read(&mut chunk).unwrap_or(0);
+            if received_bytes > 0 {
                 let _ = stream.write_all(response.as_bytes());
             }
         }
@@ -39,7 +40,7 @@
     std::fs::write(&contexts, format!("context \"one\" {{\n  controllers = [\"{addr}\"]\n}}\n"))
         .expect("contexts");
     let run = Command::new(env!("CARGO_BIN_EXE_olivelatchctl"))
-        .arg(CONTEXTS)
+        .arg("--contexts")
         .arg(&contexts)
         .args(["--deadline", "1"])
         .args(arguments)
@@ -50,7 +51,6 @@
     run.status.code().expect("a code")
 }
 
-const CONTEXTS: &str = "--contexts";
 const DONE: &str = r#"{"uid":"job-000412","status":"done"}"#;
 const PENDING: &str = r#"{"uid":"job-000412","status":"pending"}"#;
 const CANCELLED: &str = r#"{"uid":"job-000412","status":"withdrawn"}"#;
@@ -65,17 +65,17 @@
     let wait = ["wait", "job-000412", "--timeout", "0.3"];
     let cancel = ["cancel", "job-000412"];
     let cases: [(&str, SocketAddr, &[&str]); 14] = [
-        ("wait: done", controller(200, DONE), &wait),
-        ("wait: withdrawn", controller(200, CANCELLED), &wait),
-        ("wait: not yet", controller(200, PENDING), &wait),
-        ("wait: not known", controller(404, ERROR), &wait),
-        ("cancel: withdrawn", controller(200, CANCELLED), &cancel),
-        ("cancel: 400", controller(400, ERROR), &cancel),
-        ("cancel: 404", controller(404, ERROR), &cancel),
-        ("cancel: 409", controller(409, ERROR), &cancel),
-        ("cancel: 422", controller(422, ERROR), &cancel),
-        ("cancel: 503", controller(503, ERROR), &cancel),
-        ("cancel: not as expected", controller(200, "{}"), &cancel),
+        ("wait: done", stub_controller(200, DONE), &wait),
+        ("wait: withdrawn", stub_controller(200, CANCELLED), &wait),
+        ("wait: not yet", stub_controller(200, PENDING), &wait),
+        ("wait: not known", stub_controller(404, ERROR), &wait),
+        ("cancel: withdrawn", stub_controller(200, CANCELLED), &cancel),
+        ("cancel: 400", stub_controller(400, ERROR), &cancel),
+        ("cancel: 404", stub_controller(404, ERROR), &cancel),
+        ("cancel: 409", stub_controller(409, ERROR), &cancel),
+        ("cancel: 422", stub_controller(422, ERROR), &cancel),
+        ("cancel: 503", stub_controller(503, ERROR), &cancel),
+        ("cancel: not as expected", stub_controller(200, "{}"), &cancel),
         ("cancel: nobody", unused_address(), &cancel),
         ("check: a wrong file", unused_address(), &["check", "wrong.hcl"]),
         ("a wrong argument", unused_address(), &["cancel", "--colour"]),
--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -1,5 +1,5 @@
-//! Tests DAG runs and plain jobs on one loopback cluster: several clients submit both while controllers are killed. The
-//! workers' run log, the published files and the client's view are checked against each other.
+//! Tests DAG runs and plain jobs on one loopback cluster: several clients submit both, and all controllers are killed
+//! while they run. The workers' run log, the published files and the client's view are checked against each other.
 
 mod common;
 
@@ -14,8 +14,9 @@
 use common::TestCluster;
 use serde_json::Value;
 
-/// A graph with fan-out over a list and fan-in. A bill is written in two halves with a pause between them, so
-/// that a reader could see an incomplete file. While the file `trouble` exists, one task of `balance` fails.
+/// A graph with fan-out over a list and fan-in. A bill has three lines, `begin`, the sum and `end`, and is written
+/// with a pause after the first, so that a reader would see an incomplete file if it were published too early. While
+/// the file that the variable `trouble` names exists, one task of `balance` fails.
 const CHAIN: &str = r#"
 graph = "chain"
 vars {
@@ -45,9 +46,16 @@
 }
 "#;
 
+/// The edges of [`CHAIN`]: the upstream and the downstream node of each.
 const EDGES: [(&str, &str); 4] =
     [("raw", "balance"), ("raw", "bill"), ("balance", "bill"), ("bill", "office")];
 
+/// Number of lines in the bills of one output: five bills of three lines.
+const BILL_LINES: usize = 15;
+
+/// Exit code of `wait` and `graph wait` for a job that was cancelled or a run that did not succeed.
+const NOT_SUCCESSFUL: Option<i32> = Some(5);
+
 /// Returns the bills in a node's output: one for the node, or one per task.
 fn bill_files(output: &Path) -> Vec<PathBuf> {
     let single = output.join("bill");
@@ -58,8 +66,8 @@
     tasks.map(|task| task.path().join("bill")).filter(|bill| bill.exists()).collect()
 }
 
-/// Reads the published files repeatedly until stopped. Each output must hold five complete bills and must
-/// never be replaced. Returns how many outputs were checked.
+/// Reads the published files repeatedly until stopped, and checks that each output holds five complete bills and is
+/// never replaced. Returns the number of checks, or what was wrong with an output.
 fn watch_published_files(published: &Path, stop: &AtomicBool) -> Result<usize, String> {
     let mut targets: BTreeMap<PathBuf, PathBuf> = BTreeMap::new();
     let mut checked = 0;
@@ -78,9 +86,9 @@
                     .map(|bill| fs::read_to_string(bill).unwrap_or_default())
                     .map(|text| if text.ends_with("end\n") { text.lines().count() } else { 0 })
                     .sum();
-                if lines != 15 {
+                if lines != BILL_LINES {
                     return Err(format!(
-                        "{}: published incompletely: expected 15 lines, found {lines} in {bills:?}",
+                        "{}: published incompletely: expected {BILL_LINES} lines, found {lines} in {bills:?}",
                         name.display()
                     ));
                 }
@@ -101,16 +109,25 @@
     nodes.iter().find(|node| node["name"] == name).unwrap_or(&Value::Null)
 }
 
-/// Returns for each job the line numbers of its first start and of its last successful exit in the run log.
-fn job_spans(cluster: &TestCluster) -> BTreeMap<String, (usize, usize)> {
+/// The lines of the run log, counted from 0, between which a job ran.
+#[derive(Clone, Copy)]
+struct JobSpan {
+    /// Line of the job's first start.
+    first_start: usize,
+    /// Line of the last successful exit of one of its tasks; 0 if there is none.
+    last_success: usize,
+}
+
+/// Returns the span of each job in the run log, by job id.
+fn job_spans(cluster: &TestCluster) -> BTreeMap<String, JobSpan> {
     let text = fs::read_to_string(cluster.folder.join("runs.jsonl")).expect("the run log");
-    let mut spans: BTreeMap<String, (usize, usize)> = BTreeMap::new();
+    let mut spans: BTreeMap<String, JobSpan> = BTreeMap::new();
     for (line_number, line) in text.lines().enumerate() {
         let value: Value = serde_json::from_str(line).expect("JSON");
         let job = value["task"].as_str().and_then(|task| task.split('/').next()).expect("a task");
-        let span = spans.entry(job.into()).or_insert((line_number, 0));
+        let span = spans.entry(job.into()).or_insert(JobSpan { first_start: line_number, last_success: 0 });
         if value["done"] == true {
-            span.1 = line_number;
+            span.last_success = line_number;
         }
     }
     spans
@@ -120,9 +137,12 @@
 fn check_order(cluster: &TestCluster, run: &Value) {
     let spans = job_spans(cluster);
     let span = |name: &str| spans.get(node_view(run, name)["job"].as_str().unwrap_or("")).copied();
-    for (before, after) in EDGES {
-        if let (Some(before_span), Some(after_span)) = (span(before), span(after)) {
-            assert!(before_span.1 < after_span.0, "{after} started before {before} was done: {run}");
+    for (upstream, downstream) in EDGES {
+        if let (Some(upstream_span), Some(downstream_span)) = (span(upstream), span(downstream)) {
+            assert!(
+                upstream_span.last_success < downstream_span.first_start,
+                "{downstream} started before {upstream} was done: {run}"
+            );
         }
     }
 }
@@ -159,11 +179,13 @@
         .collect();
     let submitted: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("a client")).collect();
-    cluster.wait_until("a task is done", |cluster| job_spans(cluster).values().any(|(_, end)| *end > 0));
+    cluster.wait_until("a task is done", |cluster| {
+        job_spans(cluster).values().any(|span| span.last_success > 0)
+    });
     cluster.kill_controllers();
     for (run, job) in &submitted {
         let waited = cluster.run_program(&["graph", "wait", run, "--timeout", "90"]);
-        let expected = if run == "run-0" { Some(5) } else { Some(0) };
+        let expected = if run == "run-0" { NOT_SUCCESSFUL } else { Some(0) };
         assert_eq!(waited.status.code(), expected, "{run}: {}", String::from_utf8_lossy(&waited.stderr));
         assert!(cluster.run_program(&["wait", job, "--timeout", "90"]).status.success(), "{job}");
     }
@@ -180,13 +202,17 @@
     fs::remove_file(&trouble).expect("our own file");
     let retried = cluster.run_program(&["graph", "retry", "run-0", "--wait"]);
     assert!(retried.status.success(), "{}", String::from_utf8_lossy(&retried.stderr));
-    let after = run_detail(&cluster, "run-0");
-    let states: BTreeSet<&str> =
-        after["nodes"].as_array().expect("nodes").iter().filter_map(|node| node["state"].as_str()).collect();
+    let succeeded = run_detail(&cluster, "run-0");
+    let states: BTreeSet<&str> = succeeded["nodes"]
+        .as_array()
+        .expect("nodes")
+        .iter()
+        .filter_map(|node| node["state"].as_str())
+        .collect();
     assert_eq!(states, BTreeSet::from(["success"]));
     assert_eq!(
         node_view(&failed, "raw")["job"],
-        node_view(&after, "raw")["job"],
+        node_view(&succeeded, "raw")["job"],
         "a node that succeeded is not run again"
     );
 
@@ -196,21 +222,21 @@
     for (run, _) in &submitted {
         check_order(&cluster, &run_detail(&cluster, run));
         let office = fs::read_to_string(cluster.folder.join("published").join(run).join("office/bill"));
-        assert_eq!(office.expect("the office's file").lines().count(), 15);
+        assert_eq!(office.expect("the office's file").lines().count(), BILL_LINES);
     }
     // Panics if a task of either kind was started again after it completed.
     let done = cluster.done_by_run_log();
     for (run, job) in &submitted {
         assert_eq!(done.get(job).map_or(0, BTreeSet::len), 12, "{job}");
-        let bill = run_detail(&cluster, run);
-        let bill = node_view(&bill, "bill")["job"].as_str().expect("a job").to_string();
-        assert_eq!(done.get(&bill).map_or(0, BTreeSet::len), 5, "{run}");
+        let detail = run_detail(&cluster, run);
+        let bill_job = node_view(&detail, "bill")["job"].as_str().expect("a job");
+        assert_eq!(done.get(bill_job).map_or(0, BTreeSet::len), 5, "{run}");
     }
-    // The job of the failed attempt keeps its state.
-    let old = node_view(&failed, "balance")["job"].as_str().expect("a job").to_string();
+    // `retry` runs the node as a new job, and the job of the failed attempt keeps its state.
+    let failed_job = node_view(&failed, "balance")["job"].as_str().expect("a job").to_string();
     assert_eq!(
-        cluster.run_program(&["wait", &old]).status.code(),
-        Some(5),
+        cluster.run_program(&["wait", &failed_job]).status.code(),
+        NOT_SUCCESSFUL,
         "the job of the failed attempt stays withdrawn"
     );
 }
@@ -257,7 +283,7 @@
         }
         let spans = job_spans(&cluster);
         assert!(
-            spans[&jobs["critical"]].1 < spans[&jobs["low"]].1,
+            spans[&jobs["critical"]].last_success < spans[&jobs["low"]].last_success,
             "{urgent}: the urgent job must be done first"
         );
     }
--- a/crates/cli/tests/measure.rs
+++ b/crates/cli/tests/measure.rs
@@ -42,14 +42,14 @@
             .stdout(Stdio::null())
             .spawn()
             .expect("the program starts");
-        let plan = folder.path().join("region.json");
+        let addresses_file = folder.path().join("region.json");
         let end = Instant::now() + Duration::from_secs(30);
         let mut controllers = Vec::new();
         while controllers.is_empty() && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(100));
-            let Ok(text) = std::fs::read_to_string(&plan) else { continue };
-            let plan: Value = serde_json::from_str(&text).expect("a plan");
-            let all = plan["controllers"].as_array().expect("controllers");
+            let Ok(text) = std::fs::read_to_string(&addresses_file) else { continue };
+            let addresses: Value = serde_json::from_str(&text).expect("JSON");
+            let all = addresses["controllers"].as_array().expect("controllers");
             let addrs: Vec<SocketAddr> =
                 all.iter().map(|addr| addr.as_str().expect("one").parse().expect("an address")).collect();
             let leads = |addr: &SocketAddr| {
@@ -80,9 +80,10 @@
     }
 }
 
+/// Renders the mean and some quantiles of values in milliseconds.
 fn quantiles_text(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
-    let quantile = |share: f64| values[((values.len() - 1) as f64 * share) as usize];
+    let quantile = |fraction: f64| values[((values.len() - 1) as f64 * fraction) as usize];
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     format!(
         "mean {mean:.2} ms, p50 {:.2}, p90 {:.2}, p99 {:.2} ms of {}",
@@ -93,25 +94,28 @@
     )
 }
 
-fn submission(id: u64) -> String {
+/// Returns the body of a submission that controllers reject with 422, as no machine has 1,000 CPUs.
+fn infeasible_submission(id: u64) -> String {
     json!({"uid": format!("job-{id:06}"), "jobclass": "work", "owner": "default", "shape": "array", "urgency": "low",
         "pieces": 1, "vcpus": 1000.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "i", "size_gb": 0.0, "together": false,
         "scatter": false, "loaners": false, "guess_s": 1.0, "snapshot_s": 0.0, "flush_s": 0.0})
     .to_string()
 }
 
-/// Returns the latencies in milliseconds of submissions and heartbeats, which are sent alternately. The submissions are
-/// rejected with 422, but only after the read that a poll needs too.
-fn latencies(cluster: &MeasuredCluster, first: u64) -> (Vec<f64>, Vec<f64>) {
+/// Returns the latencies in milliseconds of submissions and heartbeats, which are sent alternately. A submission is
+/// rejected only after the same read of the key-value store that a poll needs. `first_id` is the number of the first
+/// job id, and of the first heartbeat.
+fn latencies(cluster: &MeasuredCluster, first_id: u64) -> (Vec<f64>, Vec<f64>) {
     let (mut submissions, mut heartbeats) = (Vec::new(), Vec::new());
     for index in 0..300 {
         let addr = cluster.controllers[index as usize % cluster.controllers.len()];
         let start = Instant::now();
-        let (status, _) = request(addr, "POST", "/work", &submission(first + index)).expect("a response");
+        let (status, _) =
+            request(addr, "POST", "/work", &infeasible_submission(first_id + index)).expect("a response");
         submissions.push(start.elapsed().as_secs_f64() * 1000.0);
         assert_eq!(status, 422);
         let heartbeat = json!({"box": "probe", "endpoint": "127.0.0.1:9", "boxkind": "local", "hall": "here", "loaners": false,
-            "shift": 1, "tick": index + first, "baton": 0, "pieces": []});
+            "shift": 1, "tick": index + first_id, "baton": 0, "pieces": []});
         let start = Instant::now();
         request(addr, "POST", "/v1/report", &heartbeat.to_string()).expect("a response");
         heartbeats.push(start.elapsed().as_secs_f64() * 1000.0);
@@ -119,8 +123,8 @@
     (submissions, heartbeats)
 }
 
-fn print_latencies(cluster: &MeasuredCluster, what: &str, first: u64) {
-    let (submissions, heartbeats) = latencies(cluster, first);
+fn print_latencies(cluster: &MeasuredCluster, what: &str, first_id: u64) {
+    let (submissions, heartbeats) = latencies(cluster, first_id);
     println!(
         "{what}: submissions {}\n       heartbeats  {}",
         quantiles_text(submissions),
@@ -188,6 +192,7 @@
     );
 }
 
+/// Returns the number of starts in the run log, and the seconds from its first to its last event.
 fn read_run_log(folder: &Path) -> (usize, f64) {
     let text = std::fs::read_to_string(folder.join("runs.jsonl")).expect("the run log");
     let values: Vec<Value> = text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
--- a/crates/cli/tests/region.rs
+++ b/crates/cli/tests/region.rs
@@ -1,6 +1,6 @@
-//! Tests a real cluster on loopback through the command line: after failures of every kind during a batch,
-//! the client's view is compared with the workers' run log. The tests are bounded in time and stop only the
-//! processes that they started.
+//! Tests a real cluster on loopback through the command line: after failures of every kind during a batch, the client's
+//! view is compared with the workers' run log; explanations and exit codes are checked too. The tests are bounded in
+//! time and stop only the processes that they started.
 
 mod common;
 
@@ -10,16 +10,17 @@
 use common::TestCluster;
 use serde_json::Value;
 
-const SHORT: [&str; 4] = ["--", "sh", "-c", "sleep 0.1; echo $OLIVELATCH_TASK"];
+/// A command of 0.1 s that prints the number of its task.
+const SHORT_COMMAND: [&str; 4] = ["--", "sh", "-c", "sleep 0.1; echo $OLIVELATCH_TASK"];
 
 fn kill_leader(cluster: &TestCluster) {
     let leader = cluster.leaders().pop().expect("a leader");
     let number = leader.strip_prefix("node-").expect("a number");
     let pids = cluster.controller_pids();
-    let file = format!("node-{number}.json");
+    let settings_file = format!("node-{number}.json");
     let leader_pid = pids.iter().find(|pid| {
         let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
-        String::from_utf8_lossy(&line).contains(&file)
+        String::from_utf8_lossy(&line).contains(&settings_file)
     });
     let killed =
         Command::new("kill").arg("-9").arg(leader_pid.expect("its process")).status().expect("kill runs");
@@ -50,18 +51,18 @@
     let mut cluster = TestCluster::start(&folder.path().join("r"), &["default=0:0", "office=0:1"]);
     let early = cluster.submit(&["--tasks", "5", "--", "true"]);
     assert!(cluster.run_program(&["wait", &early, "--timeout", "60"]).status.success());
-    let wide =
-        cluster.submit(&[&["--tasks", "240", "--cpus", "0.5", "--guess-s", "0.1"], &SHORT[..]].concat());
-    let narrow = cluster.submit(&[&["--tasks", "6", "--team", "office"], &SHORT[..]].concat());
-    let gang = cluster.submit(&[&["--tasks", "3", "--shape", "gang"], &SHORT[..]].concat());
+    let wide = cluster
+        .submit(&[&["--tasks", "240", "--cpus", "0.5", "--guess-s", "0.1"], &SHORT_COMMAND[..]].concat());
+    let narrow = cluster.submit(&[&["--tasks", "6", "--team", "office"], &SHORT_COMMAND[..]].concat());
+    let gang = cluster.submit(&[&["--tasks", "3", "--shape", "gang"], &SHORT_COMMAND[..]].concat());
     let endless = cluster.submit(&["--tasks", "2", "--", "sleep", "600"]);
     let broken = cluster.submit(&["--tasks", "1", "--", "false"]);
 
-    cluster.wait_until("some are done", |cluster| cluster.done_tasks(&wide) >= 30);
+    cluster.wait_until("30 tasks of the wide job are done", |cluster| cluster.done_tasks(&wide) >= 30);
     kill_leader(&cluster);
-    cluster.wait_until("more are done", |cluster| cluster.done_tasks(&wide) >= 80);
+    cluster.wait_until("80 tasks of the wide job are done", |cluster| cluster.done_tasks(&wide) >= 80);
     cluster.kill_controllers();
-    cluster.wait_until("more are done", |cluster| cluster.done_tasks(&wide) >= 130);
+    cluster.wait_until("130 tasks of the wide job are done", |cluster| cluster.done_tasks(&wide) >= 130);
     let cancelled = cluster.json(&["cancel", &endless]);
     assert_eq!(cancelled[0]["state"], "withdrawn");
 
@@ -108,15 +109,18 @@
     let folder = tempfile::tempdir().expect("a folder");
     let cluster = TestCluster::start(&folder.path().join("r"), &["default=0:0", "office=0:2"]);
     let first = cluster.submit(&["--tasks", "2", "--team", "office", "--", "sleep", "600"]);
-    cluster.wait_until("both run", |cluster| cluster.json(&["list"])[0]["jobs"][0]["running"] == 2);
+    cluster.wait_until("both tasks of the first job run", |cluster| {
+        cluster.json(&["list"])[0]["jobs"][0]["running"] == 2
+    });
     let second = cluster.submit(&["--tasks", "1", "--team", "office", "--", "true"]);
-    let limit = |cluster: &TestCluster| {
+    let limit_reason = |cluster: &TestCluster| {
         let explained = cluster.json(&["explain", &second]);
         let reasons = explained.first().and_then(|e| e["reasons"].as_array().cloned()).unwrap_or_default();
         reasons.into_iter().find(|reason| reason["reason"] == "team_limit")
     };
-    cluster.wait_until("the reason", |cluster| limit(cluster).is_some());
-    let reason = limit(&cluster).expect("the reason");
+    cluster
+        .wait_until("an explanation that names the team's limit", |cluster| limit_reason(cluster).is_some());
+    let reason = limit_reason(&cluster).expect("the reason");
     assert_eq!((reason["used_cpus"].as_f64(), reason["limit_cpus"].as_f64()), (Some(2.0), Some(2.0)));
     assert_eq!(
         (&reason["by"][0]["job"], reason["by"][0]["cpus"].as_f64()),
@@ -128,7 +132,7 @@
     assert!(!text.contains('\u{1b}'), "no colours if the output is not a terminal");
     assert!(cluster.run_program(&["cancel", &first]).status.success());
     assert!(cluster.run_program(&["wait", &second, "--timeout", "60"]).status.success());
-    assert!(limit(&cluster).is_none());
+    assert!(limit_reason(&cluster).is_none());
 }
 
 /// Failures have distinct exit codes and messages; an invalid file is rejected before anything is sent.
@@ -136,19 +140,19 @@
 fn failures_have_exit_codes_and_name_what_was_expected() {
     let folder = tempfile::tempdir().expect("a folder");
     let cluster = TestCluster::start(&folder.path().join("r"), &["default=0:4"]);
-    let code = |arguments: &[&str]| {
+    let run = |arguments: &[&str]| {
         let output = cluster.run_program(arguments);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    assert_eq!(code(&["explain", "job-000001"]).0, Some(1));
-    assert_eq!(code(&["show", "nonsense"]).0, Some(1));
-    let (status, text) = code(&["submit", "--cpus", "400", "--", "true"]);
+    assert_eq!(run(&["explain", "job-000001"]).0, Some(1));
+    assert_eq!(run(&["show", "nonsense"]).0, Some(1));
+    let (status, text) = run(&["submit", "--cpus", "400", "--", "true"]);
     assert!(status == Some(4) && text.contains("422"), "{text}");
-    let (status, text) = code(&["list", "--state", "lost"]);
+    let (status, text) = run(&["list", "--state", "lost"]);
     assert!(status == Some(4) && text.contains("expected live, ended"), "{text}");
     let file = folder.path().join("jobs.hcl");
     std::fs::write(&file, "job \"a\" {\n  command = [\"true\"]\n  colour = 1\n}\n").expect("a file");
-    let (status, text) = code(&["submit", &file.display().to_string()]);
+    let (status, text) = run(&["submit", &file.display().to_string()]);
     assert!(status == Some(2) && text.contains("line 3") && text.contains("colour"), "{text}");
     assert_eq!(cluster.json(&["list"])[0]["jobs"].as_array().map(Vec::len), Some(0));
     // Submission is idempotent: the same id names the same job.
@@ -156,12 +160,12 @@
     assert_eq!(cluster.submit(&["--id", "job-000777", "--", "true"]), id);
     assert!(cluster.run_program(&["wait", &id, "--timeout", "60"]).status.success());
     assert_eq!(
-        code(&["submit", "--id", "job-000777", "--", "false"]).0,
+        run(&["submit", "--id", "job-000777", "--", "false"]).0,
         Some(4),
         "a different job with the same id"
     );
     let stopped = cluster.submit(&["--", "sleep", "600"]);
-    assert_eq!(code(&["wait", &stopped, "--timeout", "0.5"]).0, Some(6));
+    assert_eq!(run(&["wait", &stopped, "--timeout", "0.5"]).0, Some(6));
     assert!(cluster.run_program(&["cancel", &stopped]).status.success());
-    assert_eq!(code(&["wait", &stopped]).0, Some(5));
+    assert_eq!(run(&["wait", &stopped]).0, Some(5));
 }
--- a/crates/cli/tests/scale_run.rs
+++ b/crates/cli/tests/scale_run.rs
@@ -1,5 +1,5 @@
-//! Runs the small scale test with real processes on loopback: no invariant is violated, and violations by
-//! workers are detected.
+//! Runs the small scale test with real processes on loopback: invariants hold, a violation of one by defective workers
+//! is detected, and a plan that is too large for the machine is rejected.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -53,12 +53,16 @@
     let folder = tempfile::tempdir().expect("a folder");
     let plan = folder.path().join("broken.hcl");
     let small_plan = std::fs::read_to_string(small_plan()).expect("the small plan");
-    let fault = small_plan.find("fault \"").expect("its fault");
-    let change = small_plan.find("change \"").expect("its changes");
-    assert!(fault < change, "the changes come last");
-    let without_faults = small_plan[..fault].replacen("seconds      = 30", "seconds      = 8", 1);
-    std::fs::write(&plan, without_faults.replacen("drain_s = 20", "drain_s = 5\ndefect = \"hide_tasks\"", 1))
-        .expect("a plan");
+    let first_fault = small_plan.find("fault \"").expect("its fault");
+    let first_change = small_plan.find("change \"").expect("its changes");
+    assert!(first_fault < first_change, "the changes come last");
+    let without_faults_and_changes =
+        small_plan[..first_fault].replacen("seconds      = 30", "seconds      = 8", 1);
+    std::fs::write(
+        &plan,
+        without_faults_and_changes.replacen("drain_s = 20", "drain_s = 5\ndefect = \"hide_tasks\"", 1),
+    )
+    .expect("a plan");
     let (output, report) = run(&plan, &folder.path().join("out"));
     assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
     let violations = report["violations"].as_array().expect("violations");
--- a/crates/cli/tests/terminal_records.rs
+++ b/crates/cli/tests/terminal_records.rs
@@ -14,8 +14,7 @@
 use serde_json::Value;
 
 const RECORD_COUNTS: [u64; 4] = [0, 50_000, 200_000, 400_000];
-/// Records per commit to the store file.
-const BATCH: u64 = 10_000;
+const RECORDS_PER_COMMIT: u64 = 10_000;
 
 /// Returns the resident memory of a process in kB.
 fn resident_kb(pid: u64) -> u64 {
@@ -27,6 +26,7 @@
 /// Returns the CPU time of a process in clock ticks, which are hundredths of a second.
 fn cpu_ticks(pid: u64) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
+    // The program's name, in parentheses, may contain spaces, so fields are counted after it.
     let rest = text.rsplit(')').next().expect("fields");
     let fields: Vec<&str> = rest.split_whitespace().collect();
     fields[11].parse::<u64>().expect("user time") + fields[12].parse::<u64>().expect("system time")
@@ -42,7 +42,7 @@
         accepted_wall_ms: 1_790_000_000_000,
         first_start_wall_ms: Some(1_790_000_010_000),
     };
-    for batch in 0..count.div_ceil(BATCH) {
+    for batch in 0..count.div_ceil(RECORDS_PER_COMMIT) {
         let put = |index: u64| {
             let record =
                 TerminalRecord::new(TerminalState::Done, 1_790_000_060_000 + index, Some(detail.clone()));
@@ -54,7 +54,8 @@
                 lease: None,
             }
         };
-        let mut deltas: Vec<Delta> = (batch * BATCH..((batch + 1) * BATCH).min(count)).map(put).collect();
+        let mut deltas: Vec<Delta> =
+            (batch * RECORDS_PER_COMMIT..((batch + 1) * RECORDS_PER_COMMIT).min(count)).map(put).collect();
         deltas.push(Delta::Revision(count));
         file.commit(&deltas, &[]).expect("a commit");
     }
