--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -18,7 +18,7 @@
 use crate::exit::CommandError;
 use crate::render;
 
-const REQUEST_DEADLINE: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 const STEP_TIMEOUT: Duration = Duration::from_secs(120);
 const STEP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Allowed number of tasks of the largest job.
@@ -133,7 +133,7 @@
     let stop_flag = cluster.stop_flag();
     let cluster_thread = std::thread::spawn(move || cluster.run());
     let tasks = args.tasks.clamp(*TASKS_RANGE.start(), *TASKS_RANGE.end());
-    let client = Client::new(context, REQUEST_DEADLINE);
+    let client = Client::new(context, REQUEST_TIMEOUT);
     let outcome = Steps { start: Instant::now(), folder: &folder, client, stop_flag: &stop_flag }.run(tasks);
     stop_flag.store(true, Ordering::Relaxed);
     let cluster_result =
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -12,7 +12,7 @@
 /// Maximum number of jobs that one request fetches.
 const PAGE_SIZE: usize = 200;
 
-/// The jobs that were fetched until the last page, the limit or an error.
+/// The jobs that were fetched until the list ended, the limit was reached or a request failed.
 struct FetchedJobs {
     rows: Vec<JobSummary>,
     /// Whether the controllers have more jobs after `rows`.
--- a/crates/cli/src/commands/up.rs
+++ b/crates/cli/src/commands/up.rs
@@ -73,12 +73,16 @@
 /// Builds the configuration of the local cluster from the flags, or names the flag that is invalid.
 pub(super) fn cluster_config(args: &UpArgs) -> Result<ClusterConfig, CommandError> {
     if !CONTROLLERS_RANGE.contains(&args.controllers) || !MACHINES_RANGE.contains(&args.machines) {
-        return Err(usage_error(
-            "--controllers, --machines: expected 1 to 9 controllers and 1 to 200 machines".into(),
-        ));
+        return Err(usage_error(format!(
+            "--controllers, --machines: expected 1 to 9 controllers and 1 to 200 machines, not {} and {}",
+            args.controllers, args.machines
+        )));
     }
     if !(args.cpus > 0.0 && args.memory_gb > 0.0) {
-        return Err(usage_error("--cpus, --memory-gb: expected values above 0".into()));
+        return Err(usage_error(format!(
+            "--cpus, --memory-gb: expected values above 0, not {} and {}",
+            args.cpus, args.memory_gb
+        )));
     }
     let machine_type = MachineTypeSpec {
         name: "local".into(),
--- a/crates/cli/tests/measure.rs
+++ b/crates/cli/tests/measure.rs
@@ -50,8 +50,10 @@
             let Ok(text) = std::fs::read_to_string(&addresses_file) else { continue };
             let addresses: Value = serde_json::from_str(&text).expect("JSON");
             let all = addresses["controllers"].as_array().expect("controllers");
-            let addrs: Vec<SocketAddr> =
-                all.iter().map(|addr| addr.as_str().expect("one").parse().expect("an address")).collect();
+            let addrs: Vec<SocketAddr> = all
+                .iter()
+                .map(|addr| addr.as_str().expect("a string").parse().expect("an address"))
+                .collect();
             let leads = |addr: &SocketAddr| {
                 request(*addr, "GET", "/v1/status", "")
                     .is_some_and(|(_, body)| body.contains("\"leads\":true"))
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -24,7 +24,7 @@
 pub struct Client {
     context: Context,
     /// The longest time that a request may take, including all attempts.
-    deadline: Duration,
+    request_timeout: Duration,
     /// Index of the controller that the next request tries first: a random one for the first request, then the
     /// one that gave the last final response.
     preferred_controller: usize,
@@ -32,11 +32,11 @@
 }
 
 impl Client {
-    /// Creates a client of the context's controllers that gives up on a request when the deadline has passed.
-    pub fn new(context: Context, deadline: Duration) -> Client {
+    /// Creates a client of the context's controllers, which gives up on a request when the timeout has passed.
+    pub fn new(context: Context, request_timeout: Duration) -> Client {
         let mut rng: SmallRng = SmallRng::from_rng(&mut rand::rng());
         let preferred_controller = rng.random_range(0..context.controllers.len().max(1));
-        Client { context, deadline, preferred_controller, rng }
+        Client { context, request_timeout, preferred_controller, rng }
     }
 
     /// Tries the controllers until one gives a final response, and returns its body.
@@ -44,7 +44,7 @@
         let request = Request { method, path, body };
         let controllers = self.context.controllers.clone();
         let start = Instant::now();
-        let deadline_ms = self.deadline.as_millis() as u64;
+        let deadline_ms = self.request_timeout.as_millis() as u64;
         let mut retries = RetryState::new(controllers.len(), self.preferred_controller, deadline_ms);
         let mut last_refusal = None;
         let mut next = retries.first_decision();
@@ -53,7 +53,7 @@
                 return Err(last_refusal.unwrap_or_else(|| self.no_response(&controllers)));
             };
             std::thread::sleep(Duration::from_millis(wait_ms));
-            let remaining = self.deadline.saturating_sub(start.elapsed()).max(MIN_ATTEMPT_TIMEOUT);
+            let remaining = self.request_timeout.saturating_sub(start.elapsed()).max(MIN_ATTEMPT_TIMEOUT);
             let response = request.send(controllers[controller], ATTEMPT_TIMEOUT.min(remaining));
             let outcome = response.as_ref().map_or(AttemptOutcome::Lost, |response| {
                 AttemptOutcome::Response { status: response.status, retry_after_s: response.retry_after_s }
@@ -71,7 +71,7 @@
 
     fn no_response(&self, tried: &[SocketAddr]) -> ClientError {
         let tried: Vec<String> = tried.iter().map(ToString::to_string).collect();
-        ClientError::NoResponse { deadline_s: self.deadline.as_secs_f64(), tried: tried.join(", ") }
+        ClientError::NoResponse { deadline_s: self.request_timeout.as_secs_f64(), tried: tried.join(", ") }
     }
 
     /// Makes the next request try the following controller first.
@@ -86,13 +86,13 @@
     /// Queries the status of each controller, one after the other, with a single attempt each. The status is
     /// `None` if the controller does not respond with one.
     pub fn controller_statuses(&self) -> Vec<(SocketAddr, Option<ControllerStatus>)> {
-        let timeout = ATTEMPT_TIMEOUT.min(self.deadline);
+        let timeout = ATTEMPT_TIMEOUT.min(self.request_timeout);
         let request = Request { method: "GET", path: "/v1/status", body: b"" };
         let status = |addr: &SocketAddr| serde_json::from_slice(&request.send(*addr, timeout)?.body).ok();
         self.context.controllers.iter().map(|addr| (*addr, status(addr))).collect()
     }
 
-    /// Sends a request to the context's job store, with retries until it gives a final response or the deadline passes.
+    /// Sends a request to the context's job store, with retries until it gives a final response or the timeout passes.
     pub(crate) fn job_store_request(
         &self,
         method: &str,
@@ -101,7 +101,7 @@
     ) -> Result<Vec<u8>, ClientError> {
         let job_store = self.context.job_store.ok_or(ClientError::NoJobStore)?;
         let request = Request { method, path, body };
-        let deadline = Instant::now() + self.deadline;
+        let deadline = Instant::now() + self.request_timeout;
         while Instant::now() < deadline {
             match request.send(job_store, ATTEMPT_TIMEOUT) {
                 Some(response) if response.status < 300 => return Ok(response.body),
