--- a/crates/cli/src/commands/up.rs
+++ b/crates/cli/src/commands/up.rs
@@ -9,7 +9,7 @@
     ClusterAddresses, ClusterConfig, ControllerPlan, LocalCluster, MachineTypeSpec,
 };
 
-use crate::args::Up;
+use crate::args::UpArgs;
 use crate::exit::{CommandError, own_program};
 
 /// The controllers' tunables if no file is given.
@@ -44,8 +44,8 @@
 fn parse_team(text: &str) -> Result<(String, f64, f64), CommandError> {
     let invalid =
         || usage_error(format!("--team: expected NAME=CPUS:MOST, such as office=2:4, not {text:?}"));
-    let (name, shares) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(invalid)?;
-    let (guaranteed, limit) = shares.split_once(':').ok_or_else(invalid)?;
+    let (name, quota) = text.split_once('=').filter(|(name, _)| !name.is_empty()).ok_or_else(invalid)?;
+    let (guaranteed, limit) = quota.split_once(':').ok_or_else(invalid)?;
     let number = |text: &str| {
         let cpus = text.parse::<f64>().ok();
         cpus.filter(|cpus| (0.0..=MAX_TEAM_CPUS).contains(cpus)).ok_or_else(invalid)
@@ -53,8 +53,9 @@
     Ok((name.into(), number(guaranteed)?, number(limit)?))
 }
 
-/// Returns how the controllers are started: by olivelatchctl itself unless a program is named, with checked tunables.
-fn controller_plan(args: &Up) -> Result<ControllerPlan, CommandError> {
+/// Returns how to start the controllers: with the program that `--controller` names or else olivelatchctl itself, and
+/// with the tunables of `--tunables` or else the default ones, which are validated here.
+fn controller_plan(args: &UpArgs) -> Result<ControllerPlan, CommandError> {
     let tunables = match &args.tunables {
         Some(path) => std::fs::read_to_string(path)
             .map_err(|error| usage_error(format!("{}: {error}", path.display())))?,
@@ -70,14 +71,18 @@
 }
 
 /// Builds the configuration of the local cluster from the flags, or names the flag that is invalid.
-pub(super) fn cluster_config(args: &Up) -> Result<ClusterConfig, CommandError> {
+pub(super) fn cluster_config(args: &UpArgs) -> Result<ClusterConfig, CommandError> {
     if !CONTROLLERS_RANGE.contains(&args.controllers) || !MACHINES_RANGE.contains(&args.machines) {
-        return Err(usage_error(
-            "--controllers, --machines: expected 1 to 9 controllers and 1 to 200 machines".into(),
-        ));
+        return Err(usage_error(format!(
+            "--controllers, --machines: expected 1 to 9 controllers and 1 to 200 machines, not {} and {}",
+            args.controllers, args.machines
+        )));
     }
     if !(args.cpus > 0.0 && args.memory_gb > 0.0) {
-        return Err(usage_error("--cpus, --memory-gb: expected values above 0".into()));
+        return Err(usage_error(format!(
+            "--cpus, --memory-gb: expected values above 0, not {} and {}",
+            args.cpus, args.memory_gb
+        )));
     }
     let machine_type = MachineTypeSpec {
         name: "local".into(),
@@ -115,7 +120,7 @@
 }
 
 /// Runs a local cluster until it is interrupted.
-pub(super) fn run_up(args: &Up) -> Result<(), CommandError> {
+pub(super) fn run_up(args: &UpArgs) -> Result<(), CommandError> {
     let config = cluster_config(args)?;
     let folder = config.folder.clone();
     let cluster = LocalCluster::open(config)?;
--- a/crates/cli/src/render/jobs.rs
+++ b/crates/cli/src/render/jobs.rs
@@ -50,11 +50,12 @@
     value_or_unknown(turnaround_ms.map(duration_text))
 }
 
-/// Colours the states after the table is laid out, as colour codes in a cell would widen its column.
+/// Colours the states, which are in the second column, after the table is laid out, as colour codes in a cell would
+/// widen its column.
 fn colour_states(text: &str) -> String {
     let colour_line = |line: &str| {
-        let word = line.split_whitespace().nth(1);
-        match JOB_PHASES.into_iter().find(|state| word == Some(state.as_str())) {
+        let second_column = line.split_whitespace().nth(1);
+        match JOB_PHASES.into_iter().find(|state| second_column == Some(state.as_str())) {
             Some(state) => line.replacen(state.as_str(), &painted_state(state), 1),
             None => line.to_string(),
         }
@@ -63,9 +64,9 @@
 }
 
 /// Renders one job: its task counts, its times, the resources per task, and its unfinished tasks.
-pub fn job_detail(detail: &JobDetail) -> String {
+pub fn job_detail_text(detail: &JobDetail) -> String {
     let mut lines = summary_lines(&detail.summary);
-    lines.extend(request_line(detail));
+    lines.extend(task_resources_line(detail));
     if detail.source == ResponseSource::Store && !detail.summary.state.is_terminal() {
         lines.push(
             "from the stored records, as no leader responds: the state of tasks on their machines is unknown"
@@ -102,7 +103,7 @@
     ]
 }
 
-fn request_line(detail: &JobDetail) -> Option<String> {
+fn task_resources_line(detail: &JobDetail) -> Option<String> {
     let spec = detail.spec.as_ref()?;
     let image = if spec.image_gb > 0.0 {
         format!(", image {} of {} GB", spec.image, spec.image_gb)
