--- a/crates/local-cluster/src/cluster/mod.rs
+++ b/crates/local-cluster/src/cluster/mod.rs
@@ -40,7 +40,7 @@
     pub machine_types: Vec<MachineTypeSpec>,
     /// Name, guaranteed CPUs and CPU limit of each team. A limit of 0 means no limit.
     pub teams: Vec<(String, f64, f64)>,
-    /// How controllers are started.
+    /// Program, arguments, tunables and log level of all controllers.
     pub controller_plan: ControllerPlan,
 }
 
--- a/crates/worker/src/machine.rs
+++ b/crates/worker/src/machine.rs
@@ -20,11 +20,11 @@
     pub zone: String,
     /// Whether the machine is a spot instance, which the cloud may reclaim.
     pub spot: bool,
-    /// Number of CPUs.
+    /// CPUs that the tasks on the machine may use in total.
     pub cpus: f64,
-    /// Number of accelerators.
+    /// GPUs that the tasks on the machine may use in total.
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory that the tasks on the machine may use in total, in GB.
     pub memory_gb: f64,
     /// Rate at which the machine fetches images, in GB per second.
     pub image_fetch_gb_per_s: f64,
--- a/src/coordination/leader/debug_status.rs
+++ b/src/coordination/leader/debug_status.rs
@@ -66,18 +66,13 @@
         }
         let team_cpu: BTreeMap<TeamIx, u64> =
             self.quotas.usage.iter().map(|(team, used)| (*team, used.cpu)).collect();
+        let (backlog, gangs) = (self.placement.backlog.len(), self.placement.waiting_gangs.len());
+        let tasks = format!("{shared} shared, {dedicated} dedicated and {backlog} backlog tasks");
+        let teams = format!("team CPUs in thousandths: {team_cpu:?}");
+        let segments = self.assignment_log.segment_count();
+        let counters = &self.counters;
         log::debug!(
-            concat!(
-                "status of queues: {} shared, {} dedicated and {} backlog tasks; {} waiting gangs; ",
-                "{} log segments; team CPUs in thousandths: {:?}; {:?}"
-            ),
-            shared,
-            dedicated,
-            self.placement.backlog.len(),
-            self.placement.waiting_gangs.len(),
-            self.assignment_log.segment_count(),
-            team_cpu,
-            self.counters
+            "status of queues: {tasks}; {gangs} waiting gangs; {segments} log segments; {teams}; {counters:?}"
         );
     }
 
