--- a/crates/scale-test/src/arrivals.rs
+++ b/crates/scale-test/src/arrivals.rs
@@ -190,7 +190,7 @@
 fn submission(stream: &ArrivalStream, job: &SimulatedJob, team: usize, run_s: f64) -> Value {
     let plan = &stream.plan;
     json!({"uid": job.job, "jobclass": stream.class, "owner": team_name(team), "shape": plan.shape,
-        "urgency": plan.urgency, "pieces": job.tasks, "vcpus": plan.cpus, "accelerators": 0.0,
+        "urgency": plan.priority_class, "pieces": job.tasks, "vcpus": plan.cpus, "accelerators": 0.0,
         "memory_gb": plan.memory_gb, "bundle": job.image, "size_gb": plan.image_gb, "boxkinds": null, "hall": null,
         "together": plan.one_zone, "scatter": false, "loaners": true, "guess_s": run_s, "snapshot_s": 0.0,
         "flush_s": CHECKPOINT_MS as f64 / 1000.0, "due_s": null})
--- a/crates/scale-test/src/plan/mod.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -96,7 +96,8 @@
     /// Job kind that the scheduler distinguishes, such as array or gang.
     pub shape: JobKind,
     /// Priority class of the jobs.
-    pub urgency: PriorityClass,
+    #[serde(rename = "urgency")]
+    pub priority_class: PriorityClass,
     /// Fraction of all task starts that belong to jobs of this kind, from 0 to 1.
     pub share: f64,
     /// Possible numbers of tasks; one is drawn for each job.
--- a/crates/scale-test/src/run/task_events.rs
+++ b/crates/scale-test/src/run/task_events.rs
@@ -62,7 +62,7 @@
         }
         self.measurements.waiting_tasks -= 1;
         let is_urgent =
-            self.plan.jobs.get(&arrival.class).is_some_and(|job| job.urgency <= PriorityClass::High);
+            self.plan.jobs.get(&arrival.class).is_some_and(|job| job.priority_class <= PriorityClass::High);
         if is_urgent && wait_ms > URGENT_OBJECTIVE_MS {
             self.report.urgent_past_objective += 1;
             self.report.urgent_late_at_limit += u64::from(user.team_at_limit);
--- a/crates/scale-test/src/simulated_workers/observation.rs
+++ b/crates/scale-test/src/simulated_workers/observation.rs
@@ -54,7 +54,7 @@
         for attempt in worker.attempts.iter().filter(|attempt| attempt.has_image) {
             self.observe_attempt(name, attempt, now, events);
         }
-        // The worker no longer lists attempts that were killed with their agent epoch or deleted.
+        // The worker no longer lists attempts that were deleted or were killed at the end of their worker epoch.
         self.observed.retain(|key, phase| {
             let listed =
                 worker.attempts.iter().any(|attempt| attempt.attempt == key.1 && attempt.task == key.0);
--- a/crates/scale-test/tests/golden.rs
+++ b/crates/scale-test/tests/golden.rs
@@ -41,7 +41,7 @@
 
 fn jobs(plan: &Plan) -> Value {
     blocks(plan.jobs.iter(), |job| {
-        json!({"shape": job.shape, "urgency": job.urgency, "share": job.share, "tasks": job.tasks,
+        json!({"shape": job.shape, "urgency": job.priority_class, "share": job.share, "tasks": job.tasks,
             "cpus": job.cpus, "memory_gb": job.memory_gb, "run_s": job.run_s, "one_zone": job.one_zone,
             "image_gb": job.image_gb, "images": job.images, "done_within_s": job.objective_s,
             "cancelled": job.cancelled_share})
--- a/src/bookkeeping/dag_runs/deletion.rs
+++ b/src/bookkeeping/dag_runs/deletion.rs
@@ -87,7 +87,7 @@
 
     /// Removes the terminal records of nodes whose runs no longer exist. It must not be called before all records have
     /// been read.
-    pub fn forget_orphaned_terminals(&mut self) {
+    pub fn remove_orphaned_terminal_records(&mut self) {
         let index = &self.dag_runs.index;
         let has_run = |terminal: &NodeTerminalRecord| {
             DagRunName::parse(&terminal.run).is_some_and(|run| index.contains_key(&run))
--- a/src/bookkeeping/job_listing.rs
+++ b/src/bookkeeping/job_listing.rs
@@ -153,7 +153,7 @@
     });
     JobSpecView {
         kind: spec.kind,
-        priority_class: spec.urgency,
+        priority_class: spec.priority_class,
         cpus: from_milli(spec.task_resources.cpu),
         gpus: from_milli(spec.task_resources.gpu),
         memory_gb: from_milli(spec.task_resources.mem),
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -73,7 +73,7 @@
     /// Array, gang or service.
     pub kind: JobKind,
     /// Priority class that the user requested.
-    pub urgency: PriorityClass,
+    pub priority_class: PriorityClass,
     /// Number of tasks.
     pub tasks: u32,
     /// Resources of one task.
@@ -147,7 +147,7 @@
             class: names.classes.intern(&manifest.job_class),
             team: names.teams.intern(&manifest.team),
             kind: manifest.kind,
-            urgency: manifest.priority_class,
+            priority_class: manifest.priority_class,
             tasks: manifest.tasks,
             task_resources: task_resources(manifest),
             machine_types: manifest
--- a/src/coordination/controller/kv_replies.rs
+++ b/src/coordination/controller/kv_replies.rs
@@ -47,7 +47,7 @@
         self.record_page_read(clock);
         if is_complete {
             self.config_requests.record_full_read(clock.now);
-            self.state.cache.forget_orphaned_terminals();
+            self.state.cache.remove_orphaned_terminal_records();
             log::info!("records read up to revision {}", self.state.cache.revision.0);
         }
     }
--- a/src/coordination/leader/binding.rs
+++ b/src/coordination/leader/binding.rs
@@ -17,7 +17,7 @@
     SentInResponse { sequence: u64 },
     /// Sent in a direct message whose outcome is not known yet.
     SentDirect,
-    /// The agent has reported the task or has acknowledged its start command.
+    /// The worker has reported the task or has acknowledged its start command.
     Observed,
     /// Recovered from the records of an earlier leader: the task may or may not be on the machine.
     Inherited,
@@ -41,7 +41,7 @@
     /// The log segment that records the binding.
     pub log_segment: Option<SegmentId>,
     pub reported_state: Option<TaskPhase>,
-    /// A direct start command with an unknown outcome may still reach the agent.
+    /// A direct start command with an unknown outcome may still reach the worker.
     pub late_start_possible: bool,
     pub fetching_since: Option<Millis>,
     pub running_since: Option<Millis>,
--- a/src/coordination/leader/machine.rs
+++ b/src/coordination/leader/machine.rs
@@ -8,7 +8,7 @@
 use super::placement::gangs;
 use super::placement::queues::Queue;
 use super::records::assignment_log::SegmentId;
-use crate::ids::{AgentEpoch, Attempt, ImageIx, JobId, MachineTypeIx, Millis, Resources, TaskId, ZoneIx};
+use crate::ids::{Attempt, ImageIx, JobId, MachineTypeIx, Millis, Resources, TaskId, WorkerEpoch, ZoneIx};
 
 /// Consecutive messages with task starts that must be unacknowledged before a machine's receive path counts as down. A
 /// single one may be due to a lost packet or a pause of this controller.
@@ -19,41 +19,41 @@
 pub enum MachineState {
     /// Requested from the cloud; no heartbeat has been received yet.
     Booting,
-    /// Its agent sends heartbeats, or the agent's lease may still be valid.
+    /// Its worker sends heartbeats, or the worker's lease may still be valid.
     Up,
-    /// Its agent's lease has expired, or the cloud lists it as failed: it runs no task. It may come back with a new
+    /// Its worker's lease has expired, or the cloud lists it as failed: it runs no task. It may come back with a new
     /// epoch.
     Unreachable,
     /// Released by the cloud: it runs no task.
     Gone,
 }
 
-/// A machine with the state of its agent, its queues and the tasks that may be on it.
+/// A machine with the state of its worker, its queues and the tasks that may be on it.
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
-    /// Address at which its agent listens, `ip:port`. Empty if it is not known yet.
+    /// Address at which its worker listens, `ip:port`. Empty if it is not known yet.
     pub endpoint: String,
     pub machine_type: MachineTypeIx,
     pub zone: ZoneIx,
     pub spot: bool,
     pub state: MachineState,
-    /// The cloud has listed it as running. Without a heartbeat, its agent may still be looking for this leader.
+    /// The cloud has listed it as running. Without a heartbeat, its worker may still be looking for this leader.
     pub cloud_running: bool,
     /// Best estimate of when it was requested from the cloud.
     pub created_at: Millis,
-    /// The latest agent epoch that was seen in any message.
-    pub epoch: AgentEpoch,
+    /// The latest worker epoch that was seen in any message.
+    pub epoch: WorkerEpoch,
     /// When `epoch` was first seen: the lease of that epoch began no later than this.
     pub epoch_first_seen: Option<Millis>,
     /// The highest heartbeat sequence number that was seen in `epoch`, in any message.
     pub sequence: u64,
     /// Epoch and sequence number of the latest heartbeat that arrived as a request, not in the response to a direct
     /// command.
-    pub last_heartbeat_id: (AgentEpoch, u64),
-    /// Its agent has acknowledged the fencing token of this term, so it rejects commands of earlier leaders.
+    pub last_heartbeat_id: (WorkerEpoch, u64),
+    /// Its worker has acknowledged the fencing token of this term, so it rejects commands of earlier leaders.
     pub token_acknowledged: bool,
-    /// When its agent first acknowledged the token, if it did so in the response to a direct command and not in a
+    /// When its worker first acknowledged the token, if it did so in the response to a direct command and not in a
     /// heartbeat.
     pub token_first_acknowledged: Option<Millis>,
     /// Time of the last heartbeat that this leader answered and did not reject.
@@ -88,7 +88,7 @@
     /// A direct message to it is in flight.
     pub direct_send_in_flight: bool,
     pub direct_send_not_before: Millis,
-    /// Attempts whose direct start command may still arrive late. In this epoch the agent is not told to forget them
+    /// Attempts whose direct start command may still arrive late. In this epoch the worker is not told to forget them
     /// once they have exited, so that it does not start them again.
     pub late_starts: HashSet<(TaskId, Attempt)>,
     pub idle_since: Millis,
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MachineIdentity<'a> {
     pub name: &'a str,
-    /// Address at which its agent listens, `ip:port`. Empty if it is not known yet.
+    /// Address at which its worker listens, `ip:port`. Empty if it is not known yet.
     pub endpoint: &'a str,
     pub machine_type: MachineTypeIx,
     pub zone: ZoneIx,
@@ -146,10 +146,10 @@
             state: MachineState::Booting,
             cloud_running: false,
             created_at: now,
-            epoch: AgentEpoch(0),
+            epoch: WorkerEpoch(0),
             epoch_first_seen: None,
             sequence: 0,
-            last_heartbeat_id: (AgentEpoch(0), 0),
+            last_heartbeat_id: (WorkerEpoch(0), 0),
             token_acknowledged: false,
             token_first_acknowledged: None,
             last_answered_heartbeat_at: None,
--- a/src/coordination/leader/machines/capacity_plan/mod.rs
+++ b/src/coordination/leader/machines/capacity_plan/mod.rs
@@ -1,6 +1,6 @@
 //! The capacity plan: which machines the jobs need to complete in time, and how many have to be requested.
 //!
-//! Jobs are assigned to machines in the order of their urgency and objectives, to the cheapest machines
+//! Jobs are assigned to machines in the order of their priority class and objectives, to the cheapest machines
 //! first. For tasks that do not fit, machines are requested from the cloud. Machines to which nothing was
 //! assigned are cordoned: they take no queued tasks, so that they become empty and can be returned. A plan is
 //! computed from scratch each time and changes nothing until it is complete.
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Assigns all jobs: gangs and services first, then arrays, each ordered by urgency and the time left.
+    /// Assigns all jobs: gangs and services first, then arrays, each ordered by priority class and the time left.
     fn assign_jobs(&mut self) {
         let leader = self.leader;
         let mut jobs: Vec<PlannedJob<'_>> = leader
@@ -124,7 +124,7 @@
                 time_left_ms: leader.time_left_ms(state, self.clock),
             })
             .collect();
-        jobs.sort_by_key(|job| (job.is_array, job.state.spec.urgency, job.time_left_ms, job.ix));
+        jobs.sort_by_key(|job| (job.is_array, job.state.spec.priority_class, job.time_left_ms, job.ix));
         for job in jobs {
             if job.is_array {
                 self.assign_array(job.state, job.time_left_ms);
--- a/src/coordination/leader/machines/commands.rs
+++ b/src/coordination/leader/machines/commands.rs
@@ -8,7 +8,7 @@
 
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, DispatchState, Leader, Machine, MachineState};
-use crate::ids::{AgentEpoch, Attempt, MachineIx, Millis, TaskId};
+use crate::ids::{Attempt, MachineIx, Millis, TaskId, WorkerEpoch};
 use crate::protocol::workers::{TaskPhase, WorkerCommand};
 
 /// A stop command is sent again after this time while the worker still reports the task.
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 pub struct DirectMessage {
     pub machine: MachineIx,
-    /// The agent epoch for which the message is meant; 0 if it is not known yet.
-    pub epoch: AgentEpoch,
+    /// The worker epoch for which the message is meant; 0 if it is not known yet.
+    pub epoch: WorkerEpoch,
     /// The tasks that the commands start.
     pub task_starts: Vec<(TaskId, Attempt)>,
     /// Empty if the message only announces the leader.
--- a/src/coordination/leader/machines/heartbeats.rs
+++ b/src/coordination/leader/machines/heartbeats.rs
@@ -2,14 +2,14 @@
 //!
 //! An answered heartbeat renews the worker's lease, so a heartbeat that must not keep the worker alive is
 //! rejected. No command is sent to a worker before it has acknowledged the leader's fencing token, and state
-//! that was learned in an earlier agent epoch is void once a later one is seen. The state is kept in
+//! that was learned in an earlier worker epoch is void once a later one is seen. The state is kept in
 //! `Machine`; this module does no I/O and reads no clock. Task statuses are handled in `task_status`,
 //! differences between a heartbeat and the leader's bindings in `reconcile`.
 
 use crate::bookkeeping::store_cache::StoreCache;
 use crate::coordination::Clock;
 use crate::coordination::leader::{Binding, DispatchState, Leader, MachineIdentity, MachineState};
-use crate::ids::{AgentEpoch, MachineIx};
+use crate::ids::{MachineIx, WorkerEpoch};
 use crate::protocol::operators::JobEventKind;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 
@@ -159,7 +159,7 @@
         let previous = self.cluster.machines[ix.index()].epoch;
         if heartbeat.epoch > previous {
             self.cluster.machines[ix.index()].epoch_first_seen = Some(clock.now);
-            self.start_agent_epoch(ix, previous, heartbeat.epoch, clock);
+            self.start_worker_epoch(ix, previous, heartbeat.epoch, clock);
         }
         let machine = &mut self.cluster.machines[ix.index()];
         machine.epoch = heartbeat.epoch;
@@ -187,11 +187,17 @@
         self.on_interruption_notice(ix, notice_ms);
     }
 
-    /// Handles a new agent epoch: the worker's lease had expired, so tasks and commands of its earlier epoch
+    /// Handles a new worker epoch: the worker's lease had expired, so tasks and commands of its earlier epoch
     /// are void.
-    fn start_agent_epoch(&mut self, ix: MachineIx, previous: AgentEpoch, current: AgentEpoch, clock: Clock) {
+    fn start_worker_epoch(
+        &mut self,
+        ix: MachineIx,
+        previous: WorkerEpoch,
+        current: WorkerEpoch,
+        clock: Clock,
+    ) {
         self.cluster.machines[ix.index()].late_starts.clear();
-        if previous == AgentEpoch(0) {
+        if previous == WorkerEpoch(0) {
             return;
         }
         log::info!("machine {} starts epoch {}", self.cluster.machines[ix.index()].name, current.0);
--- a/src/coordination/leader/machines/liveness.rs
+++ b/src/coordination/leader/machines/liveness.rs
@@ -80,7 +80,7 @@
 
     /// Returns when a machine that stays silent is guaranteed to be empty: one lease duration, plus clock
     /// slack, after the latest time at which its worker's lease may have begun. A lease begins with an
-    /// answered heartbeat and with a new agent epoch, in which direct commands can start tasks although they
+    /// answered heartbeat and with a new worker epoch, in which direct commands can start tasks although they
     /// renew no lease.
     fn lease_expires_at(&self, machine: &Machine) -> Millis {
         let lease_ms = self.settings.worker_timings.lease_duration_ms;
--- a/src/coordination/leader/placement/best_effort.rs
+++ b/src/coordination/leader/placement/best_effort.rs
@@ -58,11 +58,12 @@
         let jobs = self.workload.jobs.values().filter(|job| job.probation.is_none());
         let (best_effort, other_jobs): (Vec<&JobState>, Vec<&JobState>) =
             jobs.partition(|job| self.is_best_effort(&job.spec));
-        let best_effort_urgency = best_effort.iter().map(|job| job.spec.urgency).min();
+        let highest_best_effort_priority = best_effort.iter().map(|job| job.spec.priority_class).min();
         let can_preempt = |job: &&JobState| {
             let team = self.quotas.team_settings.get(&job.spec.team);
             let has_guarantee = team.is_some_and(|team| team.guaranteed.cpu > 0);
-            has_guarantee || best_effort_urgency.is_some_and(|urgency| job.spec.urgency < urgency)
+            has_guarantee
+                || highest_best_effort_priority.is_some_and(|highest| job.spec.priority_class < highest)
         };
         if other_jobs.iter().all(can_preempt) {
             return 0;
--- a/src/coordination/leader/placement/gang_search_cache.rs
+++ b/src/coordination/leader/placement/gang_search_cache.rs
@@ -23,7 +23,7 @@
     spread: bool,
     allows_spot: bool,
     team: TeamIx,
-    urgency: PriorityClass,
+    priority_class: PriorityClass,
 }
 
 impl GangSearchKey {
@@ -36,7 +36,7 @@
             spread: spec.spread,
             allows_spot: spec.allows_spot,
             team: spec.team,
-            urgency: spec.urgency,
+            priority_class: spec.priority_class,
         }
     }
 }
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -23,10 +23,10 @@
 const UNGUARANTEED_WEIGHT_DIVISOR: u64 = 20;
 
 /// An array job that has not missed its last objective. The order of the fields is the order in which such jobs are
-/// assumed to run: by urgency, then with the least remaining work first.
+/// assumed to run: by priority class, then with the least remaining work first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ArrayWork {
-    urgency: PriorityClass,
+    priority_class: PriorityClass,
     /// CPU milliseconds.
     remaining_work: u64,
     job_ix: JobIx,
@@ -99,7 +99,7 @@
             } else if overload_ordering && !job.spec.is_all_or_nothing() && job.probation.is_none() {
                 let time_left_ms = self.time_to_last_objective_ms(job, clock);
                 arrays.push(ArrayWork {
-                    urgency: job.spec.urgency,
+                    priority_class: job.spec.priority_class,
                     remaining_work,
                     job_ix: *ix,
                     time_left_ms,
@@ -167,7 +167,7 @@
                 job.spec.accepted_wall_ms.saturating_add(total_run_ms)
             });
             let is_below_minimum = self.placement.priority_inputs.get(rank.job).below_minimum_share;
-            (!is_below_minimum, rank.urgency(), due_ms, *rank)
+            (!is_below_minimum, rank.priority_class(), due_ms, *rank)
         });
         ranks
     }
--- a/src/coordination/leader/placement/policy.rs
+++ b/src/coordination/leader/placement/policy.rs
@@ -1,7 +1,7 @@
 //! The order of service: which job gets the next free capacity. Plain jobs and DAG nodes share one order, with these
 //! criteria:
 //!
-//! 1. **Urgency** of the job.
+//! 1. **Priority class** of the job.
 //! 2. **Guarantee**: jobs that fit into their team's guarantee together with the team's earlier jobs come before jobs
 //!    that borrow.
 //! 3. **Objectives**: jobs that can still meet an objective come before jobs that cannot. Of the latter, those with the
@@ -37,7 +37,7 @@
 /// be found again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    urgency: PriorityClass,
+    priority_class: PriorityClass,
     start_by_bucket: u64,
     image_mb: Reverse<u64>,
     accepted_revision: Revision,
@@ -56,7 +56,7 @@
         let start_by_ms = (spec.accepted_wall_ms + objective_ms + size_penalty_ms)
             .saturating_sub(spec.estimated_run_ms + critical_path_ms);
         Rank {
-            urgency: spec.urgency,
+            priority_class: spec.priority_class,
             start_by_bucket: start_by_ms / START_BUCKET_MS,
             image_mb: Reverse(spec.image_mb),
             accepted_revision: spec.accepted_revision,
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Returns the job's urgency, the first criterion.
-    pub(super) fn urgency(&self) -> PriorityClass {
-        self.urgency
+    /// Returns the job's priority class, the first criterion.
+    pub(super) fn priority_class(&self) -> PriorityClass {
+        self.priority_class
     }
 }
 
@@ -121,7 +121,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueOrder {
     has_minimum_share: bool,
-    urgency: PriorityClass,
+    priority_class: PriorityClass,
     is_borrowing: bool,
     /// None, which sorts first, if the job can still meet an objective. The logarithm makes jobs with roughly equal
     /// remaining work compare by rank.
@@ -135,7 +135,7 @@
     pub fn new(rank: &Rank, inputs: PriorityInputs) -> QueueOrder {
         QueueOrder {
             has_minimum_share: !inputs.below_minimum_share,
-            urgency: rank.urgency,
+            priority_class: rank.priority_class,
             is_borrowing: !inputs.guaranteed,
             past_slo_work_log2: inputs.past_slo_work.map(|work| work.max(1).ilog2()),
             rank: *rank,
@@ -147,9 +147,9 @@
         if self.has_minimum_share && present.below_minimum_share {
             return false;
         }
-        let is_best_of_urgency =
+        let is_best_of_priority_class =
             self.past_slo_work_log2.is_none() && (!self.is_borrowing || !present.guaranteed);
-        self.urgency < rank.urgency || (is_best_of_urgency && self.rank < *rank)
+        self.priority_class < rank.priority_class || (is_best_of_priority_class && self.rank < *rank)
     }
 }
 
--- a/src/coordination/leader/placement/preemption.rs
+++ b/src/coordination/leader/placement/preemption.rs
@@ -28,7 +28,7 @@
 /// The priority of the jobs for which room is being made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreemptorPriority {
-    urgency: PriorityClass,
+    priority_class: PriorityClass,
     /// All of these jobs fit into their teams' guarantees.
     guaranteed: bool,
 }
@@ -37,7 +37,7 @@
     /// Combines two priorities into the lower one, so that only jobs that come after all preemptors have to yield.
     fn lowest(self, other: PreemptorPriority) -> PreemptorPriority {
         PreemptorPriority {
-            urgency: self.urgency.max(other.urgency),
+            priority_class: self.priority_class.max(other.priority_class),
             guaranteed: self.guaranteed && other.guaranteed,
         }
     }
@@ -102,7 +102,7 @@
     fn add_preemptor(&mut self, job_ix: JobIx) {
         let Some(job) = self.workload.jobs.get(&job_ix) else { return };
         let guaranteed = self.placement.priority_inputs.get(job_ix).guaranteed;
-        let preemptor = PreemptorPriority { urgency: job.spec.urgency, guaranteed };
+        let preemptor = PreemptorPriority { priority_class: job.spec.priority_class, guaranteed };
         let current = &mut self.placement.preemptor_priority;
         *current = Some(current.map_or(preemptor, |other| other.lowest(preemptor)));
     }
@@ -112,7 +112,7 @@
     pub(super) fn yields_to_preemptor(&self, job_ix: JobIx, job: &JobState) -> bool {
         let inputs = self.placement.priority_inputs.get(job_ix);
         let yields_to = |preemptor: PreemptorPriority| {
-            job.spec.urgency > preemptor.urgency || (preemptor.guaranteed && !inputs.guaranteed)
+            job.spec.priority_class > preemptor.priority_class || (preemptor.guaranteed && !inputs.guaranteed)
         };
         self.placement.preemptor_priority.is_some_and(yields_to)
             && !job.spec.is_all_or_nothing()
--- a/src/coordination/leader/placement/preemption_cost.rs
+++ b/src/coordination/leader/placement/preemption_cost.rs
@@ -19,7 +19,7 @@
 
 /// The rules by which a job may stop tasks to make room.
 pub(super) struct PreemptionPolicy {
-    urgency: PriorityClass,
+    priority_class: PriorityClass,
     team: TeamIx,
     /// Capacity borrowed by other teams that the job may reclaim.
     borrowed: BorrowedCapacity<TeamIx, JobIx>,
@@ -27,7 +27,7 @@
 
 impl PreemptionPolicy {
     pub(super) fn new(job: &JobState, borrowed: BorrowedCapacity<TeamIx, JobIx>) -> PreemptionPolicy {
-        PreemptionPolicy { urgency: job.spec.urgency, team: job.spec.team, borrowed }
+        PreemptionPolicy { priority_class: job.spec.priority_class, team: job.spec.team, borrowed }
     }
 
     /// Returns the borrowed capacity that may still be reclaimed.
@@ -42,7 +42,7 @@
 
     /// Returns whether tasks of the job with this specification may be stopped, and whether that reclaims `claim`.
     fn permission(&self, spec: &JobSpec, claim: BorrowedClaim) -> Permission {
-        if spec.urgency > self.urgency {
+        if spec.priority_class > self.priority_class {
             Permission::Granted
         } else if spec.team != self.team && self.borrowed.can_reclaim(claim.team, claim.amount) {
             Permission::Reclaims(claim)
--- a/src/coordination/leader/placement/tests/job_specs.rs
+++ b/src/coordination/leader/placement/tests/job_specs.rs
@@ -5,9 +5,9 @@
 
 /// Returns an array job of one task that is accepted `ready_s` seconds after a fixed time. `index` determines its id
 /// and the order of acceptance.
-pub(super) fn array_job(index: u32, urgency: &str, ready_s: u64) -> JobSpec {
+pub(super) fn array_job(index: u32, priority_class: &str, ready_s: u64) -> JobSpec {
     let spec = serde_json::json!({"uid": "job-000001", "jobclass": "c", "owner": "o", "shape": "array",
-            "urgency": urgency, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
+            "urgency": priority_class, "pieces": 1, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "b",
             "size_gb": 0.0, "together": false, "scatter": false, "loaners": false, "guess_s": 0.0, "snapshot_s": 0.0,
             "flush_s": 0.0});
     let spec = serde_json::from_value(spec).expect("a specification");
--- a/src/coordination/leader/placement/tests/policy.rs
+++ b/src/coordination/leader/placement/tests/policy.rs
@@ -9,7 +9,7 @@
 /// A waiting job, with the inputs that determine its position in the order.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
-    urgency: &'static str,
+    priority_class: &'static str,
     inputs: PriorityInputs,
     ready_s: u64,
     objective_s: u64,
@@ -18,13 +18,13 @@
 }
 
 const fn candidate(
-    urgency: &'static str,
+    priority_class: &'static str,
     inputs: PriorityInputs,
     ready_s: u64,
     objective_s: u64,
     downstream_s: Option<u64>,
 ) -> Candidate {
-    Candidate { urgency, inputs, ready_s, objective_s, downstream_s }
+    Candidate { priority_class, inputs, ready_s, objective_s, downstream_s }
 }
 
 const BORROWING: PriorityInputs =
@@ -36,7 +36,7 @@
     PriorityInputs { below_minimum_share: true, ..PAST_SLO_MUCH_LEFT };
 
 fn queue_order(index: u32, candidate: Candidate) -> QueueOrder {
-    let mut spec = array_job(index, candidate.urgency, candidate.ready_s);
+    let mut spec = array_job(index, candidate.priority_class, candidate.ready_s);
     spec.node = candidate.downstream_s.map(|downstream_s| {
         Arc::new(NodeSpec {
             run: DagRunName::parse("r").expect("a name"),
@@ -70,7 +70,7 @@
 #[test]
 fn early_exit_finds_the_same_first() {
     let mut all = Vec::new();
-    for urgency in ["high", "normal"] {
+    for priority_class in ["high", "normal"] {
         let guaranteed_past_slo = PriorityInputs { guaranteed: true, ..PAST_SLO_MUCH_LEFT };
         for inputs in [
             WITHIN_GUARANTEE,
@@ -81,7 +81,7 @@
             BELOW_MINIMUM_SHARE,
         ] {
             for objective_s in [60, 300, 900] {
-                all.push(candidate(urgency, inputs, 0, objective_s, None));
+                all.push(candidate(priority_class, inputs, 0, objective_s, None));
             }
         }
     }
@@ -111,7 +111,7 @@
     let plain = candidate("normal", BORROWING, 0, 600, None);
     let table: [(&str, Candidate, Candidate); 12] = [
         (
-            "urgency comes before guarantees and objectives",
+            "the priority class comes before guarantees and objectives",
             candidate("high", PAST_SLO_LITTLE_LEFT, 900, 900, None),
             candidate("normal", WITHIN_GUARANTEE, 0, 60, Some(500)),
         ),
--- a/src/ids/mod.rs
+++ b/src/ids/mod.rs
@@ -113,7 +113,7 @@
 
 /// The incarnation of a worker; it increases when the worker's lease expires.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
-pub struct AgentEpoch(pub u64);
+pub struct WorkerEpoch(pub u64);
 
 /// A revision of the key-value store.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{HttpRequest, HttpResponse};
-use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskId};
+use crate::ids::{Attempt, FencingToken, TaskId, WorkerEpoch};
 
 /// Reasons why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub epoch: AgentEpoch,
+    pub epoch: WorkerEpoch,
     /// Increases with each heartbeat of an epoch.
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
@@ -176,7 +176,7 @@
         machine_type: wire.machine_type,
         zone: wire.zone,
         spot: wire.spot,
-        epoch: AgentEpoch(wire.epoch),
+        epoch: WorkerEpoch(wire.epoch),
         sequence: wire.sequence,
         token: FencingToken(wire.token),
         reclaim_notice_ms: wire.reclaim_notice_s.map(|s| (s.max(0.0) * 1000.0) as u64),
@@ -238,7 +238,7 @@
 
 /// Returns a request that sends commands between heartbeats; the worker rejects it if `epoch` is not the worker's
 /// current epoch.
-pub fn commands_request(token: FencingToken, epoch: AgentEpoch, commands: &[WorkerCommand]) -> HttpRequest {
+pub fn commands_request(token: FencingToken, epoch: WorkerEpoch, commands: &[WorkerCommand]) -> HttpRequest {
     HttpRequest::post(
         "/orders",
         &CommandsWire {
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,6 +1,6 @@
 //! Messages exchanged with users, workers, the cloud, the key-value store and operators, and between controllers.
 
-use olivelatch::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision};
+use olivelatch::ids::{Attempt, FencingToken, JobId, LeaseId, Revision, WorkerEpoch};
 use olivelatch::protocol::cloud::CloudRequest;
 use olivelatch::protocol::config::parse_config_request;
 use olivelatch::protocol::graphs::parse_graph_request;
@@ -114,8 +114,10 @@
     ];
     golden.case("orders", wire::response(&commands_response(FencingToken(31), &commands)));
     golden.case("no orders", wire::response(&commands_response(FencingToken(31), &[])));
-    golden
-        .case("orders, called", wire::request(&commands_request(FencingToken(31), AgentEpoch(4), &commands)));
+    golden.case(
+        "orders, called",
+        wire::request(&commands_request(FencingToken(31), WorkerEpoch(4), &commands)),
+    );
     golden.case("elsewhere", wire::response(&redirect_response(Some("n2"))));
     golden.case("elsewhere, not known where", wire::response(&redirect_response(None)));
     golden.check();
