--- a/src/coordination/graph_requests/upload.rs
+++ b/src/coordination/graph_requests/upload.rs
@@ -67,7 +67,7 @@
 }
 
 impl PartBatch {
-    fn has_room(&self, bytes: usize, max_ops: usize) -> bool {
+    fn fits(&self, bytes: usize, max_ops: usize) -> bool {
         // One mutation is reserved for the key of graph acceptance.
         let fits_ops = self.mutations.len() + 2 <= max_ops;
         let fits_bytes = self.bytes == 0 || self.bytes + bytes <= MAX_TXN_BYTES;
@@ -116,7 +116,7 @@
             StoredPart::Replaceable => batch.replaces_part = true,
             StoredPart::Missing => {}
         }
-        if !batch.has_room(value.len(), context.max_ops) {
+        if !batch.fits(value.len(), context.max_ops) {
             batch.is_incomplete = true;
             break;
         }
--- a/src/coordination/leader/dag_runs/mod.rs
+++ b/src/coordination/leader/dag_runs/mod.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether the job's pool has free slots for `tasks` more tasks. A job without a pool is not limited.
-    pub(super) fn pool_has_room(&self, state: &JobState, tasks: u32) -> bool {
+    pub(super) fn pool_has_free_slots(&self, state: &JobState, tasks: u32) -> bool {
         let Some(pool) = state.spec.pool() else { return true };
         let used = self.dag_runs.pool_used.get(&pool).copied().unwrap_or(0);
         self.dag_runs.pool_slots.get(&pool).is_none_or(|slots| used + tasks <= *slots)
--- a/src/coordination/leader/explain/limits.rs
+++ b/src/coordination/leader/explain/limits.rs
@@ -69,7 +69,7 @@
     /// Returns the usage of the job's pool, if the pool has too few free slots.
     pub(super) fn pool_full_reason(&self) -> Option<StateReason> {
         let pool = self.job.spec.pool()?;
-        if self.leader.pool_has_room(self.job, self.tasks_at_once() as u32) {
+        if self.leader.pool_has_free_slots(self.job, self.tasks_at_once() as u32) {
             return None;
         }
         Some(StateReason::PoolFull {
--- a/src/coordination/leader/explain/machine_counts.rs
+++ b/src/coordination/leader/explain/machine_counts.rs
@@ -95,7 +95,7 @@
         let accepts_job = !(machine.cordoned || machine.reserved) || explanation.job.spec.is_all_or_nothing();
         let other_hold = machine.hold.filter(|hold| hold.job != explanation.job_ix);
         match explanation.leader.placement_blocker(machine_ix, &free, explanation.job) {
-            Some(PlacementBlocker::InsufficientRoom) => type_capacity.without_capacity += 1,
+            Some(PlacementBlocker::InsufficientCapacity) => type_capacity.without_capacity += 1,
             Some(PlacementBlocker::ZoneRule) => type_capacity.excluded_by_zone += 1,
             _ if other_hold.is_some() => {
                 self.held += 1;
--- a/src/coordination/leader/placement/best_effort.rs
+++ b/src/coordination/leader/placement/best_effort.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the CPUs that jobs other than best-effort jobs use or wait for, in thousandths. If all of these jobs may
-    /// stop best-effort tasks, returns 0: no capacity has to be kept free, as preemption makes room for them.
+    /// stop best-effort tasks, returns 0: no capacity has to be kept free, as preemption frees it for them.
     fn non_best_effort_demand(&self) -> u64 {
         let jobs = self.workload.jobs.values().filter(|job| job.probation.is_none());
         let (best_effort, other_jobs): (Vec<&JobState>, Vec<&JobState>) =
--- a/src/coordination/leader/placement/dispatch.rs
+++ b/src/coordination/leader/placement/dispatch.rs
@@ -1,8 +1,8 @@
 //! The placement pass: moves due tasks to queues, places gangs, and fills machines from their queues, dedicated queues
 //! first.
 //!
-//! A pass examines only machines with new room or new tasks, and thieves whose backoff has ended, so that its cost is
-//! proportional to what changed.
+//! A pass examines only machines with newly free capacity or new tasks, and thieves whose backoff has ended, so that
+//! its cost is proportional to what changed.
 
 use olivelatch_admission::pressure::PressureLevel;
 
--- a/src/coordination/leader/placement/eligibility.rs
+++ b/src/coordination/leader/placement/eligibility.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementBlocker {
     /// The task does not fit into the machine's free capacity.
-    InsufficientRoom,
+    InsufficientCapacity,
     /// The machine is not up, has not acknowledged the leader's fencing token, does not receive commands, is being
     /// returned, quarantined or slow, or is about to be reclaimed.
     Unavailable,
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartCheck {
     Allowed,
-    /// Only a cluster-wide limit, or yielding to jobs for which room is being made, keeps the task from starting.
+    /// Only a cluster-wide limit, or yielding to jobs for which tasks are being stopped, keeps the task from starting.
     Limited,
     Blocked,
 }
@@ -86,7 +86,7 @@
         job: &JobState,
     ) -> Option<PlacementBlocker> {
         if !job.spec.task_resources.fits_in(free) {
-            return Some(PlacementBlocker::InsufficientRoom);
+            return Some(PlacementBlocker::InsufficientCapacity);
         }
         if let Some(blocker) = self.machine_blocker(machine_ix, job) {
             return Some(blocker);
@@ -97,7 +97,7 @@
         if !self.within_quota(job.spec.team, &job.spec.task_resources) {
             return Some(PlacementBlocker::TeamLimit);
         }
-        if !self.pool_has_room(job, 1) {
+        if !self.pool_has_free_slots(job, 1) {
             return Some(PlacementBlocker::PoolFull);
         }
         (self.best_effort_slots(job) == 0).then_some(PlacementBlocker::BestEffortLimit)
--- a/src/coordination/leader/placement/gang_search.rs
+++ b/src/coordination/leader/placement/gang_search.rs
@@ -1,5 +1,5 @@
-//! Searches for machines for all tasks of a gang or service, among the machine types and zones that fit. Counts room
-//! that is free, or that preemption or draining can make.
+//! Searches for machines for all tasks of a gang or service, among the machine types and zones that fit. Counts
+//! capacity that is free, and capacity that preemption or draining can free.
 //!
 //! The functions read the leader's state and change nothing.
 
@@ -38,19 +38,19 @@
     pub(in crate::coordination::leader) machines: Vec<MachineIx>,
 }
 
-/// Room on a machine that is free or can be made.
-struct RoomEstimate {
-    room: Resources,
-    /// Cost of making the room in milliseconds: waiting time, and lost work divided by the CPUs of one task.
+/// Capacity of a machine that is free or can be freed for a gang.
+struct CapacityEstimate {
+    free: Resources,
+    /// Cost of freeing it in milliseconds: waiting time, and lost work divided by the CPUs of one task.
     delay_ms: u64,
-    /// Borrowed capacity that is reclaimed to make the room.
+    /// Borrowed capacity that is reclaimed by freeing it.
     claims: Vec<BorrowedClaim>,
 }
 
 /// A machine that a gang could use.
 struct Candidate {
     delay_ms: u64,
-    /// Number of tasks for which the machine has room.
+    /// Number of tasks that the machine can take.
     slots: u64,
     machine_ix: MachineIx,
     claims: Vec<BorrowedClaim>,
@@ -58,7 +58,7 @@
 
 impl Leader {
     /// Returns the machines on which all `count` tasks can start with the least delay, or None if there is not enough
-    /// room.
+    /// capacity.
     pub(super) fn find_gang_placement(
         &self,
         job_ix: JobIx,
@@ -92,7 +92,7 @@
         zones.into_iter().map(Some).collect()
     }
 
-    /// Returns machines for as many of the tasks as there is room for.
+    /// Returns machines for as many of the tasks as possible.
     pub(in crate::coordination::leader) fn find_partial_placement(
         &self,
         search: &GangSearch<'_>,
@@ -103,7 +103,7 @@
         self.choose_machines(search, candidates, policy.borrowed().clone())
     }
 
-    /// Returns the machines with room for at least one task, in ascending order of delay.
+    /// Returns the machines that can take at least one task, in ascending order of delay.
     fn candidates(
         &self,
         search: &GangSearch<'_>,
@@ -141,11 +141,13 @@
             return None;
         }
         let estimate = match method {
-            PlacementMethod::Free => RoomEstimate { room: machine.free(), delay_ms: 0, claims: Vec::new() },
-            PlacementMethod::Preempt => self.room_after_preemption(machine, job, policy, clock),
-            PlacementMethod::Drain => self.room_after_drain(machine, job, clock),
+            PlacementMethod::Free => {
+                CapacityEstimate { free: machine.free(), delay_ms: 0, claims: Vec::new() }
+            }
+            PlacementMethod::Preempt => self.free_after_preemption(machine, job, policy, clock),
+            PlacementMethod::Drain => self.free_after_drain(machine, job, clock),
         };
-        let slots = need.max_count_in(&estimate.room).min(self.placement.max_tasks_per_record as u64);
+        let slots = need.max_count_in(&estimate.free).min(self.placement.max_tasks_per_record as u64);
         (slots > 0).then(|| Candidate {
             delay_ms: estimate.delay_ms + self.image_fetch_ms(machine, job),
             slots,
@@ -191,9 +193,9 @@
         GangPlacement { delay_ms, machines }
     }
 
-    /// Returns how often room has grown on machines of the types that the job's tasks fit. A failed search is
-    /// repeated when this number has changed.
-    pub(super) fn room_generation(&self, job: &JobState) -> u64 {
+    /// Returns how often capacity has become free on machines of the types that the job's tasks fit. A failed search
+    /// is repeated when this number has changed.
+    pub(super) fn capacity_growth_count(&self, job: &JobState) -> u64 {
         self.cluster
             .placement_index
             .capacity_growth_count(|machine_type| self.fits_machine_type(job, machine_type))
@@ -223,10 +225,10 @@
         (job.spec.image_mb as f64 / mb_per_s.max(1.0) * MS_PER_S) as u64
     }
 
-    /// Estimates the room once enough of the machine's tasks have ended for one task of the job to fit. There is no
-    /// room if that takes longer than a machine may be held.
-    fn room_after_drain(&self, machine: &Machine, job: &JobState, clock: Clock) -> RoomEstimate {
-        let mut room = machine.free();
+    /// Estimates the free capacity once enough of the machine's tasks have ended for one task of the job to fit. It is
+    /// zero if that takes longer than a machine may be held.
+    fn free_after_drain(&self, machine: &Machine, job: &JobState, clock: Clock) -> CapacityEstimate {
+        let mut free = machine.free();
         let mut remaining: Vec<(u64, Resources)> = machine
             .bindings
             .iter()
@@ -235,35 +237,35 @@
         remaining.sort_by_key(|(remaining_ms, _)| *remaining_ms);
         let mut delay_ms = 0;
         for (remaining_ms, need) in remaining {
-            if job.spec.task_resources.fits_in(&room) {
+            if job.spec.task_resources.fits_in(&free) {
                 break;
             }
-            room.add(&need);
+            free.add(&need);
             delay_ms = remaining_ms;
         }
         if delay_ms > self.machine_hold_ms() {
-            room = Resources::default();
+            free = Resources::default();
         }
-        RoomEstimate { room, delay_ms, claims: Vec::new() }
+        CapacityEstimate { free, delay_ms, claims: Vec::new() }
     }
 
-    /// Estimates the room once enough tasks that are less urgent or use borrowed capacity have stopped for one task
-    /// of the job to fit. The cost is the time that they take to save checkpoints plus the work that is lost.
-    fn room_after_preemption(
+    /// Estimates the free capacity once enough tasks that are less urgent or use borrowed capacity have stopped for
+    /// one task of the job to fit. The cost is the time that they take to save checkpoints plus the work that is lost.
+    fn free_after_preemption(
         &self,
         machine: &Machine,
         job: &JobState,
         policy: &PreemptionPolicy,
         clock: Clock,
-    ) -> RoomEstimate {
+    ) -> CapacityEstimate {
         let need = &job.spec.task_resources;
         let plan = self.plan_preemption(machine, need, policy, clock);
         let stopping_ms = if plan.includes_stopping_tasks { STOP_LATENCY_MS } else { 0 };
         let stop_times = plan.victims.iter().map(|victim| victim.cost.save_ms + STOP_LATENCY_MS);
         let wait_ms = stop_times.fold(stopping_ms, u64::max);
         let lost_work: u64 = plan.victims.iter().map(|victim| victim.cost.lost_work).sum();
-        RoomEstimate {
-            room: plan.room,
+        CapacityEstimate {
+            free: plan.free,
             delay_ms: wait_ms + lost_work / need.cpu.max(1),
             claims: plan.victims.iter().filter_map(|victim| victim.cost.borrowed_claim).collect(),
         }
--- a/src/coordination/leader/placement/gang_search_cache.rs
+++ b/src/coordination/leader/placement/gang_search_cache.rs
@@ -1,4 +1,4 @@
-//! Negative cache of gang searches: a search that found no placement need not be repeated before there is more room.
+//! Negative cache of gang searches: a search that found no placement need not be repeated before more capacity is free.
 //!
 //! Memory: one entry for each distinct requirement of waiting gangs; expired entries are dropped with each insertion.
 
@@ -9,8 +9,8 @@
 use crate::ids::{MachineTypeIx, Millis, Resources, TeamIx, ZoneIx};
 use crate::protocol::users::PriorityClass;
 
-/// An entry expires after this time even if room has not grown, because running tasks have come closer to their ends
-/// and borrowed capacity may have become reclaimable.
+/// An entry expires after this time even if no capacity has become free, because running tasks have come closer to
+/// their ends and borrowed capacity may have become reclaimable.
 const ENTRY_TTL_MS: u64 = 1_000;
 
 /// The requirements that decide where a gang can be placed. A search is valid for all gangs with the same key.
@@ -43,15 +43,15 @@
 
 #[derive(Debug, Clone, Copy)]
 struct FailedSearch {
-    /// Number of tasks for which the search looked for room.
+    /// Number of tasks for which the search looked for machines.
     count: usize,
-    /// The number of capacity growths (`Leader::room_generation`) at the time of the search.
-    room_generation: u64,
+    /// The value of `Leader::capacity_growth_count` at the time of the search.
+    capacity_growth_count: u64,
     expires_at: Millis,
 }
 
-/// Searches that found nothing. With less room they would fail as well, so an entry is valid until room grows or the
-/// entry expires.
+/// Searches that found nothing. With less free capacity they would fail as well, so an entry is valid until capacity
+/// becomes free or the entry expires.
 #[derive(Debug, Default)]
 pub struct GangSearchCache(HashMap<GangSearchKey, FailedSearch>);
 
@@ -61,23 +61,32 @@
         &self,
         job: &JobState,
         count: usize,
-        room_generation: u64,
+        capacity_growth_count: u64,
         now: Millis,
     ) -> bool {
         let failure = self.0.get(&GangSearchKey::new(&job.spec));
         failure.is_some_and(|failure| {
-            count >= failure.count && now < failure.expires_at && failure.room_generation == room_generation
+            count >= failure.count
+                && now < failure.expires_at
+                && failure.capacity_growth_count == capacity_growth_count
         })
     }
 
     /// Records that a search found nothing. A search for a gang whose own history excludes machines or zones is not
     /// recorded, because its failure does not apply to other gangs.
-    pub(super) fn record_failure(&mut self, job: &JobState, count: usize, room_generation: u64, now: Millis) {
+    pub(super) fn record_failure(
+        &mut self,
+        job: &JobState,
+        count: usize,
+        capacity_growth_count: u64,
+        now: Millis,
+    ) {
         if !job.failed_on.is_empty() || !job.tasks_per_zone.is_empty() {
             return;
         }
         self.0.retain(|_, failure| now < failure.expires_at);
         let expires_at = now.saturating_add(ENTRY_TTL_MS);
-        self.0.insert(GangSearchKey::new(&job.spec), FailedSearch { count, room_generation, expires_at });
+        self.0
+            .insert(GangSearchKey::new(&job.spec), FailedSearch { count, capacity_growth_count, expires_at });
     }
 }
--- a/src/coordination/leader/placement/gangs.rs
+++ b/src/coordination/leader/placement/gangs.rs
@@ -1,7 +1,7 @@
 //! Places gangs and services before all other work, and either all of their tasks or none.
 //!
-//! A gang starts on machines that have room. If there are none, room is made for it: tasks that are less urgent or use
-//! borrowed capacity are stopped, or machines are held until their tasks have ended.
+//! A gang starts on machines with enough free capacity. If there are too few, capacity is freed for it: tasks that are
+//! less urgent or use borrowed capacity are stopped, or machines are held until their tasks have ended.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -18,9 +18,9 @@
 /// The result of trying to place a gang in one pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GangOutcome {
-    /// The gang has started, room is being made for it, or nothing is done for it because it is at fault.
+    /// The gang has started, tasks are being stopped for it, or nothing is done for it because it is at fault.
     Settled,
-    /// Stopping tasks would not make enough room, so the gang can only wait until tasks of other jobs end.
+    /// Stopping tasks would not free enough capacity, so the gang can only wait until tasks of other jobs end.
     Waiting,
 }
 
@@ -66,7 +66,7 @@
         let has_old_attempt = job.spec.kind == JobKind::Gang && !job.placements.is_empty();
         let total_need = job.spec.task_resources.saturating_mul(count as u64);
         !has_old_attempt
-            && self.pool_has_room(job, count as u32)
+            && self.pool_has_free_slots(job, count as u32)
             && self.within_quota(job.spec.team, &total_need)
     }
 
@@ -75,7 +75,7 @@
         self.workload
             .jobs
             .get(&job_ix)
-            .is_some_and(|job| cache.is_known_failure(job, count, self.room_generation(job), clock.now))
+            .is_some_and(|job| cache.is_known_failure(job, count, self.capacity_growth_count(job), clock.now))
     }
 
     fn place_gang(&mut self, rank: Rank, tasks: &[u32], is_holding: bool, clock: Clock) -> GangOutcome {
@@ -95,9 +95,9 @@
             self.start_gang(rank, tasks, &free.machines);
             return GangOutcome::Settled;
         }
-        // If stopping tasks makes enough room, they are stopped. Otherwise the gang waits until tasks end.
+        // If stopping tasks frees enough capacity, they are stopped. Otherwise the gang waits until tasks end.
         if let Some(preempting) = after_preemption {
-            self.make_room(rank.job, &preempting.machines, PlacementMethod::Preempt, clock);
+            self.hold_machines(rank.job, &preempting.machines, PlacementMethod::Preempt, clock);
             return GangOutcome::Settled;
         }
         // A gang that already holds machines waits for these and does not hold others in addition.
@@ -121,15 +121,21 @@
     fn drain_for_gang(&mut self, job_ix: JobIx, count: usize, clock: Clock) {
         self.counters.gang_searches += 1;
         if let Some(found) = self.find_gang_placement(job_ix, count, PlacementMethod::Drain, clock) {
-            self.make_room(job_ix, &found.machines, PlacementMethod::Drain, clock);
+            self.hold_machines(job_ix, &found.machines, PlacementMethod::Drain, clock);
         } else if let Some(job) = self.workload.jobs.get(&job_ix) {
-            let room_generation = self.room_generation(job);
-            self.placement.gang_search_cache.record_failure(job, count, room_generation, clock.now);
+            let capacity_growth_count = self.capacity_growth_count(job);
+            self.placement.gang_search_cache.record_failure(job, count, capacity_growth_count, clock.now);
         }
     }
 
     /// Holds the machines for a gang, and stops tasks on them if the method is preemption.
-    fn make_room(&mut self, job_ix: JobIx, machines: &[MachineIx], method: PlacementMethod, clock: Clock) {
+    fn hold_machines(
+        &mut self,
+        job_ix: JobIx,
+        machines: &[MachineIx],
+        method: PlacementMethod,
+        clock: Clock,
+    ) {
         // Preemption replaces a drain for the same gang, but a drain never replaces preemption.
         let is_held_already = |ix: &MachineIx| {
             let hold = self.cluster.machines[ix.index()].hold;
@@ -173,7 +179,7 @@
         let policy = self.preemption_policy(job, clock);
         let machine = &self.cluster.machines[machine_ix.index()];
         let plan = self.plan_preemption(machine, need, &policy, clock);
-        if !need.fits_in(&plan.room) {
+        if !need.fits_in(&plan.free) {
             return false;
         }
         for victim in plan.victims {
--- a/src/coordination/leader/placement/holds.rs
+++ b/src/coordination/leader/placement/holds.rs
@@ -6,7 +6,8 @@
 use crate::coordination::leader::placement::MS_PER_S;
 use crate::ids::{JobIx, MachineIx, Millis};
 
-/// How a machine gets room for a gang. A hold is replaced only by a hold whose method comes earlier in this list.
+/// How a machine gets enough free capacity for a gang. A hold is replaced only by a hold whose method comes earlier in
+/// this list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PlacementMethod {
     /// The free capacity suffices.
@@ -17,14 +18,14 @@
     Drain,
 }
 
-/// A reservation of a machine for a gang that waits until the machine has room.
+/// A reservation of a machine for a gang that waits until enough of the machine's capacity is free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
     /// The gang for which the machine is held.
     pub job: JobIx,
     /// Time at which the hold expires.
     pub until: Millis,
-    /// How room is made on the machine.
+    /// How the capacity becomes free.
     pub method: PlacementMethod,
 }
 
@@ -39,7 +40,7 @@
         self.cluster.machines[machine_ix.index()].hold.map(|hold| hold.job)
     }
 
-    /// Releases machines whose holds have expired because their gangs did not get enough room in time.
+    /// Releases machines whose holds have expired because their gangs did not get enough capacity in time.
     pub(super) fn release_expired_holds(&mut self, clock: Clock) {
         self.release_holds_where(|hold| hold.until <= clock.now);
     }
--- a/src/coordination/leader/placement/preemption.rs
+++ b/src/coordination/leader/placement/preemption.rs
@@ -16,16 +16,16 @@
 
 /// Maximum number of tasks that one pass stops.
 const MAX_PREEMPTIONS_PER_PASS: usize = 128;
-/// Maximum number of jobs for which one pass makes room.
+/// Maximum number of jobs for which one pass stops tasks.
 const MAX_JOBS_PER_PASS: usize = 4;
-/// Tasks whose remaining run time is at most this are not stopped: if all tasks are that short, room becomes free all
-/// the time. With a quarter of this value, tasks of half a minute on borrowed capacity were stopped 5,058 times on
+/// Tasks whose remaining run time is at most this are not stopped: if all tasks are that short, capacity becomes free
+/// all the time. With a quarter of this value, tasks of half a minute on borrowed capacity were stopped 5,058 times on
 /// one day, and their array never completed.
 const MIN_REMAINING_MS: u64 = 60_000;
 /// The remaining run time of a task must be more than this many times the time lost by stopping it.
 const MIN_GAIN_RATIO: u64 = 3;
 
-/// The priority of the jobs for which room is being made.
+/// The priority of the jobs for which tasks are being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreemptorPriority {
     priority_class: PriorityClass,
@@ -43,11 +43,11 @@
     }
 }
 
-/// The room that an array job requests through preemption.
+/// The capacity that an array job requests through preemption.
 struct PreemptionRequest {
     /// CPUs of one task, in thousandths.
     task_cpu: u64,
-    /// Number of tasks that need room.
+    /// Number of tasks that need capacity.
     tasks: u64,
     policy: PreemptionPolicy,
 }
@@ -62,7 +62,8 @@
 }
 
 impl Leader {
-    /// Stops tasks for array jobs that have waited long enough to reclaim and for which too little room becomes free.
+    /// Stops tasks for array jobs that have waited long enough to reclaim and for which too little capacity becomes
+    /// free.
     pub(in crate::coordination::leader) fn preempt_for_waiting_arrays(&mut self, clock: Clock) {
         self.recount_stopping();
         let mut becoming_free = self.cpu_becoming_free();
@@ -107,8 +108,9 @@
         *current = Some(current.map_or(preemptor, |other| other.lowest(preemptor)));
     }
 
-    /// Returns whether the job must not start tasks because room is being made for jobs of higher priority: it would
-    /// take that room. Gangs, services and jobs of team classes below their minimum share do not yield.
+    /// Returns whether the job must not start tasks because tasks are being stopped for jobs of higher priority: it
+    /// would take the capacity that becomes free. Gangs, services and jobs of team classes below their minimum share
+    /// do not yield.
     pub(super) fn yields_to_preemptor(&self, job_ix: JobIx, job: &JobState) -> bool {
         let inputs = self.placement.priority_inputs.get(job_ix);
         let yields_to = |preemptor: PreemptorPriority| {
@@ -119,8 +121,8 @@
             && !inputs.below_minimum_share
     }
 
-    /// Requests room for as many of the waiting tasks as the team's guarantee covers; these may reclaim borrowed
-    /// capacity. If it covers none, requests room for all waiting tasks, which may only stop less urgent tasks. At
+    /// Requests capacity for as many of the waiting tasks as the team's guarantee covers; these may reclaim borrowed
+    /// capacity. If it covers none, requests capacity for all waiting tasks, which may only stop less urgent tasks. At
     /// most [`MAX_PREEMPTIONS_PER_PASS`] tasks are requested, and none if the team's limit does not allow one more
     /// task.
     fn array_preemption_request(&self, job_ix: JobIx) -> Option<PreemptionRequest> {
--- a/src/coordination/leader/placement/preemption_cost.rs
+++ b/src/coordination/leader/placement/preemption_cost.rs
@@ -1,4 +1,4 @@
-//! Decides which tasks a job may stop to make room, and estimates what that costs.
+//! Decides which tasks a job may stop to free capacity, and estimates what that costs.
 //!
 //! Nothing is stopped here; `stop_tasks` does that.
 
@@ -11,13 +11,13 @@
 use crate::ids::{JobIx, Resources, TeamIx};
 use crate::protocol::users::{JobKind, PriorityClass};
 
-/// Time for which a job waits for room before it reclaims what other teams have borrowed. Renting a machine costs
-/// less than lost work.
+/// Time for which a job waits for free capacity before it reclaims what other teams have borrowed. Renting a machine
+/// costs less than lost work.
 const RECLAIM_DELAY_MS: u64 = 2_000;
 /// Approximate time until a stopped gang has been placed again, fetched its image and started all its tasks.
 const GANG_RESTART_MS: u64 = 10_000;
 
-/// The rules by which a job may stop tasks to make room.
+/// The rules by which a job may stop tasks to free capacity.
 pub(super) struct PreemptionPolicy {
     priority_class: PriorityClass,
     team: TeamIx,
@@ -93,11 +93,11 @@
     pub(super) cost: PreemptionCost,
 }
 
-/// A plan for making room on a machine by stopping tasks.
+/// A plan for freeing capacity of a machine by stopping tasks.
 pub(super) struct PreemptionPlan {
     /// Free capacity once the victims have stopped; may be less than was needed.
-    pub(super) room: Resources,
-    /// Part of the room is used by tasks that are being stopped already.
+    pub(super) free: Resources,
+    /// Part of that capacity is still used by tasks that are already being stopped.
     pub(super) includes_stopping_tasks: bool,
     /// The tasks to stop, in this order: the least lost work first.
     pub(super) victims: Vec<Victim>,
@@ -159,12 +159,12 @@
         policy: &PreemptionPolicy,
         clock: Clock,
     ) -> PreemptionPlan {
-        let mut room = machine.free();
+        let mut free = machine.free();
         let mut includes_stopping_tasks = false;
         let mut candidates: Vec<Victim> = Vec::new();
         for (binding_index, binding) in machine.bindings.iter().enumerate() {
             if binding.stop_grace_ms.is_some() {
-                room.add(&binding.need);
+                free.add(&binding.need);
                 includes_stopping_tasks = true;
             } else if let Some(cost) = self.preemption_cost(binding, policy, clock) {
                 candidates.push(Victim { binding_index, cost });
@@ -175,16 +175,16 @@
         let mut borrowed = policy.borrowed.clone();
         let mut victims = Vec::new();
         for victim in candidates {
-            if need.fits_in(&room) {
+            if need.fits_in(&free) {
                 break;
             }
             let claim = victim.cost.borrowed_claim;
             if claim.is_none_or(|claim| claim.reclaim_from(&mut borrowed)) {
-                room.add(&machine.bindings[victim.binding_index].need);
+                free.add(&machine.bindings[victim.binding_index].need);
                 victims.push(victim);
             }
         }
-        PreemptionPlan { room, includes_stopping_tasks, victims }
+        PreemptionPlan { free, includes_stopping_tasks, victims }
     }
 
     /// Returns the expected remaining run time of the task in milliseconds.
--- a/src/coordination/leader/placement/queue_assignment.rs
+++ b/src/coordination/leader/placement/queue_assignment.rs
@@ -19,8 +19,8 @@
 
 /// Random samples drawn to choose a queue before all machines are examined.
 const SAMPLES_PER_CHOICE: usize = 3;
-/// Upper bound on the number of tasks for which a machine counts as having room.
-const MAX_ROOM_TASKS: u64 = 1_000_000;
+/// Upper bound on the number of free slots that a machine counts as having for a job.
+const MAX_FREE_SLOTS: u64 = 1_000_000;
 /// Scales tasks per thousandth of a CPU to an integer.
 const LOAD_SCALE: u64 = 1_000_000;
 /// Scales a price per CPU to an integer.
@@ -36,13 +36,14 @@
     input_elsewhere: bool,
     /// Queue length per CPU of the machine if it is full, otherwise the price per CPU.
     load_or_price: u64,
-    room: Reverse<u64>,
+    free_slots: Reverse<u64>,
 }
 
-/// A machine whose shared queue tasks may join, and how many more tasks it has room for.
+/// A machine whose shared queue tasks may join.
 struct QueueChoice {
     machine_ix: MachineIx,
-    room: usize,
+    /// Number of the job's tasks that fit into its free capacity, beyond the tasks already in its queues.
+    free_slots: usize,
 }
 
 impl Leader {
@@ -115,7 +116,7 @@
     }
 
     /// Queues tasks in the shared queue of the best machine of a random sample, as many at once as that machine has
-    /// room for, but at least an even share. Each further portion draws a new sample.
+    /// free slots for, but at least an even share. Each further portion draws a new sample.
     fn enqueue_shared(&mut self, rank: Rank, tasks: &[u32]) {
         self.counters.queued_shared += tasks.len() as u64;
         self.log_queued(rank.job, tasks, JobEventKind::QueuedShared);
@@ -129,7 +130,7 @@
                 }
                 return;
             };
-            let portion = remaining.len().min(choice.room.max(even_share));
+            let portion = remaining.len().min(choice.free_slots.max(even_share));
             let (joining, rest) = remaining.split_at(portion);
             for task in joining {
                 self.cluster.machines[choice.machine_ix.index()].shared_queue.push(rank, *task);
@@ -149,8 +150,8 @@
     }
 
     /// Returns the best machine for the job's tasks among a random sample and the machines that have the job's input.
-    /// Machines with room come first, ordered by whether they have the input, by price and by room. Without room, the
-    /// machine with the shortest queue per CPU is the best.
+    /// Machines with free slots come first, ordered by whether they have the input, by price and by free slots. If none
+    /// has free slots, the machine with the shortest queue per CPU is the best.
     fn choose_shared_queue(&mut self, job_ix: JobIx) -> Option<QueueChoice> {
         for _ in 0..SAMPLES_PER_CHOICE {
             let sample = self.sample_machines();
@@ -179,7 +180,7 @@
             .filter(|ix| self.is_eligible(*ix, job))
             .map(|ix| (self.rate_shared_queue(ix, job, &input_holders), ix))
             .min_by_key(|(rating, _)| *rating)?;
-        Some(QueueChoice { machine_ix, room: rating.room.0 as usize })
+        Some(QueueChoice { machine_ix, free_slots: rating.free_slots.0 as usize })
     }
 
     fn rate_shared_queue(
@@ -192,8 +193,9 @@
         let queued = machine.shared_queue.len() as u64;
         let slots =
             if machine.hold.is_some() { 0 } else { job.spec.task_resources.max_count_in(&machine.free()) };
-        let room = slots.saturating_sub(queued + machine.dedicated_queue.len() as u64).min(MAX_ROOM_TASKS);
-        let is_full = room == 0;
+        let free_slots =
+            slots.saturating_sub(queued + machine.dedicated_queue.len() as u64).min(MAX_FREE_SLOTS);
+        let is_full = free_slots == 0;
         let load = queued * LOAD_SCALE / machine.capacity.cpu.max(1);
         let price = (self.price_per_cpu(machine_ix) * PRICE_SCALE) as u64;
         QueueRating {
@@ -202,7 +204,7 @@
             // jobs.
             input_elsewhere: !is_full && !input_holders.is_empty() && !input_holders.contains(&machine_ix),
             load_or_price: if is_full { load } else { price },
-            room: Reverse(room),
+            free_slots: Reverse(free_slots),
         }
     }
 
--- a/src/coordination/leader/placement/reserved_machines.rs
+++ b/src/coordination/leader/placement/reserved_machines.rs
@@ -10,7 +10,7 @@
 use crate::coordination::leader::{JobState, Leader};
 use crate::ids::{MachineIx, MachineTypeIx, Resources};
 
-/// Demand of the gangs that wait for room on machines of one type.
+/// Demand of the gangs that wait for machines of one type.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct GangDemand {
     /// Number of tasks that wait for a machine.
@@ -41,8 +41,8 @@
 }
 
 impl Leader {
-    /// Adds a gang for which stopping tasks would not make enough room to the demand for each machine type that it
-    /// fits.
+    /// Adds the tasks of a gang to the demand for each machine type that they fit. The gang is one for which stopping
+    /// tasks would not free enough capacity.
     pub(super) fn record_gang_demand(&self, job: &JobState, tasks: usize, demand: &mut GangDemandByType) {
         let need = &job.spec.task_resources;
         for machine_type in self.machine_types_for(job) {
@@ -95,8 +95,8 @@
         let reservable = open.filter_map(|machine_ix| {
             let machine = &self.cluster.machines[machine_ix.index()];
             let usage = self.machine_usage(machine_ix);
-            let room = machine.capacity.saturating_sub(&usage.gangs);
-            demand.max_need.fits_in(&room).then_some(Reservable {
+            let without_gangs = machine.capacity.saturating_sub(&usage.gangs);
+            demand.max_need.fits_in(&without_gangs).then_some(Reservable {
                 is_unreserved: !machine.reserved,
                 non_gang_cpu: usage.non_gang_cpu,
                 machine_ix,
--- a/src/coordination/leader/records/assignment_log/append.rs
+++ b/src/coordination/leader/records/assignment_log/append.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    fn has_room(&self, entry_bytes: usize) -> bool {
+    fn fits(&self, entry_bytes: usize) -> bool {
         self.record.max_json_bytes() + entry_bytes <= self.max_bytes
     }
 }
@@ -71,13 +71,13 @@
 
     fn append_machines(&mut self, cache: &StoreCache, builder: &mut SegmentBuilder) {
         while let Some(start) = self.assignment_log.pending_starts.first().copied() {
-            if !builder.has_room(MACHINE_ENTRY_BYTES) {
+            if !builder.fits(MACHINE_ENTRY_BYTES) {
                 return;
             }
             self.append_machine(start.machine, cache, builder);
         }
         while let Some(ix) = self.assignment_log.pending_returns.first().copied() {
-            if !builder.has_room(MACHINE_ENTRY_BYTES) {
+            if !builder.fits(MACHINE_ENTRY_BYTES) {
                 return;
             }
             self.append_machine(ix, cache, builder);
@@ -100,7 +100,7 @@
         while let Some(start) =
             self.assignment_log.pending_starts.first().copied().filter(|start| start.machine == ix)
         {
-            if !builder.has_room(TASK_ENTRY_BYTES) {
+            if !builder.fits(TASK_ENTRY_BYTES) {
                 return;
             }
             self.assignment_log.pending_starts.remove(&start);
@@ -111,7 +111,7 @@
 
     fn append_finished(&mut self, builder: &mut SegmentBuilder) {
         while let Some(task) = self.assignment_log.pending_finished.first().copied() {
-            if !builder.has_room(TASK_ENTRY_BYTES) {
+            if !builder.fits(TASK_ENTRY_BYTES) {
                 return;
             }
             self.assignment_log.pending_finished.remove(&task);
--- a/src/coordination/leader/records/store_writer/batch.rs
+++ b/src/coordination/leader/records/store_writer/batch.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// [`BatchFull`] if it does not.
-    pub(super) fn ensure_room(&self) -> Result<(), BatchFull> {
+    pub(super) fn ensure_not_full(&self) -> Result<(), BatchFull> {
         if self.is_full() { Err(BatchFull) } else { Ok(()) }
     }
 
--- a/src/coordination/leader/records/store_writer/plan.rs
+++ b/src/coordination/leader/records/store_writer/plan.rs
@@ -58,7 +58,7 @@
     fn plan_terminal_records(&mut self, clock: Clock, batch: &mut WriteBatch<'_>) -> Result<(), BatchFull> {
         self.writer.terminal_due.retain(|id, _| batch.cache.terminal_state(*id).is_none());
         for (id, node_terminal) in &self.writer.terminal_due {
-            batch.ensure_room()?;
+            batch.ensure_not_full()?;
             self.plan_terminal_record(*id, node_terminal.as_ref(), clock, batch);
         }
         Ok(())
@@ -89,7 +89,7 @@
 
     fn plan_other_writes(&self, batch: &mut WriteBatch<'_>) -> Result<(), BatchFull> {
         for pending in &self.writer.other_writes {
-            batch.ensure_room()?;
+            batch.ensure_not_full()?;
             match &pending.value {
                 Some(value) => batch.put_json(&pending.key, value.clone(), WriteEffect::NoEffect),
                 None => batch.delete(&pending.key, WriteEffect::NoEffect),
@@ -106,7 +106,7 @@
         budget: WriteBudget,
         batch: &mut WriteBatch<'_>,
     ) -> Result<(), BatchFull> {
-        batch.ensure_room()?;
+        batch.ensure_not_full()?;
         if let Some(segment) = self.next_log_segment(clock, batch.cache, budget) {
             batch.put(&segment.key, &segment.record, WriteEffect::SegmentPersisted(segment.contents));
         }
@@ -115,11 +115,11 @@
 
     fn plan_log_compaction(&mut self, batch: &mut WriteBatch<'_>) -> Result<(), BatchFull> {
         for (segment, key) in self.assignment_log.obsolete_segments(batch.max_mutations()) {
-            batch.ensure_room()?;
+            batch.ensure_not_full()?;
             batch.delete(&key, WriteEffect::SegmentRemoved(segment));
         }
         for block in self.assignment_log.blocks_to_write() {
-            batch.ensure_room()?;
+            batch.ensure_not_full()?;
             self.plan_finished_block(block, batch);
         }
         Ok(())
@@ -148,7 +148,7 @@
             }
             plan_finished_block_deletion(id, batch)?;
             let retry_states_left = plan_retry_state_deletion(id, batch)?;
-            batch.ensure_room()?;
+            batch.ensure_not_full()?;
             // Retry states are deleted before the job record: the job remains due until their deletions have committed.
             if !retry_states_left {
                 self.plan_job_record_deletion(id, batch);
@@ -172,7 +172,7 @@
 fn plan_finished_block_deletion(id: JobId, batch: &mut WriteBatch<'_>) -> Result<(), BatchFull> {
     let blocks = batch.cache.find_job(id).map_or(0, |job| BitSet::block_of(job.spec.tasks - 1) + 1);
     for block in 0..blocks {
-        batch.ensure_room()?;
+        batch.ensure_not_full()?;
         let key = RecordKey::Finished(id, block);
         if batch.cache.key_revision(&key.encode()) != Revision(0) {
             batch.delete(&key, WriteEffect::NoEffect);
@@ -187,7 +187,7 @@
     let blocks: BTreeSet<u32> =
         retries.into_iter().flatten().map(|(task, _)| task / RETRY_BLOCK_TASKS).collect();
     for block in &blocks {
-        batch.ensure_room()?;
+        batch.ensure_not_full()?;
         batch.delete(&RecordKey::RetryState(id, *block), WriteEffect::NoEffect);
     }
     Ok(!blocks.is_empty())
