--- a/crates/admission/src/service_window.rs
+++ b/crates/admission/src/service_window.rs
@@ -1,16 +1,19 @@
-//! How much service each key received recently, and which keys are below their minimum share.
+//! How much service each key received recently, and which keys are below their minimum share. Keys stand for what
+//! competes for capacity, such as the job classes of teams.
 //!
 //! Ordering jobs only by their objectives leads to starvation: jobs that have missed their objectives wait behind
 //! every new job for as long as new jobs keep arriving. A key with waiting jobs is therefore entitled to a minimum
-//! share: a given fraction of its weight's share among the waiting keys. The key is served first until it has received
-//! its minimum share. All other capacity is still assigned in the order of objectives.
+//! share: a fixed fraction of what it would receive if service were divided among the waiting keys by weight. The key
+//! is served first until it has received its minimum share. All other capacity is still assigned in the order of
+//! objectives.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Number of steps into which the window is divided.
 const STEPS: usize = 6;
 
-/// The service that keys `K` received over a sliding window. Memory: at most seven entries per key.
+/// The service that keys `K` received over a sliding window, in the caller's unit. Memory: at most seven entries per
+/// key.
 #[derive(Debug, Clone)]
 pub struct ServiceWindow<K> {
     step_ms: u64,
@@ -24,7 +27,7 @@
 
 /// A key with waiting jobs, and its weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WaitingShare<K> {
+pub struct WaitingKey<K> {
     /// The key that has waiting jobs.
     pub key: K,
     /// Weight of the key. Minimum shares are proportional to the weights.
@@ -72,15 +75,15 @@
     /// Returns the keys that are below their minimum share. A key's minimum share is the service that all waiting keys
     /// received, multiplied by the key's fraction of their total weight and by `minimum_share` (0 to 1). If no waiting
     /// key received any service, none is below its minimum share.
-    pub fn below_minimum_share(&self, waiting: &[WaitingShare<K>], minimum_share: f64) -> BTreeSet<K> {
-        let total_weight: u64 = waiting.iter().map(|share| share.weight).sum();
+    pub fn below_minimum_share(&self, waiting: &[WaitingKey<K>], minimum_share: f64) -> BTreeSet<K> {
+        let total_weight: u64 = waiting.iter().map(|entry| entry.weight).sum();
         let total_service =
-            waiting.iter().fold(0_u64, |total, share| total.saturating_add(self.total(share.key)));
-        let minimum_service = |share: &WaitingShare<K>| {
-            minimum_share * total_service as f64 * share.weight as f64 / total_weight.max(1) as f64
+            waiting.iter().fold(0_u64, |total, entry| total.saturating_add(self.total(entry.key)));
+        let minimum_service = |entry: &WaitingKey<K>| {
+            minimum_share * total_service as f64 * entry.weight as f64 / total_weight.max(1) as f64
         };
-        let below = waiting.iter().filter(|share| (self.total(share.key) as f64) < minimum_service(share));
-        below.map(|share| share.key).collect()
+        let below = waiting.iter().filter(|entry| (self.total(entry.key) as f64) < minimum_service(entry));
+        below.map(|entry| entry.key).collect()
     }
 }
 
--- a/crates/admission/tests/minimum_shares.rs
+++ b/crates/admission/tests/minimum_shares.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use olivelatch_admission::service_window::{ServiceWindow, WaitingShare};
+use olivelatch_admission::service_window::{ServiceWindow, WaitingKey};
 use proptest::prelude::*;
 
 const WINDOW_MS: u64 = 30_000;
@@ -16,11 +16,11 @@
 /// `preferred`. Returns the service of each key in the last window.
 fn simulate(weights: &[u64], preferred: usize, steps: u64, is_idle: &[bool]) -> BTreeMap<usize, u64> {
     let mut window = ServiceWindow::new(WINDOW_MS, 0);
-    let waiting: Vec<WaitingShare<usize>> = weights
+    let waiting: Vec<WaitingKey<usize>> = weights
         .iter()
         .enumerate()
         .filter(|(key, _)| !is_idle[*key] || *key == preferred)
-        .map(|(key, weight)| WaitingShare { key, weight: *weight })
+        .map(|(key, weight)| WaitingKey { key, weight: *weight })
         .collect();
     let mut last_window = BTreeMap::new();
     for step in 0..steps {
--- a/crates/dag/src/retry.rs
+++ b/crates/dag/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries of a task: the limit of attempts, the backoff, and the recent failures kept as evidence.
+//! Retries of a task: the limit of attempts, the backoff, and the recent failures to show to users.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,29 +10,29 @@
     pub max_attempts: u32,
     /// Backoff after the first failure, in milliseconds.
     #[serde(rename = "wait_ms")]
-    pub delay_ms: u64,
+    pub backoff_ms: u64,
     /// Upper bound of the backoff, in milliseconds.
     #[serde(rename = "most_wait_ms")]
-    pub max_delay_ms: u64,
+    pub max_backoff_ms: u64,
 }
 
 impl Default for RetryPolicy {
     fn default() -> RetryPolicy {
-        RetryPolicy { max_attempts: 1, delay_ms: 1_000, max_delay_ms: 60_000 }
+        RetryPolicy { max_attempts: 1, backoff_ms: 1_000, max_backoff_ms: 60_000 }
     }
 }
 
-/// Keeps the shift in `delay_after` in range; 40 doublings reach any sensible `max_delay_ms`.
+/// Keeps the shift in `backoff_after` in range; 40 doublings reach any sensible `max_backoff_ms`.
 const MAX_DOUBLINGS: u32 = 40;
 
 impl RetryPolicy {
     /// Returns the backoff after a failure, in milliseconds; `failure_number` counts from 1. The backoff doubles with
-    /// each failure up to `max_delay_ms`. It is then shortened by up to a half in proportion to `jitter` (0 to 1), so
+    /// each failure up to `max_backoff_ms`. It is then shortened by up to a half in proportion to `jitter` (0 to 1), so
     /// that tasks that failed together are not retried together.
-    pub fn delay_after(&self, failure_number: u32, jitter: f64) -> u64 {
+    pub fn backoff_after(&self, failure_number: u32, jitter: f64) -> u64 {
         let doublings = failure_number.saturating_sub(1).min(MAX_DOUBLINGS);
-        let backoff_ms = self.delay_ms.saturating_mul(1 << doublings).min(self.max_delay_ms);
-        backoff_ms - (backoff_ms as f64 / 2.0 * jitter.clamp(0.0, 1.0)) as u64
+        let full_ms = self.backoff_ms.saturating_mul(1 << doublings).min(self.max_backoff_ms);
+        full_ms - (full_ms as f64 / 2.0 * jitter.clamp(0.0, 1.0)) as u64
     }
 }
 
@@ -50,24 +50,24 @@
     pub cause: String,
 }
 
-/// Maximum number of failures of a task that are kept as evidence; the oldest is dropped first.
-pub const MAX_EVIDENCE: usize = 3;
+/// Maximum number of failures of a task that are kept; the oldest is dropped first.
+pub const MAX_RECENT_FAILURES: usize = 3;
 
 /// The failures of one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RetryState {
     /// Number of failed attempts.
     #[serde(rename = "n")]
-    pub failures: u32,
-    /// The most recent failures, oldest first, at most [`MAX_EVIDENCE`].
+    pub failure_count: u32,
+    /// The most recent failures, oldest first, at most [`MAX_RECENT_FAILURES`].
     #[serde(rename = "last")]
-    pub evidence: Vec<Failure>,
+    pub recent_failures: Vec<Failure>,
 }
 
 /// The effect of a reported failure on its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureEffect {
-    /// None: the attempt was counted before, or is older than the last one counted.
+    /// Nothing changes: the attempt was counted before, or is older than the last one counted.
     AlreadyCounted,
     /// The task is retried.
     Retry,
@@ -78,7 +78,7 @@
 impl RetryState {
     /// Returns whether this attempt was counted as failed, or is older than the last one counted.
     pub fn has_counted(&self, attempt: u64) -> bool {
-        self.evidence.last().is_some_and(|last| attempt <= last.attempt)
+        self.recent_failures.last().is_some_and(|last| attempt <= last.attempt)
     }
 
     /// Counts a failed attempt. This is idempotent, as heartbeats report the same failure repeatedly. Attempt numbers
@@ -87,17 +87,17 @@
         if self.has_counted(failure.attempt) {
             return FailureEffect::AlreadyCounted;
         }
-        self.failures += 1;
-        if self.evidence.len() == MAX_EVIDENCE {
-            self.evidence.remove(0);
+        self.failure_count += 1;
+        if self.recent_failures.len() == MAX_RECENT_FAILURES {
+            self.recent_failures.remove(0);
         }
-        self.evidence.push(failure);
+        self.recent_failures.push(failure);
         if self.is_exhausted(policy) { FailureEffect::Exhausted } else { FailureEffect::Retry }
     }
 
     /// Returns whether the task has no attempts left.
     pub fn is_exhausted(&self, policy: &RetryPolicy) -> bool {
-        self.failures >= policy.max_attempts.max(1)
+        self.failure_count >= policy.max_attempts.max(1)
     }
 }
 
--- a/src/bookkeeping/run_listing.rs
+++ b/src/bookkeeping/run_listing.rs
@@ -170,7 +170,7 @@
 fn live_failures(cache: &StoreCache, job: JobId) -> Vec<FailedAttempt> {
     let by_task = cache.dag_runs.retry_states_of(job).into_iter().flatten();
     let failures = by_task.flat_map(|(task, state)| {
-        state.evidence.iter().map(|failure| FailedAttempt { task: *task, failure: failure.clone() })
+        state.recent_failures.iter().map(|failure| FailedAttempt { task: *task, failure: failure.clone() })
     });
     failures.take(MAX_LIVE_FAILURES_SHOWN).collect()
 }
--- a/src/coordination/leader/dag_runs/node_results.rs
+++ b/src/coordination/leader/dag_runs/node_results.rs
@@ -57,7 +57,7 @@
         let retry_state = state.dag_node.as_mut()?.retries.entry(task).or_default();
         let failure = Failure { attempt: binding.attempt.0, machine, cause: cause.into() };
         let failure_effect = retry_state.record_failure(failure, &policy);
-        let backoff_ms = policy.delay_after(retry_state.failures, jitter);
+        let backoff_ms = policy.backoff_after(retry_state.failure_count, jitter);
         let id = state.spec.id;
         if failure_effect != FailureEffect::AlreadyCounted {
             self.writer.queue_retry_state(id, task);
@@ -135,7 +135,7 @@
     }
 }
 
-/// Returns the failures of a task that its retry state keeps as evidence.
+/// Returns the failures of a task that its retry state keeps.
 fn failed_attempts(task: u32, retry_state: &RetryState) -> impl Iterator<Item = FailedAttempt> + '_ {
-    retry_state.evidence.iter().map(move |failure| FailedAttempt { task, failure: failure.clone() })
+    retry_state.recent_failures.iter().map(move |failure| FailedAttempt { task, failure: failure.clone() })
 }
--- a/src/coordination/leader/placement/overload.rs
+++ b/src/coordination/leader/placement/overload.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use olivelatch_admission::service_window::WaitingShare;
+use olivelatch_admission::service_window::WaitingKey;
 
 use crate::coordination::Clock;
 use crate::coordination::leader::placement::policy::Rank;
@@ -76,9 +76,9 @@
         for (ix, job) in self.workload.jobs.iter().filter(|(_, job)| job.has_waiting_tasks()) {
             *has_past_slo.entry((job.spec.team, job.spec.class)).or_default() |= past_slo.contains_key(ix);
         }
-        let waiting: Vec<WaitingShare<TeamClass>> = has_past_slo
+        let waiting: Vec<WaitingKey<TeamClass>> = has_past_slo
             .keys()
-            .map(|class| WaitingShare { key: *class, weight: self.team_weight(class.0) })
+            .map(|class| WaitingKey { key: *class, weight: self.team_weight(class.0) })
             .collect();
         let mut below = self.placement.recently_served.below_minimum_share(&waiting, MINIMUM_SHARE);
         below.retain(|class| has_past_slo.get(class) == Some(&true));
--- a/src/protocol/graphs/template.rs
+++ b/src/protocol/graphs/template.rs
@@ -54,8 +54,8 @@
     pub fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             max_attempts: self.max_attempts,
-            delay_ms: seconds_to_ms(self.retry_backoff_s),
-            max_delay_ms: seconds_to_ms(self.max_retry_backoff_s),
+            backoff_ms: seconds_to_ms(self.retry_backoff_s),
+            max_backoff_ms: seconds_to_ms(self.max_retry_backoff_s),
         }
     }
 
