--- a/crates/admission/src/borrowed.rs
+++ b/crates/admission/src/borrowed.rs
@@ -30,7 +30,9 @@
 /// entry per team that borrows, and one per job that is reclaimed as a whole.
 #[derive(Debug, Clone)]
 pub struct BorrowedCapacity<T, J> {
+    /// Usage above the guarantee that has not been reclaimed yet, by team.
     above_guarantee: BTreeMap<T, QuotaAmount>,
+    /// Jobs that stop as a whole and whose amounts have been deducted.
     reclaimed_jobs: BTreeSet<J>,
 }
 
--- a/crates/dag-files/src/builder.rs
+++ b/crates/dag-files/src/builder.rs
@@ -55,6 +55,7 @@
             read_attributes(block.body()).map_err(|problem| self.source.node_error(line, &label, problem))?;
         let mut attributes = self.defaults.clone();
         attributes.extend(block_attributes);
+        // Without `each`, the block is one node without an element.
         let elements = match attributes.remove("each") {
             None => vec![None],
             Some(each) => {
--- a/crates/dag-files/src/file.rs
+++ b/crates/dag-files/src/file.rs
@@ -63,10 +63,10 @@
     pub max_attempts: u32,
     /// Backoff after the first failure, in seconds.
     #[serde(rename = "wait_s")]
-    pub retry_delay_s: f64,
+    pub retry_backoff_s: f64,
     /// Upper bound of the backoff, in seconds.
     #[serde(rename = "most_wait_s")]
-    pub max_retry_delay_s: f64,
+    pub max_retry_backoff_s: f64,
     /// Time-out of an attempt, in seconds; a task that runs longer counts as failed.
     #[serde(rename = "limit_s")]
     pub timeout_s: Option<f64>,
@@ -86,8 +86,8 @@
             after: Vec::new(),
             trigger_rule: "all_success".into(),
             max_attempts: 1,
-            retry_delay_s: 1.0,
-            max_retry_delay_s: 60.0,
+            retry_backoff_s: 1.0,
+            max_retry_backoff_s: 60.0,
             timeout_s: None,
             pool: None,
             output_gb: 0.0,
@@ -127,7 +127,7 @@
     /// Name of the run, if the file sets one.
     pub run: Option<String>,
     /// Maximum number of runs of the graph that are active at the same time.
-    pub max_concurrent_runs: u32,
+    pub max_active_runs: u32,
     /// The nodes in file order.
     pub nodes: Vec<DagFileNode>,
 }
@@ -173,7 +173,7 @@
         Ok(DagFile {
             graph: header.graph,
             run: header.run,
-            max_concurrent_runs: header.most_runs.unwrap_or(1),
+            max_active_runs: header.max_active_runs.unwrap_or(1),
             nodes,
         })
     }
@@ -211,7 +211,8 @@
 struct Header {
     graph: String,
     run: Option<String>,
-    most_runs: Option<u32>,
+    #[serde(rename = "most_runs")]
+    max_active_runs: Option<u32>,
 }
 
 fn read_header(
--- a/crates/dag-files/src/prepare.rs
+++ b/crates/dag-files/src/prepare.rs
@@ -114,7 +114,7 @@
             graph: self.graph.clone(),
             parts: parts.len() as u32,
             nodes: self.nodes.len() as u32,
-            max_active_runs: self.max_concurrent_runs,
+            max_active_runs: self.max_active_runs,
         };
         Ok(PreparedRun { run, header, parts, descriptions })
     }
@@ -144,8 +144,8 @@
             manifest,
             trigger_rule: node.rule,
             max_attempts: attributes.max_attempts,
-            retry_backoff_s: attributes.retry_delay_s,
-            max_retry_backoff_s: attributes.max_retry_delay_s,
+            retry_backoff_s: attributes.retry_backoff_s,
+            max_retry_backoff_s: attributes.max_retry_backoff_s,
             timeout_s: attributes.timeout_s,
             pool: attributes.pool.clone(),
             output_gb: attributes.output_gb,
--- a/crates/dag/src/progress.rs
+++ b/crates/dag/src/progress.rs
@@ -23,7 +23,7 @@
 pub struct DagProgress {
     topology: Arc<DagTopology>,
     rules: Arc<[TriggerRule]>,
-    /// Maps each mapped node to the node that produces its list.
+    /// For each mapped node, which runs one task per element of a list: the node that produces the list.
     map_sources: Arc<BTreeMap<NodeIx, NodeIx>>,
     upstream_counts: Vec<UpstreamCounts>,
     /// Lengths of the lists produced by finished nodes.
@@ -101,6 +101,7 @@
         changes
     }
 
+    /// Applies the trigger rule of a node that is neither finished nor ready. A decided outcome becomes pending.
     fn evaluate(&mut self, node: NodeIx, changes: &mut ProgressChanges) {
         if !self.is_waiting(node) {
             return;
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Returns the outcomes to write now, at most `limit`. Each follows from durable outcomes and from earlier entries
-    /// of the result, so one transaction has to write them in this order: it stores all of them or none.
+    /// Returns the outcomes to write now, at most `limit`. One transaction must write all of them, because an outcome
+    /// may follow from earlier entries of the result, which are not durable yet.
     pub fn outcomes_to_write(&self, limit: usize) -> Vec<(NodeIx, NodeOutcome)> {
         let mut written = Vec::new();
         let mut counts: BTreeMap<NodeIx, UpstreamCounts> = BTreeMap::new();
--- a/crates/dag/src/tests/progress.rs
+++ b/crates/dag/src/tests/progress.rs
@@ -4,9 +4,9 @@
 
 fn progress(nodes: u32, edges: &[(u32, u32)], rules: &[(u32, TriggerRule)]) -> DagProgress {
     let topology = Arc::new(DagTopology::new(nodes, edges).expect("no cycle"));
-    let mut all = vec![TriggerRule::AllSuccess; nodes as usize];
-    rules.iter().for_each(|(node, rule)| all[*node as usize] = *rule);
-    DagProgress::new(topology, all.into(), Arc::default())
+    let mut node_rules = vec![TriggerRule::AllSuccess; nodes as usize];
+    rules.iter().for_each(|(node, rule)| node_rules[*node as usize] = *rule);
+    DagProgress::new(topology, node_rules.into(), Arc::default())
 }
 
 fn ready(changes: ProgressChanges) -> Vec<u32> {
@@ -33,12 +33,12 @@
     let mut run = progress(100, &edges, &[]);
     run.activate();
     run.record_outcome(NodeIx(0), NodeOutcome::Failed, None);
-    let all = run.outcomes_to_write(1000);
-    assert_eq!(all.len(), 99);
-    assert!(all.iter().all(|(_, outcome)| *outcome == NodeOutcome::UpstreamFailed));
-    assert!(all.is_sorted());
-    assert_eq!(run.outcomes_to_write(7), all[..7]);
-    for (node, outcome) in all {
+    let outcomes = run.outcomes_to_write(1000);
+    assert_eq!(outcomes.len(), 99);
+    assert!(outcomes.iter().all(|(_, outcome)| *outcome == NodeOutcome::UpstreamFailed));
+    assert!(outcomes.is_sorted());
+    assert_eq!(run.outcomes_to_write(7), outcomes[..7]);
+    for (node, outcome) in outcomes {
         assert_eq!(ready(run.record_outcome(node, outcome, None)), []);
     }
     assert!(run.is_finished() && !run.is_successful());
--- a/crates/dag/src/topology.rs
+++ b/crates/dag/src/topology.rs
@@ -110,10 +110,10 @@
     /// value above 0 lie on a cycle or downstream of one, so following upstream edges among them leads into a cycle.
     fn find_cycle(&self, remaining_in_degrees: &[u32]) -> Vec<u32> {
         let unsorted = || (0..self.len()).filter(|node| remaining_in_degrees[*node as usize] > 0);
-        let mut upstream = vec![None; remaining_in_degrees.len()];
+        let mut any_upstream = vec![None; remaining_in_degrees.len()];
         for from in unsorted() {
             for to in self.downstream(NodeIx(from)) {
-                upstream[to.index()] = Some(from);
+                any_upstream[to.index()] = Some(from);
             }
         }
         let Some(mut node) = unsorted().next() else { return Vec::new() };
@@ -122,8 +122,8 @@
         while path_position[node as usize].is_none() {
             path_position[node as usize] = Some(path.len());
             path.push(node);
-            match upstream[node as usize] {
-                Some(next) => node = next,
+            match any_upstream[node as usize] {
+                Some(from) => node = from,
                 None => break,
             }
         }
--- a/crates/dag/tests/random_graphs.rs
+++ b/crates/dag/tests/random_graphs.rs
@@ -44,9 +44,9 @@
     fn progress_agrees_with_the_rules_in_any_order(
         nodes in 2u32..14,
         density in 0.05f64..0.6,
-        seed in proptest::collection::vec(0u32..1_000_000, 400),
+        random_numbers in proptest::collection::vec(0u32..1_000_000, 400),
     ) {
-        let mut draw = seed.into_iter().cycle();
+        let mut draw = random_numbers.into_iter().cycle();
         let mut random_below = move |bound: u32| draw.next().unwrap_or(0) % bound;
         let mut edges = Vec::new();
         for to in 1..nodes {
@@ -75,9 +75,10 @@
                 (ready.swap_remove(position), outcome)
             };
             outcomes.insert(node, outcome);
-            let new: Vec<u32> = run.record_outcome(NodeIx(node), outcome, None).ready.into_iter().map(|n| n.0).collect();
-            started.extend(&new);
-            ready.extend(new);
+            let changes = run.record_outcome(NodeIx(node), outcome, None);
+            let newly_ready: Vec<u32> = changes.ready.into_iter().map(|node| node.0).collect();
+            started.extend(&newly_ready);
+            ready.extend(newly_ready);
             let mut replayed = DagProgress::new(topology.clone(), rules.clone().into(), Arc::default());
             outcomes.iter().for_each(|(node, outcome)| { replayed.record_outcome(NodeIx(*node), *outcome, None); });
             replayed.activate();
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,7 +1,7 @@
-//! An HTTP client on `polling`, in which each slot has one connection and at most one request in flight.
+//! An HTTP client on `polling`. Each call slot has at most one connection, with at most one request in flight.
 //!
-//! A slot's connection is reused for later requests to the same address. The caller passes in events and the time; this
-//! module neither waits nor reads a clock.
+//! The connection is reused for later requests of its slot to the same address. The caller passes in events and the
+//! time; this module neither waits nor reads a clock.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 /// Buffer space for the head and the chunk sizes of a response, in addition to its body.
 const RESPONSE_OVERHEAD_BYTES: usize = 64 * 1024;
 
-/// Identifies a caller that has at most one request in flight.
+/// Identifies one of the client's call slots; chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallSlot(pub usize);
 
@@ -60,8 +60,9 @@
         self.connections.contains_key(&key)
     }
 
-    /// Sends a request, given as method, path and body, and aborts the slot's request in flight, if any. Returns false
-    /// if connecting to the address failed immediately.
+    /// Sends a request, given as method, path and body, and aborts the slot's request in flight, if any. The request
+    /// times out at `deadline_ms`, in milliseconds of the caller's clock. Returns false if connecting to the address
+    /// failed immediately.
     pub fn send_request(
         &mut self,
         keys: &mut KeyAllocator,
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -113,8 +113,8 @@
         return false;
     }
     if name.eq_ignore_ascii_case("content-length") {
-        let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-        let Some(length) = value.parse().ok().filter(|_| digits) else {
+        let only_digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
+        let Some(length) = value.parse().ok().filter(|_| only_digits) else {
             return false;
         };
         // Two different lengths would allow request smuggling.
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -19,7 +19,7 @@
 const MAX_CONNECTIONS: usize = 4_000;
 /// Maximum size of a buffered request.
 const MAX_INPUT_BYTES: usize = MAX_BODY_BYTES + 32 * 1024;
-/// A connection with more unread response data than this is closed.
+/// A connection with more unsent response data than this is closed.
 const MAX_OUTPUT_BYTES: usize = 16 * 1024 * 1024;
 /// A connection without socket events for longer than this is closed, unless a request is waiting for its response.
 const IDLE_TIMEOUT_MS: u64 = 120_000;
@@ -48,7 +48,9 @@
     listener: ListenerId,
     /// A request is waiting for its response. Later requests stay in the input buffer.
     request_in_flight: bool,
+    /// The connection stays open after the response.
     keep_alive: bool,
+    /// Time of the last socket event, in milliseconds of the caller's clock.
     last_active_ms: u64,
 }
 
