--- a/crates/dag/src/progress.rs
+++ b/crates/dag/src/progress.rs
@@ -142,15 +142,15 @@
     /// Returns the outcomes to write now, at most `limit`. One transaction must write all of them, because an outcome
     /// may follow from earlier entries of the result, which are not durable yet.
     pub fn outcomes_to_write(&self, limit: usize) -> Vec<(NodeIx, NodeOutcome)> {
-        let mut written = Vec::new();
+        let mut to_write = Vec::new();
         let mut counts: BTreeMap<NodeIx, UpstreamCounts> = BTreeMap::new();
         let mut queued: RoaringBitmap = self.pending_outcomes.keys().map(|node| node.0).collect();
         let mut queue: VecDeque<(NodeIx, NodeOutcome)> =
             self.pending_outcomes.iter().map(|(node, outcome)| (*node, *outcome)).collect();
-        while written.len() < limit
+        while to_write.len() < limit
             && let Some((node, outcome)) = queue.pop_front()
         {
-            written.push((node, outcome));
+            to_write.push((node, outcome));
             for next in self.topology.downstream(node) {
                 let next_counts = counts.entry(next).or_insert(self.upstream_counts[next.index()]);
                 next_counts.record(outcome);
@@ -163,7 +163,7 @@
                 }
             }
         }
-        written
+        to_write
     }
 
     /// Returns whether trigger rules have decided outcomes that are not durable yet.
--- a/crates/dag/tests/model.rs
+++ b/crates/dag/tests/model.rs
@@ -76,7 +76,7 @@
         progress
     }
 
-    fn startable(&self, state: &State, progress: &DagProgress, node: u32) -> bool {
+    fn can_start(&self, state: &State, progress: &DagProgress, node: u32) -> bool {
         let is_idle = state.leader_states[node as usize] == LeaderNodeState::Idle;
         let ready = progress.ready().contains(node);
         let starts_early = self.injected_bug == InjectedBug::StartsEarly
@@ -120,7 +120,7 @@
     /// Adds the states reached by a step of one node: start, success, failure, end of the backoff, or late heartbeat.
     fn node_successors(&self, state: &State, progress: &DagProgress, node: u32, successors: &mut Vec<State>) {
         let index = node as usize;
-        if self.startable(state, progress, node) {
+        if self.can_start(state, progress, node) {
             let mut next = state.clone();
             next.attempts[index] += 1;
             next.leader_states[index] = LeaderNodeState::Running(next.attempts[index]);
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -148,7 +148,8 @@
         StreamState::Open
     }
 
-    /// Registers interest in the next event; in readability only if `readable`. Must be called after each event.
+    /// Registers interest in the next event: in writability while connecting or while output is pending, and in
+    /// readability if `readable` is set and the connection is established. Must be called after each event.
     pub fn rearm(&self, readable: bool) -> StreamState {
         let writable = self.connecting || self.pending_output() > 0;
         match self.registration.set_interest(readable && !self.connecting, writable) {
