--- a/crates/scale-test/src/plan/mod.rs
+++ b/crates/scale-test/src/plan/mod.rs
@@ -97,7 +97,8 @@
     /// How the tasks of a job relate to each other, such as array or gang.
     pub shape: JobKind,
     /// Priority class of the jobs.
-    pub urgency: PriorityClass,
+    #[serde(rename = "urgency")]
+    pub priority_class: PriorityClass,
     /// Fraction of `starts_per_s` that belongs to jobs of this class, from 0 to 1.
     pub share: f64,
     /// Possible numbers of tasks; one is drawn for each job.
