--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -120,6 +120,23 @@
         assert!(killed.success());
     }
 
+    /// Returns the tasks by job that have started and not exited according to the workers' run log.
+    pub fn running_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
+        let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the run log");
+        let mut running: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+        // A kill may cut the last line.
+        for value in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
+            let (job, task) = value["task"].as_str().expect("a task").split_once('/').expect("job/task");
+            let tasks = running.entry(job.into()).or_default();
+            if value["event"] == "start" {
+                tasks.insert(task.into());
+            } else {
+                tasks.remove(task);
+            }
+        }
+        running
+    }
+
     /// Returns the completed tasks by job, from the workers' run log. Panics if a task was started again
     /// after it completed.
     pub fn done_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
