--- a/tests/simulation/actions/controllers.rs
+++ b/tests/simulation/actions/controllers.rs
@@ -1,14 +1,16 @@
 //! Actions that kill and start controllers and that cut and restore their links.
 
 use super::super::{ControllerSlot, SimulatedCluster};
-use super::{ActionResult, usage_error};
+use super::{ActionResult, parse_argument, usage_error};
 
 impl SimulatedCluster {
     pub fn controller_index(&self, name: &str) -> usize {
         if name == "leader" {
-            return self.controllers.iter().position(ControllerSlot::is_leader).expect("a leader");
+            let leader = self.controllers.iter().position(ControllerSlot::is_leader);
+            return leader.unwrap_or_else(|| panic!("expected a leader, found none at {} ms", self.now));
         }
-        self.controllers.iter().position(|slot| slot.name == name).expect("a node")
+        let named = self.controllers.iter().position(|slot| slot.name == name);
+        named.unwrap_or_else(|| panic!("expected the name of a controller, found {name}"))
     }
 
     /// Returns the index of a controller. `leader?` names the leader, if there is one; any other name must exist.
@@ -55,7 +57,7 @@
 
     pub(super) fn set_controller_capacity(&mut self, words: &[&str]) -> ActionResult {
         let [units] = words else { return usage_error("UNITS-PER-SECOND") };
-        self.controller_capacity = Some(units.parse().map_err(|_| "a number")?);
+        self.controller_capacity = Some(parse_argument(units, "a number of units per second")?);
         Ok(())
     }
 
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -5,11 +5,15 @@
 
 use super::super::{MeshMode, SimulatedCluster, TxnMode};
 use super::requests::parse_job;
-use super::{ActionResult, parse_seconds, usage_error};
+use super::{ActionResult, parse_argument, parse_seconds, usage_error};
 
 impl SimulatedCluster {
     pub(super) fn set_kv_outage(&mut self, words: &[&str]) -> ActionResult {
-        self.kv_outage = words == ["on"];
+        self.kv_outage = match words {
+            ["on"] => true,
+            ["off"] => false,
+            _ => return usage_error("on or off"),
+        };
         if !self.kv_outage {
             self.kv_store.renew_all_leases(self.now);
         }
@@ -17,7 +21,11 @@
     }
 
     pub(super) fn set_cloud_outage(&mut self, words: &[&str]) -> ActionResult {
-        self.cloud_down = words == ["down"];
+        self.cloud_down = match words {
+            ["down"] => true,
+            ["up"] => false,
+            _ => return usage_error("down or up"),
+        };
         Ok(())
     }
 
@@ -34,7 +42,10 @@
     }
 
     fn worker(&mut self, host: &str) -> Result<&mut Worker, String> {
-        self.workers.iter_mut().find(|worker| worker.machine.name == host).ok_or(format!("no worker {host}"))
+        self.workers
+            .iter_mut()
+            .find(|worker| worker.machine.name == host)
+            .ok_or_else(|| format!("expected a machine with a worker, found {host}"))
     }
 
     pub(super) fn fail_tasks_on_machine(&mut self, words: &[&str]) -> ActionResult {
@@ -49,14 +60,14 @@
         let (id, _) = parse_job(id)?;
         match self.jobs.get_mut(&id).map(|job| &mut job.work) {
             Some(TaskWork::Simulated { fails, .. }) => *fails = false,
-            _ => return Err(format!("unknown job {id}")),
+            _ => return Err(format!("expected a submitted job, found {id}")),
         }
         Ok(())
     }
 
     pub(super) fn slow_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host, factor] = words else { return usage_error("HOST FACTOR") };
-        self.worker(host)?.slowdown_factor = factor.parse().map_err(|_| "a number")?;
+        self.worker(host)?.slowdown_factor = parse_argument(factor, "a factor")?;
         Ok(())
     }
 
@@ -76,24 +87,30 @@
     }
 
     pub(super) fn set_long_changes(&mut self, words: &[&str]) -> ActionResult {
-        self.changes_too_long = words == ["long"];
+        self.changes_too_long = match words {
+            ["long"] => true,
+            ["fine"] => false,
+            _ => return usage_error("long or fine"),
+        };
         Ok(())
     }
 
     pub(super) fn set_direct_commands(&mut self, words: &[&str]) -> ActionResult {
-        self.direct_commands_lost = words == ["lost"];
+        self.direct_commands_lost = match words {
+            ["lost"] => true,
+            ["fine"] => false,
+            _ => return usage_error("lost or fine"),
+        };
         Ok(())
     }
 
     pub(super) fn set_txn_mode(&mut self, words: &[&str]) -> ActionResult {
-        self.faults.txn_delay_ms = match words {
-            ["late", seconds] => Some((parse_seconds(seconds)? * 1000.0) as u64),
-            _ => None,
-        };
-        self.txn_mode = match words {
-            ["lost"] => TxnMode::ResponseLost,
-            ["late", ..] => TxnMode::Delayed,
-            _ => TxnMode::Normal,
+        (self.txn_mode, self.faults.txn_delay_ms) = match words {
+            ["lost"] => (TxnMode::ResponseLost, None),
+            ["late"] => (TxnMode::Delayed, None),
+            ["late", seconds] => (TxnMode::Delayed, Some((parse_seconds(seconds)? * 1000.0) as u64)),
+            ["fine"] => (TxnMode::Normal, None),
+            _ => return usage_error("lost, late [SECONDS] or fine"),
         };
         Ok(())
     }
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -6,13 +6,17 @@
 mod setup;
 mod timing;
 
+use std::str::FromStr;
+
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
     /// Runs the action of one line. Fails if the action fails or if an invariant has been violated.
     pub fn run_action(&mut self, words: &[&str]) -> Result<(), String> {
-        let (name, arguments) = words.split_first().ok_or("an empty line")?;
-        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown action")?;
+        let (name, arguments) = words.split_first().ok_or("expected an action, found an empty line")?;
+        let action = ACTIONS.iter().find(|(known, _)| known == name);
+        let (_, action) =
+            action.ok_or_else(|| format!("expected one of the names in ACTIONS, found {name}"))?;
         action(self, arguments)?;
         match self.violations.first() {
             Some(violation) => Err(format!("violated rule: {violation}")),
@@ -98,14 +102,20 @@
     ("clock", SimulatedCluster::set_clock),
 ];
 
+/// The error for wrong arguments of an action. Callers print it together with the line, which shows what was found.
 pub fn usage_error(expected: &str) -> ActionResult {
     Err(format!("expected {expected}"))
 }
 
+/// Parses a number. The error names what was `expected`, for example `a number of tasks`.
+pub fn parse_argument<T: FromStr>(text: &str, expected: &str) -> Result<T, String> {
+    text.parse().map_err(|_| format!("expected {expected}, found {text}"))
+}
+
 pub fn parse_seconds(text: &str) -> Result<f64, String> {
-    text.parse().map_err(|_| format!("expected seconds, not {text}"))
+    parse_argument(text, "a number of seconds")
 }
 
 pub fn parse_status(text: &str) -> Result<u16, String> {
-    text.parse().map_err(|_| format!("expected a status code, not {text}"))
+    parse_argument(text, "a status code")
 }
--- a/tests/simulation/actions/requests.rs
+++ b/tests/simulation/actions/requests.rs
@@ -8,7 +8,7 @@
 use super::super::{
     PendingRequest, RepeatingPoll, ResponseCheck, SimulatedCluster, named_argument, numeric_argument,
 };
-use super::{ActionResult, parse_status, usage_error};
+use super::{ActionResult, parse_argument, parse_status, usage_error};
 
 const MS_PER_SECOND: u64 = 1_000;
 
@@ -25,10 +25,10 @@
     }
 
     pub(super) fn submit_raw(&mut self, words: &[&str]) -> ActionResult {
-        let (code, text) = words.split_first().ok_or("expected STATUS TEXT")?;
+        let [code, text @ ..] = words else { return usage_error("STATUS TEXT") };
         match parse_submission(text.join(" ").as_bytes()) {
             Err(rejection) if rejection.status.to_string() == *code => {}
-            Err(rejection) => return Err(format!("got status {} instead of {code}", rejection.status)),
+            Err(rejection) => return Err(format!("expected status {code}, found {}", rejection.status)),
             Ok(request) => {
                 self.send_user_request(request, "raw", ResponseCheck::StatusOnly(parse_status(code)?));
             }
@@ -77,7 +77,7 @@
 
     pub(super) fn poll_repeatedly(&mut self, words: &[&str]) -> ActionResult {
         let [id, times] = words else { return usage_error("JOB POLLS-PER-SECOND") };
-        let times: u64 = times.parse().map_err(|_| "a count")?;
+        let times: u64 = parse_argument(times, "a number of polls per second")?;
         self.repeating_polls.push(RepeatingPoll {
             id: parse_job(id)?.0,
             interval_ms: (MS_PER_SECOND / times.max(1)).max(1),
@@ -89,7 +89,6 @@
 
 /// Parses the number of a job, and returns its name on the wire and its ID.
 pub(super) fn parse_job(number: &str) -> Result<(String, JobId), String> {
-    let number: u64 = number.parse().map_err(|_| format!("expected a job's number, not {number}"))?;
-    let job = JobId(number);
+    let job = JobId(parse_argument(number, "the number of a job")?);
     Ok((job.to_string(), job))
 }
--- a/tests/simulation/actions/setup.rs
+++ b/tests/simulation/actions/setup.rs
@@ -4,14 +4,15 @@
 use serde_json::{Value, json};
 
 use super::super::{ControllerSlot, JobArguments, SimulatedCluster, named_argument, numeric_argument};
-use super::{ActionResult, parse_seconds, usage_error};
+use super::{ActionResult, parse_argument, parse_seconds, usage_error};
 
 impl SimulatedCluster {
     pub(super) fn set_settings(&mut self, words: &[&str]) -> ActionResult {
-        let (section, pairs) = words.split_first().ok_or("a section")?;
+        let [section, pairs @ ..] = words else { return usage_error("SECTION NAME=VALUE ...") };
         for pair in pairs {
-            let (name, value) = pair.split_once('=').ok_or("name=value")?;
-            let value: f64 = value.parse().map_err(|_| "a number")?;
+            let (name, value) =
+                pair.split_once('=').ok_or_else(|| format!("expected NAME=VALUE, found {pair}"))?;
+            let value: f64 = parse_argument(value, "a number")?;
             let exact = if value.fract() == 0.0 { json!(value as u64) } else { json!(value) };
             self.config["cluster"][*section][name] = exact;
         }
@@ -33,7 +34,7 @@
     }
 
     pub(super) fn add_team(&mut self, words: &[&str]) -> ActionResult {
-        let (name, rest) = words.split_first().ok_or("a name")?;
+        let [name, rest @ ..] = words else { return usage_error("NAME [guaranteed=] [max=]") };
         let team = json!({"name": name, "cpus": numeric_argument(rest, "guaranteed", 0.0),
             "cpus_max": numeric_argument(rest, "max", 0.0), "gpus": 0.0, "gpus_max": 0.0});
         self.config["cluster"]["teams"].as_array_mut().expect("teams").push(team);
@@ -48,7 +49,7 @@
     }
 
     pub(super) fn add_machine_type(&mut self, words: &[&str]) -> ActionResult {
-        let (name, rest) = words.split_first().ok_or("a name")?;
+        let [name, rest @ ..] = words else { return usage_error("NAME, followed by NAME=VALUE ...") };
         self.cloud.machine_types.push(MachineTypeSpec {
             name: (*name).into(),
             cpus: numeric_argument(rest, "cpus", 4.0),
@@ -79,7 +80,7 @@
 
     pub(super) fn add_machines(&mut self, words: &[&str]) -> ActionResult {
         let [kind, zone, count] = words else { return usage_error("KIND ZONE COUNT") };
-        for _ in 0..count.parse::<usize>().map_err(|_| "a count")? {
+        for _ in 0_usize..parse_argument(count, "a number of machines")? {
             self.cloud.add_machine(kind, zone, false, self.now, 0);
         }
         Ok(())
@@ -87,7 +88,7 @@
 
     /// Stores a record, for example one in the format of an earlier version.
     pub(super) fn put_record(&mut self, words: &[&str]) -> ActionResult {
-        let (key, text) = words.split_first().ok_or("a key")?;
+        let [key, text @ ..] = words else { return usage_error("KEY JSON") };
         let value: Value = serde_json::from_str(&text.join(" ")).map_err(|error| error.to_string())?;
         self.kv_store.put(key, value);
         Ok(())
--- a/tests/simulation/actions/timing.rs
+++ b/tests/simulation/actions/timing.rs
@@ -14,7 +14,7 @@
     }
 
     pub(super) fn until(&mut self, words: &[&str]) -> ActionResult {
-        let (seconds, condition) = words.split_first().ok_or("SECONDS CONDITION")?;
+        let [seconds, condition @ ..] = words else { return usage_error("SECONDS CONDITION") };
         let until = self.deadline_in(seconds)?;
         while !self.condition_holds(condition) {
             if self.now >= until {
@@ -37,12 +37,12 @@
     }
 
     pub(super) fn never(&mut self, words: &[&str]) -> ActionResult {
-        let (seconds, condition) = words.split_first().ok_or("SECONDS CONDITION")?;
+        let [seconds, condition @ ..] = words else { return usage_error("SECONDS CONDITION") };
         let until = self.deadline_in(seconds)?;
         while self.now < until {
             self.step();
             if self.condition_holds(condition) {
-                return Err("the condition held".into());
+                return Err(format!("the condition held at {} ms", self.now));
             }
         }
         Ok(())
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -14,12 +14,12 @@
 const RECENT_RESPONSE_MS: u64 = 5_000;
 
 fn compare(value: u64, operator: &str, right: &str) -> bool {
-    let right: u64 = right.parse().expect("a number");
+    let right: u64 = right.parse().unwrap_or_else(|_| panic!("expected a number, found {right}"));
     match operator {
         ">=" => value >= right,
         "<=" => value <= right,
         "=" => value == right,
-        _ => panic!("unknown comparison {operator}"),
+        _ => panic!("expected >=, <= or =, found {operator}"),
     }
 }
 
@@ -36,7 +36,7 @@
             .or_else(|| self.record_condition(words))
             .or_else(|| self.machine_condition(words))
             .or_else(|| self.controller_condition(words))
-            .unwrap_or_else(|| panic!("unknown condition {words:?}"))
+            .unwrap_or_else(|| panic!("expected a condition, found {}", words.join(" ")))
     }
 
     fn poll_until_final(&mut self, id: &str) {
@@ -216,7 +216,7 @@
                 compare(self.controllers.iter().filter(is_idle).count() as u64, op, right)
             }
             ["ready", node] => {
-                let slot = self.controllers.iter().find(|slot| slot.name == *node).expect("a node");
+                let slot = &self.controllers[self.controller_index(node)];
                 slot.controller.as_ref().is_some_and(Controller::is_ready)
             }
             ["unready", "any"] => self
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -9,7 +9,7 @@
 use olivelatch::protocol::workers::parse_heartbeat;
 use olivelatch_worker::Worker;
 
-use super::actions::{ActionResult, parse_seconds, usage_error};
+use super::actions::{ActionResult, parse_argument, parse_seconds, usage_error};
 use super::{START_MS, STEP_MS, SimulatedCluster};
 
 /// Maximum number of heartbeats that are kept for the next leader.
@@ -286,8 +286,8 @@
         let [node, ppm, wall] = words else { return usage_error("NODE PPM MILLISECONDS") };
         let controller = self.controller_index(node);
         let fault = &mut self.controllers[controller].clock_fault;
-        fault.drift = ppm.parse::<f64>().map_err(|_| "a number")? / 1e6;
-        fault.wall_offset_ms = wall.parse().map_err(|_| "a number")?;
+        fault.drift = parse_argument::<f64>(ppm, "a drift in ppm")? / 1e6;
+        fault.wall_offset_ms = parse_argument(wall, "a number of milliseconds")?;
         Ok(())
     }
 }
--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -1,6 +1,7 @@
 //! Parses the description of a job in a scenario line: `NUMBER name=value flag ...`.
 
 use std::collections::BTreeMap;
+use std::str::FromStr;
 
 use olivelatch_worker::{JobDescription, TaskWork};
 use serde_json::{Value, json};
@@ -17,8 +18,13 @@
 }
 
 pub(super) fn numeric_argument(words: &[&str], name: &str, default: f64) -> f64 {
-    named_argument(words, name)
-        .map_or(default, |text| text.parse().unwrap_or_else(|_| panic!("{name}={text}")))
+    parsed_argument(words, name, "a number").unwrap_or(default)
+}
+
+/// Returns the value of `name=value` among the words, if there is one. Panics unless it is what is `expected`.
+fn parsed_argument<T: FromStr>(words: &[&str], name: &str, expected: &str) -> Option<T> {
+    let text = named_argument(words, name)?;
+    Some(text.parse().unwrap_or_else(|_| panic!("expected {expected}, found {name}={text}")))
 }
 
 /// A job that a scenario describes.
@@ -53,7 +59,7 @@
         "hall": named_argument(words, "zone"), "together": flag("together"), "scatter": flag("scatter"),
         "loaners": flag("spot"), "guess_s": number("guess", number("run", 5.0)),
         "snapshot_s": number("checkpoint", 0.0), "flush_s": number("save", 1.0),
-        "due_s": named_argument(words, "due").map(|due| due.parse::<f64>().expect("due"))})
+        "due_s": parsed_argument::<f64>(words, "due", "a number of seconds")})
 }
 
 /// Returns what the workers know about the job, and how its simulated tasks behave.
@@ -73,7 +79,7 @@
         work: TaskWork::Simulated {
             run_ms: if shape == "daemon" { ENDLESS_MS } else { (number("run", 5.0) * 1000.0) as u64 },
             fails: words.contains(&"fails"),
-            list_len: named_argument(words, "gives").map(|len| len.parse().expect("gives")),
+            list_len: parsed_argument(words, "gives", "a number of elements"),
         },
         inputs: BTreeMap::new(),
         map_source: None,
@@ -84,10 +90,11 @@
     /// Parses a job. Unless its submission is expected to be rejected, registers the job with the workers and the
     /// invariant checks.
     pub(super) fn describe_job(&mut self, words: &[&str]) -> JobArguments {
-        let id = format!("job-{:06}", words[0].parse::<u64>().expect("a job number"));
+        let number: u64 =
+            words[0].parse().unwrap_or_else(|_| panic!("expected the number of a job, found {}", words[0]));
+        let id = format!("job-{number:06}");
         let spec = submission(&id, words);
-        let expected: Option<u16> =
-            named_argument(words, "expect").map(|code| code.parse().expect("a status"));
+        let expected: Option<u16> = parsed_argument(words, "expect", "a status code");
         if expected.is_none_or(|status| status < 300) {
             self.jobs.insert(id.clone(), job_description(words));
             self.submissions.insert(id.clone(), spec.clone());
--- a/tests/simulation/job_stream.rs
+++ b/tests/simulation/job_stream.rs
@@ -6,7 +6,7 @@
 use olivelatch::protocol::users::parse_submission;
 use olivelatch_worker::Worker;
 
-use super::actions::{ActionResult, parse_seconds, usage_error};
+use super::actions::{ActionResult, parse_argument, parse_seconds, usage_error};
 use super::status_polls::done_attempts;
 use super::{JobArguments, ResponseCheck, SimulatedCluster};
 
@@ -62,14 +62,13 @@
         let [first, count, every, cancel, rest @ ..] = words else {
             return usage_error("FIRST COUNT SECONDS CANCEL-EVERY, followed by the arguments of each job");
         };
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("expected a number, not {text}"));
-        let first = number(first)?;
+        let first: u64 = parse_argument(first, "the number of a job")?;
         self.job_stream = Some(JobStream {
             next_job: first,
-            last_job: first + number(count)? - 1,
+            last_job: first + parse_argument::<u64>(count, "a number of jobs")? - 1,
             interval_ms: (parse_seconds(every)? * 1000.0) as u64,
             next_submission: self.now,
-            cancel_every: number(cancel)?,
+            cancel_every: parse_argument(cancel, "a number of jobs")?,
             job_arguments: rest.iter().map(|word| (*word).to_string()).collect(),
             unfinished_jobs: BTreeMap::new(),
             last_task_finished: BTreeMap::new(),
