--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -130,13 +130,13 @@
         5 => (0..nodes as u64)
             .flat_map(|at| delayed(kill_and_restart(&format!("n{at}"), downtime_ms), at * (downtime_ms + 20)))
             .collect(),
-        6 => restart_during(&["txns lost"], &["txns fine"]),
+        6 => restart_during(&["txns lost"], &["txns normal"]),
         7 => restart_during(
             &["txns late"],
-            &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns fine"],
+            &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns normal"],
         ),
-        8 => restart_during(&["mesh held"], &["mesh fine", "deliver-held"]),
-        9 => restart_during(&["direct-commands lost"], &["direct-commands fine", "deliver-held"]),
+        8 => restart_during(&["mesh held"], &["mesh normal", "deliver-held"]),
+        9 => restart_during(&["direct-commands lost"], &["direct-commands normal", "deliver-held"]),
         10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
             let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
@@ -174,14 +174,14 @@
                 pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
             )],
             duration_ms,
-            &["kv-delay fine"],
+            &["kv-delay none"],
         ),
         9 => lasting_fault(
             &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
             duration_ms.min(15_000),
-            &["txns fine"],
+            &["txns normal"],
         ),
-        10 => lasting_fault(&["txns lost"], duration_ms.min(6_000), &["txns fine"]),
+        10 => lasting_fault(&["txns lost"], duration_ms.min(6_000), &["txns normal"]),
         11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], duration_ms, &["copy-heartbeats none"]),
         12 => lasting_fault(
             &[&format!("receive-path-down {host} {other}")],
@@ -197,9 +197,9 @@
         15 => lasting_fault(
             &["direct-commands lost"],
             duration_ms.min(15_000),
-            &["direct-commands fine", "deliver-held"],
+            &["direct-commands normal", "deliver-held"],
         ),
-        16 => lasting_fault(&["mesh held"], duration_ms, &["mesh fine", "deliver-held"]),
+        16 => lasting_fault(&["mesh held"], duration_ms, &["mesh normal", "deliver-held"]),
         17 => {
             lasting_fault(&[&format!("send-path-down {host} {other}")], duration_ms, &["send-path-down none"])
         }
@@ -208,7 +208,7 @@
         20 => lasting_fault(
             &[&format!("cloud-delay late {}", pick_one(rng, &["1", "2.5", "9"]))],
             duration_ms,
-            &["cloud-delay fine"],
+            &["cloud-delay none"],
         ),
         _ => lasting_fault(&[&format!("freeze {node}")], duration_ms, &["thaw"]),
     }
@@ -218,14 +218,14 @@
 const RECOVERY_LINES: [&str; 18] = [
     "heal",
     "kv-outage off",
-    "kv-delay fine",
-    "txns fine",
-    "mesh fine",
-    "direct-commands fine",
+    "kv-delay none",
+    "txns normal",
+    "mesh normal",
+    "direct-commands normal",
     "copy-heartbeats none",
     "receive-path-down none",
     "send-path-down none",
-    "cloud-delay fine",
+    "cloud-delay none",
     "resume host-000000",
     "resume host-000001",
     "resume host-000002",
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -89,8 +89,8 @@
     pub(super) fn set_long_changes(&mut self, words: &[&str]) -> ActionResult {
         self.changes_too_long = match words {
             ["long"] => true,
-            ["fine"] => false,
-            _ => return usage_error("long or fine"),
+            ["normal"] => false,
+            _ => return usage_error("long or normal"),
         };
         Ok(())
     }
@@ -98,8 +98,8 @@
     pub(super) fn set_direct_commands(&mut self, words: &[&str]) -> ActionResult {
         self.direct_commands_lost = match words {
             ["lost"] => true,
-            ["fine"] => false,
-            _ => return usage_error("lost or fine"),
+            ["normal"] => false,
+            _ => return usage_error("lost or normal"),
         };
         Ok(())
     }
@@ -109,8 +109,8 @@
             ["lost"] => (TxnMode::ResponseLost, None),
             ["late"] => (TxnMode::Delayed, None),
             ["late", seconds] => (TxnMode::Delayed, Some((parse_seconds(seconds)? * 1000.0) as u64)),
-            ["fine"] => (TxnMode::Normal, None),
-            _ => return usage_error("lost, late [SECONDS] or fine"),
+            ["normal"] => (TxnMode::Normal, None),
+            _ => return usage_error("lost, late [SECONDS] or normal"),
         };
         Ok(())
     }
@@ -119,8 +119,8 @@
         self.mesh_mode = match words {
             ["held"] => MeshMode::Delayed,
             ["twice"] => MeshMode::Duplicated,
-            ["fine"] => MeshMode::Normal,
-            _ => return usage_error("held, twice or fine"),
+            ["normal"] => MeshMode::Normal,
+            _ => return usage_error("held, twice or normal"),
         };
         Ok(())
     }
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -227,8 +227,8 @@
     pub fn set_cloud_delay(&mut self, words: &[&str]) -> ActionResult {
         self.faults.cloud_delay_ms = match words {
             ["late", seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
-            ["fine"] => 0,
-            _ => return usage_error("late SECONDS or fine"),
+            ["none"] => 0,
+            _ => return usage_error("late SECONDS or none"),
         };
         Ok(())
     }
@@ -250,8 +250,8 @@
         self.faults.kv_delay_varies = words == ["uneven"];
         self.faults.kv_delay_ms = match words {
             ["slow", seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
-            ["fine" | "uneven"] => 0,
-            _ => return usage_error("slow SECONDS, uneven or fine"),
+            ["none" | "uneven"] => 0,
+            _ => return usage_error("slow SECONDS, uneven or none"),
         };
         Ok(())
     }
