--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -132,7 +132,7 @@
             .collect(),
         6 => restart_during(&["txns lost"], &["txns normal"]),
         7 => restart_during(
-            &["txns late"],
+            &["txns held"],
             &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns normal"],
         ),
         8 => restart_during(&["mesh held"], &["mesh normal", "deliver-held"]),
@@ -177,7 +177,7 @@
             &["kv-delay none"],
         ),
         9 => lasting_fault(
-            &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
+            &[&format!("txns delayed {}", pick_one(rng, &["2", "4", "7", "12"]))],
             duration_ms.min(15_000),
             &["txns normal"],
         ),
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -107,10 +107,10 @@
     pub(super) fn set_txn_mode(&mut self, words: &[&str]) -> ActionResult {
         (self.txn_mode, self.faults.txn_delay_ms) = match words {
             ["lost"] => (TxnMode::ResponseLost, None),
-            ["late"] => (TxnMode::Delayed, None),
-            ["late", seconds] => (TxnMode::Delayed, Some((parse_seconds(seconds)? * 1000.0) as u64)),
+            ["held"] => (TxnMode::Delayed, None),
+            ["delayed", seconds] => (TxnMode::Delayed, Some((parse_seconds(seconds)? * 1000.0) as u64)),
             ["normal"] => (TxnMode::Normal, None),
-            _ => return usage_error("lost, late [SECONDS] or normal"),
+            _ => return usage_error("lost, held, delayed SECONDS or normal"),
         };
         Ok(())
     }
