--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -206,7 +206,7 @@
         18 => lasting_fault(&["send-path-down all"], duration_ms.min(15_000), &["send-path-down none"]),
         19 => lasting_fault(&["copy-heartbeats next"], duration_ms, &["copy-heartbeats none"]),
         20 => lasting_fault(
-            &[&format!("cloud-delay late {}", pick_one(rng, &["1", "2.5", "9"]))],
+            &[&format!("cloud-delay {}", pick_one(rng, &["1", "2.5", "9"]))],
             duration_ms,
             &["cloud-delay none"],
         ),
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -226,9 +226,9 @@
 
     pub fn set_cloud_delay(&mut self, words: &[&str]) -> ActionResult {
         self.faults.cloud_delay_ms = match words {
-            ["late", seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
             ["none"] => 0,
-            _ => return usage_error("late SECONDS or none"),
+            [seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
+            _ => return usage_error("SECONDS or none"),
         };
         Ok(())
     }
