--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -169,10 +169,7 @@
         6 => lasting_fault(&[&format!("cut {node} polls")], duration_ms, &["uncut polls"]),
         7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
         8 => lasting_fault(
-            &[&format!(
-                "kv-delay {}",
-                pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
-            )],
+            &[&format!("kv-delay {}", pick_one(rng, &["0.1", "0.4", "0.9", "1.3", "uneven"]))],
             duration_ms,
             &["kv-delay none"],
         ),
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -249,9 +249,9 @@
     pub fn set_kv_delay(&mut self, words: &[&str]) -> ActionResult {
         self.faults.kv_delay_varies = words == ["uneven"];
         self.faults.kv_delay_ms = match words {
-            ["slow", seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
             ["none" | "uneven"] => 0,
-            _ => return usage_error("slow SECONDS, uneven or none"),
+            [seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
+            _ => return usage_error("SECONDS, uneven or none"),
         };
         Ok(())
     }
