--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -169,7 +169,7 @@
         6 => lasting_fault(&[&format!("cut {node} polls")], duration_ms, &["uncut polls"]),
         7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
         8 => lasting_fault(
-            &[&format!("kv-delay {}", pick_one(rng, &["0.1", "0.4", "0.9", "1.3", "uneven"]))],
+            &[&format!("kv-delay {}", pick_one(rng, &["0.1", "0.4", "0.9", "1.3", "variable"]))],
             duration_ms,
             &["kv-delay none"],
         ),
@@ -316,7 +316,7 @@
     setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("poll-rate {job} 1")));
     setup.extend(lines(&["close-polls on", "cancel-at-end 20"]));
     if seed % 4 == 1 {
-        setup.push("kv-delay uneven".into());
+        setup.push("kv-delay variable".into());
     }
     let (faults, begin) = overlapping_faults(&mut rng, nodes, 8_000);
     let mut users = FaultScript::new();
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -247,11 +247,11 @@
     }
 
     pub fn set_kv_delay(&mut self, words: &[&str]) -> ActionResult {
-        self.faults.kv_delay_varies = words == ["uneven"];
+        self.faults.kv_delay_varies = words == ["variable"];
         self.faults.kv_delay_ms = match words {
-            ["none" | "uneven"] => 0,
+            ["none" | "variable"] => 0,
             [seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
-            _ => return usage_error("SECONDS, uneven or none"),
+            _ => return usage_error("SECONDS, variable or none"),
         };
         Ok(())
     }
