--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -130,7 +130,7 @@
         5 => (0..nodes as u64)
             .flat_map(|at| delayed(kill_and_restart(&format!("n{at}"), downtime_ms), at * (downtime_ms + 20)))
             .collect(),
-        6 => restart_during(&["txns lost"], &["txns normal"]),
+        6 => restart_during(&["txns response-lost"], &["txns normal"]),
         7 => restart_during(
             &["txns held"],
             &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns normal"],
@@ -178,7 +178,7 @@
             duration_ms.min(15_000),
             &["txns normal"],
         ),
-        10 => lasting_fault(&["txns lost"], duration_ms.min(6_000), &["txns normal"]),
+        10 => lasting_fault(&["txns response-lost"], duration_ms.min(6_000), &["txns normal"]),
         11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], duration_ms, &["copy-heartbeats none"]),
         12 => lasting_fault(
             &[&format!("receive-path-down {host} {other}")],
