--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -136,7 +136,7 @@
             &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns normal"],
         ),
         8 => restart_during(&["mesh held"], &["mesh normal", "deliver-held"]),
-        9 => restart_during(&["direct-commands lost"], &["direct-commands normal", "deliver-held"]),
+        9 => restart_during(&["direct-commands held"], &["direct-commands normal", "deliver-held"]),
         10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
             let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
@@ -192,7 +192,7 @@
             &[&format!("resume {host}"), &format!("resume {other}")],
         ),
         15 => lasting_fault(
-            &["direct-commands lost"],
+            &["direct-commands held"],
             duration_ms.min(15_000),
             &["direct-commands normal", "deliver-held"],
         ),
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -96,10 +96,10 @@
     }
 
     pub(super) fn set_direct_commands(&mut self, words: &[&str]) -> ActionResult {
-        self.direct_commands_lost = match words {
-            ["lost"] => true,
+        self.direct_commands_held = match words {
+            ["held"] => true,
             ["normal"] => false,
-            _ => return usage_error("lost or normal"),
+            _ => return usage_error("held or normal"),
         };
         Ok(())
     }
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -112,7 +112,7 @@
         if self.faults.receive_path_down.contains(&self.workers[worker].machine.name) {
             return HttpOutcome::Unknown;
         }
-        if self.direct_commands_lost {
+        if self.direct_commands_held {
             self.held_commands.push((worker, request.body.clone()));
             return HttpOutcome::Unknown;
         }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -86,7 +86,8 @@
     zone_cuts: HashSet<(String, String)>,
     /// Events that a controller can handle per second, in units of one heartbeat; `None` for no limit.
     controller_capacity: Option<f64>,
-    direct_commands_lost: bool,
+    /// Whether direct commands to workers get no response and wait in `held_commands` until they are delivered.
+    direct_commands_held: bool,
     /// Whether responses to polls for changes are longer than a controller accepts.
     changes_too_long: bool,
     held_commands: Vec<(usize, Vec<u8>)>,
@@ -159,7 +160,7 @@
             violations: Vec::new(),
             zone_cuts: HashSet::new(),
             controller_capacity: None,
-            direct_commands_lost: false,
+            direct_commands_held: false,
             changes_too_long: false,
             held_commands: Vec::new(),
             txn_mode: TxnMode::Normal,
