--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -118,9 +118,9 @@
     pub(super) fn set_mesh_mode(&mut self, words: &[&str]) -> ActionResult {
         self.mesh_mode = match words {
             ["held"] => MeshMode::Delayed,
-            ["twice"] => MeshMode::Duplicated,
+            ["duplicated"] => MeshMode::Duplicated,
             ["normal"] => MeshMode::Normal,
-            _ => return usage_error("held, twice or normal"),
+            _ => return usage_error("held, duplicated or normal"),
         };
         Ok(())
     }
