--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -135,11 +135,11 @@
             &["txns held"],
             &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns normal"],
         ),
-        8 => restart_during(&["mesh held"], &["mesh normal", "deliver-held"]),
+        8 => restart_during(&["peer-messages held"], &["peer-messages normal", "deliver-held"]),
         9 => restart_during(&["direct-commands held"], &["direct-commands normal", "deliver-held"]),
         10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
-            let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
+            let link = pick_one(rng, &["state", "workers", "peers", "all"]);
             restart_during(&[&format!("cut {node} {link}")], &[&format!("uncut {link}")])
         }
     }
@@ -160,9 +160,9 @@
         }
         2 => lasting_fault(&[&format!("cut {node} state")], duration_ms, &["uncut state"]),
         3 => lasting_fault(
-            &[&format!("cut {node} state"), &format!("cut {node} mesh")],
+            &[&format!("cut {node} state"), &format!("cut {node} peers")],
             duration_ms,
-            &["uncut state", "uncut mesh"],
+            &["uncut state", "uncut peers"],
         ),
         4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["uncut all"]),
         5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["uncut workers"]),
@@ -196,7 +196,7 @@
             duration_ms.min(15_000),
             &["direct-commands normal", "deliver-held"],
         ),
-        16 => lasting_fault(&["mesh held"], duration_ms, &["mesh normal", "deliver-held"]),
+        16 => lasting_fault(&["peer-messages held"], duration_ms, &["peer-messages normal", "deliver-held"]),
         17 => {
             lasting_fault(&[&format!("send-path-down {host} {other}")], duration_ms, &["send-path-down none"])
         }
@@ -217,7 +217,7 @@
     "kv-outage off",
     "kv-delay none",
     "txns normal",
-    "mesh normal",
+    "peer-messages normal",
     "direct-commands normal",
     "copy-heartbeats none",
     "receive-path-down none",
@@ -367,7 +367,7 @@
     setup.push(format!("advance {}", f64::from(rng.random_range(20..2_000)) / 1000.0));
     let mut script = vec![(0, "cut leader state".to_string())];
     if rng.random_bool(0.5) {
-        script.push((0, "cut leader mesh".into()));
+        script.push((0, "cut leader peers".into()));
     }
     if rng.random_bool(0.5) {
         // The successor's commands do not reach the machines.
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -3,7 +3,7 @@
 use olivelatch::coordination::Event;
 use olivelatch_worker::{TaskWork, Worker};
 
-use super::super::{MeshMode, SimulatedCluster, TxnMode};
+use super::super::{PeerMessageMode, SimulatedCluster, TxnMode};
 use super::requests::parse_job;
 use super::{ActionResult, parse_argument, parse_seconds, usage_error};
 
@@ -115,11 +115,11 @@
         Ok(())
     }
 
-    pub(super) fn set_mesh_mode(&mut self, words: &[&str]) -> ActionResult {
-        self.mesh_mode = match words {
-            ["held"] => MeshMode::Delayed,
-            ["duplicated"] => MeshMode::Duplicated,
-            ["normal"] => MeshMode::Normal,
+    pub(super) fn set_peer_message_mode(&mut self, words: &[&str]) -> ActionResult {
+        self.peer_message_mode = match words {
+            ["held"] => PeerMessageMode::Delayed,
+            ["duplicated"] => PeerMessageMode::Duplicated,
+            ["normal"] => PeerMessageMode::Normal,
             _ => return usage_error("held, duplicated or normal"),
         };
         Ok(())
@@ -133,7 +133,7 @@
         for (worker, body) in std::mem::take(&mut self.held_commands) {
             self.workers[worker].handle_direct_command(&body, self.now, &self.jobs);
         }
-        for (to, sender, message) in std::mem::take(&mut self.held_mesh) {
+        for (to, sender, message) in std::mem::take(&mut self.held_peer_messages) {
             self.send_event(to, Event::Peer { controller: sender, message });
         }
         Ok(())
@@ -143,7 +143,7 @@
     pub(super) fn drop_held(&mut self, _: &[&str]) -> ActionResult {
         self.held_txns.clear();
         self.held_commands.clear();
-        self.held_mesh.clear();
+        self.held_peer_messages.clear();
         Ok(())
     }
 }
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -85,7 +85,7 @@
     ("txns", SimulatedCluster::set_txn_mode),
     ("deliver-held", SimulatedCluster::deliver_held),
     ("drop-held", SimulatedCluster::drop_held),
-    ("mesh", SimulatedCluster::set_mesh_mode),
+    ("peer-messages", SimulatedCluster::set_peer_message_mode),
     ("restart", SimulatedCluster::kill_and_restart),
     ("poll-rate", SimulatedCluster::poll_repeatedly),
     ("receive-path-down", SimulatedCluster::set_receive_path_down),
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -22,7 +22,7 @@
 
 /// How messages between controllers are handled.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum MeshMode {
+pub(super) enum PeerMessageMode {
     Normal,
     /// Messages are delivered later, possibly after the sender was killed.
     Delayed,
@@ -123,14 +123,14 @@
     fn send_peer_message(&mut self, from: usize, controller: &str, message: PeerMessage) {
         let Some(to) = self.controllers.iter().position(|slot| slot.name == controller) else { return };
         let partitioned = self.are_zones_cut(&self.controllers[from].zone, &self.controllers[to].zone);
-        if partitioned || self.is_cut(from, "mesh") || self.is_cut(to, "mesh") {
+        if partitioned || self.is_cut(from, "peers") || self.is_cut(to, "peers") {
             return;
         }
         let sender = self.controllers[from].name.clone();
-        if self.mesh_mode != MeshMode::Normal {
-            self.held_mesh.push((to, sender.clone(), message.clone()));
+        if self.peer_message_mode != PeerMessageMode::Normal {
+            self.held_peer_messages.push((to, sender.clone(), message.clone()));
         }
-        if self.mesh_mode != MeshMode::Delayed {
+        if self.peer_message_mode != PeerMessageMode::Delayed {
             self.send_event(to, Event::Peer { controller: sender, message });
         }
     }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -33,7 +33,7 @@
 use config_changes::ConfigChanges;
 pub use controllers::{ControllerSlot, EventCpuTime};
 use dag_runs::DagRuns;
-use deliveries::{MeshMode, TxnMode};
+use deliveries::{PeerMessageMode, TxnMode};
 use fault_injection::Faults;
 use job_arguments::{JobArguments, named_argument, numeric_argument};
 use job_stream::JobStream;
@@ -97,9 +97,9 @@
     status_polls: StatusPolls,
     waiting_check: WaitingCheck,
     job_stream: Option<JobStream>,
-    mesh_mode: MeshMode,
+    peer_message_mode: PeerMessageMode,
     /// Delayed messages between controllers: receiver, sender, message.
-    held_mesh: Vec<(usize, String, PeerMessage)>,
+    held_peer_messages: Vec<(usize, String, PeerMessage)>,
     repeating_polls: Vec<RepeatingPoll>,
     /// The highest value of each of the leaders' counters.
     pub counters: BTreeMap<&'static str, u64>,
@@ -169,8 +169,8 @@
             status_polls: StatusPolls::default(),
             waiting_check: WaitingCheck::default(),
             job_stream: None,
-            mesh_mode: MeshMode::Normal,
-            held_mesh: Vec::new(),
+            peer_message_mode: PeerMessageMode::Normal,
+            held_peer_messages: Vec::new(),
             repeating_polls: Vec::new(),
             counters: BTreeMap::new(),
             operator_queries: OperatorQueries::default(),
