--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -166,7 +166,7 @@
         ),
         4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["uncut all"]),
         5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["uncut workers"]),
-        6 => lasting_fault(&[&format!("cut {node} polls")], duration_ms, &["uncut polls"]),
+        6 => lasting_fault(&[&format!("cut {node} change-polls")], duration_ms, &["uncut change-polls"]),
         7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
         8 => lasting_fault(
             &[&format!("kv-delay {}", pick_one(rng, &["0.1", "0.4", "0.9", "1.3", "variable"]))],
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -61,7 +61,7 @@
     }
 
     fn call_kv(&mut self, from: usize, outbound: OutboundId, request: &KvRequest, timeout_ms: u64) {
-        let poll_cut = self.is_cut(from, "polls") && matches!(request, KvRequest::PollChanges { .. });
+        let poll_cut = self.is_cut(from, "change-polls") && matches!(request, KvRequest::PollChanges { .. });
         let outcome = if self.kv_outage || poll_cut || self.is_cut(from, "state") {
             unavailable(b"")
         } else {
