--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -371,7 +371,7 @@
     }
     if rng.random_bool(0.5) {
         // The successor's commands do not reach the machines.
-        script.push((0, "cut all orders".into()));
+        script.push((0, "cut all direct-commands".into()));
     }
     // Cancellations at the first and the last moment and two in between, through each of the two other controllers.
     let last = outage_delay_ms.saturating_sub(60);
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -107,7 +107,8 @@
     /// Lets the worker at the endpoint carry out commands if it is reachable, and returns the outcome.
     fn worker_outcome(&mut self, from: usize, endpoint: &str, request: &HttpRequest) -> HttpOutcome {
         let worker = self.workers.iter().position(|worker| worker.machine.endpoint == endpoint);
-        let reachable = |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "orders");
+        let reachable =
+            |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "direct-commands");
         let Some(worker) = worker.filter(reachable) else { return HttpOutcome::NotSent };
         if self.faults.receive_path_down.contains(&self.workers[worker].machine.name) {
             return HttpOutcome::Unknown;
