--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -139,7 +139,7 @@
         9 => restart_during(&["direct-commands held"], &["direct-commands normal", "deliver-held"]),
         10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
-            let link = pick_one(rng, &["state", "workers", "peers", "all"]);
+            let link = pick_one(rng, &["kv", "workers", "peers", "all"]);
             restart_during(&[&format!("cut {node} {link}")], &[&format!("uncut {link}")])
         }
     }
@@ -158,11 +158,11 @@
             all.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
             all
         }
-        2 => lasting_fault(&[&format!("cut {node} state")], duration_ms, &["uncut state"]),
+        2 => lasting_fault(&[&format!("cut {node} kv")], duration_ms, &["uncut kv"]),
         3 => lasting_fault(
-            &[&format!("cut {node} state"), &format!("cut {node} peers")],
+            &[&format!("cut {node} kv"), &format!("cut {node} peers")],
             duration_ms,
-            &["uncut state", "uncut peers"],
+            &["uncut kv", "uncut peers"],
         ),
         4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["uncut all"]),
         5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["uncut workers"]),
@@ -365,7 +365,7 @@
     setup.extend((1..=8).map(|job| format!("submit {job} tasks=2 run=900 team=long")));
     setup.extend(lines(&["until 30 running 8 >= 2", "until 30 running 1 >= 2"]));
     setup.push(format!("advance {}", f64::from(rng.random_range(20..2_000)) / 1000.0));
-    let mut script = vec![(0, "cut leader state".to_string())];
+    let mut script = vec![(0, "cut leader kv".to_string())];
     if rng.random_bool(0.5) {
         script.push((0, "cut leader peers".into()));
     }
--- a/tests/simulation/actions/requests.rs
+++ b/tests/simulation/actions/requests.rs
@@ -50,14 +50,14 @@
             [id, choice] => (id, Some(*choice)),
             _ => {
                 return usage_error(
-                    "JOB [first|second: the controller, among those that can reach the state service]",
+                    "JOB [first|second: the controller, among those that can reach the kv store]",
                 );
             }
         };
         let (id, job) = parse_job(id)?;
         self.pending_cancels.insert(id.clone(), self.now);
         let can_reach_kv =
-            |index: &usize| !self.is_cut(*index, "state") && self.controllers[*index].controller.is_some();
+            |index: &usize| !self.is_cut(*index, "kv") && self.controllers[*index].controller.is_some();
         let mut candidates = (0..self.controllers.len()).filter(can_reach_kv);
         let controller = match choice {
             Some("first") => candidates.next(),
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -62,7 +62,7 @@
 
     fn call_kv(&mut self, from: usize, outbound: OutboundId, request: &KvRequest, timeout_ms: u64) {
         let poll_cut = self.is_cut(from, "change-polls") && matches!(request, KvRequest::PollChanges { .. });
-        let outcome = if self.kv_outage || poll_cut || self.is_cut(from, "state") {
+        let outcome = if self.kv_outage || poll_cut || self.is_cut(from, "kv") {
             unavailable(b"")
         } else {
             let request = request.to_http_request();
