--- a/tests/simulation/actions/controllers.rs
+++ b/tests/simulation/actions/controllers.rs
@@ -3,6 +3,18 @@
 use super::super::{ControllerSlot, SimulatedCluster};
 use super::{ActionResult, parse_argument, usage_error};
 
+/// The links of a controller that can be cut: to the kv store, only its polls for changes, to the workers, only the
+/// direct commands to them, to the other controllers, to the users, and all of these.
+const LINKS: [&str; 7] = ["kv", "change-polls", "workers", "direct-commands", "peers", "users", "all"];
+
+fn check_link(link: &str) -> ActionResult {
+    if LINKS.contains(&link) {
+        Ok(())
+    } else {
+        Err(format!("expected one of the links {}, found {link}", LINKS.join(", ")))
+    }
+}
+
 impl SimulatedCluster {
     pub fn controller_index(&self, name: &str) -> usize {
         if name == "leader" {
@@ -63,6 +75,7 @@
 
     pub(super) fn cut_link(&mut self, words: &[&str]) -> ActionResult {
         let [node, link] = words else { return usage_error("NODE LINK") };
+        check_link(link)?;
         if *node == "all" {
             self.controllers.iter_mut().for_each(|slot| {
                 slot.cut_links.insert((*link).into());
@@ -78,6 +91,7 @@
     /// Restores links of this kind at every controller.
     pub(super) fn restore_links(&mut self, words: &[&str]) -> ActionResult {
         let [link] = words else { return usage_error("LINK") };
+        check_link(link)?;
         self.controllers.iter_mut().for_each(|slot| {
             slot.cut_links.remove(*link);
         });
