--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -140,7 +140,7 @@
         10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
             let link = pick_one(rng, &["kv", "workers", "peers", "all"]);
-            restart_during(&[&format!("cut {node} {link}")], &[&format!("uncut {link}")])
+            restart_during(&[&format!("cut {node} {link}")], &[&format!("restore {link}")])
         }
     }
 }
@@ -158,15 +158,15 @@
             all.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
             all
         }
-        2 => lasting_fault(&[&format!("cut {node} kv")], duration_ms, &["uncut kv"]),
+        2 => lasting_fault(&[&format!("cut {node} kv")], duration_ms, &["restore kv"]),
         3 => lasting_fault(
             &[&format!("cut {node} kv"), &format!("cut {node} peers")],
             duration_ms,
-            &["uncut kv", "uncut peers"],
+            &["restore kv", "restore peers"],
         ),
-        4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["uncut all"]),
-        5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["uncut workers"]),
-        6 => lasting_fault(&[&format!("cut {node} change-polls")], duration_ms, &["uncut change-polls"]),
+        4 => lasting_fault(&[&format!("cut {node} all")], duration_ms, &["restore all"]),
+        5 => lasting_fault(&[&format!("cut {node} workers")], duration_ms, &["restore workers"]),
+        6 => lasting_fault(&[&format!("cut {node} change-polls")], duration_ms, &["restore change-polls"]),
         7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
         8 => lasting_fault(
             &[&format!("kv-delay {}", pick_one(rng, &["0.1", "0.4", "0.9", "1.3", "variable"]))],
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -68,7 +68,7 @@
     ("start-all", SimulatedCluster::start_all_controllers),
     ("event-capacity", SimulatedCluster::set_controller_capacity),
     ("cut", SimulatedCluster::cut_link),
-    ("uncut", SimulatedCluster::restore_links),
+    ("restore", SimulatedCluster::restore_links),
     ("heal", SimulatedCluster::restore_all_links),
     ("partition", SimulatedCluster::partition_zones),
     ("kv-outage", SimulatedCluster::set_kv_outage),
