--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -22,9 +22,9 @@
 
     pub(super) fn set_cloud_outage(&mut self, words: &[&str]) -> ActionResult {
         self.cloud_down = match words {
-            ["down"] => true,
-            ["up"] => false,
-            _ => return usage_error("down or up"),
+            ["on"] => true,
+            ["off"] => false,
+            _ => return usage_error("on or off"),
         };
         Ok(())
     }
