--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -88,9 +88,9 @@
 
     pub(super) fn set_long_changes(&mut self, words: &[&str]) -> ActionResult {
         self.changes_too_long = match words {
-            ["long"] => true,
+            ["too-large"] => true,
             ["normal"] => false,
-            _ => return usage_error("long or normal"),
+            _ => return usage_error("too-large or normal"),
         };
         Ok(())
     }
