--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -314,7 +314,7 @@
     setup.push("advance 16".into());
     // Two polls of a job may be in flight at the same time, at different controllers.
     setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("poll-rate {job} 1")));
-    setup.extend(lines(&["close-polls on", "cancel-at-end 20"]));
+    setup.extend(lines(&["concurrent-polls on", "cancel-at-end 20"]));
     if seed % 4 == 1 {
         setup.push("kv-delay variable".into());
     }
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -92,7 +92,7 @@
     ("send-path-down", SimulatedCluster::set_send_path_down),
     ("check-waiting", SimulatedCluster::expect_prompt_starts),
     ("cloud-delay", SimulatedCluster::set_cloud_delay),
-    ("close-polls", SimulatedCluster::set_close_polling),
+    ("concurrent-polls", SimulatedCluster::set_concurrent_polling),
     ("stream", SimulatedCluster::set_stream),
     ("cancel-at-end", SimulatedCluster::set_cancels_at_end),
     ("copy-heartbeats", SimulatedCluster::set_heartbeat_copies),
--- a/tests/simulation/status_polls.rs
+++ b/tests/simulation/status_polls.rs
@@ -32,7 +32,7 @@
 }
 
 impl SimulatedCluster {
-    pub fn set_close_polling(&mut self, words: &[&str]) -> ActionResult {
+    pub fn set_concurrent_polling(&mut self, words: &[&str]) -> ActionResult {
         self.status_polls.enabled = match words {
             ["on"] => true,
             ["off"] => false,
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    pub fn schedule_close_polls(&mut self, id: &str) {
+    pub fn schedule_concurrent_polls(&mut self, id: &str) {
         if self.status_polls.enabled && self.submissions.contains_key(id) {
             let now = self.now;
             self.status_polls.due.extend(POLL_DELAYS_MS.map(|after| (now + after, id.to_string())));
@@ -89,7 +89,7 @@
             if self.status_polls.cancel_every > 0 && job.0 % self.status_polls.cancel_every == 0 {
                 self.pending_cancels.insert(id.clone(), self.now);
             }
-            self.schedule_close_polls(&id);
+            self.schedule_concurrent_polls(&id);
         }
     }
 
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -92,7 +92,7 @@
         self.record_status(id, body["status"].as_str().unwrap_or(""));
         self.faults.last_answered_at.insert(id.into(), self.now);
         if self.accepted_jobs.insert(id.into()) {
-            self.schedule_close_polls(id);
+            self.schedule_concurrent_polls(id);
         }
     }
 
@@ -106,7 +106,7 @@
         if status == "done" || status == "withdrawn" {
             let before = self.final_states.insert(id.into(), status.into());
             if before.is_none() {
-                self.schedule_close_polls(id);
+                self.schedule_concurrent_polls(id);
             }
         }
         if status == "withdrawn" {
