--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -201,7 +201,7 @@
             lasting_fault(&[&format!("send-path-down {host} {other}")], duration_ms, &["send-path-down none"])
         }
         18 => lasting_fault(&["send-path-down all"], duration_ms.min(15_000), &["send-path-down none"]),
-        19 => lasting_fault(&["copy-heartbeats next"], duration_ms, &["copy-heartbeats none"]),
+        19 => lasting_fault(&["copy-heartbeats to-next-leader"], duration_ms, &["copy-heartbeats none"]),
         20 => lasting_fault(
             &[&format!("cloud-delay {}", pick_one(rng, &["1", "2.5", "9"]))],
             duration_ms,
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -235,8 +235,8 @@
 
     pub fn set_heartbeat_copies(&mut self, words: &[&str]) -> ActionResult {
         let leader = self.current_leader();
-        self.faults.kept_for_next_leader = (words == ["next"]).then_some(leader);
-        if words == ["next"] {
+        self.faults.kept_for_next_leader = (words == ["to-next-leader"]).then_some(leader);
+        if words == ["to-next-leader"] {
             return Ok(());
         }
         self.faults.kept_heartbeats.clear();
