--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -274,7 +274,7 @@
         draft_graph(&mut cluster, &format!("r{run}"), 1 + run * 1_000, &shape);
         run_lines(&mut cluster, &[&format!("commit r{run} g{run}"), "advance 1"]);
     }
-    run_lines(&mut cluster, &["until 60 graph-requests-sent", "advance 5"]);
+    run_lines(&mut cluster, &["until 60 graph-requests-answered", "advance 5"]);
     let ends = finished_jobs(&cluster);
     println!(
         "before: {ends} of 50,000 nodes finished, at most {:.1} ms for one event",
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -151,7 +151,7 @@
                 let found = self.dag_runs.run_row(run).map(|row| row["states"][*state].as_u64().unwrap_or(0));
                 found.is_some_and(|found| compare(found, op, right))
             }
-            ["graph-requests-sent"] => {
+            ["graph-requests-answered"] => {
                 self.dag_runs.is_idle()
                     && !self
                         .requests_in_flight
