--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -79,7 +79,7 @@
         work: TaskWork::Simulated {
             run_ms: if shape == "daemon" { ENDLESS_MS } else { (number("run", 5.0) * 1000.0) as u64 },
             fails: words.contains(&"fails"),
-            list_len: parsed_argument(words, "gives", "a number of elements"),
+            list_len: parsed_argument(words, "list_len", "a number of elements"),
         },
         inputs: BTreeMap::new(),
         map_source: None,
