--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -24,7 +24,7 @@
         "controllers a b c",
         "until 5 leader = any",
         "until 30 workers = 1300",
-        "submit 900001 tasks=5200 run=1000 guess=1000",
+        "submit 900001 tasks=5200 run=1000 estimate=1000",
         "until 60 tasks >= 5000",
         "submit 900002 tasks=100 run=10",
         "advance 5",
@@ -138,7 +138,7 @@
     "advance 2",
 ];
 
-const NODE: &str = "run=1 guess=1 cpus=1 memory=0.1 size=0";
+const NODE: &str = "run=1 estimate=1 cpus=1 memory=0.1 size=0";
 
 /// Returns the upstream nodes of each node, for a graph of the given kind.
 fn shape(kind: &str, nodes: u64) -> Vec<Vec<u64>> {
--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -57,7 +57,7 @@
         "bundle": text("image", "img-1"), "size_gb": number("size", 0.1),
         "boxkinds": named_argument(words, "kinds").map(|kinds| kinds.split(',').collect::<Vec<_>>()),
         "hall": named_argument(words, "zone"), "together": flag("together"), "scatter": flag("scatter"),
-        "loaners": flag("spot"), "guess_s": number("guess", number("run", 5.0)),
+        "loaners": flag("spot"), "guess_s": number("estimate", number("run", 5.0)),
         "snapshot_s": number("checkpoint", 0.0), "flush_s": number("save", 1.0),
         "due_s": parsed_argument::<f64>(words, "due", "a number of seconds")})
 }
