--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -72,16 +72,16 @@
         Ok(())
     }
 
-    /// Requests a change: NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]. Without values the entry is unset.
+    /// Requests a change: NAME TEAM [limit=] [guaranteed=] [expected_version=] [via=NODE]. Without values the entry is unset.
     pub fn set_config(&mut self, words: &[&str]) -> ActionResult {
         let [name, team, rest @ ..] = words else {
-            return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=] [via=]");
+            return usage_error("NAME TEAM [limit=] [guaranteed=] [expected_version=] [via=]");
         };
         let entry = ConfigKey::parse(&format!("team/{team}")).map_err(|error| error.to_string())?;
         let cpus = |field| named_argument(rest, field).map(|_| numeric_argument(rest, field, 0.0));
         let change = ConfigChangeRequest {
             quota: TeamQuota { limit_cpus: cpus("limit"), guaranteed_cpus: cpus("guaranteed") },
-            expected_version: named_argument(rest, "expected").and_then(|text| text.parse().ok()),
+            expected_version: named_argument(rest, "expected_version").and_then(|text| text.parse().ok()),
             changed_by: "operator".into(),
             reason: String::new(),
             change_id: (*name).into(),
