--- a/tests/simulation/graph_actions.rs
+++ b/tests/simulation/graph_actions.rs
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    /// Adds a node to the draft of a run: RUN NAME JOB [after=A,B*] [map=A] [rule= tries= wait= most_wait= limit= pool=
+    /// Adds a node to the draft of a run: RUN NAME JOB [after=A,B*] [map=A] [rule= tries= wait= max_wait= limit= pool=
     /// output=], followed by the arguments of a job.
     pub fn add_node(&mut self, words: &[&str]) -> ActionResult {
         let [run, name, rest @ ..] = words else { return usage_error("RUN NAME JOB ...") };
@@ -32,7 +32,7 @@
         spec["uid"] = json!("");
         let template = json!({"spec": spec, "rule": named_argument(rest, "rule").unwrap_or("all_success"),
             "tries": numeric_argument(rest, "tries", 1.0) as u32, "wait_s": numeric_argument(rest, "wait", 1.0),
-            "most_wait_s": numeric_argument(rest, "most_wait", 60.0), "limit_s": named_argument(rest, "limit").map(|l| l.parse::<f64>().expect("limit")),
+            "most_wait_s": numeric_argument(rest, "max_wait", 60.0), "limit_s": named_argument(rest, "limit").map(|l| l.parse::<f64>().expect("limit")),
             "pool": named_argument(rest, "pool"), "output_gb": numeric_argument(rest, "output", 0.0)});
         let template = serde_json::from_value(template).map_err(|error| error.to_string())?;
         let after: Vec<&str> =
@@ -69,14 +69,21 @@
         Ok(())
     }
 
-    /// Uploads and commits a run: RUN GRAPH [most=] [bytes=] [expect=] [alone]. With `alone` nothing is uploaded.
+    /// Uploads and commits a run: RUN GRAPH [max_runs=] [bytes=] [expect=] [alone]. With `alone` nothing is uploaded.
     pub fn commit_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, graph, rest @ ..] = words else { return usage_error("RUN GRAPH ...") };
         let bytes = numeric_argument(rest, "bytes", DEFAULT_PART_BYTES) as usize;
         let max_parts = if rest.contains(&"alone") { 0 } else { usize::MAX };
         let parts = self.dag_runs.upload(self.now, run, bytes, max_parts);
         let expect = named_argument(rest, "expect").map(parse_status).transpose()?;
-        self.dag_runs.commit(self.now, run, graph, parts, numeric_argument(rest, "most", 1.0) as u64, expect);
+        self.dag_runs.commit(
+            self.now,
+            run,
+            graph,
+            parts,
+            numeric_argument(rest, "max_runs", 1.0) as u64,
+            expect,
+        );
         Ok(())
     }
 
