--- a/tests/simulation/graph_actions.rs
+++ b/tests/simulation/graph_actions.rs
@@ -69,11 +69,11 @@
         Ok(())
     }
 
-    /// Uploads and commits a run: RUN GRAPH [max_runs=] [bytes=] [expect=] [alone]. With `alone` nothing is uploaded.
+    /// Uploads and commits a run: RUN GRAPH [max_runs=] [bytes=] [expect=] [without-upload]. With `without-upload` nothing is uploaded.
     pub fn commit_graph(&mut self, words: &[&str]) -> ActionResult {
         let [run, graph, rest @ ..] = words else { return usage_error("RUN GRAPH ...") };
         let bytes = numeric_argument(rest, "bytes", DEFAULT_PART_BYTES) as usize;
-        let max_parts = if rest.contains(&"alone") { 0 } else { usize::MAX };
+        let max_parts = if rest.contains(&"without-upload") { 0 } else { usize::MAX };
         let parts = self.dag_runs.upload(self.now, run, bytes, max_parts);
         let expect = named_argument(rest, "expect").map(parse_status).transpose()?;
         self.dag_runs.commit(
