--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -55,7 +55,7 @@
         "urgency": text("urgency", "normal"), "pieces": number("tasks", 1.0) as u64,
         "vcpus": number("cpus", 1.0), "accelerators": number("gpus", 0.0), "memory_gb": number("memory", 1.0),
         "bundle": text("image", "img-1"), "size_gb": number("size", 0.1),
-        "boxkinds": named_argument(words, "kinds").map(|kinds| kinds.split(',').collect::<Vec<_>>()),
+        "boxkinds": named_argument(words, "machine_types").map(|types| types.split(',').collect::<Vec<_>>()),
         "hall": named_argument(words, "zone"), "together": flag("together"), "scatter": flag("scatter"),
         "loaners": flag("spot"), "guess_s": number("estimate", number("run", 5.0)),
         "snapshot_s": number("checkpoint", 0.0), "flush_s": number("save", 1.0),
