--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -65,10 +65,15 @@
 }
 
 impl SimulatedCluster {
-    /// Enables the configuration, except at the named controllers.
+    /// Enables the configuration at all controllers: [except NODE ...].
     pub fn enable_config(&mut self, words: &[&str]) -> ActionResult {
+        let disabled = match words {
+            [] => &[],
+            ["except", nodes @ ..] => nodes,
+            _ => return usage_error("[except NODE ...]"),
+        };
         self.config_changes.enabled = true;
-        self.config_changes.disabled_controllers = words.iter().map(|word| (*word).to_string()).collect();
+        self.config_changes.disabled_controllers = disabled.iter().map(|word| (*word).to_string()).collect();
         Ok(())
     }
 
