--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -377,7 +377,7 @@
     let last = outage_delay_ms.saturating_sub(60);
     let times = [0, last, rng.random_range(0..last + 1), rng.random_range(0..last + 1)];
     for (job, at) in (1..).zip(times) {
-        script.push((at, format!("cancel {job} {}", if job % 2 == 0 { "first" } else { "second" })));
+        script.push((at, format!("cancel {job} via={}", if job % 2 == 0 { "first" } else { "second" })));
     }
     script.sort_by_key(|(at, _)| *at);
     script.push((outage_delay_ms, "kv-outage on".into()));
--- a/tests/simulation/actions/requests.rs
+++ b/tests/simulation/actions/requests.rs
@@ -47,10 +47,10 @@
     pub(super) fn cancel(&mut self, words: &[&str]) -> ActionResult {
         let (id, choice) = match words {
             [id] => (id, None),
-            [id, choice] => (id, Some(*choice)),
+            [id, via @ ("via=first" | "via=second")] => (id, Some(*via)),
             _ => {
                 return usage_error(
-                    "JOB [first|second: the controller, among those that can reach the kv store]",
+                    "JOB [via=first|via=second: the controller, among those that can reach the kv store]",
                 );
             }
         };
@@ -60,7 +60,7 @@
             |index: &usize| !self.is_cut(*index, "kv") && self.controllers[*index].controller.is_some();
         let mut candidates = (0..self.controllers.len()).filter(can_reach_kv);
         let controller = match choice {
-            Some("first") => candidates.next(),
+            Some("via=first") => candidates.next(),
             Some(_) => candidates.nth(1),
             None => None,
         };
