--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -168,17 +168,17 @@
         for leader in leaders {
             let counters = &leader.counters;
             for (name, value) in [
-                ("shared", counters.queued_shared),
-                ("dedicated", counters.queued_dedicated),
+                ("queued-shared", counters.queued_shared),
+                ("queued-dedicated", counters.queued_dedicated),
                 ("steals", counters.steals),
                 ("stolen", counters.stolen_tasks),
                 ("spilled", counters.spilled_tasks),
-                ("preempted", counters.preempted_tasks),
-                ("lost", counters.machines_lost),
-                ("bound", counters.tasks_bound),
+                ("tasks-preempted", counters.preempted_tasks),
+                ("machines-lost", counters.machines_lost),
+                ("tasks-bound", counters.tasks_bound),
                 ("machines-examined", counters.machines_examined),
-                ("searches", counters.gang_searches),
-                ("changes", counters.kv_mutations),
+                ("gang-searches", counters.gang_searches),
+                ("kv-mutations", counters.kv_mutations),
                 ("announcements", counters.leadership_announcements),
                 ("announcements-per-step", counters.max_announcements_per_step),
             ] {
