--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -71,7 +71,7 @@
             let words: Vec<&str> = line.split_whitespace().collect();
             cluster.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
         }
-        Ok(cluster.longest_cancelled_stay_ms())
+        Ok(cluster.longest_run_after_cancel_ms())
     }
 }
 
@@ -450,7 +450,7 @@
     let mut failed = Vec::new();
     for (name, plan) in plans {
         match plan.run_in(SimulatedCluster::traced(&name)) {
-            Ok(longest_stay_ms) => longest = longest.max(longest_stay_ms),
+            Ok(longest_run_ms) => longest = longest.max(longest_run_ms),
             Err(problem) => {
                 let (plan, problem) = shrink(plan, problem);
                 failed.push(format!("{name}: {problem}\n{}", plan.scenario_lines().join("\n")));
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -79,16 +79,20 @@
             // How many jobs' users know that their jobs are cancelled.
             ["reported-cancelled", op, right] => compare(self.cancelled.len() as u64, op, right),
             // The longest time, in ms, that a task ran after its user knew of the cancellation.
-            ["longest-cancelled-run", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
+            ["longest-cancelled-run", op, right] => {
+                compare(self.faults.longest_run_after_cancel_ms, op, right)
+            }
             ["accepted", id] => self.accepted_jobs.contains(&job_name(id)),
             // How many tasks started after their user knew of the cancellation.
-            ["started-after-cancel", op, right] => compare(self.faults.started_cancelled, op, right),
+            ["started-after-cancel", op, right] => compare(self.faults.started_after_cancel, op, right),
             // How many tasks were killed because the lease of their worker had expired.
-            ["killed-on-lease-expiry", op, right] => compare(self.faults.lost_with_lease, op, right),
+            ["killed-on-lease-expiry", op, right] => compare(self.faults.killed_on_lease_expiry, op, right),
             ["running", id, op, right] => {
                 let id = job_name(id);
                 let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
-                let count = attempts.filter(|p| p.job_name() == id && p.has_image && !p.is_ended()).count();
+                let count = attempts
+                    .filter(|attempt| attempt.job_name() == id && attempt.has_image && !attempt.is_ended())
+                    .count();
                 compare(count as u64, op, right)
             }
             _ => return None,
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -37,7 +37,7 @@
     /// Response time of the cloud.
     cloud_delay_ms: u64,
     /// Number of task starts after the user knew that the job is cancelled.
-    pub started_cancelled: u64,
+    pub started_after_cancel: u64,
     /// Response time of the kv store.
     pub kv_delay_ms: u64,
     /// Whether the response time of the kv store varies, so that responses may arrive out of order.
@@ -48,9 +48,9 @@
     pub txn_delay_ms: Option<u64>,
     delayed_txns: Vec<(u64, Vec<u8>)>,
     /// The longest time, in ms, that a task ran after its user knew of the cancellation.
-    pub longest_cancelled_stay_ms: u64,
+    pub longest_run_after_cancel_ms: u64,
     /// Number of tasks that were killed when their worker's lease had expired.
-    pub lost_with_lease: u64,
+    pub killed_on_lease_expiry: u64,
     /// Time of the last response about each job.
     pub last_answered_at: BTreeMap<String, u64>,
 }
@@ -85,8 +85,8 @@
 }
 
 impl SimulatedCluster {
-    pub fn longest_cancelled_stay_ms(&self) -> u64 {
-        self.faults.longest_cancelled_stay_ms
+    pub fn longest_run_after_cancel_ms(&self) -> u64 {
+        self.faults.longest_run_after_cancel_ms
     }
 
     /// Returns the clocks as a controller reads them.
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -22,7 +22,7 @@
             let job = task.split('/').next().unwrap_or("").to_string();
             self.first_start.entry(job.clone()).or_insert(self.now);
             self.last_start.insert(job.clone(), self.now);
-            self.faults.started_cancelled += u64::from(self.cancelled.contains_key(&job));
+            self.faults.started_after_cancel += u64::from(self.cancelled.contains_key(&job));
             self.violations.extend(self.dag_runs.find_early_start(&job, &self.kv_store));
             self.check_placement(at, &job, &task);
         }
@@ -37,8 +37,8 @@
             self.workers[at].attempts.iter().filter(|attempt| attempt.has_image && !attempt.is_ended())
         {
             let Some(cancelled_at) = self.cancelled.get(attempt.job_name()) else { continue };
-            self.faults.longest_cancelled_stay_ms =
-                self.faults.longest_cancelled_stay_ms.max(self.now - cancelled_at);
+            self.faults.longest_run_after_cancel_ms =
+                self.faults.longest_run_after_cancel_ms.max(self.now - cancelled_at);
             if self.now > cancelled_at + limit_ms {
                 self.violations.push(format!("ran_cancelled: {}", attempt.task));
             }
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -89,7 +89,7 @@
         // The simulation has no processes, so kills are only counted.
         let actions = self.workers.iter_mut().flat_map(|worker| worker.take_process_actions());
         let killed = actions.filter(|action| matches!(action, ProcessAction::Kill { .. })).count();
-        self.faults.lost_with_lease += killed as u64;
+        self.faults.killed_on_lease_expiry += killed as u64;
     }
 
     fn send_heartbeat(&mut self, index: usize) {
