--- a/tests/simulation/actions/controllers.rs
+++ b/tests/simulation/actions/controllers.rs
@@ -67,6 +67,8 @@
         self.start_controller(&[&name])
     }
 
+    /// Limits the processor time of controllers that are started afterwards, in units per second: a heartbeat or the
+    /// outcome of a direct command costs 1 unit, direct commands to a worker cost 3.
     pub(super) fn set_controller_capacity(&mut self, words: &[&str]) -> ActionResult {
         let [units] = words else { return usage_error("UNITS-PER-SECOND") };
         self.controller_capacity = Some(parse_argument(units, "a number of units per second")?);
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -29,6 +29,8 @@
         Ok(())
     }
 
+    /// Hangs a machine until it resumes: its worker and its tasks make no progress, no message reaches or leaves it, and
+    /// its tasks are killed if the worker's lease expires meanwhile.
     pub(super) fn hang_machines(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.hung_machines.insert((*host).into());
@@ -80,6 +82,7 @@
         Ok(())
     }
 
+    /// Removes a machine from the cloud without notice.
     pub(super) fn remove_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.cloud.machines.retain(|machine| machine.name != *host);
@@ -125,7 +128,7 @@
         Ok(())
     }
 
-    /// Delivers the messages that were held back.
+    /// Delivers the transactions, commands and messages between controllers that were held.
     pub(super) fn deliver_held(&mut self, _: &[&str]) -> ActionResult {
         for body in std::mem::take(&mut self.held_txns) {
             self.kv_store.handle_request("POST", "/txn", &body, self.now);
@@ -139,7 +142,7 @@
         Ok(())
     }
 
-    /// Drops the messages that were held back.
+    /// Drops the transactions, commands and messages between controllers that were held.
     pub(super) fn drop_held(&mut self, _: &[&str]) -> ActionResult {
         self.held_txns.clear();
         self.held_commands.clear();
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -30,15 +30,16 @@
     copy_delays_ms: Vec<u64>,
     /// Copies of heartbeats in flight: time of arrival, controller, and body.
     heartbeat_copies: Vec<(u64, usize, Vec<u8>)>,
-    /// Set while heartbeats are kept for the next leader: the leader, if any, when the fault started or when the
-    /// leader last changed.
+    /// Set while heartbeats are kept for the next leader: index and incarnation of the leader, if any, when the fault
+    /// started or when the leader last changed.
     kept_for_next_leader: Option<Option<(usize, u64)>>,
+    /// Bodies of the kept heartbeats, oldest first.
     kept_heartbeats: VecDeque<Vec<u8>>,
-    /// Response time of the cloud.
+    /// Response time of the cloud, in ms; 0 for a response within the same step.
     cloud_delay_ms: u64,
     /// Number of task starts after the user knew that the job is cancelled.
     pub started_after_cancel: u64,
-    /// Response time of the kv store.
+    /// Response time of the kv store, in ms; 0 for a response within the same step.
     pub kv_delay_ms: u64,
     /// Whether the response time of the kv store varies, so that responses may arrive out of order.
     pub kv_delay_varies: bool,
@@ -46,6 +47,7 @@
     delayed_responses: Vec<(u64, usize, u64, Event)>,
     /// Delay after which a transaction without a response is carried out.
     pub txn_delay_ms: Option<u64>,
+    /// Delayed transactions: time at which each is carried out, and its body.
     delayed_txns: Vec<(u64, Vec<u8>)>,
     /// The longest time, in ms, that a task ran after its user knew of the cancellation.
     pub longest_run_after_cancel_ms: u64,
--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -1,4 +1,5 @@
-//! Parses the description of a job in a scenario line: `NUMBER name=value flag ...`.
+//! Parses the description of a job in a scenario line: `NUMBER name=value flag ...`. Times are in seconds, memory and
+//! image sizes in GB; `run` is the run time of each task, `estimate` what its user expects (by default the same).
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
