--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -13,6 +13,49 @@
 /// Run time of a service's tasks, which do not finish by themselves.
 const ENDLESS_MS: u64 = u64::MAX / 4;
 
+/// The names of `name=value` arguments of a job, followed by those that only nodes of a graph have.
+const ARGUMENT_NAMES: [&str; 27] = [
+    "class",
+    "team",
+    "urgency",
+    "tasks",
+    "cpus",
+    "gpus",
+    "memory",
+    "image",
+    "size",
+    "machine_types",
+    "zone",
+    "run",
+    "estimate",
+    "checkpoint",
+    "save",
+    "due",
+    "expect",
+    "list_len",
+    "after",
+    "map",
+    "rule",
+    "tries",
+    "wait",
+    "max_wait",
+    "limit",
+    "pool",
+    "output",
+];
+const FLAGS: [&str; 6] = ["gang", "service", "together", "scatter", "spot", "fails"];
+
+/// Panics if an argument is unknown, which would otherwise be ignored.
+fn check_arguments(words: &[&str]) {
+    for word in words {
+        let known = match word.split_once('=') {
+            Some((name, _)) => ARGUMENT_NAMES.contains(&name),
+            None => FLAGS.contains(word),
+        };
+        assert!(known, "expected an argument of a job, found {word}");
+    }
+}
+
 /// Returns the value of `name=value` among the words.
 pub(super) fn named_argument<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
@@ -91,6 +134,7 @@
     /// Parses a job. Unless its submission is expected to be rejected, registers the job with the workers and the
     /// invariant checks.
     pub(super) fn describe_job(&mut self, words: &[&str]) -> JobArguments {
+        check_arguments(&words[1..]);
         let number: u64 =
             words[0].parse().unwrap_or_else(|_| panic!("expected the number of a job, found {}", words[0]));
         let id = format!("job-{number:06}");
