--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -31,13 +31,13 @@
 
     /// Hangs a machine until it resumes: its worker and its tasks make no progress, no message reaches or leaves it, and
     /// its tasks are killed if the worker's lease expires meanwhile.
-    pub(super) fn hang_machines(&mut self, words: &[&str]) -> ActionResult {
+    pub(super) fn hang_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.hung_machines.insert((*host).into());
         Ok(())
     }
 
-    pub(super) fn resume_machines(&mut self, words: &[&str]) -> ActionResult {
+    pub(super) fn resume_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.hung_machines.remove(*host);
         Ok(())
@@ -89,8 +89,8 @@
         Ok(())
     }
 
-    pub(super) fn set_long_changes(&mut self, words: &[&str]) -> ActionResult {
-        self.changes_too_long = match words {
+    pub(super) fn set_change_response_mode(&mut self, words: &[&str]) -> ActionResult {
+        self.change_responses_too_large = match words {
             ["too-large"] => true,
             ["normal"] => false,
             _ => return usage_error("too-large or normal"),
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -88,7 +88,9 @@
             self.kv_mutations += txn["then"].as_array().map_or(0, |mutations| mutations.len() as u64);
         }
         match mode {
-            _ if self.changes_too_long && request.path.starts_with("/changes") => HttpOutcome::TooLarge,
+            _ if self.change_responses_too_large && request.path.starts_with("/changes") => {
+                HttpOutcome::TooLarge
+            }
             TxnMode::ResponseLost => HttpOutcome::Unknown,
             _ => response(status, &body),
         }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -89,7 +89,7 @@
     /// Whether direct commands to workers get no response and wait in `held_commands` until they are delivered.
     direct_commands_held: bool,
     /// Whether responses to polls for changes are longer than a controller accepts.
-    changes_too_long: bool,
+    change_responses_too_large: bool,
     held_commands: Vec<(usize, Vec<u8>)>,
     txn_mode: TxnMode,
     held_txns: Vec<Vec<u8>>,
@@ -161,7 +161,7 @@
             zone_cuts: HashSet::new(),
             controller_capacity: None,
             direct_commands_held: false,
-            changes_too_long: false,
+            change_responses_too_large: false,
             held_commands: Vec::new(),
             txn_mode: TxnMode::Normal,
             held_txns: Vec::new(),
