--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -76,7 +76,7 @@
             let words: Vec<&str> = line.split_whitespace().collect();
             cluster.run_action(&words).map_err(|problem| format!("{line}: {problem}"))?;
         }
-        Ok(cluster.longest_cancelled_stay_ms())
+        Ok(cluster.longest_run_after_cancel_ms())
     }
 }
 
@@ -137,17 +137,17 @@
                 delayed(kill_and_restart(&format!("n{index}"), downtime_ms), index * (downtime_ms + 20))
             })
             .collect(),
-        6 => restart_during(&["txns lost"], &["txns fine"]),
+        6 => restart_during(&["txns response-lost"], &["txns normal"]),
         7 => restart_during(
-            &["txns late"],
-            &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns fine"],
+            &["txns held"],
+            &[if rng.random_bool(0.5) { "deliver-held" } else { "drop-held" }, "txns normal"],
         ),
-        8 => restart_during(&["mesh held"], &["mesh fine", "deliver-held"]),
-        9 => restart_during(&["direct-commands lost"], &["direct-commands fine", "deliver-held"]),
+        8 => restart_during(&["peer-messages held"], &["peer-messages normal", "deliver-held"]),
+        9 => restart_during(&["direct-commands held"], &["direct-commands normal", "deliver-held"]),
         10 => restart_during(&["kv-outage on"], &["kv-outage off"]),
         _ => {
-            let link = pick_one(rng, &["state", "workers", "mesh", "all"]);
-            restart_during(&[&format!("cut {controller} {link}")], &[&format!("uncut {link}")])
+            let link = pick_one(rng, &["kv", "workers", "peers", "all"]);
+            restart_during(&[&format!("cut {controller} {link}")], &[&format!("restore {link}")])
         }
     }
 }
@@ -166,30 +166,31 @@
             fault.extend([(500, "start n0".into()), (6_000, "start-all".into())]);
             fault
         }
-        2 => lasting_fault(&[&format!("cut {controller} state")], duration_ms, &["uncut state"]),
+        2 => lasting_fault(&[&format!("cut {controller} kv")], duration_ms, &["restore kv"]),
         3 => lasting_fault(
-            &[&format!("cut {controller} state"), &format!("cut {controller} mesh")],
+            &[&format!("cut {controller} kv"), &format!("cut {controller} peers")],
             duration_ms,
-            &["uncut state", "uncut mesh"],
+            &["restore kv", "restore peers"],
+        ),
+        4 => lasting_fault(&[&format!("cut {controller} all")], duration_ms, &["restore all"]),
+        5 => lasting_fault(&[&format!("cut {controller} workers")], duration_ms, &["restore workers"]),
+        6 => lasting_fault(
+            &[&format!("cut {controller} change-polls")],
+            duration_ms,
+            &["restore change-polls"],
         ),
-        4 => lasting_fault(&[&format!("cut {controller} all")], duration_ms, &["uncut all"]),
-        5 => lasting_fault(&[&format!("cut {controller} workers")], duration_ms, &["uncut workers"]),
-        6 => lasting_fault(&[&format!("cut {controller} polls")], duration_ms, &["uncut polls"]),
         7 => lasting_fault(&["kv-outage on"], duration_ms, &["kv-outage off"]),
         8 => lasting_fault(
-            &[&format!(
-                "kv-delay {}",
-                pick_one(rng, &["slow 0.1", "slow 0.4", "slow 0.9", "slow 1.3", "uneven"])
-            )],
+            &[&format!("kv-delay {}", pick_one(rng, &["0.1", "0.4", "0.9", "1.3", "variable"]))],
             duration_ms,
-            &["kv-delay fine"],
+            &["kv-delay none"],
         ),
         9 => lasting_fault(
-            &[&format!("txns late {}", pick_one(rng, &["2", "4", "7", "12"]))],
+            &[&format!("txns delayed {}", pick_one(rng, &["2", "4", "7", "12"]))],
             duration_ms.min(15_000),
-            &["txns fine"],
+            &["txns normal"],
         ),
-        10 => lasting_fault(&["txns lost"], duration_ms.min(6_000), &["txns fine"]),
+        10 => lasting_fault(&["txns response-lost"], duration_ms.min(6_000), &["txns normal"]),
         11 => lasting_fault(&["copy-heartbeats 2 7 15 31 50"], duration_ms, &["copy-heartbeats none"]),
         12 => lasting_fault(
             &[&format!("receive-path-down {host} {other}")],
@@ -203,20 +204,20 @@
             &[&format!("resume {host}"), &format!("resume {other}")],
         ),
         15 => lasting_fault(
-            &["direct-commands lost"],
+            &["direct-commands held"],
             duration_ms.min(15_000),
-            &["direct-commands fine", "deliver-held"],
+            &["direct-commands normal", "deliver-held"],
         ),
-        16 => lasting_fault(&["mesh held"], duration_ms, &["mesh fine", "deliver-held"]),
+        16 => lasting_fault(&["peer-messages held"], duration_ms, &["peer-messages normal", "deliver-held"]),
         17 => {
             lasting_fault(&[&format!("send-path-down {host} {other}")], duration_ms, &["send-path-down none"])
         }
         18 => lasting_fault(&["send-path-down all"], duration_ms.min(15_000), &["send-path-down none"]),
-        19 => lasting_fault(&["copy-heartbeats next"], duration_ms, &["copy-heartbeats none"]),
+        19 => lasting_fault(&["copy-heartbeats to-next-leader"], duration_ms, &["copy-heartbeats none"]),
         20 => lasting_fault(
-            &[&format!("cloud-delay late {}", pick_one(rng, &["1", "2.5", "9"]))],
+            &[&format!("cloud-delay {}", pick_one(rng, &["1", "2.5", "9"]))],
             duration_ms,
-            &["cloud-delay fine"],
+            &["cloud-delay none"],
         ),
         _ => lasting_fault(&[&format!("freeze {controller}")], duration_ms, &["thaw"]),
     }
@@ -227,14 +228,14 @@
 const RECOVERY_LINES: [&str; 18] = [
     "heal",
     "kv-outage off",
-    "kv-delay fine",
-    "txns fine",
-    "mesh fine",
-    "direct-commands fine",
+    "kv-delay none",
+    "txns normal",
+    "peer-messages normal",
+    "direct-commands normal",
     "copy-heartbeats none",
     "receive-path-down none",
     "send-path-down none",
-    "cloud-delay fine",
+    "cloud-delay none",
     "resume host-000000",
     "resume host-000001",
     "resume host-000002",
@@ -337,9 +338,9 @@
     setup.push("advance 16".into());
     // Two polls of a job may be in flight at the same time, at different controllers.
     setup.extend([1, 2, 3, 5, 6, 8].map(|job| format!("poll-rate {job} 1")));
-    setup.extend(lines(&["close-polls on", "cancel-at-end 20"]));
+    setup.extend(lines(&["concurrent-polls on", "cancel-at-end 20"]));
     if seed % 4 == 1 {
-        setup.push("kv-delay uneven".into());
+        setup.push("kv-delay variable".into());
     }
     let (faults, next_start_ms) = overlapping_faults(&mut rng, controller_count, 8_000);
     let user_actions_end_ms = next_start_ms + 20_000;
@@ -391,19 +392,19 @@
     setup.extend((1..=8).map(|job| format!("submit {job} tasks=2 run=900 team=long")));
     setup.extend(lines(&["until 30 running 8 >= 2", "until 30 running 1 >= 2"]));
     setup.push(format!("advance {}", f64::from(rng.random_range(20..2_000)) / 1000.0));
-    let mut fault = vec![(0, "cut leader state".to_string())];
+    let mut fault = vec![(0, "cut leader kv".to_string())];
     if rng.random_bool(0.5) {
-        fault.push((0, "cut leader mesh".into()));
+        fault.push((0, "cut leader peers".into()));
     }
     if rng.random_bool(0.5) {
         // The next leader's direct commands do not reach the machines.
-        fault.push((0, "cut all orders".into()));
+        fault.push((0, "cut all direct-commands".into()));
     }
     // Cancellations at the first and the last moment and two in between, through each of the two other controllers.
     let last_ms = outage_delay_ms.saturating_sub(60);
     let cancel_times_ms = [0, last_ms, rng.random_range(0..last_ms + 1), rng.random_range(0..last_ms + 1)];
     for (job, at_ms) in (1..).zip(cancel_times_ms) {
-        fault.push((at_ms, format!("cancel {job} {}", if job % 2 == 0 { "first" } else { "second" })));
+        fault.push((at_ms, format!("cancel {job} via={}", if job % 2 == 0 { "first" } else { "second" })));
     }
     fault.sort_by_key(|(at_ms, _)| *at_ms);
     fault.push((outage_delay_ms, "kv-outage on".into()));
@@ -473,18 +474,18 @@
 }
 
 fn check_plans(plans: impl Iterator<Item = (String, FaultPlan)>) {
-    let mut longest_stay_ms = 0;
+    let mut longest_run_ms = 0;
     let mut failures = Vec::new();
     for (name, plan) in plans {
         match plan.run_in(SimulatedCluster::traced(&name)) {
-            Ok(stay_ms) => longest_stay_ms = longest_stay_ms.max(stay_ms),
+            Ok(run_ms) => longest_run_ms = longest_run_ms.max(run_ms),
             Err(problem) => {
                 let (plan, problem) = shrink(plan, problem);
                 failures.push(format!("{name}: {problem}\n{}", plan.scenario_lines().join("\n")));
             }
         }
     }
-    println!("the longest time that a task ran after its cancellation was reported: {longest_stay_ms} ms");
+    println!("the longest time that a task ran after its cancellation was reported: {longest_run_ms} ms");
     assert!(failures.is_empty(), "{} plans failed:\n{}", failures.len(), failures.join("\n\n"));
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -24,7 +24,7 @@
         "controllers a b c",
         "until 5 leader = any",
         "until 30 workers = 1300",
-        "submit 900001 tasks=5200 run=1000 guess=1000",
+        "submit 900001 tasks=5200 run=1000 estimate=1000",
         "until 60 tasks >= 5000",
         "submit 900002 tasks=100 run=10",
         "advance 5",
@@ -140,7 +140,7 @@
 ];
 
 /// Arguments of every job and graph node that is measured.
-const NODE_ARGUMENTS: &str = "run=1 guess=1 cpus=1 memory=0.1 size=0";
+const NODE_ARGUMENTS: &str = "run=1 estimate=1 cpus=1 memory=0.1 size=0";
 
 /// Returns the upstream nodes of each node, for a graph of the given kind.
 fn shape(kind: &str, nodes: u64) -> Vec<Vec<u64>> {
@@ -283,7 +283,7 @@
         draft_graph(&mut cluster, &format!("r{run}"), 1 + run * 1_000, &shape);
         run_lines(&mut cluster, &[&format!("commit r{run} g{run}"), "advance 1"]);
     }
-    run_lines(&mut cluster, &["until 60 graph-requests-sent", "advance 5"]);
+    run_lines(&mut cluster, &["until 60 graph-requests-answered", "advance 5"]);
     let ends = finished_jobs(&cluster);
     println!(
         "before: {ends} of 50,000 nodes finished, at most {:.1} ms for one event",
--- a/tests/simulation/actions/controllers.rs
+++ b/tests/simulation/actions/controllers.rs
@@ -1,14 +1,28 @@
 //! Actions that kill and start controllers and that cut and restore their links.
 
 use super::super::{ControllerSlot, SimulatedCluster};
-use super::{ActionResult, usage_error};
+use super::{ActionResult, parse_argument, usage_error};
+
+/// The links of a controller that can be cut: to the kv store, only its polls for changes, to the workers, only the
+/// direct commands to them, to the other controllers, to the users, and all of these.
+const LINKS: [&str; 7] = ["kv", "change-polls", "workers", "direct-commands", "peers", "users", "all"];
+
+fn check_link(link: &str) -> ActionResult {
+    if LINKS.contains(&link) {
+        Ok(())
+    } else {
+        Err(format!("expected one of the links {}, found {link}", LINKS.join(", ")))
+    }
+}
 
 impl SimulatedCluster {
     pub fn controller_index(&self, name: &str) -> usize {
         if name == "leader" {
-            return self.controllers.iter().position(ControllerSlot::is_leader).expect("a leader");
+            let leader = self.controllers.iter().position(ControllerSlot::is_leader);
+            return leader.unwrap_or_else(|| panic!("expected a leader, found none at {} ms", self.now));
         }
-        self.controllers.iter().position(|slot| slot.name == name).expect("a node")
+        let named = self.controllers.iter().position(|slot| slot.name == name);
+        named.unwrap_or_else(|| panic!("expected the name of a controller, found {name}"))
     }
 
     /// Returns the index of a controller. `leader?` names the leader, if there is one; any other name must exist.
@@ -53,14 +67,17 @@
         self.start_controller(&[&name])
     }
 
+    /// Limits the processor time of controllers that are started afterwards, in units per second: a heartbeat or the
+    /// outcome of a direct command costs 1 unit, direct commands to a worker cost 3.
     pub(super) fn set_controller_capacity(&mut self, words: &[&str]) -> ActionResult {
         let [units] = words else { return usage_error("UNITS-PER-SECOND") };
-        self.controller_capacity = Some(units.parse().map_err(|_| "a number")?);
+        self.controller_capacity = Some(parse_argument(units, "a number of units per second")?);
         Ok(())
     }
 
     pub(super) fn cut_link(&mut self, words: &[&str]) -> ActionResult {
         let [node, link] = words else { return usage_error("NODE LINK") };
+        check_link(link)?;
         if *node == "all" {
             self.controllers.iter_mut().for_each(|slot| {
                 slot.cut_links.insert((*link).into());
@@ -76,6 +93,7 @@
     /// Restores links of this kind at every controller.
     pub(super) fn restore_links(&mut self, words: &[&str]) -> ActionResult {
         let [link] = words else { return usage_error("LINK") };
+        check_link(link)?;
         self.controllers.iter_mut().for_each(|slot| {
             slot.cut_links.remove(*link);
         });
--- a/tests/simulation/actions/faults.rs
+++ b/tests/simulation/actions/faults.rs
@@ -5,11 +5,15 @@
 
 use super::super::{PeerMessageMode, SimulatedCluster, TxnMode};
 use super::requests::parse_job;
-use super::{ActionResult, parse_seconds, usage_error};
+use super::{ActionResult, parse_argument, parse_seconds, usage_error};
 
 impl SimulatedCluster {
     pub(super) fn set_kv_outage(&mut self, words: &[&str]) -> ActionResult {
-        self.kv_outage = words == ["on"];
+        self.kv_outage = match words {
+            ["on"] => true,
+            ["off"] => false,
+            _ => return usage_error("on or off"),
+        };
         if !self.kv_outage {
             self.kv_store.renew_all_leases(self.now);
         }
@@ -17,24 +21,33 @@
     }
 
     pub(super) fn set_cloud_outage(&mut self, words: &[&str]) -> ActionResult {
-        self.cloud_down = words == ["down"];
+        self.cloud_down = match words {
+            ["on"] => true,
+            ["off"] => false,
+            _ => return usage_error("on or off"),
+        };
         Ok(())
     }
 
-    pub(super) fn hang_machines(&mut self, words: &[&str]) -> ActionResult {
+    /// Hangs a machine until it resumes: its worker and its tasks make no progress, no message reaches or leaves it, and
+    /// its tasks are killed if the worker's lease expires meanwhile.
+    pub(super) fn hang_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.hung_machines.insert((*host).into());
         Ok(())
     }
 
-    pub(super) fn resume_machines(&mut self, words: &[&str]) -> ActionResult {
+    pub(super) fn resume_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.hung_machines.remove(*host);
         Ok(())
     }
 
     fn worker(&mut self, host: &str) -> Result<&mut Worker, String> {
-        self.workers.iter_mut().find(|worker| worker.machine.name == host).ok_or(format!("no worker {host}"))
+        self.workers
+            .iter_mut()
+            .find(|worker| worker.machine.name == host)
+            .ok_or_else(|| format!("expected a machine with a worker, found {host}"))
     }
 
     pub(super) fn fail_tasks_on_machine(&mut self, words: &[&str]) -> ActionResult {
@@ -49,14 +62,14 @@
         let (id, _) = parse_job(id)?;
         match self.jobs.get_mut(&id).map(|job| &mut job.work) {
             Some(TaskWork::Simulated { fails, .. }) => *fails = false,
-            _ => return Err(format!("unknown job {id}")),
+            _ => return Err(format!("expected a submitted job, found {id}")),
         }
         Ok(())
     }
 
     pub(super) fn slow_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host, factor] = words else { return usage_error("HOST FACTOR") };
-        self.worker(host)?.slowdown_factor = factor.parse().map_err(|_| "a number")?;
+        self.worker(host)?.slowdown_factor = parse_argument(factor, "a factor")?;
         Ok(())
     }
 
@@ -69,31 +82,38 @@
         Ok(())
     }
 
+    /// Removes a machine from the cloud without notice.
     pub(super) fn remove_machine(&mut self, words: &[&str]) -> ActionResult {
         let [host] = words else { return usage_error("HOST") };
         self.cloud.machines.retain(|machine| machine.name != *host);
         Ok(())
     }
 
-    pub(super) fn set_long_changes(&mut self, words: &[&str]) -> ActionResult {
-        self.changes_too_long = words == ["long"];
+    pub(super) fn set_change_response_mode(&mut self, words: &[&str]) -> ActionResult {
+        self.change_responses_too_large = match words {
+            ["too-large"] => true,
+            ["normal"] => false,
+            _ => return usage_error("too-large or normal"),
+        };
         Ok(())
     }
 
     pub(super) fn set_direct_commands(&mut self, words: &[&str]) -> ActionResult {
-        self.direct_commands_lost = words == ["lost"];
+        self.direct_commands_held = match words {
+            ["held"] => true,
+            ["normal"] => false,
+            _ => return usage_error("held or normal"),
+        };
         Ok(())
     }
 
     pub(super) fn set_txn_mode(&mut self, words: &[&str]) -> ActionResult {
-        self.faults.txn_delay_ms = match words {
-            ["late", seconds] => Some((parse_seconds(seconds)? * 1000.0) as u64),
-            _ => None,
-        };
-        self.txn_mode = match words {
-            ["lost"] => TxnMode::ResponseLost,
-            ["late", ..] => TxnMode::Delayed,
-            _ => TxnMode::Normal,
+        (self.txn_mode, self.faults.txn_delay_ms) = match words {
+            ["response-lost"] => (TxnMode::ResponseLost, None),
+            ["held"] => (TxnMode::Delayed, None),
+            ["delayed", seconds] => (TxnMode::Delayed, Some((parse_seconds(seconds)? * 1000.0) as u64)),
+            ["normal"] => (TxnMode::Normal, None),
+            _ => return usage_error("response-lost, held, delayed SECONDS or normal"),
         };
         Ok(())
     }
@@ -101,14 +121,14 @@
     pub(super) fn set_peer_message_mode(&mut self, words: &[&str]) -> ActionResult {
         self.peer_message_mode = match words {
             ["held"] => PeerMessageMode::Delayed,
-            ["twice"] => PeerMessageMode::Duplicated,
-            ["fine"] => PeerMessageMode::Normal,
-            _ => return usage_error("held, twice or fine"),
+            ["duplicated"] => PeerMessageMode::Duplicated,
+            ["normal"] => PeerMessageMode::Normal,
+            _ => return usage_error("held, duplicated or normal"),
         };
         Ok(())
     }
 
-    /// Delivers the messages that were held back.
+    /// Delivers the transactions, commands and messages between controllers that were held.
     pub(super) fn deliver_held(&mut self, _: &[&str]) -> ActionResult {
         for body in std::mem::take(&mut self.held_txns) {
             self.kv_store.handle_request("POST", "/txn", &body, self.now);
@@ -122,7 +142,7 @@
         Ok(())
     }
 
-    /// Drops the messages that were held back.
+    /// Drops the transactions, commands and messages between controllers that were held.
     pub(super) fn drop_held(&mut self, _: &[&str]) -> ActionResult {
         self.held_txns.clear();
         self.held_commands.clear();
--- a/tests/simulation/actions/mod.rs
+++ b/tests/simulation/actions/mod.rs
@@ -6,13 +6,17 @@
 mod setup;
 mod timing;
 
+use std::str::FromStr;
+
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
     /// Runs the action of one line. Fails if the action fails or if an invariant has been violated.
     pub fn run_action(&mut self, words: &[&str]) -> Result<(), String> {
-        let (name, arguments) = words.split_first().ok_or("an empty line")?;
-        let (_, action) = ACTIONS.iter().find(|(known, _)| known == name).ok_or("unknown action")?;
+        let (name, arguments) = words.split_first().ok_or("expected an action, found an empty line")?;
+        let action = ACTIONS.iter().find(|(known, _)| known == name);
+        let (_, action) =
+            action.ok_or_else(|| format!("expected one of the names in ACTIONS, found {name}"))?;
         action(self, arguments)?;
         match self.violations.first() {
             Some(violation) => Err(format!("violated rule: {violation}")),
@@ -64,31 +68,31 @@
     ("start-all", SimulatedCluster::start_all_controllers),
     ("event-capacity", SimulatedCluster::set_controller_capacity),
     ("cut", SimulatedCluster::cut_link),
-    ("uncut", SimulatedCluster::restore_links),
+    ("restore", SimulatedCluster::restore_links),
     ("heal", SimulatedCluster::restore_all_links),
     ("partition", SimulatedCluster::partition_zones),
     ("kv-outage", SimulatedCluster::set_kv_outage),
     ("cloud-outage", SimulatedCluster::set_cloud_outage),
-    ("hang", SimulatedCluster::hang_machines),
-    ("resume", SimulatedCluster::resume_machines),
+    ("hang", SimulatedCluster::hang_machine),
+    ("resume", SimulatedCluster::resume_machine),
     ("fail-tasks", SimulatedCluster::fail_tasks_on_machine),
     ("slow-machine", SimulatedCluster::slow_machine),
     ("stop-failures", SimulatedCluster::stop_task_failures),
     ("reclaim-notice", SimulatedCluster::announce_spot_reclaim),
     ("remove-machine", SimulatedCluster::remove_machine),
-    ("change-responses", SimulatedCluster::set_long_changes),
+    ("change-responses", SimulatedCluster::set_change_response_mode),
     ("direct-commands", SimulatedCluster::set_direct_commands),
     ("txns", SimulatedCluster::set_txn_mode),
     ("deliver-held", SimulatedCluster::deliver_held),
     ("drop-held", SimulatedCluster::drop_held),
-    ("mesh", SimulatedCluster::set_peer_message_mode),
+    ("peer-messages", SimulatedCluster::set_peer_message_mode),
     ("restart", SimulatedCluster::kill_and_restart),
     ("poll-rate", SimulatedCluster::poll_repeatedly),
     ("receive-path-down", SimulatedCluster::set_receive_path_down),
     ("send-path-down", SimulatedCluster::set_send_path_down),
     ("check-waiting", SimulatedCluster::expect_prompt_starts),
     ("cloud-delay", SimulatedCluster::set_cloud_delay),
-    ("close-polls", SimulatedCluster::set_poll_bursts),
+    ("concurrent-polls", SimulatedCluster::set_poll_bursts),
     ("stream", SimulatedCluster::set_stream),
     ("cancel-at-end", SimulatedCluster::set_cancellations_at_end),
     ("copy-heartbeats", SimulatedCluster::set_heartbeat_copies),
@@ -98,14 +102,20 @@
     ("clock", SimulatedCluster::set_clock),
 ];
 
+/// The error for wrong arguments of an action. Callers print it together with the line, which shows what was found.
 pub fn usage_error(expected: &str) -> ActionResult {
     Err(format!("expected {expected}"))
 }
 
+/// Parses a number. The error names what was `expected`, for example `a number of tasks`.
+pub fn parse_argument<T: FromStr>(text: &str, expected: &str) -> Result<T, String> {
+    text.parse().map_err(|_| format!("expected {expected}, found {text}"))
+}
+
 pub fn parse_seconds(text: &str) -> Result<f64, String> {
-    text.parse().map_err(|_| format!("expected seconds, not {text}"))
+    parse_argument(text, "a number of seconds")
 }
 
 pub fn parse_status(text: &str) -> Result<u16, String> {
-    text.parse().map_err(|_| format!("expected a status code, not {text}"))
+    parse_argument(text, "a status code")
 }
--- a/tests/simulation/conditions.rs
+++ b/tests/simulation/conditions.rs
@@ -14,12 +14,12 @@
 const RECENT_RESPONSE_MS: u64 = 5_000;
 
 fn compare(value: u64, operator: &str, right: &str) -> bool {
-    let right: u64 = right.parse().expect("a number");
+    let right: u64 = right.parse().unwrap_or_else(|_| panic!("expected a number, found {right}"));
     match operator {
         ">=" => value >= right,
         "<=" => value <= right,
         "=" => value == right,
-        _ => panic!("unknown comparison {operator}"),
+        _ => panic!("expected >=, <= or =, found {operator}"),
     }
 }
 
@@ -36,7 +36,7 @@
             .or_else(|| self.record_condition(words))
             .or_else(|| self.machine_condition(words))
             .or_else(|| self.controller_condition(words))
-            .unwrap_or_else(|| panic!("unknown condition {words:?}"))
+            .unwrap_or_else(|| panic!("expected a condition, found {}", words.join(" ")))
     }
 
     fn poll_until_final(&mut self, id: &str) {
@@ -79,16 +79,20 @@
             // How many jobs' users know that their jobs are cancelled.
             ["reported-cancelled", op, right] => compare(self.cancelled.len() as u64, op, right),
             // The longest time, in ms, that a task ran after its user knew of the cancellation.
-            ["longest-cancelled-run", op, right] => compare(self.faults.longest_cancelled_stay_ms, op, right),
+            ["longest-cancelled-run", op, right] => {
+                compare(self.faults.longest_run_after_cancel_ms, op, right)
+            }
             ["accepted", id] => self.accepted_jobs.contains(&job_name(id)),
             // How many tasks started after their user knew of the cancellation.
-            ["started-after-cancel", op, right] => compare(self.faults.started_cancelled, op, right),
+            ["started-after-cancel", op, right] => compare(self.faults.started_after_cancel, op, right),
             // How many tasks were killed because the lease of their worker had expired.
-            ["killed-on-lease-expiry", op, right] => compare(self.faults.lost_with_lease, op, right),
+            ["killed-on-lease-expiry", op, right] => compare(self.faults.killed_on_lease_expiry, op, right),
             ["running", id, op, right] => {
                 let id = job_name(id);
                 let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
-                let count = attempts.filter(|p| p.job_name() == id && p.has_image && !p.is_ended()).count();
+                let count = attempts
+                    .filter(|attempt| attempt.job_name() == id && attempt.has_image && !attempt.is_ended())
+                    .count();
                 compare(count as u64, op, right)
             }
             _ => return None,
@@ -151,7 +155,7 @@
                 let found = self.dag_runs.run_row(run).map(|row| row["states"][*state].as_u64().unwrap_or(0));
                 found.is_some_and(|found| compare(found, op, right))
             }
-            ["graph-requests-sent"] => {
+            ["graph-requests-answered"] => {
                 self.dag_runs.is_idle()
                     && !self
                         .requests_in_flight
@@ -216,7 +220,7 @@
                 compare(self.controllers.iter().filter(is_idle).count() as u64, op, right)
             }
             ["ready", node] => {
-                let slot = self.controllers.iter().find(|slot| slot.name == *node).expect("a node");
+                let slot = &self.controllers[self.controller_index(node)];
                 slot.controller.as_ref().is_some_and(Controller::is_ready)
             }
             ["unready", "any"] => self
--- a/tests/simulation/config_changes.rs
+++ b/tests/simulation/config_changes.rs
@@ -71,23 +71,28 @@
 }
 
 impl SimulatedCluster {
-    /// Enables config changes, except at the named controllers.
+    /// Enables config changes at all controllers: [except NODE ...].
     pub fn enable_config(&mut self, words: &[&str]) -> ActionResult {
+        let disabled = match words {
+            [] => &[],
+            ["except", nodes @ ..] => nodes,
+            _ => return usage_error("[except NODE ...]"),
+        };
         self.config_changes.enabled = true;
-        self.config_changes.disabled_controllers = words.iter().map(|word| (*word).to_string()).collect();
+        self.config_changes.disabled_controllers = disabled.iter().map(|word| (*word).to_string()).collect();
         Ok(())
     }
 
-    /// Requests a change: NAME TEAM [limit=] [guaranteed=] [expected=] [via=NODE]. Without values the entry is unset.
+    /// Requests a change: NAME TEAM [limit=] [guaranteed=] [expected_version=] [via=NODE]. Without values the entry is unset.
     pub fn set_config(&mut self, words: &[&str]) -> ActionResult {
         let [name, team, rest @ ..] = words else {
-            return usage_error("NAME TEAM [limit=] [guaranteed=] [expected=] [via=]");
+            return usage_error("NAME TEAM [limit=] [guaranteed=] [expected_version=] [via=]");
         };
         let key = ConfigKey::parse(&format!("team/{team}")).map_err(|error| error.to_string())?;
         let cpus = |field| named_argument(rest, field).map(|_| numeric_argument(rest, field, 0.0));
         let request = ConfigChangeRequest {
             quota: TeamQuota { limit_cpus: cpus("limit"), guaranteed_cpus: cpus("guaranteed") },
-            expected_version: named_argument(rest, "expected").and_then(|text| text.parse().ok()),
+            expected_version: named_argument(rest, "expected_version").and_then(|text| text.parse().ok()),
             changed_by: "operator".into(),
             reason: String::new(),
             change_id: (*name).into(),
--- a/tests/simulation/deliveries.rs
+++ b/tests/simulation/deliveries.rs
@@ -61,8 +61,9 @@
     }
 
     fn call_kv(&mut self, from: usize, outbound: OutboundId, request: &KvRequest, timeout_ms: u64) {
-        let is_cut_poll = self.is_cut(from, "polls") && matches!(request, KvRequest::PollChanges { .. });
-        let outcome = if self.kv_outage || is_cut_poll || self.is_cut(from, "state") {
+        let is_cut_poll =
+            self.is_cut(from, "change-polls") && matches!(request, KvRequest::PollChanges { .. });
+        let outcome = if self.kv_outage || is_cut_poll || self.is_cut(from, "kv") {
             unavailable(b"")
         } else {
             let request = request.to_http_request();
@@ -88,7 +89,9 @@
             self.kv_mutations += txn["then"].as_array().map_or(0, |mutations| mutations.len() as u64);
         }
         match mode {
-            _ if self.changes_too_long && request.path.starts_with("/changes") => HttpOutcome::TooLarge,
+            _ if self.change_responses_too_large && request.path.starts_with("/changes") => {
+                HttpOutcome::TooLarge
+            }
             TxnMode::ResponseLost => HttpOutcome::Unknown,
             _ => response(status, &body),
         }
@@ -107,12 +110,13 @@
     /// Sends direct commands to the worker at the endpoint, and returns the outcome as the controller sees it.
     fn worker_outcome(&mut self, from: usize, endpoint: &str, request: &HttpRequest) -> HttpOutcome {
         let worker = self.workers.iter().position(|worker| worker.machine.endpoint == endpoint);
-        let reachable = |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "orders");
+        let reachable =
+            |worker: &usize| self.can_reach(from, *worker) && !self.is_cut(from, "direct-commands");
         let Some(worker) = worker.filter(reachable) else { return HttpOutcome::NotSent };
         if self.faults.receive_path_down.contains(&self.workers[worker].machine.name) {
             return HttpOutcome::Unknown;
         }
-        if self.direct_commands_lost {
+        if self.direct_commands_held {
             self.held_commands.push((worker, request.body.clone()));
             return HttpOutcome::Unknown;
         }
@@ -123,7 +127,7 @@
     fn send_peer_message(&mut self, from: usize, controller: &str, message: PeerMessage) {
         let Some(to) = self.controllers.iter().position(|slot| slot.name == controller) else { return };
         let partitioned = self.are_zones_cut(&self.controllers[from].zone, &self.controllers[to].zone);
-        if partitioned || self.is_cut(from, "mesh") || self.is_cut(to, "mesh") {
+        if partitioned || self.is_cut(from, "peers") || self.is_cut(to, "peers") {
             return;
         }
         let sender = self.controllers[from].name.clone();
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -9,7 +9,7 @@
 use olivelatch::protocol::workers::parse_heartbeat;
 use olivelatch_worker::Worker;
 
-use super::actions::{ActionResult, parse_seconds, usage_error};
+use super::actions::{ActionResult, parse_argument, parse_seconds, usage_error};
 use super::{START_MS, STEP_MS, SimulatedCluster};
 
 /// Maximum number of heartbeats that are kept for the next leader.
@@ -30,15 +30,16 @@
     copy_delays_ms: Vec<u64>,
     /// Copies of heartbeats in flight: time of arrival, controller, and body.
     heartbeat_copies: Vec<(u64, usize, Vec<u8>)>,
-    /// Set while heartbeats are kept for the next leader: the leader, if any, when the fault started or when the
-    /// leader last changed.
+    /// Set while heartbeats are kept for the next leader: index and incarnation of the leader, if any, when the fault
+    /// started or when the leader last changed.
     kept_for_next_leader: Option<Option<(usize, u64)>>,
+    /// Bodies of the kept heartbeats, oldest first.
     kept_heartbeats: VecDeque<Vec<u8>>,
-    /// Response time of the cloud.
+    /// Response time of the cloud, in ms; 0 for a response within the same step.
     cloud_delay_ms: u64,
     /// Number of task starts after the user knew that the job is cancelled.
-    pub started_cancelled: u64,
-    /// Response time of the kv store.
+    pub started_after_cancel: u64,
+    /// Response time of the kv store, in ms; 0 for a response within the same step.
     pub kv_delay_ms: u64,
     /// Whether the response time of the kv store varies, so that responses may arrive out of order.
     pub kv_delay_varies: bool,
@@ -46,11 +47,12 @@
     delayed_responses: Vec<(u64, usize, u64, Event)>,
     /// Delay after which a transaction without a response is carried out.
     pub txn_delay_ms: Option<u64>,
+    /// Delayed transactions: time at which each is carried out, and its body.
     delayed_txns: Vec<(u64, Vec<u8>)>,
     /// The longest time, in ms, that a task ran after its user knew of the cancellation.
-    pub longest_cancelled_stay_ms: u64,
+    pub longest_run_after_cancel_ms: u64,
     /// Number of tasks that were killed when their worker's lease had expired.
-    pub lost_with_lease: u64,
+    pub killed_on_lease_expiry: u64,
     /// Time of the last response about each job.
     pub last_answered_at: BTreeMap<String, u64>,
 }
@@ -85,8 +87,8 @@
 }
 
 impl SimulatedCluster {
-    pub fn longest_cancelled_stay_ms(&self) -> u64 {
-        self.faults.longest_cancelled_stay_ms
+    pub fn longest_run_after_cancel_ms(&self) -> u64 {
+        self.faults.longest_run_after_cancel_ms
     }
 
     /// Returns the clocks as a controller reads them.
@@ -226,17 +228,17 @@
 
     pub fn set_cloud_delay(&mut self, words: &[&str]) -> ActionResult {
         self.faults.cloud_delay_ms = match words {
-            ["late", seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
-            ["fine"] => 0,
-            _ => return usage_error("late SECONDS or fine"),
+            ["none"] => 0,
+            [seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
+            _ => return usage_error("SECONDS or none"),
         };
         Ok(())
     }
 
     pub fn set_heartbeat_copies(&mut self, words: &[&str]) -> ActionResult {
         let leader = self.current_leader();
-        self.faults.kept_for_next_leader = (words == ["next"]).then_some(leader);
-        if words == ["next"] {
+        self.faults.kept_for_next_leader = (words == ["to-next-leader"]).then_some(leader);
+        if words == ["to-next-leader"] {
             return Ok(());
         }
         self.faults.kept_heartbeats.clear();
@@ -247,11 +249,11 @@
     }
 
     pub fn set_kv_delay(&mut self, words: &[&str]) -> ActionResult {
-        self.faults.kv_delay_varies = words == ["uneven"];
+        self.faults.kv_delay_varies = words == ["variable"];
         self.faults.kv_delay_ms = match words {
-            ["slow", seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
-            ["fine" | "uneven"] => 0,
-            _ => return usage_error("slow SECONDS, uneven or fine"),
+            ["none" | "variable"] => 0,
+            [seconds] => (parse_seconds(seconds)? * 1000.0) as u64,
+            _ => return usage_error("SECONDS, variable or none"),
         };
         Ok(())
     }
@@ -286,8 +288,8 @@
         let [node, ppm, wall] = words else { return usage_error("NODE PPM MILLISECONDS") };
         let controller = self.controller_index(node);
         let fault = &mut self.controllers[controller].clock_fault;
-        fault.drift = ppm.parse::<f64>().map_err(|_| "a number")? / 1e6;
-        fault.wall_offset_ms = wall.parse().map_err(|_| "a number")?;
+        fault.drift = parse_argument::<f64>(ppm, "a drift in ppm")? / 1e6;
+        fault.wall_offset_ms = parse_argument(wall, "a number of milliseconds")?;
         Ok(())
     }
 }
--- a/tests/simulation/job_arguments.rs
+++ b/tests/simulation/job_arguments.rs
@@ -1,6 +1,8 @@
-//! Parses the description of a job in a scenario line: `NUMBER name=value flag ...`.
+//! Parses the description of a job in a scenario line: `NUMBER name=value flag ...`. Times are in seconds, memory and
+//! image sizes in GB; `run` is the run time of each task, `estimate` what its user expects (by default the same).
 
 use std::collections::BTreeMap;
+use std::str::FromStr;
 
 use olivelatch_worker::{JobDescription, TaskWork};
 use serde_json::{Value, json};
@@ -11,14 +13,62 @@
 /// Run time of a service's tasks, which do not finish by themselves.
 const ENDLESS_MS: u64 = u64::MAX / 4;
 
+/// The names of `name=value` arguments of a job, followed by those that only nodes of a graph have.
+const ARGUMENT_NAMES: [&str; 27] = [
+    "class",
+    "team",
+    "urgency",
+    "tasks",
+    "cpus",
+    "gpus",
+    "memory",
+    "image",
+    "size",
+    "machine_types",
+    "zone",
+    "run",
+    "estimate",
+    "checkpoint",
+    "save",
+    "due",
+    "expect",
+    "list_len",
+    "after",
+    "map",
+    "rule",
+    "tries",
+    "wait",
+    "max_wait",
+    "limit",
+    "pool",
+    "output",
+];
+const FLAGS: [&str; 6] = ["gang", "service", "together", "scatter", "spot", "fails"];
+
+/// Panics if an argument is unknown, which would otherwise be ignored.
+fn check_arguments(words: &[&str]) {
+    for word in words {
+        let known = match word.split_once('=') {
+            Some((name, _)) => ARGUMENT_NAMES.contains(&name),
+            None => FLAGS.contains(word),
+        };
+        assert!(known, "expected an argument of a job, found {word}");
+    }
+}
+
 /// Returns the value of `name=value` among the words.
 pub(super) fn named_argument<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
 pub(super) fn numeric_argument(words: &[&str], name: &str, default: f64) -> f64 {
-    named_argument(words, name)
-        .map_or(default, |text| text.parse().unwrap_or_else(|_| panic!("{name}={text}")))
+    parsed_argument(words, name, "a number").unwrap_or(default)
+}
+
+/// Returns the value of `name=value` among the words, if there is one. Panics unless it is what is `expected`.
+fn parsed_argument<T: FromStr>(words: &[&str], name: &str, expected: &str) -> Option<T> {
+    let text = named_argument(words, name)?;
+    Some(text.parse().unwrap_or_else(|_| panic!("expected {expected}, found {name}={text}")))
 }
 
 /// A job that a scenario describes.
@@ -49,11 +99,11 @@
         "urgency": text("urgency", "normal"), "pieces": number("tasks", 1.0) as u64,
         "vcpus": number("cpus", 1.0), "accelerators": number("gpus", 0.0), "memory_gb": number("memory", 1.0),
         "bundle": text("image", "img-1"), "size_gb": number("size", 0.1),
-        "boxkinds": named_argument(words, "kinds").map(|kinds| kinds.split(',').collect::<Vec<_>>()),
+        "boxkinds": named_argument(words, "machine_types").map(|types| types.split(',').collect::<Vec<_>>()),
         "hall": named_argument(words, "zone"), "together": flag("together"), "scatter": flag("scatter"),
-        "loaners": flag("spot"), "guess_s": number("guess", number("run", 5.0)),
+        "loaners": flag("spot"), "guess_s": number("estimate", number("run", 5.0)),
         "snapshot_s": number("checkpoint", 0.0), "flush_s": number("save", 1.0),
-        "due_s": named_argument(words, "due").map(|due| due.parse::<f64>().expect("due"))})
+        "due_s": parsed_argument::<f64>(words, "due", "a number of seconds")})
 }
 
 /// Returns what the workers know about the job, and how its simulated tasks behave.
@@ -73,7 +123,7 @@
         work: TaskWork::Simulated {
             run_ms: if shape == "daemon" { ENDLESS_MS } else { (number("run", 5.0) * 1000.0) as u64 },
             fails: words.contains(&"fails"),
-            list_len: named_argument(words, "gives").map(|len| len.parse().expect("gives")),
+            list_len: parsed_argument(words, "list_len", "a number of elements"),
         },
         inputs: BTreeMap::new(),
         map_source: None,
@@ -84,10 +134,12 @@
     /// Parses a job. Unless its submission is expected to be rejected, registers the job with the workers and the
     /// invariant checks.
     pub(super) fn describe_job(&mut self, words: &[&str]) -> JobArguments {
-        let id = format!("job-{:06}", words[0].parse::<u64>().expect("a job number"));
+        check_arguments(&words[1..]);
+        let number: u64 =
+            words[0].parse().unwrap_or_else(|_| panic!("expected the number of a job, found {}", words[0]));
+        let id = format!("job-{number:06}");
         let spec = submission(&id, words);
-        let expected: Option<u16> =
-            named_argument(words, "expect").map(|code| code.parse().expect("a status"));
+        let expected: Option<u16> = parsed_argument(words, "expect", "a status code");
         if expected.is_none_or(|status| status < 300) {
             self.jobs.insert(id.clone(), job_description(words));
             self.submissions.insert(id.clone(), spec.clone());
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -100,9 +100,9 @@
     /// Events that a controller can handle per second, in units of one heartbeat; `None` for no limit.
     controller_capacity: Option<f64>,
     /// Whether direct commands are held instead of delivered, and get no response.
-    direct_commands_lost: bool,
+    direct_commands_held: bool,
     /// Whether responses to polls for changes are longer than a controller accepts.
-    changes_too_long: bool,
+    change_responses_too_large: bool,
     /// Held direct commands: worker and body.
     held_commands: Vec<(usize, Vec<u8>)>,
     txn_mode: TxnMode,
@@ -176,8 +176,8 @@
             violations: Vec::new(),
             zone_cuts: HashSet::new(),
             controller_capacity: None,
-            direct_commands_lost: false,
-            changes_too_long: false,
+            direct_commands_held: false,
+            change_responses_too_large: false,
             held_commands: Vec::new(),
             txn_mode: TxnMode::Normal,
             held_txns: Vec::new(),
