--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -120,18 +120,21 @@
         assert!(killed.success());
     }
 
+    /// Returns the entries of the workers' run log, oldest first.
+    pub fn run_log(&self) -> Vec<RunLogEntry> {
+        let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the run log");
+        text.lines().map(|line| RunLogEntry::parse(&serde_json::from_str(line).expect("JSON"))).collect()
+    }
+
     /// Returns the tasks by job that have started and not exited according to the workers' run log.
     pub fn running_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the run log");
         let mut running: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-        // A kill may cut the last line.
-        for value in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
-            let (job, task) = value["task"].as_str().expect("a task").split_once('/').expect("job/task");
-            let tasks = running.entry(job.into()).or_default();
-            if value["event"] == "start" {
-                tasks.insert(task.into());
+        for entry in self.run_log() {
+            let tasks = running.entry(entry.job).or_default();
+            if entry.is_start {
+                tasks.insert(entry.task);
             } else {
-                tasks.remove(task);
+                tasks.remove(&entry.task);
             }
         }
         running
@@ -140,16 +143,13 @@
     /// Returns the completed tasks by job, from the workers' run log. Panics if a task was started again
     /// after it completed.
     pub fn done_by_run_log(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let text = std::fs::read_to_string(self.folder.join("runs.jsonl")).expect("the run log");
         let mut done: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-        for line in text.lines() {
-            let value: Value = serde_json::from_str(line).expect("JSON");
-            let (job, task) = value["task"].as_str().expect("a task").split_once('/').expect("job/task");
-            let tasks = done.entry(job.into()).or_default();
-            if value["event"] == "start" {
-                assert!(!tasks.contains(task), "started again after it was done: {line}");
-            } else if value["done"] == true {
-                tasks.insert(task.into());
+        for entry in self.run_log() {
+            let tasks = done.entry(entry.job.clone()).or_default();
+            if entry.is_start {
+                assert!(!tasks.contains(&entry.task), "started again after it was done: {entry:?}");
+            } else if entry.is_success {
+                tasks.insert(entry.task);
             }
         }
         done
@@ -175,6 +175,29 @@
     }
 }
 
+/// An entry of the workers' run log: a task's attempt has started or exited.
+#[derive(Debug)]
+pub struct RunLogEntry {
+    pub job: String,
+    /// Number of the task within the job.
+    pub task: String,
+    pub is_start: bool,
+    /// Whether the attempt has exited successfully.
+    pub is_success: bool,
+}
+
+impl RunLogEntry {
+    fn parse(value: &Value) -> RunLogEntry {
+        let (job, task) = value["task"].as_str().expect("a task").split_once('/').expect("job/task");
+        RunLogEntry {
+            job: job.into(),
+            task: task.into(),
+            is_start: value["event"] == "start",
+            is_success: value["done"] == true,
+        }
+    }
+}
+
 /// The ports of a cluster's servers. Each is bound on 127.0.0.1 until the cluster is dropped, so that no other cluster
 /// gets it, and the servers use its number on another loopback address. The ports that `up` chooses itself are not held
 /// until its processes listen: clusters of parallel tests could get the same port and answer each other's requests.
--- a/crates/cli/tests/graphs.rs
+++ b/crates/cli/tests/graphs.rs
@@ -120,13 +120,10 @@
 
 /// Returns the span of each job in the run log, by job id.
 fn job_spans(cluster: &TestCluster) -> BTreeMap<String, JobSpan> {
-    let text = fs::read_to_string(cluster.folder.join("runs.jsonl")).expect("the run log");
     let mut spans: BTreeMap<String, JobSpan> = BTreeMap::new();
-    for (line_number, line) in text.lines().enumerate() {
-        let value: Value = serde_json::from_str(line).expect("JSON");
-        let job = value["task"].as_str().and_then(|task| task.split('/').next()).expect("a task");
-        let span = spans.entry(job.into()).or_insert(JobSpan { first_start: line_number, last_success: 0 });
-        if value["done"] == true {
+    for (line_number, entry) in cluster.run_log().into_iter().enumerate() {
+        let span = spans.entry(entry.job).or_insert(JobSpan { first_start: line_number, last_success: 0 });
+        if entry.is_success {
             span.last_success = line_number;
         }
     }
