--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -188,7 +188,7 @@
     let list = client.config_list()?;
     let differences = file.differences(&list);
     if let Some(unknown) = differences.iter().find(|difference| difference.current.is_none()) {
-        return Err(CommandError::Refused(format!("{}: the cluster has no such team", unknown.entry)));
+        return Err(CommandError::Refused(format!("{}: the cluster has no such team", unknown.key)));
     }
     let mut changes = ClusterChanges::default();
     let mut stored = Vec::new();
@@ -217,8 +217,8 @@
     change: &Change,
 ) -> Result<ConfigEntryView, CommandError> {
     let expected = difference.current.map(|current| current.version);
-    match client.config_set(&difference.entry, difference.wanted, expected, &change_author(change)) {
-        Err(ClientError::Refused { status: 409, body, .. }) => Err(conflict_error(&difference.entry, &body)),
+    match client.config_set(&difference.key, difference.wanted, expected, &change_author(change)) {
+        Err(ClientError::Refused { status: 409, body, .. }) => Err(conflict_error(&difference.key, &body)),
         stored => Ok(stored?),
     }
 }
@@ -227,7 +227,7 @@
     let current = difference.current.map(|current| current.configured).unwrap_or_default();
     format!(
         "  {}: {} -> {}",
-        difference.entry,
+        difference.key,
         render::team_value_text(current),
         render::team_value_text(difference.wanted)
     )
--- a/crates/cli/src/commands/controllers.rs
+++ b/crates/cli/src/commands/controllers.rs
@@ -51,7 +51,7 @@
     if unresponsive == total {
         let addresses: Vec<String> = statuses.into_iter().map(|(addr, _)| addr).collect();
         return Err(CommandError::Client(ClientError::NoResponse {
-            seconds: common.deadline,
+            deadline_s: common.deadline,
             tried: addresses.join(", "),
         }));
     }
@@ -60,6 +60,6 @@
 
 fn check_file(file: &Path) -> Result<String, CommandError> {
     let jobs = JobFile::load(file)?.prepare()?;
-    let tasks: u64 = jobs.iter().filter_map(|job| job.spec["pieces"].as_u64()).sum();
+    let tasks: u64 = jobs.iter().filter_map(|job| job.submission["pieces"].as_u64()).sum();
     Ok(format!("{}: valid, {} jobs with {tasks} tasks", file.display(), jobs.len()))
 }
--- a/crates/cli/src/commands/jobs.rs
+++ b/crates/cli/src/commands/jobs.rs
@@ -30,8 +30,8 @@
 pub(super) fn cancel(common: &Common, client: &mut Client, ids: &[String]) -> Result<(), CommandError> {
     for id in ids {
         let job = client.cancel(id)?;
-        print_value(common, &json!({"id": job.uid, "state": job.status}), || {
-            format!("{}  {}", job.uid, job.status)
+        print_value(common, &json!({"id": job.id, "state": job.status}), || {
+            format!("{}  {}", job.id, job.status)
         })?;
     }
     Ok(())
--- a/crates/cli/src/commands/submit.rs
+++ b/crates/cli/src/commands/submit.rs
@@ -38,7 +38,7 @@
     if let Some(description) = &job.description {
         client.upload_description(&job.id, description)?;
     }
-    Ok(client.submit(&job.spec)?.status)
+    Ok(client.submit(&job.submission)?.status)
 }
 
 /// Reads and checks all files, before the first job is sent.
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -46,7 +46,7 @@
         let deadline_ms = self.deadline.as_millis() as u64;
         let mut retries = RetryState::new(controllers.len(), self.preferred_controller, deadline_ms);
         let mut last_refusal = None;
-        let mut next = retries.first_controller();
+        let mut next = retries.first_decision();
         loop {
             let RetryDecision::Send { controller, wait_ms } = next else {
                 return Err(last_refusal.unwrap_or_else(|| self.no_response(&controllers)));
@@ -57,7 +57,7 @@
             let outcome = response.as_ref().map_or(AttemptOutcome::Lost, |response| {
                 AttemptOutcome::Response { status: response.status, retry_after_s: response.retry_after_s }
             });
-            next = retries.after_attempt(start.elapsed().as_millis() as u64, outcome, &mut self.rng);
+            next = retries.next_decision(start.elapsed().as_millis() as u64, outcome, &mut self.rng);
             let Some(response) = response else { continue };
             if next == RetryDecision::Final {
                 self.preferred_controller = controller;
@@ -70,7 +70,7 @@
 
     fn no_response(&self, tried: &[SocketAddr]) -> ClientError {
         let tried: Vec<String> = tried.iter().map(ToString::to_string).collect();
-        ClientError::NoResponse { seconds: self.deadline.as_secs_f64(), tried: tried.join(", ") }
+        ClientError::NoResponse { deadline_s: self.deadline.as_secs_f64(), tried: tried.join(", ") }
     }
 
     /// Makes the next request try the following controller first.
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -86,7 +86,7 @@
     pub fn differences<'a>(&self, list: &'a ConfigEntryList) -> Vec<ConfigDifference<'a>> {
         let current = |team: &str| list.entries.iter().find(|entry| entry.key == format!("team/{team}"));
         let entries = self.team.iter().map(|(team, value)| ConfigDifference {
-            entry: format!("team/{team}"),
+            key: format!("team/{team}"),
             current: current(team),
             wanted: *value,
         });
@@ -102,7 +102,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigDifference<'a> {
     /// The key of the entry, such as `team/NAME`.
-    pub entry: String,
+    pub key: String,
     /// The stored entry; `None` if the cluster has no such team.
     pub current: Option<&'a ConfigEntryView>,
     /// The value in the file.
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -16,10 +16,10 @@
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// No server responded within the deadline; the request may still have been executed.
-    #[error("no response within {seconds:.0} s from {tried}")]
+    #[error("no response within {deadline_s:.0} s from {tried}")]
     NoResponse {
         /// The deadline, in seconds.
-        seconds: f64,
+        deadline_s: f64,
         /// The addresses that were tried.
         tried: String,
     },
--- a/crates/client/src/job_requests.rs
+++ b/crates/client/src/job_requests.rs
@@ -9,9 +9,10 @@
 
 /// The status of a job in the controllers' response to its user.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct SubmissionStatus {
+pub struct JobStatusResponse {
     /// The job's id.
-    pub uid: String,
+    #[serde(rename = "uid")]
+    pub id: String,
     /// `pending`, `running`, `done` or `withdrawn`.
     pub status: String,
     /// The number of tasks that are done, if the response has it.
@@ -52,15 +53,15 @@
     ///
     /// # Errors
     /// The controllers reject the submission, or none responds in time.
-    pub fn submit(&mut self, spec: &Value) -> Result<SubmissionStatus, ClientError> {
-        Ok(serde_json::from_slice(&self.request("POST", "/work", spec.to_string().as_bytes())?)?)
+    pub fn submit(&mut self, submission: &Value) -> Result<JobStatusResponse, ClientError> {
+        Ok(serde_json::from_slice(&self.request("POST", "/work", submission.to_string().as_bytes())?)?)
     }
 
     /// Returns the current status of a job.
     ///
     /// # Errors
     /// The job is unknown, or no controller responds in time.
-    pub fn job_status(&mut self, id: &str) -> Result<SubmissionStatus, ClientError> {
+    pub fn job_status(&mut self, id: &str) -> Result<JobStatusResponse, ClientError> {
         self.get(&format!("/work/{id}"))
     }
 
@@ -68,7 +69,7 @@
     ///
     /// # Errors
     /// The job is unknown, or no controller responds in time.
-    pub fn cancel(&mut self, id: &str) -> Result<SubmissionStatus, ClientError> {
+    pub fn cancel(&mut self, id: &str) -> Result<JobStatusResponse, ClientError> {
         Ok(serde_json::from_slice(&self.request("POST", &format!("/work/{id}/abort"), b"")?)?)
     }
 
--- a/crates/client/src/jobs.rs
+++ b/crates/client/src/jobs.rs
@@ -185,7 +185,7 @@
     /// The job's id, given in the file or generated.
     pub id: String,
     /// The body of the submission.
-    pub spec: Value,
+    pub submission: Value,
     /// The description for the workers: the submission and the command. `None` if the file names no command;
     /// workers then need the description from another source.
     pub description: Option<Value>,
@@ -244,14 +244,14 @@
     /// The controllers would reject the job.
     pub fn prepare(&self, name: &str, index: u64) -> Result<PreparedJob, JobEntryError> {
         let id = self.id.clone().unwrap_or_else(|| new_id(index));
-        let spec = serde_json::to_value(self.manifest(&id)?)?;
-        check_submission(&spec, &id)?;
+        let submission = serde_json::to_value(self.manifest(&id)?)?;
+        check_submission(&submission, &id)?;
         let description = (!self.command.is_empty()).then(|| {
-            let mut description = spec.clone();
+            let mut description = submission.clone();
             description["run"] = json!({"command": self.command, "env": self.env, "dir": self.dir});
             description
         });
-        Ok(PreparedJob { name: name.into(), id, spec, description })
+        Ok(PreparedJob { name: name.into(), id, submission, description })
     }
 
     fn manifest(&self, id: &str) -> Result<JobManifest, JobEntryError> {
@@ -281,8 +281,8 @@
 }
 
 /// Validates a submission with the parser that the controllers use.
-fn check_submission(spec: &Value, id: &str) -> Result<(), JobEntryError> {
-    match parse_submission(spec.to_string().as_bytes()) {
+fn check_submission(submission: &Value, id: &str) -> Result<(), JobEntryError> {
+    match parse_submission(submission.to_string().as_bytes()) {
         Ok(UserRequest::Submit { manifest: Err(problem), .. }) => {
             Err(JobEntryError::Invalid(problem.to_string()))
         }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -20,5 +20,5 @@
 pub use config::{ChangeAuthor, ConfigDifference, ConfigFile, ConfigFileError};
 pub use contexts::{Context, Contexts, ContextsError};
 pub use exchange::ClientError;
-pub use job_requests::{AttemptLog, SubmissionStatus, TaskLogs};
+pub use job_requests::{AttemptLog, JobStatusResponse, TaskLogs};
 pub use jobs::{JobEntry, JobEntryError, JobFile, JobFileError, JobFileFormat, PreparedJob};
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the decision for the first attempt.
-    pub fn first_controller(&self) -> RetryDecision {
+    pub fn first_decision(&self) -> RetryDecision {
         if self.controllers.is_empty() {
             RetryDecision::GiveUp
         } else {
@@ -83,7 +83,7 @@
 
     /// Records the outcome of the last attempt at time `now_ms` and returns the next step: the controller
     /// that may be tried soonest comes next; ties go to the first one after the last one tried, in a ring.
-    pub fn after_attempt(
+    pub fn next_decision(
         &mut self,
         now_ms: u64,
         outcome: AttemptOutcome,
--- a/crates/dag-files/src/prepare.rs
+++ b/crates/dag-files/src/prepare.rs
@@ -136,7 +136,7 @@
         let mut entry = node.job.clone();
         entry.id = Some(job_name(job));
         let prepared = entry.prepare(&node.name, 0)?;
-        let mut manifest: JobManifest = serde_json::from_value(prepared.spec)?;
+        let mut manifest: JobManifest = serde_json::from_value(prepared.submission)?;
         // Nodes that differ only in their job ids share a template, so the template has no id.
         manifest.id = String::new();
         let attributes = &node.attributes;
